--- a/bench/client_bench.cpp
+++ b/bench/client_bench.cpp
@@ -19,10 +19,10 @@
 #include <thread>
 
 #include "client/client.h"
+#include "fakes/fake_deployment.h"
+#include "fakes/fake_gateway.h"
+#include "fakes/process.h"
 #include "proto/jsonrpc/reply.h"
-#include "standin/fleet.h"
-#include "standin/gateway.h"
-#include "standin/process.h"
 
 namespace {
 
@@ -151,10 +151,10 @@
 
 void run_restart(const std::string& program, bool plain, int clients) {
   constexpr double kLength = 14000, kKill = 3000, kDown = 1000, kEvery = 200, kTimeout = 1500;
-  standin::Fleet fleet(4);
-  const std::string address = standin::free_address();
-  standin::Process gateway(program, fleet.config(address));
-  standin::Process::listens(address);
+  fakes::FakeDeployment fleet(4);
+  const std::string address = fakes::free_address();
+  fakes::Process gateway(program, fleet.config(address));
+  fakes::Process::listens(address);
   const auto start = Clock::now();
   Moments attempts(start);
   std::atomic<uint64_t> asked = 0, answered = 0;
@@ -206,16 +206,16 @@
 
 void run_overload(const std::string& program, bool plain, bool advice) {
   constexpr double kLength = 20000, kTimeout = 1000, kTarget = 800, kRate = 2400;
-  standin::Engine::Means means;
+  fakes::FakeEngine::Means means;
   means.slots = 8;  // two engines of eight, 20 ms a query: 800 a second
   means.full_behind = 200;
-  standin::Fleet fleet(2, means);
-  const std::string address = standin::free_address();
+  fakes::FakeDeployment fleet(2, means);
+  const std::string address = fakes::free_address();
   std::string config = fleet.config(address);
   const std::string told = R"("retry_after":true)";
   if (!advice) config.replace(config.find(told), told.size(), R"("retry_after":false)");
-  standin::Process gateway(program, config);
-  standin::Process::listens(address);
+  fakes::Process gateway(program, config);
+  fakes::Process::listens(address);
   const auto start = Clock::now();
   Moments attempts(start);
   std::atomic<uint64_t> asked = 0, in_target = 0, sends = 0;
@@ -275,8 +275,8 @@
     process_ = ::fork();
     if (process_ == 0) {
       {
-        standin::Host host;
-        standin::Gateway gateway(host);
+        fakes::FakeHost host;
+        fakes::FakeGateway gateway(host);
         gateway.set_mute(mute);
         const std::string address = gateway.address();
         [[maybe_unused]] const ssize_t n = ::write(ends[1], address.data(), address.size());
--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -1,4 +1,5 @@
-// What a fleet costs and how fast it hands on: processes of the program on loopback, and fleets in virtual time.
+// What a fleet costs and how fast it hands on: processes of the program on loopback, and fleets in virtual
+// time.
 //   firvalve_fleet_bench [trials]    as in docs/fleet.md; simulated engines
 #include <fmt/format.h>
 #include <signal.h>
@@ -12,9 +13,9 @@
 #include <thread>
 #include <vector>
 
+#include "fakes/load_clients.h"
 #include "lab/fleet_world.h"
 #include "lab/judge.h"
-#include "standin/crowd.h"
 
 namespace {
 
@@ -33,19 +34,21 @@
   std::sort(all.begin(), all.end());
   if (all.empty()) return;
   const auto at = [&](double q) {
-    return all[std::min(all.size() - 1, static_cast<size_t>(std::ceil(q * static_cast<double>(all.size())) - 1))];
+    return all[std::min(all.size() - 1,
+                        static_cast<size_t>(std::ceil(q * static_cast<double>(all.size())) - 1))];
   };
-  fmt::print("{:<44} {:>4} of {:<4} {:>8.1f} {:>8.1f} {:>8.1f} ms\n", what, all.size(), trials, at(0.5), at(0.99), all.back());
+  fmt::print("{:<44} {:>4} of {:<4} {:>8.1f} {:>8.1f} {:>8.1f} ms\n", what, all.size(), trials, at(0.5),
+             at(0.99), all.back());
 }
 
 // The time without a holder around each change of it, where `fail` does something to the present one.
-std::vector<double> gaps(standin::Crowd& c, size_t trials, const std::function<void(size_t)>& fail,
+std::vector<double> gaps(fakes::LoadClients& c, size_t trials, const std::function<void(size_t)>& fail,
                          const std::function<void(size_t)>& mend, bool from_span) {
   std::vector<double> out;
   for (size_t t = 0; t < trials; ++t) {
     if (!soon([&] { return c.ready(); })) break;
     const size_t first = *c.holder("trial:a");
-    const Ms began = standin::Crowd::clock();
+    const Ms began = fakes::LoadClients::clock();
     fail(first);
     if (!soon([&] {
           const auto h = c.holder("trial:a");
@@ -69,13 +72,25 @@
   const size_t trials = argc > 1 ? static_cast<size_t>(std::atoi(argv[1])) : 20;
   fmt::print("time without a holder, lease 1000 ms, 3 keepers of 5 processes   median   99 in 100   most\n");
   {
-    standin::Crowd c(FIRVALVE_PROGRAM, {});
+    fakes::LoadClients c(FIRVALVE_PROGRAM, {});
     const auto start = [&](size_t i) { c.start(i); };
-    row("handed on at SIGTERM, from its last act", gaps(c, trials, [&](size_t i) { c.end(i); }, start, true), trials);
-    row("killed, from the kill", gaps(c, trials, [&](size_t i) { c.kill(i); }, start, false), trials);
-    row("stopped, from the stop", gaps(c, trials, [&](size_t i) { c.pause(i); }, [&](size_t i) { c.go_on(i); }, false), trials);
-    row("cut off from all, from the cut", gaps(c, trials, [&](size_t i) { c.between().set_apart(i, {.silent = true}); },
-                                               [&](size_t i) { c.between().set_apart(i, {}); }, false), trials);
+    row("handed on at SIGTERM, from its last act",
+        gaps(
+            c, trials, [&](size_t i) { c.end(i); }, start, true),
+        trials);
+    row("killed, from the kill",
+        gaps(
+            c, trials, [&](size_t i) { c.kill(i); }, start, false),
+        trials);
+    row("stopped, from the stop",
+        gaps(
+            c, trials, [&](size_t i) { c.pause(i); }, [&](size_t i) { c.go_on(i); }, false),
+        trials);
+    row("cut off from all, from the cut",
+        gaps(
+            c, trials, [&](size_t i) { c.between().set_apart(i, {.silent = true}); },
+            [&](size_t i) { c.between().set_apart(i, {}); }, false),
+        trials);
   }
   fmt::print("\nin virtual time, 200 holders killed (lease 1000 ms):\n");
   {
@@ -87,13 +102,14 @@
       o.duties = 30;
       o.merges = o.readers = o.publishers = 0;
       o.span = 9000;
-      for (uint32_t k = 0; k < 2; ++k) o.given.push_back({lab::FleetFault::Kind::kKill, 4000.0 + 2500 * k, -1, 3 + k, 0, false});
+      for (uint32_t k = 0; k < 2; ++k)
+        o.given.push_back({lab::FleetFault::Kind::kKill, 4000.0 + 2500 * k, -1, 3 + k, 0, false});
       for (const Ms gap : lab::play(o).gaps) all.push_back(gap);
     }
     row("a duty without a holder", all, all.size());
   }
-  fmt::print("\nin virtual time, 10 s, 5 keepers, 20 duties, no faults\n{:>9} {:>12} {:>22} {:>16}\n", "gateways", "messages/s",
-             "a gateway (no keeper)/s", "us of CPU each");
+  fmt::print("\nin virtual time, 10 s, 5 keepers, 20 duties, no faults\n{:>9} {:>12} {:>22} {:>16}\n",
+             "gateways", "messages/s", "a gateway (no keeper)/s", "us of CPU each");
   for (const uint32_t gateways : {8u, 30u, 100u, 300u, 1024u}) {
     lab::FleetOptions o;
     o.keepers = 5;
@@ -103,8 +119,11 @@
     o.span = 10000;
     const auto begin = std::chrono::steady_clock::now();
     const lab::FleetOutcome out = lab::play(o);
-    const double took = std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count();
-    fmt::print("{:>9} {:>12.0f} {:>22.2f} {:>16.1f}\n", gateways, static_cast<double>(out.messages - out.acts - out.refused) / 10,
-               static_cast<double>(out.messages - out.acts - out.refused) / 10 / gateways, took / 10 / gateways);
+    const double took =
+        std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count();
+    fmt::print("{:>9} {:>12.0f} {:>22.2f} {:>16.1f}\n", gateways,
+               static_cast<double>(out.messages - out.acts - out.refused) / 10,
+               static_cast<double>(out.messages - out.acts - out.refused) / 10 / gateways,
+               took / 10 / gateways);
   }
 }
--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -15,12 +15,12 @@
 #include <map>
 #include <thread>
 
+#include "base/timing_wheel.h"
 #include "client/client.h"
-#include "index/wheel.h"
+#include "fakes/fake_deployment.h"
+#include "fakes/process.h"
 #include "proto/jsonrpc/reply.h"
-#include "spool/spool.h"
-#include "standin/fleet.h"
-#include "standin/process.h"
+#include "results/paged_result_store.h"
 
 namespace {
 
@@ -88,28 +88,28 @@
 
 void run_through(int mb, bool disk) {
   Folder folder;
-  spool::SpoolTerms terms;
-  terms.keeping.memory = 16e6;
-  terms.keeping.disk = disk ? 4e9 : 0;
-  terms.keeping.lease = 1e6;
-  spool::Spool spool(terms, 1, [](std::string_view) {});
-  std::unique_ptr<spool::Files> files;
+  results::PagedResultStoreOptions options;
+  options.keeping.memory = 16e6;
+  options.keeping.disk = disk ? 4e9 : 0;
+  options.keeping.lease = 1e6;
+  results::PagedResultStore spool(options, 1, [](std::string_view) {});
+  std::unique_ptr<results::SegmentFiles> files;
   if (disk) {
-    files = std::make_unique<spool::Files>(spool::Files::Terms{folder.path}, 1000, [] {});
+    files = std::make_unique<results::SegmentFiles>(results::SegmentFiles::Options{folder.path}, 1000, [] {});
     spool.use(1000, *files, {});
   }
   const std::string rows = passenger_rows(64000, 1);
   const int pages = static_cast<int>(mb * 1e6 / static_cast<double>(rows.size()));
   const auto start = Clock::now();
   Ms now = 1000;
-  ShelfNo no = 0;
+  ResultHandle no = 0;
   std::vector<std::string> tokens;
   for (int i = 0; i < pages; ++i) {
     if (i % 100 == 0) {
       if (no) spool.whole(now, no), tokens.push_back(spool.answer(no).token);
       no = spool.reserve(now, {"x", "", "report", "select 1", "00000000000000a1", 1});
     }
-    while (spool.page(now, no, rows) == Shelf::Put::kSlow) {
+    while (spool.page(now, no, rows) == ResultStore::Put::kSlow) {
       while (files->backlog() > 1000000) spool.due(now), std::this_thread::yield();
       break;
     }
@@ -126,7 +126,7 @@
   for (const std::string& token : tokens)
     for (uint64_t page = 1; page <= 100; ++page) {
       ++wanted;
-      spool.read(now, token, "", page, [&](Ms, Shelf::Read, std::string_view text, uint64_t) {
+      spool.read(now, token, "", page, [&](Ms, ResultStore::Read, std::string_view text, uint64_t) {
         ++came;
         got += static_cast<double>(text.size());
       });
@@ -137,19 +137,19 @@
 }
 
 void run_leases(int count) {
-  struct Node : index::WheelNode {};
+  struct Node : base::TimingWheelNode {};
   std::vector<Node> nodes(static_cast<size_t>(count));
   uint64_t seed = 1;
   const auto next = [&] { return (seed = seed * 6364136223846793005ULL + 1442695040888963407ULL) >> 33; };
   {
-    index::Wheel wheel;
+    base::TimingWheel wheel;
     for (Node& n : nodes) wheel.put(n, 1 + next() % 4000);
     const auto start = Clock::now();
     for (int i = 0; i < 2000000; ++i) wheel.put(nodes[next() % nodes.size()], 1 + next() % 4000);
     const double put = ms_since(start);
     const auto going = Clock::now();
     uint64_t fired = 0;
-    for (uint64_t t = 1; t <= 4000; ++t) wheel.advance(t, [&](index::WheelNode&) { ++fired; });
+    for (uint64_t t = 1; t <= 4000; ++t) wheel.advance(t, [&](base::TimingWheelNode&) { ++fired; });
     fmt::print("wheel, {} leases: {:.0f} ns a renewal, {:.0f} ns an end\n", count, 1e6 * put / 2e6,
                1e6 * ms_since(going) / static_cast<double>(fired));
   }
@@ -183,8 +183,8 @@
       std::ofstream(folder.path + "/operator.json5") << R"({"spool": {"on": true, )" << spool << "}}";
       arguments = {"--operator", folder.path + "/operator.json5"};
     }
-    process = std::make_unique<standin::Process>(program, fleet.config(address, memory_mb, 4096), arguments);
-    standin::Process::listens(address);
+    process = std::make_unique<fakes::Process>(program, fleet.config(address, memory_mb, 4096), arguments);
+    fakes::Process::listens(address);
   }
   double resident_mb() const {
     std::ifstream file(fmt::format("/proc/{}/statm", process->id()));
@@ -221,9 +221,9 @@
     return all;
   }
   Folder folder;
-  standin::Fleet fleet;
-  std::string address = standin::free_address();
-  std::unique_ptr<standin::Process> process;
+  fakes::FakeDeployment fleet;
+  std::string address = fakes::free_address();
+  std::unique_ptr<fakes::Process> process;
 };
 
 client::Command report(const std::string& statement, bool paged) {
@@ -326,7 +326,7 @@
   at.process->stop(SIGKILL);
   const auto start = Clock::now();
   at.process->start();
-  standin::Process::listens(at.address);
+  fakes::Process::listens(at.address);
   const double listens = ms_since(start);
   client::Pages pages(client, {at.address}, token, "", 2, {});
   std::string rows;
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -11,7 +11,7 @@
 #include <fstream>
 #include <thread>
 
-#include "spool/files.h"
+#include "results/segment_files.h"
 
 namespace {
 
@@ -69,14 +69,14 @@
 void own(const std::string& page) {
   Folder folder;
   const double before = resident_mb();
-  spool::Files files({folder.path}, 1000, [] {});
-  std::vector<spool::Found::Place> places(kPages);
+  results::SegmentFiles files({folder.path}, 1000, [] {});
+  std::vector<results::Found::Place> places(kPages);
   const auto take = [&] {
     for (auto& d : files.done()) places[d.tag - 1] = d.place;
   };
   auto start = Clock::now();
   for (int i = 0; i < kPages; ++i) {
-    spool::Record r;
+    results::Record r;
     r.result = static_cast<uint64_t>(i / kRound);
     r.page = static_cast<uint32_t>(i % kRound);
     r.stored.bytes = page;
--- a/fuzz/operator_fuzz.cpp
+++ b/fuzz/operator_fuzz.cpp
@@ -3,7 +3,7 @@
 #include <cstdlib>
 #include <string_view>
 
-#include "config/operator.h"
+#include "config/operator_config.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   const std::string_view text(reinterpret_cast<const char*>(data), size);
--- a/fuzz/segment_fuzz.cpp
+++ b/fuzz/segment_fuzz.cpp
@@ -6,15 +6,15 @@
 #include <cstring>
 #include <string>
 
-#include "spool/page.h"
+#include "results/page.h"
 
 namespace {
 
-using namespace firvalve::spool;
+using namespace firvalve::results;
 
 void try_segment(const std::string& segment) {
   Recovery recovery;
-  const size_t cut = recovery.hear(1, segment);
+  const size_t cut = recovery.handle(1, segment);
   if (cut != std::string::npos && cut > segment.size()) std::abort();
   size_t broken = 0;
   for (const Found& f : recovery.found(0, broken)) {
--- a/src/index/backoff.h
+++ b/src/base/backoff.h
@@ -9,7 +9,7 @@
 #include <pcg_random.hpp>
 #include <random>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve {
 
--- a/src/index/planted.h
+++ b/src/base/injected_bug.h
@@ -1,13 +1,13 @@
 // Flaws that tests plant in the machines which agree on things, to see that the checks on them bite. In every
-// program that serves, planted() is false at compile time and nothing of it is left; the tests' own build of
-// the same sources (FIRVALVE_PLANTED) can switch one on.
+// program that serves, is_injected() is false at compile time and nothing of it is left; the tests' own build
+// of the same sources (FIRVALVE_INJECTED_BUGS) can switch one on.
 #pragma once
 
 #include <cstdint>
 
 namespace firvalve {
 
-enum class Flaw : uint8_t {
+enum class InjectedBug : uint8_t {
   kNone,
   kForgetfulKeeper,       // a keeper that lost its memory takes part at once
   kNoPromise,             // a keeper accepts what is older than its promise
@@ -21,11 +21,11 @@
   kNoEpochCheck,          // whoever receives an act takes an older epoch's, too
 };
 
-#ifdef FIRVALVE_PLANTED
-inline thread_local Flaw planted_flaw = Flaw::kNone;
-inline bool planted(Flaw flaw) { return planted_flaw == flaw; }
+#ifdef FIRVALVE_INJECTED_BUGS
+inline thread_local InjectedBug injected_bug = InjectedBug::kNone;
+inline bool is_injected(InjectedBug flaw) { return injected_bug == flaw; }
 #else
-constexpr bool planted(Flaw) { return false; }
+constexpr bool is_injected(InjectedBug) { return false; }
 #endif
 
 }  // namespace firvalve
--- a/src/index/monotonic_clock.h
+++ b/src/base/monotonic_clock.h
@@ -10,7 +10,7 @@
 #include <algorithm>
 #include <chrono>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve {
 
--- a/src/index/wheel.h
+++ b/src/base/timing_wheel.h
@@ -12,23 +12,23 @@
 #include <boost/intrusive/list.hpp>
 #include <cstdint>
 
-namespace firvalve::index {
+namespace firvalve::base {
 
-struct WheelNode
+struct TimingWheelNode
     : boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
   uint64_t due = 0;
 };
 
-class Wheel {
+class TimingWheel {
  public:
-  explicit Wheel(uint64_t now = 1) : now_(now) {}
+  explicit TimingWheel(uint64_t now = 1) : now_(now) {}
 
-  void put(WheelNode& node, uint64_t due) {
+  void put(TimingWheelNode& node, uint64_t due) {
     node.unlink();
     node.due = due;
     place(node);
   }
-  static void take_out(WheelNode& node) { node.unlink(); }
+  static void take_out(TimingWheelNode& node) { node.unlink(); }
 
   // Goes on to `now` and hands out each node that is due by then, in the order of their ticks. `fire` may put
   // nodes in and take them out, the handed one too, which is out of the wheel by then.
@@ -36,7 +36,7 @@
   void advance(uint64_t now, Fire&& fire) {
     for (;;) {
       while (!due_.empty()) {
-        WheelNode& node = due_.front();
+        TimingWheelNode& node = due_.front();
         node.unlink();
         fire(node);
       }
@@ -58,13 +58,13 @@
   }
 
  private:
-  using List = boost::intrusive::list<WheelNode, boost::intrusive::constant_time_size<false>>;
+  using List = boost::intrusive::list<TimingWheelNode, boost::intrusive::constant_time_size<false>>;
   static constexpr int kLevels = 4, kBits = 8;
   static constexpr uint64_t kSlots = 1 << kBits;
 
   static uint64_t span(int level) { return uint64_t{1} << (kBits * level); }
 
-  void place(WheelNode& node) {
+  void place(TimingWheelNode& node) {
     if (node.due <= now_) return due_.push_back(node);
     const uint64_t far = node.due - now_;
     int level = 0;
@@ -113,7 +113,7 @@
       List here;
       here.swap(slot);
       while (!here.empty()) {
-        WheelNode& node = here.front();
+        TimingWheelNode& node = here.front();
         node.unlink();
         place(node);
       }
@@ -126,4 +126,4 @@
   List due_;
 };
 
-}  // namespace firvalve::index
+}  // namespace firvalve::base
--- a/src/client/budget.h
+++ b/src/client/budget.h
@@ -5,7 +5,7 @@
 #include <array>
 #include <cstdint>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::client {
 
--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -22,8 +22,8 @@
 #include <stdexcept>
 #include <thread>
 
+#include "base/monotonic_clock.h"
 #include "client/plan.h"
-#include "index/monotonic_clock.h"
 #include "proto/jsonrpc/reply.h"
 
 namespace firvalve::client {
@@ -91,8 +91,8 @@
   if (!(c.memory_mb >= 0) || !std::isfinite(c.memory_mb)) bad("memory_mb must be 0 or more");
 }
 
-PlanTerms terms_of(const Options& o) {
-  PlanTerms t;
+PlanOptions terms_of(const Options& o) {
+  PlanOptions t;
   t.gateways = static_cast<int>(o.gateways.size());
   t.seed = o.seed;
   if (t.seed == 0) {
@@ -296,7 +296,7 @@
         cancel_all = cancel_all_;
       }
       const Ms at = now();
-      for (const Posted& p : posted) hear(at, p);
+      for (const Posted& p : posted) handle(at, p);
       posted.clear();
       if (cancel_all) {
         std::vector<CallNo> all;
@@ -318,7 +318,7 @@
     callback_wanted_.notify_all();
   }
 
-  void hear(Ms at, const Posted& p) {
+  void handle(Ms at, const Posted& p) {
     Shared& call = *p.call;
     if (p.cancel) return plan_.cancel(at, call.no);
     calls_[call.no] = p.call;
@@ -503,7 +503,7 @@
     for (;;) {
       const proto::Read what = link.frames.next(link.inbox, body);
       if (what == proto::Read::kMore) break;
-      if (what == proto::Read::kBroken || !hear(at, no, body)) {
+      if (what == proto::Read::kBroken || !handle(at, no, body)) {
         lost_.push_back({no, Loss::How::kSpoilt});
         return;
       }
@@ -513,7 +513,7 @@
   }
 
   // False: it can't be read.
-  bool hear(Ms at, LinkNo no, std::span<char> body) {
+  bool handle(Ms at, LinkNo no, std::span<char> body) {
     proto::RpcReply reply = proto::read_reply(body);
     using Kind = proto::RpcReply::Kind;
     if (reply.kind == Kind::kUnread) return false;
@@ -742,7 +742,7 @@
 
 // ---- Pages --------------------------------------------------------------------------------------
 
-Pages::Pages(Client& client, const Result& result, std::string key, Terms terms)
+Pages::Pages(Client& client, const Result& result, std::string key, Options terms)
     : client_(client),
       gateways_{result.gateway},
       token_(result.token),
@@ -754,7 +754,7 @@
       asked_(1) {}
 
 Pages::Pages(Client& client, std::vector<std::string> gateways, std::string token, std::string key,
-             uint64_t from, Terms terms)
+             uint64_t from, Options terms)
     : client_(client),
       gateways_(std::move(gateways)),
       token_(std::move(token)),
--- a/src/client/client.h
+++ b/src/client/client.h
@@ -196,16 +196,16 @@
 // thread at a time. The client must outlive it.
 class Pages {
  public:
-  struct Terms {
+  struct Options {
     int ahead = 4;                  // pages asked for beyond the one wanted, 0 to 32
     double page_timeout_ms = 5000;  // of one page, on one try
     double give_up_ms = 120000;     // without any page, through outages: then next() gives kFailed
   };
   // After a paged command was answered.
-  Pages(Client& client, const Result& result, std::string key, Terms terms);
+  Pages(Client& client, const Result& result, std::string key, Options terms);
   // With the token alone, from page `from` on; `gateways` are asked in turn which of them has it.
   Pages(Client& client, std::vector<std::string> gateways, std::string token, std::string key, uint64_t from,
-        Terms terms);
+        Options terms);
   ~Pages();
 
   enum class Next { kPage, kEnd, kGone, kFailed };
@@ -223,7 +223,7 @@
   std::vector<std::string> gateways_;
   std::string token_, key_, first_;
   bool has_first_ = false;
-  Terms terms_;
+  Options terms_;
   uint64_t at_ = 0, pages_ = 0, asked_ = 0;
   size_t gateway_ = 0, gone_at_ = 0;
   std::vector<Handle> ahead_;
--- a/src/client/outage.cpp
+++ b/src/client/outage.cpp
@@ -5,7 +5,7 @@
 
 namespace firvalve::client {
 
-bool is_outage(const Loss& l, const SpreadTerms& terms) {
+bool is_outage(const Loss& l, const SpreadOptions& terms) {
   switch (l.how) {
     case Loss::How::kSilent:
       return true;
--- a/src/client/outage.h
+++ b/src/client/outage.h
@@ -9,7 +9,7 @@
 //     +----------------------------  heartbeat says healthy  ----------------------+
 #pragma once
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::client {
 
@@ -24,7 +24,7 @@
   Ms rested = 0;              // since anything passed on it
 };
 
-struct SpreadTerms {
+struct SpreadOptions {
   Ms spread = 4000;        // over which clients come back after an outage, doubled with each failure
   Ms spread_most = 30000;  // the doubling's end
   int many = 3;            // calls lost at once with a reset: more than one connection's bad luck
@@ -40,13 +40,13 @@
 //   - reset with many calls, or beside another loss: the machine or the network went, not one connection.
 // Harm: a gateway that ends connections for want of descriptors is left for up to `spread`, which is what it
 // needs; a client with no other gateway refuses calls for that time.
-bool is_outage(const Loss& loss, const SpreadTerms& terms);
+bool is_outage(const Loss& loss, const SpreadOptions& terms);
 
 class Standing {
  public:
   enum class Phase { kWell, kLeft, kTrying };
 
-  explicit Standing(const SpreadTerms& terms) : terms_(terms) {}
+  explicit Standing(const SpreadOptions& terms) : terms_(terms) {}
   Phase phase() const { return phase_; }
   bool well() const { return phase_ == Phase::kWell; }
   Ms try_at() const { return try_at_; }  // while left
@@ -58,7 +58,7 @@
   void came_back(Ms now);
 
  private:
-  SpreadTerms terms_;
+  SpreadOptions terms_;
   Phase phase_ = Phase::kWell;
   Ms try_at_ = 0, well_since_ = 0;
   int failures_ = 0;  // in a row, forgotten once it stayed well for longer than the last spread
--- a/src/client/plan.cpp
+++ b/src/client/plan.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-Plan::Plan(const PlanTerms& terms)
+Plan::Plan(const PlanOptions& terms)
     : terms_(terms),
       chance_(terms.seed, 1),
       reqs_(terms.seed, 2),
--- a/src/client/plan.h
+++ b/src/client/plan.h
@@ -23,9 +23,9 @@
 #include <unordered_map>
 #include <vector>
 
+#include "base/units.h"
 #include "client/budget.h"
 #include "client/outage.h"
-#include "index/units.h"
 
 namespace firvalve::client {
 
@@ -34,7 +34,7 @@
 
 enum class End { kAnswered, kRefused, kFailed, kUnknown, kExpired };
 
-struct PlanTerms {
+struct PlanOptions {
   int gateways = 1;
   uint64_t seed = 0;
   int links_most = 4;               // connections to one gateway
@@ -51,7 +51,7 @@
   Ms idle = 3500;             // a connection that rests is closed, before the gateway would
   Ms throttle_window = 3000;  // after an overload, what is sent doubles in less than it
   bool marks = true;
-  SpreadTerms spread;
+  SpreadOptions spread;
 };
 
 struct PlanAction {
@@ -91,7 +91,7 @@
 
 class Plan {
  public:
-  explicit Plan(const PlanTerms& terms);
+  explicit Plan(const PlanOptions& terms);
 
   // Events. `replayable`: it may run twice. `only`: the one gateway that it is for; below 0: any.
   void call(Ms now, CallNo call, const std::string& profile, bool replayable, Ms deadline, int only = -1);
@@ -137,7 +137,7 @@
     std::map<int64_t, CallNo> open;
   };
   struct Gateway {
-    explicit Gateway(const SpreadTerms& spread) : standing(spread) {}
+    explicit Gateway(const SpreadOptions& spread) : standing(spread) {}
     Standing standing;
     int open = 0, links = 0, connecting = 0;
     Ms latency = 0;  // running mean of answers; 0: none yet
@@ -185,7 +185,7 @@
   Ms usable_at(Ms now, const Call& c) const;
   bool wanted(Ms now) const;
 
-  PlanTerms terms_;
+  PlanOptions terms_;
   pcg32 chance_;
   pcg64 reqs_;
   RetryBudget budget_;
--- a/src/fleet/node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -1,8 +1,8 @@
-#include "fleet/node.h"
+#include "cluster/cluster_node.h"
 
-namespace firvalve::fleet {
+namespace firvalve::cluster {
 
-using record::Say;
+using consensus::MessageType;
 
 namespace {
 
@@ -14,64 +14,64 @@
   return (z ^ (z >> 33)) | 1;
 }
 
-record::KeeperTerms keeper_terms(const NodeTerms& t) {
-  record::KeeperTerms out;
+consensus::AcceptorOptions keeper_options(const ClusterNodeOptions& t) {
+  consensus::AcceptorOptions out;
   out.self = t.self;
   out.keepers = t.keepers;
   out.bytes_most = t.record_bytes;
   return out;
 }
 
-record::AskerTerms asker_terms(const NodeTerms& t) {
-  record::AskerTerms out;
+consensus::ProposerOptions asker_options(const ClusterNodeOptions& t) {
+  consensus::ProposerOptions out;
   out.keepers = t.keepers;
   out.asker = mixed(t.draw + 1);
   out.seed = mixed(t.draw + 2);
   return out;
 }
 
-duty::Terms duty_terms(const NodeTerms& t) { return {t.name, mixed(t.draw + 3), t.lease}; }
+lease::LeaseOptions duty_options(const ClusterNodeOptions& t) { return {t.name, mixed(t.draw + 3), t.lease}; }
 
 }  // namespace
 
-Node::Node(Ms now, const NodeTerms& terms)
-    : terms_(terms),
-      asker_(asker_terms(terms)),
-      follower_(terms.keepers, static_cast<record::Peer>(mixed(terms.draw) % terms.keepers)),
-      duties_(now, duty_terms(terms)),
-      merges_(duties_, mixed(terms.draw + 4)),
-      registry_(mixed(terms.draw + 6)),
-      lapses_(static_cast<double>(mixed(terms.draw + 7) >> 11) / static_cast<double>(uint64_t{1} << 53)) {
-  if (terms.self < terms.keepers) keeper_.emplace(keeper_terms(terms), mixed(terms.draw + 5));
+ClusterNode::ClusterNode(Ms now, const ClusterNodeOptions& options)
+    : options_(options),
+      asker_(asker_options(options)),
+      follower_(options.keepers, static_cast<consensus::PeerId>(mixed(options.draw) % options.keepers)),
+      duties_(now, duty_options(options)),
+      merges_(duties_, mixed(options.draw + 4)),
+      registry_(mixed(options.draw + 6)),
+      lapses_(static_cast<double>(mixed(options.draw + 7) >> 11) / static_cast<double>(uint64_t{1} << 53)) {
+  if (options.self < options.keepers) keeper_.emplace(keeper_options(options), mixed(options.draw + 5));
 }
 
-Node::Node(Ms now, const NodeTerms& terms, record::Standing standing,
-           std::map<std::string, record::Slot> slots)
-    : Node(now, terms) {
-  keeper_.emplace(keeper_terms(terms), std::move(standing), std::move(slots));
+ClusterNode::ClusterNode(Ms now, const ClusterNodeOptions& options, consensus::ReplicaMetadata standing,
+                         std::map<std::string, consensus::AcceptorSlot> slots)
+    : ClusterNode(now, options) {
+  keeper_.emplace(keeper_options(options), std::move(standing), std::move(slots));
 }
 
-void Node::hear(Ms now, record::Peer from, const record::Message& m) {
+void ClusterNode::handle(Ms now, consensus::PeerId from, const consensus::Message& m) {
   switch (m.say) {
-    case Say::kPromise:
-    case Say::kAccepted:
-    case Say::kRefused:
-      asker_.hear(now, from, m);
+    case MessageType::kPromise:
+    case MessageType::kAccepted:
+    case MessageType::kRefused:
+      asker_.handle(now, from, m);
       break;
-    case Say::kChanges:
-      follower_.hear(now, from, m);
+    case MessageType::kChanges:
+      follower_.handle(now, from, m);
       break;
     default:
-      if (keeper_) keeper_->hear(now, from, m);
+      if (keeper_) keeper_->handle(now, from, m);
   }
   go_on(now);
 }
 
 // What one part has to tell another, until none has.
-void Node::go_on(Ms now) {
+void ClusterNode::go_on(Ms now) {
   for (bool more = true; more;) {
     more = false;
-    for (const record::End& end : asker_.take_ends()) {
+    for (const consensus::ProposalResult& end : asker_.take_ends()) {
       more = true;
       if (end.wish.key.starts_with(schema::Registry::kPrefix))
         registry_.ended(now, end);
@@ -82,23 +82,23 @@
     }
     for (const auto& [key, fact] : follower_.take_seen()) see(now, key, fact);
     if (follower_.whole()) duties_.looked(now);
-    for (record::Wish& wish : duties_.take_wishes()) {
+    for (consensus::Proposal& wish : duties_.take_wishes()) {
       more = true;
       asker_.ask(now, std::move(wish));
     }
-    for (record::Wish& wish : registry_.take_wishes()) {
+    for (consensus::Proposal& wish : registry_.take_wishes()) {
       more = true;
       asker_.ask(now, std::move(wish));
     }
-    for (duty::Event& event : duties_.take_events()) {
+    for (lease::Event& event : duties_.take_events()) {
       more = true;
-      merges_.hear(now, event);
+      merges_.handle(now, event);
       events_.push_back(std::move(event));
     }
   }
 }
 
-void Node::see(Ms now, const std::string& key, const record::Fact& fact) {
+void ClusterNode::see(Ms now, const std::string& key, const consensus::Register& fact) {
   duties_.saw(now, key, fact);
   // Keepers look after declarations; that others need not read every bulletin whole is all that it is for.
   if (!keeper_ || !key.starts_with(schema::Registry::kPrefix)) return;
@@ -107,7 +107,7 @@
     lapses_.saw(now, key.substr(std::string_view(schema::Registry::kPrefix).size()), *b);
 }
 
-void Node::due(Ms now) {
+void ClusterNode::due(Ms now) {
   for (schema::Change& lapse : lapses_.due(now)) registry_.ask(now, std::move(lapse), now + kLapseMost);
   if (keeper_) keeper_->due(now);
   asker_.due(now);
@@ -117,7 +117,7 @@
   go_on(now);
 }
 
-Ms Node::next_due() const {
+Ms ClusterNode::next_due() const {
   Ms next = 0;
   const auto sooner = [&next](Ms at) {
     if (at > 0 && (next == 0 || at < next)) next = at;
@@ -131,12 +131,12 @@
   return next;
 }
 
-Node::Out Node::take() {
+ClusterNode::Out ClusterNode::take() {
   Out out;
   if (keeper_) out.keeper = keeper_->take();
   out.sends = asker_.take_sends();
-  for (record::Envelope& e : follower_.take_sends()) out.sends.push_back(std::move(e));
+  for (consensus::Envelope& e : follower_.take_sends()) out.sends.push_back(std::move(e));
   return out;
 }
 
-}  // namespace firvalve::fleet
+}  // namespace firvalve::cluster
--- a/src/fleet/fleet.cpp
+++ b/src/cluster/cluster_service.cpp
@@ -1,4 +1,4 @@
-#include "fleet/fleet.h"
+#include "cluster/cluster_service.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/NetException.h>
@@ -12,19 +12,19 @@
 #include <cerrno>
 #include <cmath>
 
-#include "index/backoff.h"
-#include "index/monotonic_clock.h"
+#include "base/backoff.h"
+#include "base/monotonic_clock.h"
 #include "proto/jsonrpc/rpc.h"
 
-namespace firvalve::fleet {
+namespace firvalve::cluster {
 
+using consensus::Envelope;
+using consensus::Message;
+using consensus::MessageType;
+using consensus::PeerId;
 using Poco::Net::ReadableNotification;
 using Poco::Net::SocketAddress;
 using Poco::Net::StreamSocket;
-using record::Envelope;
-using record::Message;
-using record::Peer;
-using record::Say;
 
 namespace {
 
@@ -41,30 +41,30 @@
 constexpr int kAcceptAtOnce = 64;
 constexpr Ms kBulletinMost = 30000;  // for a change of a bulletin, whatever its client says
 
-bool answers(Say say) {
-  return say == Say::kPromise || say == Say::kAccepted || say == Say::kRefused || say == Say::kChanges ||
-         say == Say::kStandingIs || say == Say::kState;
+bool answers(MessageType say) {
+  return say == MessageType::kPromise || say == MessageType::kAccepted || say == MessageType::kRefused ||
+         say == MessageType::kChanges || say == MessageType::kStandingIs || say == MessageType::kState;
 }
 
 std::string times(Ms at) { return fmt::format("{:.3f}", at); }
 
 }  // namespace
 
-// To a keeper: what this gateway asks goes out here, and its answers come back.
-class Fleet::To {
+// OutboundPeer a keeper: what this gateway asks goes out here, and its answers come back.
+class ClusterService::OutboundPeer {
  public:
-  To(Fleet& owner, Peer keeper, std::string address)
+  OutboundPeer(ClusterService& owner, PeerId keeper, std::string address)
       : owner_(owner),
         keeper_(keeper),
         address_(std::move(address)),
-        backoff_(kReconnectFirst, kReconnectMost, owner.terms_.draw + keeper) {}
+        backoff_(kReconnectFirst, kReconnectMost, owner.options_.draw + keeper) {}
 
   void put(const std::string& bytes, Ms now) {
     if (!link_ || link_->unsent() + bytes.size() > kUnsentMost) return;  // who asked will ask again
     link_->write(bytes);
     if (asked_at_ == 0) asked_at_ = now;
   }
-  net::Link* link() { return link_.get(); }
+  net::Connection* link() { return link_.get(); }
 
   void due(Ms now) {
     if (link_ && !link_->up() && now >= began_ + kConnect) end(now, "did not come up");
@@ -86,9 +86,10 @@
   const std::string& address() const { return address_; }
 
  private:
-  class Dialled : public net::Link {
+  class Dialled : public net::Connection {
    public:
-    Dialled(To& owner, const SocketAddress& address) : Link(owner.owner_.loop_, address), owner_(owner) {}
+    Dialled(OutboundPeer& owner, const SocketAddress& address)
+        : Connection(owner.owner_.loop_, address), owner_(owner) {}
 
    protected:
     void on_up() override {
@@ -104,15 +105,15 @@
         const proto::Read read = frames_.next(inbox_, body);
         if (read == proto::Read::kMore) return;
         if (read == proto::Read::kBroken) return owner_.end(clock(), "broken framing");
-        Peer peer = owner_.keeper_;
-        owner_.owner_.hear(*this, peer, body, true);
+        PeerId peer = owner_.keeper_;
+        owner_.owner_.handle(*this, peer, body, true);
         if (!open()) return;
       }
     }
     void on_end(End end) override { owner_.end(clock(), end == End::kRefused ? "refused" : "closed"); }
 
    private:
-    To& owner_;
+    OutboundPeer& owner_;
     proto::RpcFrames frames_{kFrameMost};
   };
 
@@ -127,8 +128,8 @@
     connect_at_ = now + backoff_.next_delay();
   }
 
-  Fleet& owner_;
-  const Peer keeper_;
+  ClusterService& owner_;
+  const PeerId keeper_;
   const std::string address_;
   std::unique_ptr<Dialled> link_;
   Backoff backoff_;
@@ -136,11 +137,12 @@
   Ms connect_at_ = 0, began_ = 0, asked_at_ = 0;
 };
 
-// From a peer: what it asks comes in here, and its answers go back.
-class Fleet::From : public net::Link {
+// InboundPeer a peer: what it asks comes in here, and its answers go back.
+class ClusterService::InboundPeer : public net::Connection {
  public:
-  From(Fleet& owner, const StreamSocket& socket) : Link(owner.loop_, socket), owner_(owner) {}
-  Peer peer = UINT32_MAX;  // until its first frame
+  InboundPeer(ClusterService& owner, const StreamSocket& socket)
+      : Connection(owner.loop_, socket), owner_(owner) {}
+  PeerId peer = UINT32_MAX;  // until its first frame
   bool spare() const override { return peer == UINT32_MAX; }
   void spared() override { end(); }
   void end() {
@@ -158,84 +160,85 @@
         owner_.fault("somebody", "broken framing");
         return end();
       }
-      owner_.hear(*this, peer, body, false);
+      owner_.handle(*this, peer, body, false);
       if (!open()) return;
     }
   }
   void on_end(End) override { owner_.ended(*this); }
 
  private:
-  Fleet& owner_;
+  ClusterService& owner_;
   proto::RpcFrames frames_{kFrameMost};
 };
 
-FleetTerms terms_of(const config::Operator::Fleet& section) {
-  FleetTerms terms;
-  terms.listen = section.listen;
-  terms.name = section.name();
-  terms.site = section.site;
-  terms.keepers = section.keepers;
-  std::sort(terms.keepers.begin(), terms.keepers.end());
-  terms.folder = section.folder;
-  terms.duties = section.duties;
-  terms.lease = section.lease_ms;
-  return terms;
+ClusterOptions options_from(const config::OperatorConfig::Fleet& section) {
+  ClusterOptions options;
+  options.listen = section.listen;
+  options.name = section.name();
+  options.site = section.site;
+  options.keepers = section.keepers;
+  std::sort(options.keepers.begin(), options.keepers.end());
+  options.folder = section.folder;
+  options.duties = section.duties;
+  options.lease = section.lease_ms;
+  return options;
 }
 
-Ms Fleet::clock() { return boot_clock_ms(); }
+Ms ClusterService::clock() { return boot_clock_ms(); }
 
-Fleet::Fleet(net::Loop& loop, Counters& counters, const FleetTerms& terms, Front& clients, Say say)
+ClusterService::ClusterService(net::Loop& loop, Metrics& counters, const ClusterOptions& options,
+                               ResponseSink& clients, LogSink say)
     : loop_(loop),
       counters_(counters),
-      terms_(terms),
-      keepers_hash_(hash_of(terms.keepers)),
+      options_(options),
+      keepers_hash_(hash_of(options.keepers)),
       clients_(clients),
       say_(std::move(say)) {
-  NodeTerms t;
-  t.keepers = static_cast<uint32_t>(terms.keepers.size());
-  const auto self = std::find(terms.keepers.begin(), terms.keepers.end(), terms.name);
-  const bool keeper = self != terms.keepers.end();
-  t.self = keeper ? static_cast<Peer>(self - terms.keepers.begin()) : t.keepers;
-  t.name = terms.name;
-  t.draw = terms.draw;
-  t.lease = terms.lease;
-  t.record_bytes = terms.record_bytes;
+  ClusterNodeOptions t;
+  t.keepers = static_cast<uint32_t>(options.keepers.size());
+  const auto self = std::find(options.keepers.begin(), options.keepers.end(), options.name);
+  const bool keeper = self != options.keepers.end();
+  t.self = keeper ? static_cast<PeerId>(self - options.keepers.begin()) : t.keepers;
+  t.name = options.name;
+  t.draw = options.draw;
+  t.lease = options.lease;
+  t.record_bytes = options.record_bytes;
   last_peer_ = t.keepers;
   const Ms at = clock();
-  if (keeper && !terms.folder.empty()) {
+  if (keeper && !options.folder.empty()) {
     waker_ = std::make_unique<net::Waker>(loop);  // the turn that follows looks at what was written
-    folder_ =
-        std::make_unique<Folder>(terms.folder, terms.name, keepers_hash_, [w = waker_.get()] { w->wake(); });
+    folder_ = std::make_unique<ReplicaStorage>(options.folder, options.name, keepers_hash_,
+                                               [w = waker_.get()] { w->wake(); });
   }
   if (folder_ && folder_->standing)
-    node_ = std::make_unique<Node>(at, t, *folder_->standing, std::exchange(folder_->slots, {}));
+    node_ = std::make_unique<ClusterNode>(at, t, *folder_->standing, std::exchange(folder_->slots, {}));
   else
-    node_ = std::make_unique<Node>(at, t);
-  for (Peer p = 0; p < t.keepers; ++p)
-    to_.push_back(p == t.self ? nullptr : std::make_unique<To>(*this, p, terms.keepers[p]));
-  for (const std::string& duty : terms.duties)
+    node_ = std::make_unique<ClusterNode>(at, t);
+  for (PeerId p = 0; p < t.keepers; ++p)
+    to_.push_back(p == t.self ? nullptr : std::make_unique<OutboundPeer>(*this, p, options.keepers[p]));
+  for (const std::string& duty : options.duties)
     if (!duty.ends_with("*")) node_->duties().want(at, duty);
-  listener_.bind(SocketAddress(terms.listen), true);
+  listener_.bind(SocketAddress(options.listen), true);
   listener_.listen(1024);
   listener_.setBlocking(false);
   accept_on(true);
 }
 
-Fleet::~Fleet() {
+ClusterService::~ClusterService() {
   accept_on(false);
   folder_.reset();  // before the waker that it rings
 }
 
-void Fleet::serve(Core& core) { core_ = &core; }
+void ClusterService::serve(Core& core) { core_ = &core; }
 
-void Fleet::accept_on(bool on) {
-  const Poco::NObserver<Fleet, ReadableNotification> observer(*this, &Fleet::on_accept);
+void ClusterService::accept_on(bool on) {
+  const Poco::NObserver<ClusterService, ReadableNotification> observer(*this, &ClusterService::on_accept);
   if (on != accepting_)
     on ? loop_.addEventHandler(listener_, observer) : loop_.removeEventHandler(listener_, observer);
   accepting_ = on;
 }
 
-void Fleet::on_accept(const Poco::AutoPtr<ReadableNotification>&) {
+void ClusterService::on_accept(const Poco::AutoPtr<ReadableNotification>&) {
   for (int i = 0; i < kAcceptAtOnce; ++i) {
     const bool room = loop_.room(false);
     const int descriptor =
@@ -245,13 +248,14 @@
       return accept_on(false);
     }
     if (descriptor < 0) return;
-    auto link = std::make_unique<From>(*this, StreamSocket(new Poco::Net::StreamSocketImpl(descriptor)));
-    From* const key = link.get();
+    auto link =
+        std::make_unique<InboundPeer>(*this, StreamSocket(new Poco::Net::StreamSocketImpl(descriptor)));
+    InboundPeer* const key = link.get();
     from_[key] = std::move(link);
   }
 }
 
-void Fleet::ended(From& link) {
+void ClusterService::ended(InboundPeer& link) {
   if (const auto at = answers_to_.find(link.peer); at != answers_to_.end() && at->second == &link) {
     answers_to_.erase(at);
     if (node_->keeper()) node_->keeper()->gone(link.peer);
@@ -262,14 +266,14 @@
   from_.erase(at);
 }
 
-void Fleet::fault(std::string_view peer, std::string_view why) {
+void ClusterService::fault(std::string_view peer, std::string_view why) {
   ++link_counts_.lost;
   counters_.add("fleet links ended", why);
   say_(log::Level::kWarning, "member.lost",
        {{"component", "fleet"}, {"peer", std::string(peer)}, {"why", std::string(why)}});
 }
 
-void Fleet::hear(net::Link& link, Peer& peer, std::span<char> body, bool from_keeper) {
+void ClusterService::handle(net::Connection& link, PeerId& peer, std::span<char> body, bool from_keeper) {
   const char* why = "";
   std::optional<Frame> frame = read_frame(body, why);
   if (frame && frame->keepers != keepers_hash_) {
@@ -279,26 +283,26 @@
   if (!frame) {
     counters_.add("fleet frames refused", why);
     say_(log::Level::kWarning, "member.refused",
-         {{"component", "fleet"}, {"peer", from_keeper ? terms_.keepers[peer] : "unknown"}, {"why", why}});
+         {{"component", "fleet"}, {"peer", from_keeper ? options_.keepers[peer] : "unknown"}, {"why", why}});
     if (from_keeper) return;  // it is asked again, and may have a better answer then
-    static_cast<From&>(link).end();
+    static_cast<InboundPeer&>(link).end();
     return;
   }
   if (!from_keeper && peer == UINT32_MAX) {
-    const auto at = std::find(terms_.keepers.begin(), terms_.keepers.end(), frame->from);
-    peer = at != terms_.keepers.end() ? static_cast<Peer>(at - terms_.keepers.begin()) : last_peer_++;
-    answers_to_[peer] = static_cast<From*>(&link);
+    const auto at = std::find(options_.keepers.begin(), options_.keepers.end(), frame->from);
+    peer = at != options_.keepers.end() ? static_cast<PeerId>(at - options_.keepers.begin()) : last_peer_++;
+    answers_to_[peer] = static_cast<InboundPeer*>(&link);
   }
   ++link_counts_.frames_in;
   link_counts_.messages_in += frame->parts.size();
   link_counts_.bytes_in += framed_size(body.size());
   const Ms at = clock();
   for (const Message& m : frame->parts)
-    if (answers(m.say) == from_keeper) node_->hear(at, peer, m);
+    if (answers(m.say) == from_keeper) node_->handle(at, peer, m);
 }
 
-void Fleet::send(const Envelope& e, std::map<net::Link*, Frame>& frames) {
-  net::Link* link = nullptr;
+void ClusterService::send(const Envelope& e, std::map<net::Connection*, Frame>& frames) {
+  net::Connection* link = nullptr;
   if (answers(e.message.say)) {
     if (const auto at = answers_to_.find(e.to); at != answers_to_.end()) link = at->second;
   } else if (e.to < to_.size() && to_[e.to]) {
@@ -308,13 +312,13 @@
 }
 
 // All that the machines have to say: to itself at once, to others a frame or few a link.
-void Fleet::flush(Ms at) {
-  std::map<net::Link*, Frame> frames;
+void ClusterService::flush(Ms at) {
+  std::map<net::Connection*, Frame> frames;
   const auto pass = [&](std::vector<Envelope>& sends) {
     bool own = false;
     for (const Envelope& e : sends) {
       if (node_->is_keeper() && e.to < to_.size() && !to_[e.to]) {
-        node_->hear(at, e.to, e.message);
+        node_->handle(at, e.to, e.message);
         own = true;
       } else {
         send(e, frames);
@@ -323,7 +327,7 @@
     return own;
   };
   if (folder_)
-    for (Folder::Done& done : folder_->done()) {
+    for (ReplicaStorage::Done& done : folder_->done()) {
       if (done.why.empty()) {
         unwritten_ = false;
         pass(done.step.sends);
@@ -333,7 +337,7 @@
       // keeper says nothing, and the others are the majority.
       if (!std::exchange(unwritten_, true))
         say_(log::Level::kError, "record.unwritten",
-             {{"component", "record"}, {"folder", terms_.folder}, {"why", done.why}});
+             {{"component", "record"}, {"folder", options_.folder}, {"why", done.why}});
       counters_.add("record steps not written");
       writes_again_ = at + kWritesAgain;
       node_->unwritten(std::move(done.step));
@@ -341,7 +345,7 @@
   if (at >= writes_again_) writes_again_ = 0;
   for (bool more = true; more;) {
     more = false;
-    Node::Out out = node_->take();
+    ClusterNode::Out out = node_->take();
     more |= pass(out.sends);
     if (!folder_) {
       more |= pass(out.keeper.sends);
@@ -357,7 +361,7 @@
   for (auto& [link, frame] : frames) {
     std::vector<Message> all = std::move(frame.parts);
     for (size_t i = 0; i < all.size();) {
-      frame.from = terms_.name;
+      frame.from = options_.name;
       frame.keepers = keepers_hash_;
       frame.parts.clear();
       for (size_t bytes = 0; i < all.size() && bytes < kFrameWanted; ++i) {
@@ -380,7 +384,7 @@
   }
 }
 
-void Fleet::due(Ms now) {
+void ClusterService::due(Ms now) {
   const Ms at = clock();
   // The process stood still: it was to be here by then, and came so much later.
   if (expected_ > 0 && at > expected_) node_->duties().stalled(at, at - expected_);
@@ -411,7 +415,7 @@
   expected_ = at + std::max(next, 0.0);
 }
 
-Ms Fleet::next_due(Ms now) const {
+Ms ClusterService::next_due(Ms now) const {
   const Ms at = clock();
   Ms next = at + 1000;
   const auto sooner = [&next](Ms when) {
@@ -427,24 +431,24 @@
   return now + std::max(next - at, 0.0);
 }
 
-void Fleet::leave(Ms now, Ms until) {
+void ClusterService::leave(Ms now, Ms until) {
   leaves_at_ = clock();
   leave_until_ = until;
   node_->merges().leave();
   carry_out(now);
 }
 
-bool Fleet::left(Ms) const {
+bool ClusterService::left(Ms) const {
   if (leaves_at_ == 0) return true;
   if (!wanted_.empty() || node_->merges().runs()) return false;
   return !node_->duties().holds_any() || (quiet_since_ > 0 && clock() >= quiet_since_ + kLeaveMost);
 }
 
-void Fleet::log_events() {
-  using Kind = duty::Event::Kind;
+void ClusterService::log_events() {
+  using Kind = lease::Event::Kind;
   using log::Level;
   const std::string at = times(clock());
-  for (const duty::Event& e : node_->take_events()) {
+  for (const lease::Event& e : node_->take_events()) {
     const std::string epoch = std::to_string(e.epoch);
     if (e.kind == Kind::kTaken || e.kind == Kind::kRenewed) {
       const bool taken = e.kind == Kind::kTaken;
@@ -466,9 +470,9 @@
   }
 }
 
-void Fleet::tell() const {
+void ClusterService::tell() const {
   const Ms at = clock();
-  if (const record::Keeper* const k = node_->keeper())
+  if (const consensus::Acceptor* const k = node_->keeper())
     say_(log::Level::kInfo, "record.keeper",
          {{"component", "record"},
           {"ready", k->full() ? "yes" : "no"},
@@ -477,7 +481,7 @@
     if (to)
       say_(log::Level::kInfo, "member.keeper",
            {{"component", "fleet"}, {"peer", to->address()}, {"up", to->up() ? "yes" : "no"}});
-  node_->duties().each([&](const std::string& duty, const duty::Claim* claim, bool mine) {
+  node_->duties().each([&](const std::string& duty, const lease::LeaseRecord* claim, bool mine) {
     say_(log::Level::kInfo, "duty.is",
          {{"component", "duty"},
           {"duty", duty},
@@ -487,7 +491,7 @@
   });
 }
 
-void Fleet::merge(Ms now, CallRef call, std::string_view name, Asked&& asked) {
+void ClusterService::merge(Ms now, CallRef call, std::string_view name, CommandRequest&& asked) {
   const Ms at = clock();
   Wanted& w = wanted_[call];
   w.command = asked.command;
@@ -503,12 +507,12 @@
   node_->merges().ask(at, std::string(name), call, hash, at + (w.until - now));
 }
 
-void Fleet::gone(Ms, CallRef call) {
+void ClusterService::gone(Ms, CallRef call) {
   if (wanted_.erase(call) > 0) node_->merges().gone(clock(), call);
 }
 
-void Fleet::bulletin(Ms, std::string_view method, std::string_view name, const std::string& params,
-                     Ms timeout, Done done) {
+void ClusterService::bulletin(Ms, std::string_view method, std::string_view name, const std::string& params,
+                              Ms timeout, Done done) {
   using Kind = schema::Change::Kind;
   static constexpr std::pair<std::string_view, Kind> kMethods[] = {
       {"bulletin", Kind::kRead}, {"propose", Kind::kPropose}, {"deprecate", Kind::kDeprecate},
@@ -527,8 +531,9 @@
       std::move(done);
 }
 
-void Fleet::tell_changes() {
-  for (auto& [done, why] : std::exchange(refused_, {})) done({Told::Kind::kBadParams, std::move(why)});
+void ClusterService::tell_changes() {
+  for (auto& [done, why] : std::exchange(refused_, {}))
+    done({ClusterReply::Kind::kBadParams, std::move(why)});
   using End = schema::Registry::End;
   for (const End& end : node_->take_changes()) {
     const auto at = changes_.find(end.change);
@@ -542,10 +547,10 @@
                {{"component", "schema"},
                 {"bulletin", end.bulletin},
                 {"version", std::to_string(end.applied.version)}});
-        done({Told::Kind::kDone, end.asked == schema::Change::Kind::kRead ? schema::written(end.applied.after)
-                                 : end.applied.version > 0
-                                     ? fmt::format(R"({{"version":{}}})", end.applied.version)
-                                     : R"({"agreed":true})"});
+        done({ClusterReply::Kind::kDone,
+              end.asked == schema::Change::Kind::kRead ? schema::written(end.applied.after)
+              : end.applied.version > 0 ? fmt::format(R"({{"version":{}}})", end.applied.version)
+                                        : R"({"agreed":true})"});
         break;
       case End::Kind::kRefused:
         say_(log::Level::kWarning, "schema.refused",
@@ -553,28 +558,28 @@
               {"bulletin", end.bulletin},
               {"rule", schema::name_of(end.applied.verdict.breaches.front().rule)},
               {"breaches", std::to_string(end.applied.verdict.breaches.size())}});
-        done({Told::Kind::kRefused, schema::written(end.applied.verdict)});
+        done({ClusterReply::Kind::kRefused, schema::written(end.applied.verdict)});
         break;
       case End::Kind::kNoMajority:
-        done({Told::Kind::kNoMajority, {}});
+        done({ClusterReply::Kind::kNoMajority, {}});
         break;
       case End::Kind::kUnknown:
-        done({Told::Kind::kUnknown, {}});
+        done({ClusterReply::Kind::kUnknown, {}});
         break;
       case End::Kind::kUnreadable:
-        done({Told::Kind::kBadParams, "what stands there is no bulletin that this program reads"});
+        done({ClusterReply::Kind::kBadParams, "what stands there is no bulletin that this program reads"});
         break;
     }
   }
 }
 
 // What the merges call for.
-void Fleet::carry_out(Ms now) {
-  using Kind = duty::Merges::Action::Kind;
-  using End = duty::Merges::End;
+void ClusterService::carry_out(Ms now) {
+  using Kind = lease::RunOnceJobs::Action::Kind;
+  using End = lease::RunOnceJobs::End;
   for (bool more = true; more;) {
     more = false;
-    for (duty::Merges::Action& a : node_->merges().take_actions()) {
+    for (lease::RunOnceJobs::Action& a : node_->merges().take_actions()) {
       more = true;
       const auto at = wanted_.find(a.call);
       if (a.kind == Kind::kStart) {
@@ -583,7 +588,7 @@
           continue;
         }
         const Wanted& w = at->second;
-        Asked asked;
+        CommandRequest asked;
         asked.command = w.command;
         asked.profile = w.profile;
         asked.statement = w.statement;
@@ -594,7 +599,7 @@
         const CallRef run = ++last_run_;
         runs_[run] = a.name;
         say_(log::Level::kInfo, "merge.begun", {{"component", "duty"}, {"merge", a.name}});
-        if (core_->take_in(now, run, std::move(asked)) != TakeIn::kTaken) {
+        if (core_->admit(now, run, std::move(asked)) != AdmissionResult::kTaken) {
           runs_.erase(run);
           node_->merges().run_ended(clock(), a.name, End::kNeverRan, {});
         }
@@ -612,28 +617,28 @@
   }
 }
 
-void Fleet::answer(CallRef call, std::string_view rows) {
+void ClusterService::answer(CallRef call, std::string_view rows) {
   const auto at = runs_.find(call);
   if (at == runs_.end()) return clients_.answer(call, rows);
   const std::string name = at->second;
   runs_.erase(at);
-  node_->merges().run_ended(clock(), name, duty::Merges::End::kAnswered, std::string(rows));
+  node_->merges().run_ended(clock(), name, lease::RunOnceJobs::End::kAnswered, std::string(rows));
 }
 
-void Fleet::shed(CallRef call, Ms advice) {
+void ClusterService::shed(CallRef call, Ms advice) {
   const auto at = runs_.find(call);
   if (at == runs_.end()) return clients_.shed(call, advice);
   const std::string name = at->second;
   runs_.erase(at);
-  node_->merges().run_ended(clock(), name, duty::Merges::End::kNeverRan, {}, advice);
+  node_->merges().run_ended(clock(), name, lease::RunOnceJobs::End::kNeverRan, {}, advice);
 }
 
-void Fleet::fail(CallRef call, std::string_view why) {
+void ClusterService::fail(CallRef call, std::string_view why) {
   const auto at = runs_.find(call);
   if (at == runs_.end()) return clients_.fail(call, why);
   const std::string name = at->second;
   runs_.erase(at);
-  node_->merges().run_ended(clock(), name, duty::Merges::End::kFailed, {});
+  node_->merges().run_ended(clock(), name, lease::RunOnceJobs::End::kFailed, {});
 }
 
-}  // namespace firvalve::fleet
+}  // namespace firvalve::cluster
--- a/src/fleet/fleet.h
+++ b/src/cluster/cluster_service.h
@@ -13,19 +13,19 @@
 #include <string>
 #include <vector>
 
-#include "config/operator.h"
+#include "cluster/cluster_node.h"
+#include "cluster/replica_storage.h"
+#include "cluster/wire.h"
+#include "config/operator_config.h"
+#include "core/cluster_requests.h"
 #include "core/core.h"
-#include "core/fleet_calls.h"
-#include "fleet/folder.h"
-#include "fleet/node.h"
-#include "fleet/wire.h"
 #include "log/log.h"
-#include "net/link.h"
+#include "net/connection.h"
 #include "net/waker.h"
 
-namespace firvalve::fleet {
+namespace firvalve::cluster {
 
-struct FleetTerms {
+struct ClusterOptions {
   std::string listen, name;  // where it listens; the address that its peers reach it at
   std::string site;
   std::vector<std::string> keepers;  // names
@@ -36,7 +36,7 @@
   uint64_t draw = 1;                       // a chance of this start alone
 };
 // Of what the operator's file says; its part of the memory and its draw are the caller's to give.
-FleetTerms terms_of(const config::Operator::Fleet& section);
+ClusterOptions options_from(const config::OperatorConfig::Fleet& section);
 
 // What went over the links to peers since the start.
 struct LinkCounts {
@@ -47,17 +47,19 @@
   uint64_t lost = 0;                           // links that were up, or frames on them that were broken
 };
 
-class Fleet : public Front, public FleetCalls {
+class ClusterService : public ResponseSink, public ClusterRequests {
  public:
-  using Say = std::function<void(log::Level, std::string_view event, log::Fields fields)>;
+  using LogSink = std::function<void(log::Level, std::string_view event, log::Fields fields)>;
   // Throws std::runtime_error: the folder cannot be used, or the address is taken.
-  Fleet(net::Loop& loop, Counters& counters, const FleetTerms& terms, Front& clients, Say say);
-  ~Fleet() override;
+  ClusterService(net::Loop& loop, Metrics& counters, const ClusterOptions& options, ResponseSink& clients,
+                 LogSink say);
+  ~ClusterService() override;
   void serve(Core& core);  // whose commands the merges become
 
   void due(Ms now);           // once a turn
   Ms next_due(Ms now) const;  // in the loop's time
-  // SIGTERM: what is held is handed on, once what was begun is at its end. Merges not begun by `until` fail.
+  // SIGTERM: what is held is handed on, once what was begun is at its end. RunOnceJobs not begun by `until`
+  // fail.
   void leave(Ms now, Ms until);
   bool left(Ms now) const;  // nothing is open here, or it was waited for long enough
   void tell() const;        // duties and members, as events: for SIGUSR1
@@ -67,17 +69,17 @@
   void answer(CallRef call, std::string_view rows) override;
   void shed(CallRef call, Ms advice) override;
   void fail(CallRef call, std::string_view why) override;
-  void answer_paged(CallRef call, ShelfNo no) override { clients_.answer_paged(call, no); }
+  void answer_paged(CallRef call, ResultHandle no) override { clients_.answer_paged(call, no); }
 
-  // Merges, as clients ask for them.
-  void merge(Ms now, CallRef call, std::string_view name, Asked&& asked) override;
+  // RunOnceJobs, as clients ask for them.
+  void merge(Ms now, CallRef call, std::string_view name, CommandRequest&& asked) override;
   void gone(Ms now, CallRef call) override;
   void bulletin(Ms now, std::string_view method, std::string_view name, const std::string& params, Ms timeout,
                 Done done) override;
 
  private:
-  class To;
-  class From;
+  class OutboundPeer;
+  class InboundPeer;
   struct Wanted {  // a client's merge, until its end
     std::string command, profile, statement;
     int64_t tables = -1;
@@ -88,31 +90,31 @@
   static Ms clock();
   void accept_on(bool on);
   void on_accept(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
-  void hear(net::Link& link, record::Peer& peer, std::span<char> body, bool from_keeper);
+  void handle(net::Connection& link, consensus::PeerId& peer, std::span<char> body, bool from_keeper);
   void flush(Ms at);
-  void send(const record::Envelope& e, std::map<net::Link*, Frame>& frames);
+  void send(const consensus::Envelope& e, std::map<net::Connection*, Frame>& frames);
   void carry_out(Ms now);
   void tell_changes();
   void log_events();
-  void ended(From& link);
+  void ended(InboundPeer& link);
   void fault(std::string_view peer, std::string_view why);
 
   net::Loop& loop_;
-  Counters& counters_;
-  const FleetTerms terms_;
+  Metrics& counters_;
+  const ClusterOptions options_;
   const uint64_t keepers_hash_;
-  Front& clients_;
+  ResponseSink& clients_;
   Core* core_ = nullptr;
-  Say say_;
+  LogSink say_;
   std::unique_ptr<net::Waker> waker_;
-  std::unique_ptr<Folder> folder_;
-  std::unique_ptr<Node> node_;
-  std::vector<std::unique_ptr<To>> to_;  // to each keeper, this one's own place empty
-  std::map<From*, std::unique_ptr<From>> from_;
-  std::map<record::Peer, From*> answers_to_;  // by whom answers go
+  std::unique_ptr<ReplicaStorage> folder_;
+  std::unique_ptr<ClusterNode> node_;
+  std::vector<std::unique_ptr<OutboundPeer>> to_;  // to each keeper, this one's own place empty
+  std::map<InboundPeer*, std::unique_ptr<InboundPeer>> from_;
+  std::map<consensus::PeerId, InboundPeer*> answers_to_;  // by whom answers go
   Poco::Net::ServerSocket listener_;
   bool accepting_ = false;
-  record::Peer last_peer_ = 0;
+  consensus::PeerId last_peer_ = 0;
   std::map<CallRef, Wanted> wanted_;
   std::map<CallRef, std::string> runs_;                // calls of the core that are a merge's, with its name
   std::vector<std::pair<Done, std::string>> refused_;  // changes that cannot be read, and why
@@ -126,4 +128,4 @@
   LinkCounts link_counts_;
 };
 
-}  // namespace firvalve::fleet
+}  // namespace firvalve::cluster
--- a/src/fleet/folder.cpp
+++ b/src/cluster/replica_storage.cpp
@@ -1,4 +1,4 @@
-#include "fleet/folder.h"
+#include "cluster/replica_storage.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -11,9 +11,9 @@
 #include <filesystem>
 #include <stdexcept>
 
-#include "fleet/wire.h"
+#include "cluster/wire.h"
 
-namespace firvalve::fleet {
+namespace firvalve::cluster {
 
 namespace {
 
@@ -50,8 +50,8 @@
 
 }  // namespace
 
-Folder::Folder(const std::string& path, const std::string& owner, uint64_t keepers,
-               std::function<void()> wake)
+ReplicaStorage::ReplicaStorage(const std::string& path, const std::string& owner, uint64_t keepers,
+                               std::function<void()> wake)
     : path_(path), owner_(owner), keepers_(keepers), wake_(std::move(wake)) {
   try {
     lock();
@@ -65,7 +65,7 @@
   thread_ = std::thread([this] { run(); });
 }
 
-Folder::~Folder() {
+ReplicaStorage::~ReplicaStorage() {
   {
     const std::lock_guard lock(mutex_);
     ending_ = true;
@@ -76,7 +76,7 @@
   ::close(lock_);
 }
 
-void Folder::lock() {
+void ReplicaStorage::lock() {
   std::error_code error;
   std::filesystem::create_directories(path_, error);
   if (error) throw std::runtime_error("cannot be made: " + error.message());
@@ -87,7 +87,7 @@
   if (::flock(lock_, LOCK_EX | LOCK_NB) != 0) throw std::runtime_error("another process uses it");
 }
 
-void Folder::open_environment() {
+void ReplicaStorage::open_environment() {
   const auto check = [](int result) {
     if (result != 0) throw std::runtime_error(mdb_strerror(result));
   };
@@ -104,12 +104,12 @@
   check(t.error);
 }
 
-void Folder::close_environment() {
+void ReplicaStorage::close_environment() {
   if (env_) mdb_env_close(env_);
   env_ = nullptr;
 }
 
-void Folder::read() {
+void ReplicaStorage::read() {
   Transaction t(env_, MDB_RDONLY);
   if (t.error) throw std::runtime_error(mdb_strerror(t.error));
   const std::string name = kStandingKey;
@@ -136,7 +136,7 @@
   if (!broken.empty()) throw std::runtime_error(fmt::format("the slot of {} cannot be read", broken));
 }
 
-void Folder::put(record::Step step) {
+void ReplicaStorage::put(consensus::Step step) {
   {
     const std::lock_guard lock(mutex_);
     waiting_.push_back(std::move(step));
@@ -145,20 +145,20 @@
   wanted_.notify_one();
 }
 
-std::vector<Folder::Done> Folder::done() {
+std::vector<ReplicaStorage::Done> ReplicaStorage::done() {
   const std::lock_guard lock(mutex_);
   out_ -= done_.size();
   return std::exchange(done_, {});
 }
 
-size_t Folder::waiting() const {
+size_t ReplicaStorage::waiting() const {
   const std::lock_guard lock(mutex_);
   return out_;
 }
 
 // A disk that fills up while a commit writes its meta page leaves the environment unusable (MDB_PANIC) until
 // it is opened anew, also once the disk takes writes again.
-std::string Folder::write(const std::vector<record::Step>& steps) {
+std::string ReplicaStorage::write(const std::vector<consensus::Step>& steps) {
   try {
     if (!env_) open_environment();
     const int error = commit(steps);
@@ -170,9 +170,9 @@
   }
 }
 
-int Folder::commit(const std::vector<record::Step>& steps) {
+int ReplicaStorage::commit(const std::vector<consensus::Step>& steps) {
   Transaction t(env_, 0);
-  for (const record::Step& step : steps) {
+  for (const consensus::Step& step : steps) {
     for (const auto& [key, slot] : step.writes) t.put(slots_db_, key, written(slot));
     if (step.standing) t.put(standing_db_, kStandingKey, written(Owned{*step.standing, owner_, keepers_}));
   }
@@ -180,9 +180,9 @@
   return t.error;
 }
 
-void Folder::run() {
+void ReplicaStorage::run() {
   for (;;) {
-    std::vector<record::Step> steps;
+    std::vector<consensus::Step> steps;
     {
       std::unique_lock lock(mutex_);
       wanted_.wait(lock, [this] { return ending_ || !waiting_.empty(); });
@@ -192,10 +192,10 @@
     const std::string why = write(steps);
     {
       const std::lock_guard lock(mutex_);
-      for (record::Step& step : steps) done_.push_back({std::move(step), why});
+      for (consensus::Step& step : steps) done_.push_back({std::move(step), why});
     }
     wake_();
   }
 }
 
-}  // namespace firvalve::fleet
+}  // namespace firvalve::cluster
--- a/src/fleet/folder.h
+++ b/src/cluster/replica_storage.h
@@ -11,29 +11,30 @@
 #include <thread>
 #include <vector>
 
-#include "record/keeper.h"
+#include "consensus/acceptor.h"
 
 struct MDB_env;
 
-namespace firvalve::fleet {
+namespace firvalve::cluster {
 
-class Folder {
+class ReplicaStorage {
  public:
   // Makes the folder where it is missing and locks it. Throws std::runtime_error in one sentence: it cannot
   // be made, read or written; another process uses it; it is another gateway's, or of other keepers. `wake`
   // is called on the folder's thread when done() has something.
-  Folder(const std::string& path, const std::string& owner, uint64_t keepers, std::function<void()> wake);
-  ~Folder();  // what waits is written first
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  ReplicaStorage(const std::string& path, const std::string& owner, uint64_t keepers,
+                 std::function<void()> wake);
+  ~ReplicaStorage();  // what waits is written first
+  ReplicaStorage(const ReplicaStorage&) = delete;
+  ReplicaStorage& operator=(const ReplicaStorage&) = delete;
 
   // What was there at the start; no standing: nothing was.
-  std::optional<record::Standing> standing;
-  std::map<std::string, record::Slot> slots;
+  std::optional<consensus::ReplicaMetadata> standing;
+  std::map<std::string, consensus::AcceptorSlot> slots;
 
-  void put(record::Step step);
+  void put(consensus::Step step);
   struct Done {
-    record::Step step;
+    consensus::Step step;
     std::string why;  // it could not be written; empty: it is on the disk
   };
   std::vector<Done> done();  // in the order put
@@ -45,8 +46,8 @@
   void close_environment();
   void read();
   void run();
-  std::string write(const std::vector<record::Step>& steps);  // why not; empty: they are on the disk
-  int commit(const std::vector<record::Step>& steps);         // LMDB's code
+  std::string write(const std::vector<consensus::Step>& steps);  // why not; empty: they are on the disk
+  int commit(const std::vector<consensus::Step>& steps);         // LMDB's code
 
   const std::string path_, owner_;
   const uint64_t keepers_;
@@ -56,11 +57,11 @@
   unsigned slots_db_ = 0, standing_db_ = 0;
   mutable std::mutex mutex_;
   std::condition_variable wanted_;
-  std::vector<record::Step> waiting_;
+  std::vector<consensus::Step> waiting_;
   std::vector<Done> done_;
   size_t out_ = 0;
   bool ending_ = false;
   std::thread thread_;
 };
 
-}  // namespace firvalve::fleet
+}  // namespace firvalve::cluster
--- a/src/fleet/wire.cpp
+++ b/src/cluster/wire.cpp
@@ -1,4 +1,4 @@
-#include "fleet/wire.h"
+#include "cluster/wire.h"
 
 #include <fmt/format.h>
 
@@ -7,16 +7,16 @@
 
 #include "peers_generated.h"
 
-namespace firvalve::fleet {
+namespace firvalve::cluster {
 
 namespace {
 
 using flatbuffers::FlatBufferBuilder;
 using flatbuffers::Offset;
 
-wire::Ballot out_of(const record::Ballot& b) { return {b.number, b.asker}; }
-record::Ballot from(const wire::Ballot* b) {
-  return b ? record::Ballot{b->number(), b->asker()} : record::Ballot{};
+wire::Ballot out_of(const consensus::Ballot& b) { return {b.number, b.asker}; }
+consensus::Ballot from(const wire::Ballot* b) {
+  return b ? consensus::Ballot{b->number(), b->asker()} : consensus::Ballot{};
 }
 
 Offset<flatbuffers::Vector<uint64_t>> numbers(FlatBufferBuilder& b, const std::vector<uint64_t>& all) {
@@ -26,26 +26,29 @@
   return all ? std::vector<uint64_t>(all->begin(), all->end()) : std::vector<uint64_t>();
 }
 
-Offset<wire::Fact> out_of(FlatBufferBuilder& b, const record::Fact& f) {
-  if (f == record::Fact{}) return 0;
+Offset<wire::Register> out_of(FlatBufferBuilder& b, const consensus::Register& f) {
+  if (f == consensus::Register{}) return 0;
   const auto before = numbers(b, f.before);
   const auto value = b.CreateVector(reinterpret_cast<const uint8_t*>(f.value.data()), f.value.size());
-  return wire::CreateFact(b, f.version, f.change, before, value, f.urgent);
+  return wire::CreateRegister(b, f.version, f.change, before, value, f.urgent);
 }
-record::Fact from(const wire::Fact* f) {
+consensus::Register from(const wire::Register* f) {
   if (!f) return {};
-  record::Fact out{f->version(), f->change(), from(f->before()), {}, f->urgent()};
+  consensus::Register out{f->version(), f->change(), from(f->before()), {}, f->urgent()};
   if (f->value()) out.value.assign(f->value()->begin(), f->value()->end());
   return out;
 }
 
-Offset<wire::Slot> out_of(FlatBufferBuilder& b, const std::string& key, const record::Slot& s) {
+Offset<wire::AcceptorSlot> out_of(FlatBufferBuilder& b, const std::string& key,
+                                  const consensus::AcceptorSlot& s) {
   const auto name = b.CreateString(key);
   const auto fact = out_of(b, s.fact);
   const wire::Ballot promised = out_of(s.promised), held = out_of(s.held);
-  return wire::CreateSlot(b, name, &promised, &held, fact);
+  return wire::CreateAcceptorSlot(b, name, &promised, &held, fact);
+}
+consensus::AcceptorSlot from(const wire::AcceptorSlot& s) {
+  return {from(s.promised()), from(s.held()), from(s.fact())};
 }
-record::Slot from(const wire::Slot& s) { return {from(s.promised()), from(s.held()), from(s.fact())}; }
 
 std::string bytes_of(const FlatBufferBuilder& b) {
   return {reinterpret_cast<const char*>(b.GetBufferPointer()), b.GetSize()};
@@ -70,11 +73,11 @@
 void append_frame(std::string& out, const Frame& frame) {
   FlatBufferBuilder b(1024);
   std::vector<Offset<wire::Part>> parts;
-  for (const record::Message& m : frame.parts) {
+  for (const consensus::Message& m : frame.parts) {
     const auto key = m.key.empty() ? 0 : b.CreateString(m.key);
     const auto fact = out_of(b, m.fact);
     const auto lives = numbers(b, m.lives), founders = numbers(b, m.founders);
-    std::vector<Offset<wire::Slot>> slots;
+    std::vector<Offset<wire::AcceptorSlot>> slots;
     for (const auto& [name, slot] : m.entries) slots.push_back(out_of(b, name, slot));
     const auto entries = slots.empty() ? 0 : b.CreateVector(slots);
     const wire::Ballot ballot = out_of(m.ballot), held = out_of(m.held);
@@ -82,8 +85,8 @@
     part.add_op(m.op);
     part.add_life(m.life);
     part.add_since(m.since);
-    if (m.ballot != record::Ballot{}) part.add_ballot(&ballot);
-    if (m.held != record::Ballot{}) part.add_held(&held);
+    if (m.ballot != consensus::Ballot{}) part.add_ballot(&ballot);
+    if (m.held != consensus::Ballot{}) part.add_held(&held);
     part.add_key(key);
     part.add_fact(fact);
     part.add_lives(lives);
@@ -116,9 +119,9 @@
     out.keepers = in.keepers();
     if (!in.parts()) return out;
     for (const wire::Part* const part : *in.parts()) {
-      if (part->say() < 1 || part->say() > static_cast<uint8_t>(record::Say::kState)) continue;
-      record::Message& m = out.parts.emplace_back();
-      m.say = static_cast<record::Say>(part->say());
+      if (part->say() < 1 || part->say() > static_cast<uint8_t>(consensus::MessageType::kState)) continue;
+      consensus::Message& m = out.parts.emplace_back();
+      m.say = static_cast<consensus::MessageType>(part->say());
       m.op = part->op();
       if (part->key()) m.key = part->key()->str();
       m.ballot = from(part->ballot());
@@ -131,41 +134,43 @@
       m.full = part->full();
       m.more = part->more();
       if (part->entries())
-        for (const wire::Slot* const slot : *part->entries())
+        for (const wire::AcceptorSlot* const slot : *part->entries())
           if (slot->key()) m.entries.emplace_back(slot->key()->str(), from(*slot));
     }
     return out;
   });
 }
 
-size_t size_of(const record::Message& m) {
+size_t size_of(const consensus::Message& m) {
   size_t all = 64 + m.key.size() + m.fact.value.size() + 8 * (m.fact.before.size() + m.lives.size());
   for (const auto& [key, slot] : m.entries)
     all += 96 + key.size() + slot.fact.value.size() + 8 * slot.fact.before.size();
   return all;
 }
 
-std::string written(const record::Slot& slot) {
+std::string written(const consensus::AcceptorSlot& slot) {
   FlatBufferBuilder b(256);
   b.Finish(out_of(b, "", slot));
   return bytes_of(b);
 }
 
-std::optional<record::Slot> read_slot(std::string_view bytes) {
-  return read<wire::Slot>(bytes, [](const wire::Slot& in) { return std::optional(from(in)); });
+std::optional<consensus::AcceptorSlot> read_slot(std::string_view bytes) {
+  return read<wire::AcceptorSlot>(bytes,
+                                  [](const wire::AcceptorSlot& in) { return std::optional(from(in)); });
 }
 
 std::string written(const Owned& owned) {
   FlatBufferBuilder b(256);
   const auto owner = b.CreateString(owned.owner);
-  const record::Standing& s = owned.standing;
+  const consensus::ReplicaMetadata& s = owned.standing;
   const auto lives = numbers(b, s.lives), founders = numbers(b, s.founders);
-  b.Finish(wire::CreateStanding(b, kFrameVersion, owner, owned.keepers, s.life, s.full, lives, founders));
+  b.Finish(
+      wire::CreateReplicaMetadata(b, kFrameVersion, owner, owned.keepers, s.life, s.full, lives, founders));
   return bytes_of(b);
 }
 
 std::optional<Owned> read_owned(std::string_view bytes) {
-  return read<wire::Standing>(bytes, [](const wire::Standing& in) -> std::optional<Owned> {
+  return read<wire::ReplicaMetadata>(bytes, [](const wire::ReplicaMetadata& in) -> std::optional<Owned> {
     if (in.version() != kFrameVersion || !in.owner()) return {};
     return Owned{
         {in.life(), in.full(), from(in.lives()), from(in.founders())}, in.owner()->str(), in.keepers()};
@@ -181,4 +186,4 @@
   return h;
 }
 
-}  // namespace firvalve::fleet
+}  // namespace firvalve::cluster
--- a/src/fleet/wire.h
+++ b/src/cluster/wire.h
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "record/keeper.h"
+#include "consensus/acceptor.h"
 
-namespace firvalve::fleet {
+namespace firvalve::cluster {
 
 constexpr uint16_t kFrameVersion = 1;
 constexpr size_t kFrameMost = 4 * 1024 * 1024;  // bytes of a frame's body
@@ -19,7 +19,7 @@
 struct Frame {
   std::string from;      // the address that the sender is reached at
   uint64_t keepers = 0;  // hash of the list of keepers that it goes by
-  std::vector<record::Message> parts;
+  std::vector<consensus::Message> parts;
 };
 
 // Head and body, as on the front that clients use.
@@ -28,13 +28,13 @@
 // None: `why` says so. Parts that a newer program says are passed over.
 std::optional<Frame> read_frame(std::span<const char> body, const char*& why);
 // Roughly what a message adds to a frame.
-size_t size_of(const record::Message& m);
+size_t size_of(const consensus::Message& m);
 
-std::string written(const record::Slot& slot);
-std::optional<record::Slot> read_slot(std::string_view bytes);
+std::string written(const consensus::AcceptorSlot& slot);
+std::optional<consensus::AcceptorSlot> read_slot(std::string_view bytes);
 
 struct Owned {  // a standing with whose it is
-  record::Standing standing;
+  consensus::ReplicaMetadata standing;
   std::string owner;
   uint64_t keepers = 0;
 };
@@ -43,4 +43,4 @@
 
 uint64_t hash_of(const std::vector<std::string>& keepers);
 
-}  // namespace firvalve::fleet
+}  // namespace firvalve::cluster
--- a/src/config/operator.cpp
+++ b/src/config/operator_config.cpp
@@ -1,4 +1,4 @@
-#include "config/operator.h"
+#include "config/operator_config.h"
 
 #include <fmt/format.h>
 #include <rapidjson/error/en.h>
@@ -20,7 +20,7 @@
 
 struct Field {
   const char* path;
-  Place (*place)(Operator&);
+  Place (*place)(OperatorConfig&);
   const char* unit;                     // and what it is for
   double least = 0, most = 0;           // of numbers
   std::vector<std::string> words = {};  // that a string may be; empty: any
@@ -29,54 +29,60 @@
 
 const std::vector<Field>& fields() {
   static const std::vector<Field> all = {
-      {"clients.marks", [](Operator& o) -> Place { return &o.clients.marks; },
+      {"clients.marks", [](OperatorConfig& o) -> Place { return &o.clients.marks; },
        "true or false: read marks of repeats"},
-      {"spool.on", [](Operator& o) -> Place { return &o.spool.on; },
+      {"spool.on", [](OperatorConfig& o) -> Place { return &o.spool.on; },
        "true or false: paged results for clients that ask for them"},
-      {"spool.memory_mb", [](Operator& o) -> Place { return &o.spool.memory_mb; },
+      {"spool.memory_mb", [](OperatorConfig& o) -> Place { return &o.spool.memory_mb; },
        "MB, 0.1 to 65536: pages in memory", 0.1, 65536},
-      {"spool.folder", [](Operator& o) -> Place { return &o.spool.folder; },
+      {"spool.folder", [](OperatorConfig& o) -> Place { return &o.spool.folder; },
        "a path: segment files; empty: memory alone"},
-      {"spool.disk_mb", [](Operator& o) -> Place { return &o.spool.disk_mb; },
+      {"spool.disk_mb", [](OperatorConfig& o) -> Place { return &o.spool.disk_mb; },
        "MB, 1 to 16777216: pages on disk", 1, 16777216},
-      {"spool.lease_s", [](Operator& o) -> Place { return &o.spool.lease_s; },
+      {"spool.lease_s", [](OperatorConfig& o) -> Place { return &o.spool.lease_s; },
        "s, 0.1 to 86400: a result is kept since its last read", 0.1, 86400},
-      {"spool.result_mb", [](Operator& o) -> Place { return &o.spool.result_mb; },
+      {"spool.result_mb", [](OperatorConfig& o) -> Place { return &o.spool.result_mb; },
        "MB, 0.01 to 4096: one result", 0.01, 4096},
-      {"spool.page_kb", [](Operator& o) -> Place { return &o.spool.page_kb; },
+      {"spool.page_kb", [](OperatorConfig& o) -> Place { return &o.spool.page_kb; },
        "kB, 1 to 4096: an engine's page", 1, 4096},
-      {"spool.first_expected_kb", [](Operator& o) -> Place { return &o.spool.first_expected_kb; },
+      {"spool.first_expected_kb", [](OperatorConfig& o) -> Place { return &o.spool.first_expected_kb; },
        "kB, 1 to 1048576: a result of which nothing is known", 1, 1048576},
       {"spool.results",
-       [](Operator& o) -> Place { return &o.spool.results; },
+       [](OperatorConfig& o) -> Place { return &o.spool.results; },
        "1 to 1000000: results kept at once",
        1,
        1000000,
        {},
        true},
-      {"fleet.on", [](Operator& o) -> Place { return &o.fleet.on; },
+      {"fleet.on", [](OperatorConfig& o) -> Place { return &o.fleet.on; },
        "true or false: talk with peers, hold duties with them"},
-      {"fleet.site", [](Operator& o) -> Place { return &o.fleet.site; }, "a name: where this gateway stands"},
-      {"fleet.listen", [](Operator& o) -> Place { return &o.fleet.listen; }, "HOST:PORT for peers"},
-      {"fleet.reached_at", [](Operator& o) -> Place { return &o.fleet.reached_at; },
+      {"fleet.site", [](OperatorConfig& o) -> Place { return &o.fleet.site; },
+       "a name: where this gateway stands"},
+      {"fleet.listen", [](OperatorConfig& o) -> Place { return &o.fleet.listen; }, "HOST:PORT for peers"},
+      {"fleet.reached_at", [](OperatorConfig& o) -> Place { return &o.fleet.reached_at; },
        "HOST:PORT that peers reach it at; empty: listen"},
-      {"fleet.keepers", [](Operator& o) -> Place { return &o.fleet.keepers; },
+      {"fleet.keepers", [](OperatorConfig& o) -> Place { return &o.fleet.keepers; },
        "a list of three, five or seven HOST:PORT, the same in every file"},
-      {"fleet.folder", [](Operator& o) -> Place { return &o.fleet.folder; },
+      {"fleet.folder", [](OperatorConfig& o) -> Place { return &o.fleet.folder; },
        "a path: what a keeper promised; empty: memory alone"},
-      {"fleet.lease_ms", [](Operator& o) -> Place { return &o.fleet.lease_ms; },
+      {"fleet.lease_ms", [](OperatorConfig& o) -> Place { return &o.fleet.lease_ms; },
        "ms, 500 to 60000: a duty's lease", 500, 60000},
-      {"fleet.duties", [](Operator& o) -> Place { return &o.fleet.duties; },
+      {"fleet.duties", [](OperatorConfig& o) -> Place { return &o.fleet.duties; },
        "a list of duties that it is willing to hold"},
-      {"fleet.trusted_network", [](Operator& o) -> Place { return &o.fleet.trusted_network; },
+      {"fleet.trusted_network", [](OperatorConfig& o) -> Place { return &o.fleet.trusted_network; },
        "true or false: peers may be off the loopback"},
       {"log.level",
-       [](Operator& o) -> Place { return &o.log.level; },
+       [](OperatorConfig& o) -> Place { return &o.log.level; },
        "the least that is written",
        0,
        0,
        {"debug", "info", "warning", "error"}},
-      {"log.form", [](Operator& o) -> Place { return &o.log.form; }, "of a line", 0, 0, {"logfmt", "json"}},
+      {"log.form",
+       [](OperatorConfig& o) -> Place { return &o.log.form; },
+       "of a line",
+       0,
+       0,
+       {"logfmt", "json"}},
   };
   return all;
 }
@@ -282,7 +288,7 @@
 
 // What no field shows by itself.
 void check_fleet(Reading& out) {
-  const Operator::Fleet& f = out.values.fleet;
+  const OperatorConfig::Fleet& f = out.values.fleet;
   if (!f.on) return;
   const auto fault = [&out](const std::string& path, std::string text) {
     const auto at = out.lines.find(path);
@@ -364,8 +370,8 @@
   return line + ": " + f.text;
 }
 
-std::string described(const Operator& values) {
-  Operator copy = values;
+std::string described(const OperatorConfig& values) {
+  OperatorConfig copy = values;
   std::string all;
   for (const Field& f : fields()) {
     const Place place = f.place(copy);
--- a/src/config/operator.h
+++ b/src/config/operator_config.h
@@ -8,11 +8,11 @@
 #include <string_view>
 #include <vector>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::config {
 
-struct Operator {
+struct OperatorConfig {
   struct Clients {
     bool marks = false;  // read marks of repeats, and join a repeat to what it repeats
   } clients;
@@ -52,7 +52,7 @@
 };
 
 struct Reading {
-  Operator values;
+  OperatorConfig values;
   std::vector<Fault> faults;         // all that were found, in the file's order
   std::map<std::string, int> lines;  // where each field stands
   bool good() const { return faults.empty(); }
@@ -65,6 +65,6 @@
 // "PATH:LINE: FIELD: TEXT".
 std::string line_of(const std::string& file, const Fault& fault);
 // All fields with their values and units, a line each, in the table's order.
-std::string described(const Operator& values);
+std::string described(const OperatorConfig& values);
 
 }  // namespace firvalve::config
--- a/src/record/keeper.h
+++ b/src/consensus/acceptor.h
@@ -17,11 +17,11 @@
 #include <map>
 #include <optional>
 
-#include "record/fact.h"
+#include "consensus/register.h"
 
-namespace firvalve::record {
+namespace firvalve::consensus {
 
-struct KeeperTerms {
+struct AcceptorOptions {
   uint32_t self = 0, keepers = 3;
   Ms ask_again = 200;                         // between questions while it has no memory
   Ms look_every = 250;                        // changes that are not urgent are told to lookers so often
@@ -31,74 +31,75 @@
 };
 
 // What outlives a process, beside the slots.
-struct Standing {
-  Life life = 0;
+struct ReplicaMetadata {
+  Incarnation life = 0;
   bool full = false;
-  std::vector<Life> lives, founders;  // of all keepers, as last noted; at the record's beginning
-  bool operator==(const Standing&) const = default;
+  std::vector<Incarnation> lives, founders;  // of all keepers, as last noted; at the record's beginning
+  bool operator==(const ReplicaMetadata&) const = default;
 };
 
 // What the driver does next, in this order.
 struct Step {
-  std::optional<Standing> standing;
-  std::vector<std::pair<std::string, Slot>> writes;
+  std::optional<ReplicaMetadata> standing;
+  std::vector<std::pair<std::string, AcceptorSlot>> writes;
   std::vector<Envelope> sends;
   bool empty() const { return !standing && writes.empty() && sends.empty(); }
 };
 
-class Keeper {
+class Acceptor {
  public:
   // Without a memory; `chance` is drawn anew at each start.
-  Keeper(const KeeperTerms& terms, uint64_t chance);
+  Acceptor(const AcceptorOptions& options, uint64_t chance);
   // With all that it had made durable.
-  Keeper(const KeeperTerms& terms, Standing standing, std::map<std::string, Slot> slots);
+  Acceptor(const AcceptorOptions& options, ReplicaMetadata standing,
+           std::map<std::string, AcceptorSlot> slots);
 
-  void hear(Ms now, Peer from, const Message& m);
+  void handle(Ms now, PeerId from, const Message& m);
   void due(Ms now);
   Ms next_due() const;
   Step take();
   // The writes of the step could not be made durable: they come again, its messages are gone.
   void unwritten(Step step);
-  void gone(Peer looker) { lookers_.erase(looker); }
+  void gone(PeerId looker) { lookers_.erase(looker); }
 
   bool full() const { return standing_.full; }
-  const Standing& standing() const { return standing_; }
-  const std::map<std::string, Slot>& slots() const { return slots_; }
+  const ReplicaMetadata& standing() const { return standing_; }
+  const std::map<std::string, AcceptorSlot>& slots() const { return slots_; }
   std::string digest() const;  // all that its future depends on, for searches over states
 
  private:
-  struct Looker {
+  struct Watcher {
     uint64_t op = 0, since = 0;
     Ms at = 0;
   };
   struct Source {  // another keeper, as one without a memory sees it
     bool answered = false, full = false, fetched = false;
-    Life life = 0;
-    std::vector<Life> lives, founders;
+    Incarnation life = 0;
+    std::vector<Incarnation> lives, founders;
     std::string have;  // all keys up to it have come
   };
 
-  void say(Peer to, Message m) { sends_.push_back({to, std::move(m)}); }
-  Message answer(const Message& m, Say say) const;
-  Slot* slot(const std::string& key);
+  void say(PeerId to, Message m) { sends_.push_back({to, std::move(m)}); }
+  Message answer(const Message& m, MessageType say) const;
+  AcceptorSlot* slot(const std::string& key);
   void touch(const std::string& key);
-  void note(Peer keeper, Life life);
-  void hold(Ms now, const std::string& key, Slot& slot, const Message& m);
+  void note(PeerId keeper, Incarnation life);
+  void hold(Ms now, const std::string& key, AcceptorSlot& slot, const Message& m);
   bool fits(const Message& m, size_t entries_bytes) const;
-  void tell(Peer to, const Looker& looker);
-  void hear_standing(Peer from, const Message& m);
-  void hear_state(Peer from, const Message& m);
-  void begin(std::vector<Life> lives, std::vector<Life> founders);
+  void tell(PeerId to, const Watcher& looker);
+  void hear_standing(PeerId from, const Message& m);
+  void hear_state(PeerId from, const Message& m);
+  void begin(std::vector<Incarnation> lives, std::vector<Incarnation> founders);
   void recover();
-  void fetch(Peer from);
+  void fetch(PeerId from);
 
-  KeeperTerms terms_;
-  Standing standing_;
-  std::map<std::string, Slot> slots_;
+  AcceptorOptions options_;
+  ReplicaMetadata standing_;
+  std::map<std::string, AcceptorSlot> slots_;
   std::map<uint64_t, std::string> order_;    // what lookers follow: the key of each change, the last of each
   std::map<std::string, uint64_t> ordered_;  // the same, by key
   uint64_t last_ = 0;
-  std::map<Peer, Looker> lookers_;
+  std::map<PeerId, Watcher> lookers_;
   std::vector<Source> sources_;
   size_t bytes_ = 0;  // of values held
   bool recovering_ = false, urgent_ = false, standing_changed_ = false;
@@ -107,4 +108,4 @@
   std::vector<Envelope> sends_;
 };
 
-}  // namespace firvalve::record
+}  // namespace firvalve::consensus
--- a/src/record/digest.h
+++ b/src/consensus/digest.h
@@ -5,9 +5,9 @@
 #include <string_view>
 #include <vector>
 
-#include "record/keeper.h"
+#include "consensus/acceptor.h"
 
-namespace firvalve::record {
+namespace firvalve::consensus {
 
 class Digest {
  public:
@@ -23,9 +23,11 @@
   }
   Digest& add(const std::string& text) { return add(std::string_view(text)); }
   Digest& add(const Ballot& b) { return add(b.number).add(b.asker); }
-  Digest& add(const Fact& f) { return add(f.version).add(f.change).add(f.before).add(f.value).add(f.urgent); }
-  Digest& add(const Slot& s) { return add(s.promised).add(s.held).add(s.fact); }
-  Digest& add(const Standing& s) { return add(s.life).add(s.full).add(s.lives).add(s.founders); }
+  Digest& add(const Register& f) {
+    return add(f.version).add(f.change).add(f.before).add(f.value).add(f.urgent);
+  }
+  Digest& add(const AcceptorSlot& s) { return add(s.promised).add(s.held).add(s.fact); }
+  Digest& add(const ReplicaMetadata& s) { return add(s.life).add(s.full).add(s.lives).add(s.founders); }
   Digest& add(const Message& m) {
     add(static_cast<uint8_t>(m.say)).add(m.op).add(m.key).add(m.ballot).add(m.held).add(m.fact).add(m.life);
     add(m.lives).add(m.founders).add(m.since).add(m.full).add(m.more).add(m.entries.size());
@@ -43,4 +45,4 @@
   std::string text_;
 };
 
-}  // namespace firvalve::record
+}  // namespace firvalve::consensus
--- a/src/record/asker.cpp
+++ b/src/consensus/proposer.cpp
@@ -1,16 +1,16 @@
-#include "record/asker.h"
+#include "consensus/proposer.h"
 
 #include <algorithm>
 
-#include "index/planted.h"
-#include "record/digest.h"
+#include "base/injected_bug.h"
+#include "consensus/digest.h"
 
-namespace firvalve::record {
+namespace firvalve::consensus {
 
-Asker::Asker(const AskerTerms& terms) : terms_(terms) {}
+Proposer::Proposer(const ProposerOptions& options) : options_(options) {}
 
-void Asker::ask(Ms now, Wish wish) {
-  const uint64_t seed = terms_.seed + ++drawn_;
+void Proposer::ask(Ms now, Proposal wish) {
+  const uint64_t seed = options_.seed + ++drawn_;
   Round round{std::move(wish),
               now,
               {},
@@ -23,38 +23,38 @@
               0,
               0,
               0,
-              Backoff(terms_.first_wait, terms_.longest_wait, seed)};
+              Backoff(options_.first_wait, options_.longest_wait, seed)};
   attempt(now, std::move(round));
 }
 
-void Asker::attempt(Ms now, Round round) {
+void Proposer::attempt(Ms now, Round round) {
   round.phase = Round::Phase::kPrepares;
-  round.ballot = {++number_, terms_.asker};
+  round.ballot = {++number_, options_.asker};
   put(now, std::move(round));
 }
 
-void Asker::put(Ms now, Round round) {
+void Proposer::put(Ms now, Round round) {
   round.answers.clear();
   round.refusals = 0;
   round.repeats = 0;
-  round.again_at = now + terms_.patience;
+  round.again_at = now + options_.patience;
   const uint64_t op = ++last_op_;
   const auto at = rounds_.emplace(op, std::move(round)).first;
-  for (Peer p = 0; p < terms_.keepers; ++p) send(op, at->second, p);
+  for (PeerId p = 0; p < options_.keepers; ++p) send(op, at->second, p);
 }
 
-void Asker::send(uint64_t op, const Round& round, Peer to) {
+void Proposer::send(uint64_t op, const Round& round, PeerId to) {
   Message m;
-  m.say = round.phase == Round::Phase::kPrepares ? Say::kPrepare : Say::kAccept;
+  m.say = round.phase == Round::Phase::kPrepares ? MessageType::kPrepare : MessageType::kAccept;
   m.op = op;
   m.key = round.wish.key;
   m.ballot = round.ballot;
-  if (m.say == Say::kAccept) m.fact = round.fact;
+  if (m.say == MessageType::kAccept) m.fact = round.fact;
   sends_.push_back({to, std::move(m)});
 }
 
 // Guards against askers that outbid each other for ever: each waits for a drawn time before its next try.
-void Asker::back_off(Ms now, Rounds::iterator at) {
+void Proposer::back_off(Ms now, Rounds::iterator at) {
   Round round = std::move(at->second);
   rounds_.erase(at);
   round.phase = Round::Phase::kWaits;
@@ -65,57 +65,59 @@
 
 // An answer counts unless another of those here comes from a keeper that has noted a later life of its
 // sender: what that one said before it lost its memory holds no longer.
-uint32_t Asker::counted(const Round& round, std::vector<const Answer*>* which) const {
+uint32_t Proposer::counted(const Round& round, std::vector<const Answer*>* which) const {
   uint32_t all = 0;
   for (const auto& one : round.answers) {
-    const Peer keeper = one.first;
+    const PeerId keeper = one.first;
     const Answer& answer = one.second;
     const bool outlived = std::any_of(round.answers.begin(), round.answers.end(), [&](const auto& other) {
       return keeper < other.second.lives.size() && other.second.lives[keeper] > answer.life;
     });
-    if (outlived && !planted(Flaw::kLivesIgnored)) continue;
+    if (outlived && !is_injected(InjectedBug::kLivesIgnored)) continue;
     ++all;
     if (which) which->push_back(&answer);
   }
   return all;
 }
 
-bool Asker::waits_for(const Message& m) const {
+bool Proposer::waits_for(const Message& m) const {
   const auto at = rounds_.find(m.op);
   if (at == rounds_.end()) return false;
-  if (m.say == Say::kRefused) return true;
+  if (m.say == MessageType::kRefused) return true;
   const Round::Phase phase = at->second.phase;
-  return m.ballot == at->second.ballot && ((m.say == Say::kPromise && phase == Round::Phase::kPrepares) ||
-                                           (m.say == Say::kAccepted && phase == Round::Phase::kAccepts));
+  return m.ballot == at->second.ballot &&
+         ((m.say == MessageType::kPromise && phase == Round::Phase::kPrepares) ||
+          (m.say == MessageType::kAccepted && phase == Round::Phase::kAccepts));
 }
 
-void Asker::hear(Ms now, Peer keeper, const Message& m) {
+void Proposer::handle(Ms now, PeerId keeper, const Message& m) {
   const auto at = rounds_.find(m.op);
-  if (at == rounds_.end() || keeper >= terms_.keepers) return;
+  if (at == rounds_.end() || keeper >= options_.keepers) return;
   Round& round = at->second;
-  if (m.say == Say::kRefused) {
+  if (m.say == MessageType::kRefused) {
     number_ = std::max(number_, m.ballot.number);
-    if (++round.refusals > terms_.keepers - majority(terms_.keepers)) back_off(now, at);
+    if (++round.refusals > options_.keepers - majority(options_.keepers)) back_off(now, at);
     return;
   }
-  const Say wanted = round.phase == Round::Phase::kPrepares ? Say::kPromise : Say::kAccepted;
+  const MessageType wanted =
+      round.phase == Round::Phase::kPrepares ? MessageType::kPromise : MessageType::kAccepted;
   if (round.phase == Round::Phase::kWaits || m.say != wanted || m.ballot != round.ballot) return;
   Answer& answer = round.answers[keeper];
   if (answer.life > m.life) return;  // an earlier life's, come late
   answer = {m.life, m.lives, m.held, m.fact};
   std::vector<const Answer*> which;
-  if (counted(round, &which) < majority(terms_.keepers)) return;
+  if (counted(round, &which) < majority(options_.keepers)) return;
   if (round.phase == Round::Phase::kPrepares) return prepared(now, at, which);
   end(round, round.outcome, round.fact);
   rounds_.erase(at);
 }
 
-void Asker::prepared(Ms now, Rounds::iterator at, const std::vector<const Answer*>& answers) {
+void Proposer::prepared(Ms now, Rounds::iterator at, const std::vector<const Answer*>& answers) {
   Round round = std::move(at->second);
   const Answer* highest = answers.front();
   for (const Answer* const a : answers)
     if (a->held > highest->held) highest = a;
-  const Fact found = highest->fact;
+  const Register found = highest->fact;
   // What a majority holds under one ballot stands. Anything that this wish itself had offered under a later
   // one could still come to stand.
   const bool stands =
@@ -123,14 +125,14 @@
       std::all_of(answers.begin(), answers.end(), [&](const Answer* a) { return a->held == highest->held; });
   round.fact = found;
   if (round.wish.id == 0)
-    round.outcome = End::Kind::kRead;
+    round.outcome = ProposalResult::Kind::kRead;
   else if (found.made(round.wish.id))
-    round.outcome = End::Kind::kAgreed;
+    round.outcome = ProposalResult::Kind::kAgreed;
   else if (found.change != round.wish.expected)
-    round.outcome = End::Kind::kConflict;
+    round.outcome = ProposalResult::Kind::kConflict;
   else {
-    round.outcome = End::Kind::kAgreed;
-    Fact& fact = round.fact;
+    round.outcome = ProposalResult::Kind::kAgreed;
+    Register& fact = round.fact;
     if (found.version > 0) fact.before.insert(fact.before.begin(), found.change);
     if (fact.before.size() > kRemembered) fact.before.resize(kRemembered);
     ++fact.version;
@@ -140,7 +142,8 @@
     round.mine_offered = true;
   }
   const bool changes = round.fact.change != found.change;
-  const bool unfinished = planted(Flaw::kConflictUnfinished) && round.outcome == End::Kind::kConflict;
+  const bool unfinished =
+      is_injected(InjectedBug::kConflictUnfinished) && round.outcome == ProposalResult::Kind::kConflict;
   if ((stands && !changes) || unfinished) {
     end(round, round.outcome, found);
     rounds_.erase(at);
@@ -152,11 +155,11 @@
   put(now, std::move(round));
 }
 
-void Asker::end(const Round& round, End::Kind kind, const Fact& fact) {
+void Proposer::end(const Round& round, ProposalResult::Kind kind, const Register& fact) {
   ends_.push_back({kind, round.wish, fact, round.asked_at});
 }
 
-void Asker::due(Ms now) {
+void Proposer::due(Ms now) {
   std::vector<uint64_t> ops;
   for (const auto& [op, round] : rounds_)
     if (now >= round.again_at || now >= round.wish.until) ops.push_back(op);
@@ -164,23 +167,23 @@
     const auto at = rounds_.find(op);
     Round& round = at->second;
     if (now >= round.wish.until) {
-      end(round, round.mine_offered ? End::Kind::kUnknown : End::Kind::kNoMajority, {});
+      end(round, round.mine_offered ? ProposalResult::Kind::kUnknown : ProposalResult::Kind::kNoMajority, {});
       rounds_.erase(at);
     } else if (round.phase == Round::Phase::kWaits) {
       Round next = std::move(round);
       rounds_.erase(at);
       attempt(now, std::move(next));
-    } else if (++round.repeats > terms_.repeats) {
+    } else if (++round.repeats > options_.repeats) {
       back_off(now, at);
     } else {
-      round.again_at = now + terms_.patience;
-      for (Peer p = 0; p < terms_.keepers; ++p)
+      round.again_at = now + options_.patience;
+      for (PeerId p = 0; p < options_.keepers; ++p)
         if (!round.answers.count(p)) send(op, round, p);
     }
   }
 }
 
-Ms Asker::next_due() const {
+Ms Proposer::next_due() const {
   Ms next = 0;
   for (const auto& [op, round] : rounds_) {
     const Ms at = std::min(round.again_at, round.wish.until);
@@ -189,7 +192,7 @@
   return next;
 }
 
-std::string Asker::digest() const {
+std::string Proposer::digest() const {
   Digest d;
   d.add(number_);
   for (const auto& [op, r] : rounds_) {
@@ -201,4 +204,4 @@
   return d.text();
 }
 
-}  // namespace firvalve::record
+}  // namespace firvalve::consensus
--- a/src/record/asker.h
+++ b/src/consensus/proposer.h
@@ -16,12 +16,12 @@
 #include <map>
 #include <optional>
 
-#include "index/backoff.h"
-#include "record/fact.h"
+#include "base/backoff.h"
+#include "consensus/register.h"
 
-namespace firvalve::record {
+namespace firvalve::consensus {
 
-struct AskerTerms {
+struct ProposerOptions {
   uint32_t keepers = 3;
   uint64_t asker = 1;  // nobody else's: drawn at each start
   uint64_t seed = 1;
@@ -30,7 +30,7 @@
   Ms first_wait = 10, longest_wait = 400;  // after a refusal
 };
 
-struct Wish {
+struct Proposal {
   uint64_t id = 0;  // of the change, nobody else's; 0: it only reads
   std::string key;
   uint64_t expected = 0;  // the change that it builds on; 0: nothing stands there
@@ -39,20 +39,20 @@
   Ms until = 0;         // no longer
 };
 
-struct End {
+struct ProposalResult {
   enum class Kind : uint8_t { kAgreed, kConflict, kRead, kNoMajority, kUnknown };
   Kind kind = Kind::kUnknown;
-  Wish wish;
-  Fact fact;        // what stands: with kAgreed, kConflict and kRead
+  Proposal wish;
+  Register fact;    // what stands: with kAgreed, kConflict and kRead
   Ms asked_at = 0;  // when it was first sent
 };
 
-class Asker {
+class Proposer {
  public:
-  explicit Asker(const AskerTerms& terms);
+  explicit Proposer(const ProposerOptions& options);
 
-  void ask(Ms now, Wish wish);
-  void hear(Ms now, Peer keeper, const Message& m);
+  void ask(Ms now, Proposal wish);
+  void handle(Ms now, PeerId keeper, const Message& m);
   void due(Ms now);
   Ms next_due() const;  // 0: nothing is asked
   size_t open() const { return rounds_.size(); }
@@ -60,25 +60,25 @@
   bool waits_for(const Message& m) const;
 
   std::vector<Envelope> take_sends() { return std::exchange(sends_, {}); }
-  std::vector<End> take_ends() { return std::exchange(ends_, {}); }
+  std::vector<ProposalResult> take_ends() { return std::exchange(ends_, {}); }
   std::string digest() const;
 
  private:
   struct Answer {
-    Life life = 0;
-    std::vector<Life> lives;
+    Incarnation life = 0;
+    std::vector<Incarnation> lives;
     Ballot held;
-    Fact fact;
+    Register fact;
   };
   struct Round {
-    Wish wish;
+    Proposal wish;
     Ms asked_at = 0;
     enum class Phase : uint8_t { kWaits, kPrepares, kAccepts } phase = Phase::kWaits;
     Ballot ballot, offered;  // this attempt's; the highest under which anything was offered to keepers
     bool mine_offered = false;
-    Fact fact;                                // offered now
-    End::Kind outcome = End::Kind::kUnknown;  // once that is accepted
-    std::map<Peer, Answer> answers;
+    Register fact;                                                  // offered now
+    ProposalResult::Kind outcome = ProposalResult::Kind::kUnknown;  // once that is accepted
+    std::map<PeerId, Answer> answers;
     uint32_t refusals = 0;
     int repeats = 0;
     Ms again_at = 0;  // the silent are asked once more, or an attempt begins
@@ -88,17 +88,17 @@
 
   void attempt(Ms now, Round round);
   void put(Ms now, Round round);  // the phase's message to all; a new op
-  void send(uint64_t op, const Round& round, Peer to);
+  void send(uint64_t op, const Round& round, PeerId to);
   void back_off(Ms now, Rounds::iterator at);
   uint32_t counted(const Round& round, std::vector<const Answer*>* which) const;
   void prepared(Ms now, Rounds::iterator at, const std::vector<const Answer*>& answers);
-  void end(const Round& round, End::Kind kind, const Fact& fact);
+  void end(const Round& round, ProposalResult::Kind kind, const Register& fact);
 
-  AskerTerms terms_;
+  ProposerOptions options_;
   uint64_t number_ = 0, last_op_ = 0, drawn_ = 0;
   Rounds rounds_;
   std::vector<Envelope> sends_;
-  std::vector<End> ends_;
+  std::vector<ProposalResult> ends_;
 };
 
-}  // namespace firvalve::record
+}  // namespace firvalve::consensus
--- a/src/record/fact.h
+++ b/src/consensus/register.h
@@ -15,9 +15,9 @@
 #include <utility>
 #include <vector>
 
-#include "index/units.h"
+#include "base/units.h"
 
-namespace firvalve::record {
+namespace firvalve::consensus {
 
 // The order of attempts on one key. No two attempts have the same: the second number is an asker's own,
 // drawn at its start.
@@ -30,31 +30,31 @@
 // whether its change was made.
 constexpr size_t kRemembered = 16;
 
-struct Fact {
+struct Register {
   uint64_t version = 0;          // changes so far; 0: nothing stands under the key
   uint64_t change = 0;           // the id of the last one
   std::vector<uint64_t> before;  // ids of those before it, the newest first, kRemembered at most
   std::string value;
-  bool urgent = false;  // those who look on hear of it at once
-  bool operator==(const Fact&) const = default;
+  bool urgent = false;  // those who look on handle of it at once
+  bool operator==(const Register&) const = default;
   bool made(uint64_t id) const;  // whether it is among the changes remembered
 };
 
 // What a keeper has promised and holds under one key.
-struct Slot {
+struct AcceptorSlot {
   Ballot promised, held;
-  Fact fact;
-  bool operator==(const Slot&) const = default;
+  Register fact;
+  bool operator==(const AcceptorSlot&) const = default;
 };
 
 // A peer as the driver numbers them: 0 to keepers - 1 are the keepers in the order of their list, everybody
 // else has a higher number.
-using Peer = uint32_t;
+using PeerId = uint32_t;
 
 // A keeper's life: it changes when it comes back without what it had promised. A later one is greater.
-using Life = uint64_t;
+using Incarnation = uint64_t;
 
-enum class Say : uint8_t {
+enum class MessageType : uint8_t {
   kPrepare = 1,  // asker: op, key, ballot
   kPromise,      // keeper: op, ballot, held, fact, life, lives
   kAccept,       // asker: op, key, ballot, fact
@@ -69,21 +69,21 @@
 };
 
 struct Message {
-  Say say = Say::kPrepare;
+  MessageType say = MessageType::kPrepare;
   uint64_t op = 0;
   std::string key;
   Ballot ballot, held;
-  Fact fact;
-  Life life = 0;
-  std::vector<Life> lives, founders;
+  Register fact;
+  Incarnation life = 0;
+  std::vector<Incarnation> lives, founders;
   uint64_t since = 0;
   bool full = false, more = false;
-  std::vector<std::pair<std::string, Slot>> entries;
+  std::vector<std::pair<std::string, AcceptorSlot>> entries;
   bool operator==(const Message&) const = default;
 };
 
 struct Envelope {
-  Peer to = 0;
+  PeerId to = 0;
   Message message;
 };
 
@@ -92,4 +92,4 @@
 
 constexpr uint32_t majority(uint32_t keepers) { return keepers / 2 + 1; }
 
-}  // namespace firvalve::record
+}  // namespace firvalve::consensus
--- a/src/record/follower.h
+++ b/src/consensus/register_watcher.h
@@ -7,15 +7,15 @@
 #include <utility>
 #include <vector>
 
-#include "record/fact.h"
+#include "consensus/register.h"
 
-namespace firvalve::record {
+namespace firvalve::consensus {
 
-class Follower {
+class RegisterWatcher {
  public:
   // `first`: the keeper that it begins with. Guards against all looking at one: gateways begin with different
   // ones.
-  Follower(uint32_t keepers, Peer first) : keepers_(keepers), at_(first % keepers) {}
+  RegisterWatcher(uint32_t keepers, PeerId first) : keepers_(keepers), at_(first % keepers) {}
 
   void due(Ms now) {
     if (asked_at_ > 0 && now < asked_at_ + patience()) return;
@@ -25,8 +25,8 @@
   Ms next_due() const { return asked_at_ > 0 ? asked_at_ + patience() : 1; }
 
   // Takes a keeper's answer; its facts are then in seen().
-  void hear(Ms now, Peer from, const Message& m) {
-    if (m.say != Say::kChanges || from != at_ || m.op != op_) return;
+  void handle(Ms now, PeerId from, const Message& m) {
+    if (m.say != MessageType::kChanges || from != at_ || m.op != op_) return;
     life_ = m.life;
     since_ = m.since;
     for (const auto& [key, slot] : m.entries) seen_.emplace_back(key, slot.fact);
@@ -34,7 +34,7 @@
     look(now);
   }
   bool whole() const { return whole_; }  // all that one keeper has was seen once
-  std::vector<std::pair<std::string, Fact>> take_seen() { return std::exchange(seen_, {}); }
+  std::vector<std::pair<std::string, Register>> take_seen() { return std::exchange(seen_, {}); }
   std::vector<Envelope> take_sends() { return std::exchange(sends_, {}); }
 
  private:
@@ -45,7 +45,7 @@
   void look(Ms now) {
     asked_at_ = now;
     Message m;
-    m.say = Say::kLook;
+    m.say = MessageType::kLook;
     m.op = ++op_;
     m.life = life_;
     m.since = since_;
@@ -53,13 +53,13 @@
   }
 
   uint32_t keepers_;
-  Peer at_;
+  PeerId at_;
   uint64_t op_ = 0, since_ = 0;
-  Life life_ = 0;
+  Incarnation life_ = 0;
   Ms asked_at_ = 0;
   bool whole_ = false;
-  std::vector<std::pair<std::string, Fact>> seen_;
+  std::vector<std::pair<std::string, Register>> seen_;
   std::vector<Envelope> sends_;
 };
 
-}  // namespace firvalve::record
+}  // namespace firvalve::consensus
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "core/articles.h"
+#include "core/settings.h"
 
 namespace firvalve {
 namespace {
@@ -19,43 +19,44 @@
 
 }  // namespace
 
-void Counters::add(std::string_view what, std::string_view kind) {
+void Metrics::add(std::string_view what, std::string_view kind) {
   std::string name(what);
   if (!kind.empty()) name.append(" ").append(kind);
   ++counts[name];
 }
 
-std::string Counters::text() const {
+std::string Metrics::text() const {
   std::string out = "counters";
   for (const auto& [name, count] : counts) out += fmt::format("; {}: {}", name, count);
   return out;
 }
 
-Core::Core(const Articles& articles, uint64_t seed, Front& front, Back& back, Counters& counters, Say say)
-    : state_(open(articles, seed)),
-      profiles_(names_of(articles, "profile")),
+Core::Core(const Settings& settings, uint64_t seed, ResponseSink& front, EngineTransport& back,
+           Metrics& counters, LogSink say)
+    : state_(open(settings, seed)),
+      profiles_(names_of(settings, "profile")),
       front_(front),
       back_(back),
       counters_(counters),
       say_(std::move(say)),
-      tick_(number(articles, "tick")),
-      may_cancel_(number(articles, "may cancel") > 0) {
+      tick_(number(settings, "tick")),
+      may_cancel_(number(settings, "may cancel") > 0) {
   double cores = 0, memory_mb = 0;
-  for (const auto& [name, value] : articles) {
-    if (name.starts_with("cores.")) cores = std::max(cores, number(articles, name));
-    if (name.starts_with("memory.")) memory_mb = std::max(memory_mb, number(articles, name));
+  for (const auto& [name, value] : settings) {
+    if (name.starts_with("cores.")) cores = std::max(cores, number(settings, name));
+    if (name.starts_with("memory.")) memory_mb = std::max(memory_mb, number(settings, name));
   }
   // Where the settings do not tell what there is, any figure may be a client's.
-  const Ms longest = longest_timeout(articles);
+  const Ms longest = longest_timeout(settings);
   if (longest > 0) most_timeout_ = 2 * longest;
   if (longest * cores > 0) most_estimate_ = kRough * longest * cores;
   if (memory_mb > 0) most_memory_mb_ = kRough * memory_mb;
 }
 
-Ms longest_timeout(const Articles& articles) {
+Ms longest_timeout(const Settings& settings) {
   Ms longest = 0;
-  for (size_t i = 0; i < names_of(articles, "profile").size(); ++i)
-    longest = std::max(longest, number(articles, fmt::format("profile.{}.client timeout", i)));
+  for (size_t i = 0; i < names_of(settings, "profile").size(); ++i)
+    longest = std::max(longest, number(settings, fmt::format("profile.{}.client timeout", i)));
   return longest;
 }
 
@@ -71,30 +72,31 @@
                   reason, outcome, took});
 }
 
-void Core::hear_now(Ms now, const Event& event) {
+void Core::handle_now(Ms now, const Event& event) {
   now_ = now;
-  hear(state_, now, event);
+  handle(state_, now, event);
   heard_ = true;
 }
 
-TakeIn Core::take_in(Ms now, CallRef call, Asked&& asked) {
+AdmissionResult Core::admit(Ms now, CallRef call, CommandRequest&& asked) {
   const auto profile = std::find(profiles_.begin(), profiles_.end(), asked.profile);
-  if (profile == profiles_.end()) return TakeIn::kUnknownProfile;
+  if (profile == profiles_.end()) return AdmissionResult::kUnknownProfile;
   // Guards the module's means against figures that no client of this deployment can have. It may cost one
   // whose settings are long out of date.
   if (asked.timeout > most_timeout_ || asked.estimate > most_estimate_ || asked.memory_mb > most_memory_mb_)
-    return TakeIn::kOutOfRange;
+    return AdmissionResult::kOutOfRange;
   const int number_of_profile = static_cast<int>(profile - profiles_.begin());
-  if (!asked.first.empty() && join(now, call, asked, number_of_profile)) return TakeIn::kTaken;
+  if (!asked.first.empty() && join(now, call, asked, number_of_profile)) return AdmissionResult::kTaken;
   const bool paged = asked.paged && shelf_;
   if (paged && !asked.first.empty()) {
-    const Shelf::Wish wish{asked.owner, asked.key, asked.profile, asked.statement, asked.first, asked.tables};
-    if ((found_ = shelf_->find(now, wish)) != 0) return TakeIn::kFound;
+    const ResultStore::Reservation wish{asked.owner,     asked.key,   asked.profile,
+                                        asked.statement, asked.first, asked.tables};
+    if ((found_ = shelf_->find(now, wish)) != 0) return AdmissionResult::kFound;
   }
-  if (held_bytes_ + asked.statement.size() > most_held_) return TakeIn::kNoRoom;
+  if (held_bytes_ + asked.statement.size() > most_held_) return AdmissionResult::kNoRoom;
   const CommandId id = command_id(asked.command);
   const auto [at, added] = held_.try_emplace(id.text);
-  if (!added) return TakeIn::kNotNew;
+  if (!added) return AdmissionResult::kNotNew;
   Held& h = at->second;
   h.call = call;
   h.statement = std::move(asked.statement);
@@ -105,7 +107,7 @@
   h.gives_up_at = sooner(now + asked.timeout, closes_at_);
   calls_[call] = {id.text};
   counters_.add("taken", *profile);
-  Taken t;
+  Admitted t;
   t.id = id;
   t.profile = h.profile;
   t.gives_up_at = h.gives_up_at;
@@ -114,7 +116,7 @@
   t.tables = asked.tables;
   t.repeat = !asked.first.empty();
   tell_observer(now, CommandEvent::Kind::kAdmitted, id.text, h);
-  hear_now(now, t);
+  handle_now(now, t);
   if (paged) {
     h.paged = true;
     h.owner = asked.owner;
@@ -122,13 +124,13 @@
     h.tables = asked.tables;
     if (!seek_place(now, at)) {
       placeless_.push_back(id.text);
-      hear_now(now, Place{id, false});
+      handle_now(now, ResultReservation{id, false});
     }
   }
-  return TakeIn::kTaken;
+  return AdmissionResult::kTaken;
 }
 
-Shelf::Wish Core::wish_of(const Held& h) const {
+ResultStore::Reservation Core::wish_of(const Held& h) const {
   return {h.owner, h.key, profiles_[static_cast<size_t>(h.profile)], h.statement, view(h.chain), h.tables};
 }
 
@@ -143,38 +145,38 @@
     const auto at = held_.find(id);
     if (at == held_.end() || at->second.call == 0) return true;
     if (!seek_place(now, at)) return false;
-    hear_now(now, Place{CommandId{id}, true});
+    handle_now(now, ResultReservation{CommandId{id}, true});
     return true;
   });
 }
 
-Shelf::Put Core::page(Ms now, uint64_t send, std::string_view rows) {
+ResultStore::Put Core::page(Ms now, uint64_t send, std::string_view rows) {
   const auto at = sends_.find(send);
-  if (at == sends_.end()) return Shelf::Put::kOutgrown;
+  if (at == sends_.end()) return ResultStore::Put::kOutgrown;
   const auto h = held_.find(at->second);
-  if (h->second.place == 0) return Shelf::Put::kOutgrown;
-  const Shelf::Put put = shelf_->page(now, h->second.place, rows);
-  if (put == Shelf::Put::kOutgrown) {
+  if (h->second.place == 0) return ResultStore::Put::kOutgrown;
+  const ResultStore::Put put = shelf_->page(now, h->second.place, rows);
+  if (put == ResultStore::Put::kOutgrown) {
     h->second.place = 0;
     give_up(now, h, "the result has outgrown the spool");
   }
   return put;
 }
 
-// Its clients hear so, and the module gives up what is out.
+// Its clients handle so, and the module gives up what is out.
 void Core::give_up(Ms now, HeldMap::iterator at, std::string_view why) {
   counters_.add("failed", profiles_[static_cast<size_t>(at->second.profile)]);
   tell(at->second, [&](CallRef call) { front_.fail(call, why); });
   tell_observer(now, CommandEvent::Kind::kFailed, at->first, at->second);
   const CommandId id{at->first};
   finish(at);
-  hear_now(now, ClientGone{id});
+  handle_now(now, ClientGone{id});
 }
 
 // Guards against a second run of what is still in hand, when a client lost sight of it and says it again: it
 // runs once and each call gets the answer. Only the same statement of the same profile is the same command;
 // whoever can name both and the id could have read the answer anyway.
-bool Core::join(Ms now, CallRef call, const Asked& asked, int profile) {
+bool Core::join(Ms now, CallRef call, const CommandRequest& asked, int profile) {
   const Id chain = command_id(asked.first).text;
   const auto repeat = chains_.find(chain);
   const auto at = held_.find(repeat != chains_.end() ? repeat->second : chain);
@@ -209,7 +211,7 @@
   }
   tell_observer(now, CommandEvent::Kind::kClientGone, id.text, h);
   finish(held_.find(id.text));
-  hear_now(now, ClientGone{id});
+  handle_now(now, ClientGone{id});
 }
 
 void Core::half_closed(Ms now, CallRef call) {
@@ -225,7 +227,7 @@
   tell(h, [&](CallRef call) { all &= calls_.at(call).half_closed; });
   if (all == h.half_closed) return;
   h.half_closed = all;
-  hear_now(now, HalfClosed{CommandId{id}, all});
+  handle_now(now, ClientHalfClosed{CommandId{id}, all});
 }
 
 bool Core::may_begin(Ms now, uint64_t send) const {
@@ -277,37 +279,37 @@
   numbers_.erase(known);
 }
 
-void Core::roster(Ms now, bool full, std::vector<NamedListing> listings, Ms current_at) {
-  Roster r;
+void Core::roster(Ms now, bool full, std::vector<NamedEngineInfo> listings, Ms current_at) {
+  EngineListUpdate r;
   r.full = full;
   r.current_at = current_at;
   std::map<uint32_t, std::string> kept;
-  for (NamedListing& l : listings) {
+  for (NamedEngineInfo& l : listings) {
     l.listing.engine = number_of(l.name);
     r.listings.push_back(l.listing);
     back_.list(now, l.listing.engine, l.address, l.listing.life);
-    if (l.listing.life != Life::kGone) kept[l.listing.engine] = l.name;
-    if (l.listing.life != Life::kGone) continue;
+    if (l.listing.life != EngineState::kGone) kept[l.listing.engine] = l.name;
+    if (l.listing.life != EngineState::kGone) continue;
     listed_.erase(l.listing.engine);
     forget_number(l.name);
   }
   if (full) {
     for (const auto& [engine, name] : listed_) {
       if (kept.count(engine)) continue;
-      back_.list(now, engine, {}, Life::kGone);
+      back_.list(now, engine, {}, EngineState::kGone);
       forget_number(name);
     }
     listed_.clear();
   }
   listed_.insert(kept.begin(), kept.end());
-  hear_now(now, r);
+  handle_now(now, r);
 }
 
-void Core::noted(Ms now, uint64_t send, NoteKind kind, double value) {
+void Core::noted(Ms now, uint64_t send, AttemptStatusKind kind, double value) {
   const auto at = sends_.find(send);
   if (at == sends_.end()) return;
   counters_.add("noted");
-  hear_now(now, Note{CommandId{at->second}, held_.at(at->second).sends - 1, kind, value});
+  handle_now(now, AttemptStatus{CommandId{at->second}, held_.at(at->second).sends - 1, kind, value});
 }
 
 void Core::ended(Ms now, uint64_t send, Outcome outcome, std::string rows) {
@@ -317,7 +319,7 @@
   sends_.erase(at);
   const auto h = held_.find(id);
   counters_.add("sends ended", name_of(outcome));
-  Settled s;
+  AttemptFinished s;
   s.id = CommandId{id};
   s.send = h->second.sends - 1;
   s.outcome = outcome;
@@ -342,14 +344,14 @@
   } else if (h->second.place != 0) {
     shelf_->clear(now, h->second.place);  // nothing of it has been given out: another send may make it anew
   }
-  hear_now(now, s);
+  handle_now(now, s);
 }
 
 void Core::closing(Ms now, Ms at) {
   closes_at_ = at;
   for (auto& [id, h] : held_) h.gives_up_at = std::min(h.gives_up_at, at);
   look_at_ = sooner(look_at_, at);
-  hear_now(now, Closing{at});
+  handle_now(now, ShutdownStarted{at});
 }
 
 // An attempt ends at its client's deadline at the latest, whatever its engine says.
@@ -371,7 +373,7 @@
 void Core::turn(Ms now) {
   end_overdue(now);
   for (; !bells_.empty() && bells_.begin()->first <= now; bells_.erase(bells_.begin()))
-    hear_now(now, Bell{bells_.begin()->second});
+    handle_now(now, TimerFired{bells_.begin()->second});
   if (!heard_ || now < decided_at_ + tick_) return;
   heard_ = false;
   decided_at_ = now;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,5 +1,6 @@
 // The core: owns the module's state, ties commands to client calls and sends to engine calls. It does no I/O
-// and reads no clock: clients stand behind Front, engines behind Back, and time comes in with every call.
+// and reads no clock: clients stand behind ResponseSink, engines behind EngineTransport, and time comes in
+// with every call.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +12,7 @@
 #include <vector>
 
 #include "core/command_event.h"
-#include "core/shelf.h"
+#include "core/result_store.h"
 #include "policy/rules.h"
 
 namespace firvalve {
@@ -20,17 +21,17 @@
 using CallRef = uint64_t;
 
 // Where final answers go. Each call taken in gets exactly one, unless its client went first.
-class Front {
+class ResponseSink {
  public:
-  virtual ~Front() = default;
+  virtual ~ResponseSink() = default;
   virtual void answer(CallRef call, std::string_view rows) = 0;
   virtual void shed(CallRef call, Ms advice) = 0;  // advice 0: none
   virtual void fail(CallRef call, std::string_view why) = 0;
-  virtual void answer_paged(CallRef call, ShelfNo no) = 0;  // its result lies on the shelf
+  virtual void answer_paged(CallRef call, ResultHandle no) = 0;  // its result lies on the shelf
 };
 
 // One send, as the back needs it. The views are good until the send has ended.
-struct Order {
+struct AttemptRequest {
   uint64_t send = 0;  // new with each send
   uint32_t engine = 0;
   std::string_view command, profile, statement;
@@ -42,18 +43,18 @@
 
 // What carries sends to engines. Each send started ends once, by Core::ended, never within one of these
 // calls.
-class Back {
+class EngineTransport {
  public:
-  virtual ~Back() = default;
-  virtual void start(Ms now, const Order& order) = 0;
+  virtual ~EngineTransport() = default;
+  virtual void start(Ms now, const AttemptRequest& order) = 0;
   virtual void withdraw(Ms now, uint64_t send,
                         Outcome as) = 0;  // gives it up; it ends as that, or as it does
   virtual void rank(Ms now, uint64_t send, int priority) = 0;
-  virtual void list(Ms now, uint32_t engine, std::string_view address, Life life) = 0;
+  virtual void list(Ms now, uint32_t engine, std::string_view address, EngineState life) = 0;
 };
 
 // A command as a front read it. The views need only last for the call that takes it in.
-struct Asked {
+struct CommandRequest {
   std::string_view command, profile;
   std::string statement;
   int64_t tables = -1;
@@ -73,19 +74,19 @@
 inline Ms sooner(Ms a, Ms b) { return a == 0 || (b > 0 && b < a) ? b : a; }
 
 // kFound: nothing is to run, its result lies on the shelf.
-enum class TakeIn { kTaken, kUnknownProfile, kNotNew, kOutOfRange, kNoRoom, kFound };
+enum class AdmissionResult { kTaken, kUnknownProfile, kNotNew, kOutOfRange, kNoRoom, kFound };
 
-Ms longest_timeout(const Articles& articles);  // of any profile's clients; 0: not told
+Ms longest_timeout(const Settings& settings);  // of any profile's clients; 0: not told
 
-struct NamedListing {
+struct NamedEngineInfo {
   std::string name, address;
-  Listing listing;
+  EngineInfo listing;
 };
 
 // What the module has to say: in words, and of which engine by its listed name (empty: of none).
-using Say = std::function<void(const std::string& text, const std::string& engine)>;
+using LogSink = std::function<void(const std::string& text, const std::string& engine)>;
 
-struct Counters {
+struct Metrics {
   std::map<std::string, uint64_t, std::less<>> counts;
   void add(std::string_view what, std::string_view kind = {});
   std::string text() const;
@@ -93,25 +94,26 @@
 
 class Core {
  public:
-  Core(const Articles& articles, uint64_t seed, Front& front, Back& back, Counters& counters, Say say);
+  Core(const Settings& settings, uint64_t seed, ResponseSink& front, EngineTransport& back, Metrics& counters,
+       LogSink say);
 
   void limit(size_t bytes) { most_held_ = bytes; }  // of statements in hand
   // Told of each command's and attempt's course; none: nobody is.
   void observe(CommandObserver observer) { observer_ = std::move(observer); }
-  void shelve(Shelf& shelf) { shelf_ = &shelf; }  // without one there are no paged answers
+  void shelve(ResultStore& shelf) { shelf_ = &shelf; }  // without one there are no paged answers
   bool shelves() const { return shelf_ != nullptr; }
-  ShelfNo found() const { return found_; }  // after kFound
-  void room(Ms now);                        // the shelf may have a place again
-  TakeIn take_in(Ms now, CallRef call, Asked&& asked);
+  ResultHandle found() const { return found_; }  // after kFound
+  void room(Ms now);                             // the shelf may have a place again
+  AdmissionResult admit(Ms now, CallRef call, CommandRequest&& asked);
   void client_gone(Ms now, CallRef call);           // revoked, or its connection ended
   void half_closed(Ms now, CallRef call);           // its connection's stream has ended: it may be read still
   CallRef call_of(std::string_view command) const;  // 0: not in hand
   bool may_begin(Ms now, uint64_t send) const;      // asked right before a start is written
   // current_at: the list was known to be current then, before this change; 0: it never was.
-  void roster(Ms now, bool full, std::vector<NamedListing> listings, Ms current_at = 0);
-  void noted(Ms now, uint64_t send, NoteKind kind, double value);
+  void roster(Ms now, bool full, std::vector<NamedEngineInfo> listings, Ms current_at = 0);
+  void noted(Ms now, uint64_t send, AttemptStatusKind kind, double value);
   // Rows of a paged send, a page more.
-  Shelf::Put page(Ms now, uint64_t send, std::string_view rows);
+  ResultStore::Put page(Ms now, uint64_t send, std::string_view rows);
   void ended(Ms now, uint64_t send, Outcome outcome, std::string rows = {});
 
   // This gateway ends at that moment: until then everything taken in gets its answer.
@@ -143,13 +145,13 @@
     bool overdue = false, half_closed = false;  // half closed: all clients that wait for it
     // Of a paged one: its place on the shelf, 0: it waits for one, and what the place is asked for with.
     bool paged = false;
-    ShelfNo place = 0;
+    ResultHandle place = 0;
     std::string owner, key;
     int64_t tables = -1;
   };
   using HeldMap = std::map<Id, Held>;
 
-  void hear_now(Ms now, const Event& event);
+  void handle_now(Ms now, const Event& event);
   void end_overdue(Ms now);
   void carry_out(Ms now, const Action& action);
   void tell_observer(Ms now, CommandEvent::Kind kind, const Id& id, const Held& h,
@@ -158,10 +160,10 @@
   void erase(HeldMap::iterator at);
   void finish(HeldMap::iterator at);  // answered: it stays for as long as a send is out
   bool seek_place(Ms now, HeldMap::iterator at);
-  Shelf::Wish wish_of(const Held& h) const;
+  ResultStore::Reservation wish_of(const Held& h) const;
   void give_up(Ms now, HeldMap::iterator at, std::string_view why);
   void review_clients(Ms now, const Id& id);  // whether any of them is sure to be there still
-  bool join(Ms now, CallRef call, const Asked& asked, int profile);
+  bool join(Ms now, CallRef call, const CommandRequest& asked, int profile);
   template <class Tell>
   void tell(const Held& h, Tell&& one) const {  // each call that waits for it
     if (h.call != 0) one(h.call);
@@ -172,10 +174,10 @@
 
   State state_;
   std::vector<std::string> profiles_;
-  Front& front_;
-  Back& back_;
-  Counters& counters_;
-  Say say_;
+  ResponseSink& front_;
+  EngineTransport& back_;
+  Metrics& counters_;
+  LogSink say_;
   CommandObserver observer_;
   HeldMap held_;
   struct Call {
@@ -185,8 +187,8 @@
   std::map<CallRef, Call> calls_;
   std::map<Id, Id> chains_;  // of those marked with another's id, while a client waits: the one in hand
   std::map<uint64_t, Id> sends_;
-  Shelf* shelf_ = nullptr;
-  ShelfNo found_ = 0;
+  ResultStore* shelf_ = nullptr;
+  ResultHandle found_ = 0;
   std::vector<Id> placeless_;  // paged ones that wait for a place, in the order taken
   std::vector<Id> done_;       // held until the next decisions alone
   std::map<std::string, uint32_t> numbers_;
--- a/src/core/articles.cpp
+++ b/src/core/settings.cpp
@@ -1,4 +1,4 @@
-#include "core/articles.h"
+#include "core/settings.h"
 
 #include <algorithm>
 
@@ -87,40 +87,38 @@
 }
 
 // Puts a value under our name; numbers and flags as numbers, lists numbered from 0.
-void put(Articles& articles, const std::string& name, const Value& v, Unit unit) {
+void put(Settings& settings, const std::string& name, const Value& v, Unit unit) {
   if (v.IsBool()) {
-    articles[name] = v.GetBool() ? 1.0 : 0.0;
+    settings[name] = v.GetBool() ? 1.0 : 0.0;
   } else if (v.IsNumber()) {
-    articles[name] = unit == Unit::kTime ? v.GetDouble() / 1e6 : v.GetDouble();
+    settings[name] = unit == Unit::kTime ? v.GetDouble() / 1e6 : v.GetDouble();
   } else if (v.IsString()) {
-    articles[name] = std::string(v.GetString(), v.GetStringLength());
+    settings[name] = std::string(v.GetString(), v.GetStringLength());
   } else if (v.IsArray()) {
     for (rapidjson::SizeType i = 0; i < v.Size(); ++i)
-      put(articles, name + "." + std::to_string(i), v[i], unit);
+      put(settings, name + "." + std::to_string(i), v[i], unit);
   }
 }
 
-void put_item(Articles& articles, const std::string& name, const Value& settings, const char* list,
-              int item) {
-  const Value* v = walk(settings, list);
-  if (v && v->IsArray() && static_cast<int>(v->Size()) > item) put(articles, name, (*v)[item], Unit::kPlain);
+void put_item(Settings& settings, const std::string& name, const Value& json, const char* list, int item) {
+  const Value* v = walk(json, list);
+  if (v && v->IsArray() && static_cast<int>(v->Size()) > item) put(settings, name, (*v)[item], Unit::kPlain);
 }
 
 }  // namespace
 
-Articles articles_from(const Value& settings) {
-  Articles all;
+Settings parse_settings(const Value& json) {
+  Settings all;
   for (const Rename& r : kNames)
-    if (const Value* v = walk(settings, r.wire)) put(all, r.ours, *v, r.unit);
-  if (const Value* kinds = walk(settings, "shapes"); kinds && kinds->IsArray()) {
+    if (const Value* v = walk(json, r.wire)) put(all, r.ours, *v, r.unit);
+  if (const Value* kinds = walk(json, "shapes"); kinds && kinds->IsArray()) {
     for (int i = 0; i < static_cast<int>(kinds->Size()); ++i) {
       if (!(*kinds)[i].IsString()) continue;
-      put_item(all, std::string("cores.") + (*kinds)[i].GetString(), settings, "specifics.cores_by_kind", i);
-      put_item(all, std::string("memory.") + (*kinds)[i].GetString(), settings, "specifics.memory_by_kind_mb",
-               i);
+      put_item(all, std::string("cores.") + (*kinds)[i].GetString(), json, "specifics.cores_by_kind", i);
+      put_item(all, std::string("memory.") + (*kinds)[i].GetString(), json, "specifics.memory_by_kind_mb", i);
     }
   }
-  if (const Value* profiles = walk(settings, "profiles"); profiles && profiles->IsArray()) {
+  if (const Value* profiles = walk(json, "profiles"); profiles && profiles->IsArray()) {
     for (int i = 0; i < static_cast<int>(profiles->Size()); ++i) {
       const Value& p = (*profiles)[i];
       const std::string at = "profile." + std::to_string(i) + ".";
@@ -134,12 +132,12 @@
                                          : effect == "deduplicated" ? "uniqued"
                                                                     : "non-replayable");
       }
-      put_item(all, at + "threads", settings, "specifics.class_threads", i);
-      put_item(all, at + "load", settings, "specifics.holds_tables", i);
-      put_item(all, at + "waits", settings, "specifics.class_waits", i);
+      put_item(all, at + "threads", json, "specifics.class_threads", i);
+      put_item(all, at + "load", json, "specifics.holds_tables", i);
+      put_item(all, at + "waits", json, "specifics.class_waits", i);
     }
   }
-  if (const Value* customers = walk(settings, "tenants"); customers && customers->IsArray()) {
+  if (const Value* customers = walk(json, "tenants"); customers && customers->IsArray()) {
     for (int i = 0; i < static_cast<int>(customers->Size()); ++i)
       for (const Rename& r : kCustomerNames)
         if (const Value* v = walk((*customers)[i], r.wire))
@@ -148,7 +146,7 @@
   return all;
 }
 
-std::vector<std::string> names_of(const Articles& a, const std::string& list) {
+std::vector<std::string> names_of(const Settings& a, const std::string& list) {
   std::vector<std::string> names;
   for (;;) {
     const auto at = a.find(list + "." + std::to_string(names.size()) + ".name");
--- a/src/core/articles.h
+++ b/src/core/settings.h
@@ -11,7 +11,7 @@
 
 namespace firvalve {
 
-Articles articles_from(const rapidjson::Value& settings);
-std::vector<std::string> names_of(const Articles& articles, const std::string& list);
+Settings parse_settings(const rapidjson::Value& json);
+std::vector<std::string> names_of(const Settings& settings, const std::string& list);
 
 }  // namespace firvalve
--- a/src/standin/fleet.cpp
+++ b/src/fakes/fake_deployment.cpp
@@ -1,4 +1,4 @@
-#include "standin/fleet.h"
+#include "fakes/fake_deployment.h"
 
 #include <Poco/Net/ServerSocket.h>
 #include <fmt/format.h>
@@ -6,13 +6,14 @@
 
 #include <algorithm>
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
-Fleet::Fleet(int engines, Engine::Means means) : bus_(std::make_unique<Bus>(host_)) {
-  for (int i = 0; i < engines; ++i) engines_.push_back(std::make_unique<Engine>(host_, means));
+FakeDeployment::FakeDeployment(int engines, FakeEngine::Means means)
+    : bus_(std::make_unique<FakeEventBus>(host_)) {
+  for (int i = 0; i < engines; ++i) engines_.push_back(std::make_unique<FakeEngine>(host_, means));
 }
 
-std::string Fleet::name_of(int engine) const { return fmt::format("s-{:08x}", 10 + engine); }
+std::string FakeDeployment::name_of(int engine) const { return fmt::format("s-{:08x}", 10 + engine); }
 
 std::string gateway_config(const GatewayOptions& options, const std::string& listings) {
   constexpr std::string_view kProfile =
@@ -33,7 +34,7 @@
       options.gateways, profiles);
 }
 
-std::string Fleet::config(const std::string& listen, int memory_mb, int sockets) const {
+std::string FakeDeployment::config(const std::string& listen, int memory_mb, int sockets) const {
   std::string listings;
   for (size_t i = 0; i < engines_.size(); ++i)
     listings += fmt::format("{}{}", i ? "," : "",
@@ -41,17 +42,17 @@
   return gateway_config({listen, bus_->address(), memory_mb, sockets}, listings);
 }
 
-int Fleet::runs(const std::string& statement) const {
+int FakeDeployment::runs(const std::string& statement) const {
   int all = 0;
   for (const auto& e : engines_) all += e->runs(statement);
   return all;
 }
-int Fleet::runs_most() const {
+int FakeDeployment::runs_most() const {
   int most = 0;
   for (const auto& e : engines_) most = std::max(most, e->runs_most());
   return most;
 }
-int Fleet::started() const {
+int FakeDeployment::started() const {
   int all = 0;
   for (const auto& e : engines_) all += e->started();
   return all;
@@ -77,4 +78,4 @@
   return out;
 }
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/fleet.h
+++ b/src/fakes/fake_deployment.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "standin/bus.h"
-#include "standin/engine.h"
+#include "fakes/fake_engine.h"
+#include "fakes/fake_event_bus.h"
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
 // What a gateway's configuration says beside its engines.
 struct GatewayOptions {
@@ -20,14 +20,14 @@
 // Profiles: lookup (replayable), report (replayable, longer), load (non-replayable).
 std::string gateway_config(const GatewayOptions& options, const std::string& listings);
 
-class Fleet {
+class FakeDeployment {
  public:
-  explicit Fleet(int engines, Engine::Means means = {});
-  Engine& engine(int i) { return *engines_[static_cast<size_t>(i)]; }
+  explicit FakeDeployment(int engines, FakeEngine::Means means = {});
+  FakeEngine& engine(int i) { return *engines_[static_cast<size_t>(i)]; }
   int engines() const { return static_cast<int>(engines_.size()); }
-  Bus& bus() { return *bus_; }
-  const Bus& bus() const { return *bus_; }
-  Host& host() { return host_; }
+  FakeEventBus& bus() { return *bus_; }
+  const FakeEventBus& bus() const { return *bus_; }
+  FakeHost& host() { return host_; }
   std::string name_of(int engine) const;
   // The file that NODE_CONFIG names.
   std::string config(const std::string& listen, int memory_mb = 192, int sockets = 1024) const;
@@ -37,9 +37,9 @@
   int started() const;
 
  private:
-  Host host_;
-  std::unique_ptr<Bus> bus_;
-  std::vector<std::unique_ptr<Engine>> engines_;
+  FakeHost host_;
+  std::unique_ptr<FakeEventBus> bus_;
+  std::vector<std::unique_ptr<FakeEngine>> engines_;
 };
 
 // An address of the loopback range that is free now.
@@ -47,4 +47,4 @@
 // Several at once, none twice, on an address of the loopback range that only this process uses.
 std::vector<std::string> free_addresses(size_t count);
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -1,4 +1,4 @@
-#include "standin/engine.h"
+#include "fakes/fake_engine.h"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 
 #include "proto/head.h"
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
 namespace {
 
@@ -18,7 +18,7 @@
   return fmt::format("HTTP/1.1 {}\r\n{}Content-Length: {}\r\n\r\n{}", status, fields, body.size(), body);
 }
 
-std::string note_fields(const Script& s) {
+std::string note_fields(const FaultScript& s) {
   const size_t colon = s.note.find(':');
   if (colon == std::string::npos) return {};
   return fmt::format("Detail: {}\r\nX-Val: {}\r\n", s.note.substr(0, colon), s.note.substr(colon + 1));
@@ -26,10 +26,10 @@
 
 }  // namespace
 
-class Engine::Connection : public net::Link {
+class FakeEngine::Session : public net::Connection {
  public:
-  Connection(Engine& owner, const Poco::Net::StreamSocket& socket)
-      : Link(owner.host_.loop(), socket), owner_(owner) {}
+  Session(FakeEngine& owner, const Poco::Net::StreamSocket& socket)
+      : net::Connection(owner.host_.loop(), socket), owner_(owner) {}
 
   bool waits = false;  // a call is not answered yet; the next is not read before
 
@@ -51,7 +51,7 @@
       if (inbox_.text().size() < end + static_cast<size_t>(length)) return;
       call.statement = inbox_.text().substr(end, static_cast<size_t>(length));
       inbox_.used(end + static_cast<size_t>(length));
-      owner_.hear(*this, call);
+      owner_.handle(*this, call);
       if (!owner_.connections_.has(this)) return;
     }
   }
@@ -61,14 +61,14 @@
   void on_end(End) override { owner_.connections_.end(this); }
 
  private:
-  Engine& owner_;
+  FakeEngine& owner_;
 };
 
-Engine::Engine(Host& host, Means means, const std::string& address)
+FakeEngine::FakeEngine(FakeHost& host, Means means, const std::string& address)
     : host_(host), means_(means), connections_(host), alive_(std::make_shared<bool>(true)) {
   host_.do_now([&] {
     listener_ = std::make_unique<Listener>(host_, [this](Poco::Net::StreamSocket socket) {
-      Connection* const key = connections_.add(std::make_unique<Connection>(*this, socket));
+      Session* const key = connections_.add(std::make_unique<Session>(*this, socket));
       if (reset_next_ > 0) --reset_next_, connections_.end(key, true);
     });
     listener_->listen(address);
@@ -77,7 +77,7 @@
   });
 }
 
-Engine::~Engine() {
+FakeEngine::~FakeEngine() {
   host_.do_now([&] {
     *alive_ = false;
     listener_.reset();
@@ -85,7 +85,7 @@
   });
 }
 
-void Engine::kill() {
+void FakeEngine::kill() {
   host_.do_now([&] {
     listener_->close();
     connections_.end_all(true);
@@ -95,56 +95,56 @@
   });
 }
 
-void Engine::come_back() {
+void FakeEngine::come_back() {
   host_.do_now([&] { listener_->listen(address_); });
 }
 
-void Engine::hang(bool on) {
+void FakeEngine::hang(bool on) {
   host_.do_now([&] { hangs_ = on; });
 }
 
-int Engine::runs(const std::string& statement) const {
+int FakeEngine::runs(const std::string& statement) const {
   const std::lock_guard lock(mutex_);
   const auto at = runs_.find(statement);
   return at == runs_.end() ? 0 : at->second;
 }
 
-int Engine::runs_most() const {
+int FakeEngine::runs_most() const {
   const std::lock_guard lock(mutex_);
   int most = 0;
   for (const auto& [statement, count] : runs_) most = std::max(most, count);
   return most;
 }
 
-int Engine::started() const {
+int FakeEngine::started() const {
   const std::lock_guard lock(mutex_);
   int all = 0;
   for (const auto& [statement, count] : runs_) all += count;
   return all;
 }
 
-int Engine::calls(const std::string& start) const {
+int FakeEngine::calls(const std::string& start) const {
   const std::lock_guard lock(mutex_);
   return static_cast<int>(
       std::count_if(lines_.begin(), lines_.end(), [&](const auto& l) { return l.starts_with(start); }));
 }
 
-Ms Engine::first_call_at() const {
+Ms FakeEngine::first_call_at() const {
   const std::lock_guard lock(mutex_);
   return first_at_;
 }
 
-Ms Engine::last_call_at() const {
+Ms FakeEngine::last_call_at() const {
   const std::lock_guard lock(mutex_);
   return last_at_;
 }
 
-std::vector<Ms> Engine::held_after_ready() const {
+std::vector<Ms> FakeEngine::held_after_ready() const {
   const std::lock_guard lock(mutex_);
   return held_;
 }
 
-void Engine::hear(Connection& connection, const Call& call) {
+void FakeEngine::handle(Session& connection, const Call& call) {
   {
     const std::lock_guard lock(mutex_);
     if (means_.records_calls) lines_.push_back(call.line);
@@ -187,7 +187,7 @@
   tell(connection, id, page, now);
 }
 
-void Engine::start(Connection& connection, const Call& call) {
+void FakeEngine::start(Session& connection, const Call& call) {
   const Ms now = host_.loop().now();
   Query query;
   query.statement = call.statement;
@@ -217,7 +217,7 @@
   tell(connection, call.id, 0, now);
 }
 
-void Engine::begin(const std::string& id, Query& query) {
+void FakeEngine::begin(const std::string& id, Query& query) {
   ++at_work_;
   query.works = true;
   query.ready_at = host_.loop().now() + query.script.delay;
@@ -228,14 +228,14 @@
     at->second.works = false;
     --at_work_;
     begin_next();
-    Connection* const waits = std::exchange(at->second.waits, nullptr);
+    Session* const waits = std::exchange(at->second.waits, nullptr);
     if (!waits || !connections_.has(waits)) return;
     tell(*waits, id, 0, host_.loop().now());
     if (connections_.has(waits)) waits->more();
   });
 }
 
-void Engine::begin_next() {
+void FakeEngine::begin_next() {
   while (!line_.empty() && (means_.slots == 0 || at_work_ < means_.slots)) {
     const std::string id = line_.front();
     line_.pop_front();
@@ -243,7 +243,7 @@
   }
 }
 
-void Engine::leave(std::map<std::string, Query>::iterator at) {
+void FakeEngine::leave(std::map<std::string, Query>::iterator at) {
   if (at->second.works)
     --at_work_;
   else
@@ -253,7 +253,7 @@
 }
 
 // Answers now, or once there is something to tell.
-void Engine::tell(Connection& connection, const std::string& id, int page, Ms asked_at) {
+void FakeEngine::tell(Session& connection, const std::string& id, int page, Ms asked_at) {
   const auto at = queries_.find(id);
   if (at == queries_.end()) {
     connection.waits = false;
@@ -295,8 +295,8 @@
   });
 }
 
-void Engine::answer(Connection& connection, Query& query, int page) {
-  const Script& s = query.script;
+void FakeEngine::answer(Session& connection, Query& query, int page) {
+  const FaultScript& s = query.script;
   if (s.status != 200 || page >= s.pages) return connection.write(http("500 Error", "", ""));
   bool spoil = false, breaks = false;
   {
@@ -325,7 +325,7 @@
   connection.write(text);
 }
 
-void Engine::forget_unasked() {
+void FakeEngine::forget_unasked() {
   const Ms now = host_.loop().now();
   for (auto at = queries_.begin(); at != queries_.end();) {
     const Query& q = at->second;
@@ -344,4 +344,4 @@
   });
 }
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/engine.h
+++ b/src/fakes/fake_engine.h
@@ -7,21 +7,21 @@
 #include <string>
 #include <vector>
 
-#include "standin/host.h"
-#include "standin/script.h"
+#include "fakes/fake_host.h"
+#include "fakes/fault_script.h"
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
 // From any thread, unless said otherwise.
-class Engine {
+class FakeEngine {
  public:
   struct Means {
     int slots = 0;              // queries at work at once, the rest wait their turn; 0: any number
     Ms full_behind = 1e18;      // one that would wait longer is turned away as full
     bool records_calls = true;  // false: calls() counts none, for runs of millions of calls
   };
-  explicit Engine(Host& host, Means means, const std::string& address = "127.0.0.1:0");
-  ~Engine();
+  explicit FakeEngine(FakeHost& host, Means means, const std::string& address = "127.0.0.1:0");
+  ~FakeEngine();
 
   std::string address() const { return address_; }
   // The process dies: connections reset, queries forgotten, the address refuses. And comes back there.
@@ -40,33 +40,33 @@
   std::vector<Ms> held_after_ready() const;
 
  private:
-  class Connection;
+  class Session;
   struct Call {
     std::string line, id, statement;
   };
   struct Query {
     std::string statement;
-    Script script;
+    FaultScript script;
     Ms ready_at = 1e18, asked_at = 0;  // ready: known once it is at work
     bool noted = false, works = false;
-    Connection* waits = nullptr;  // the call that wants its news
+    Session* waits = nullptr;  // the call that wants its news
     uint64_t number = 0;
   };
-  void hear(Connection& connection, const Call& call);
-  void start(Connection& connection, const Call& call);
-  void tell(Connection& connection, const std::string& id, int page, Ms asked_at);
-  void answer(Connection& connection, Query& query, int page);
+  void handle(Session& connection, const Call& call);
+  void start(Session& connection, const Call& call);
+  void tell(Session& connection, const std::string& id, int page, Ms asked_at);
+  void answer(Session& connection, Query& query, int page);
   void begin(const std::string& id, Query& query);
   void leave(std::map<std::string, Query>::iterator at);  // forgotten, its slot free
   void begin_next();
   void forget_unasked();
 
-  Host& host_;
+  FakeHost& host_;
   const Means means_;
   std::string address_;
   // On the host's thread:
   std::unique_ptr<Listener> listener_;
-  Connections<Connection> connections_;
+  Connections<Session> connections_;
   std::map<std::string, Query> queries_;
   std::list<std::string> line_;  // of queries that wait for a slot
   int at_work_ = 0;
@@ -82,4 +82,4 @@
   std::vector<Ms> held_;
 };
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/bus.cpp
+++ b/src/fakes/fake_event_bus.cpp
@@ -1,4 +1,4 @@
-#include "standin/bus.h"
+#include "fakes/fake_event_bus.h"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 
 #include "proto/head.h"
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
 namespace {
 constexpr Ms kSecond = 1000;
@@ -24,10 +24,10 @@
                      listings);
 }
 
-class Bus::Connection : public net::Link {
+class FakeEventBus::Session : public net::Connection {
  public:
-  Connection(Bus& owner, const Poco::Net::StreamSocket& socket)
-      : Link(owner.host_.loop(), socket), owner_(owner) {}
+  Session(FakeEventBus& owner, const Poco::Net::StreamSocket& socket)
+      : net::Connection(owner.host_.loop(), socket), owner_(owner) {}
 
  protected:
   void on_bytes() override {
@@ -45,14 +45,14 @@
   void on_end(End) override { owner_.connections_.end(this); }
 
  private:
-  Bus& owner_;
+  FakeEventBus& owner_;
 };
 
-Bus::Bus(Host& host, int64_t last, const std::string& address)
+FakeEventBus::FakeEventBus(FakeHost& host, int64_t last, const std::string& address)
     : host_(host), connections_(host), first_(last), alive_(std::make_shared<bool>(true)) {
   host_.do_now([&] {
     listener_ = std::make_unique<Listener>(host_, [this](Poco::Net::StreamSocket socket) {
-      connections_.add(std::make_unique<Connection>(*this, socket));
+      connections_.add(std::make_unique<Session>(*this, socket));
       ++traffic_.connections_made;
     });
     listener_->listen(address);
@@ -61,7 +61,7 @@
   });
 }
 
-Bus::~Bus() {
+FakeEventBus::~FakeEventBus() {
   host_.do_now([&] {
     *alive_ = false;
     listener_.reset();
@@ -69,16 +69,16 @@
   });
 }
 
-void Bus::announce(const std::string& listings, bool whole) {
+void FakeEventBus::announce(const std::string& listings, bool whole) {
   host_.do_now([&] {
     const int64_t number = first_ + static_cast<int64_t>(events_.size()) + 1;
     events_.push_back(topology(number, whole, listings) + "\n");
-    for (Connection* const c : std::vector(followers_))
+    for (Session* const c : std::vector(followers_))
       if (connections_.has(c)) write(*c, events_.back());
   });
 }
 
-BusTraffic Bus::traffic() const {
+BusTraffic FakeEventBus::traffic() const {
   BusTraffic out;
   host_.do_now([&] {
     out = traffic_;
@@ -87,22 +87,22 @@
   return out;
 }
 
-void Bus::write(Connection& connection, const std::string& lines) {
+void FakeEventBus::write(Session& connection, const std::string& lines) {
   traffic_.lines_out += static_cast<uint64_t>(std::count(lines.begin(), lines.end(), '\n'));
   traffic_.bytes_out += lines.size();
   connection.write(lines);
 }
 
-void Bus::say_first(std::string line) {
+void FakeEventBus::say_first(std::string line) {
   host_.do_now([&] { say_first_ = std::move(line); });
 }
 
-std::vector<int64_t> Bus::asked_from() const {
+std::vector<int64_t> FakeEventBus::asked_from() const {
   const std::lock_guard lock(mutex_);
   return asked_;
 }
 
-void Bus::serve(Connection& connection, int64_t from) {
+void FakeEventBus::serve(Session& connection, int64_t from) {
   {
     const std::lock_guard lock(mutex_);
     asked_.push_back(from);
@@ -113,14 +113,14 @@
   followers_.push_back(&connection);
 }
 
-void Bus::tick() {
-  std::erase_if(followers_, [&](Connection* c) { return !connections_.has(c); });
+void FakeEventBus::tick() {
+  std::erase_if(followers_, [&](Session* c) { return !connections_.has(c); });
   const std::string line = fmt::format("{{\"offset\":{}}}\n", first_ + static_cast<int64_t>(events_.size()));
-  for (Connection* const c : std::vector(followers_))
+  for (Session* const c : std::vector(followers_))
     if (connections_.has(c)) write(*c, line);
   host_.after(kSecond, [this, alive = alive_] {
     if (*alive) tick();
   });
 }
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/bus.h
+++ b/src/fakes/fake_event_bus.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "standin/host.h"
+#include "fakes/fake_host.h"
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
 // One engine as the bus lists it.
 std::string listing(const std::string& name, const std::string& address, const std::string& state,
@@ -22,10 +22,10 @@
 };
 
 // From any thread.
-class Bus {
+class FakeEventBus {
  public:
-  explicit Bus(Host& host, int64_t last = 1, const std::string& address = "127.0.0.1:0");
-  ~Bus();
+  explicit FakeEventBus(FakeHost& host, int64_t last = 1, const std::string& address = "127.0.0.1:0");
+  ~FakeEventBus();
   std::string address() const { return address_; }
   // The next event: what has changed, or the whole list.
   void announce(const std::string& listings, bool whole = false);
@@ -34,16 +34,16 @@
   std::vector<int64_t> asked_from() const;  // the numbers that connections asked from, in order
 
  private:
-  class Connection;
+  class Session;
   void tick();
-  void serve(Connection& connection, int64_t from);
-  void write(Connection& connection, const std::string& lines);
+  void serve(Session& connection, int64_t from);
+  void write(Session& connection, const std::string& lines);
 
-  Host& host_;
+  FakeHost& host_;
   std::string address_;
   std::unique_ptr<Listener> listener_;
-  Connections<Connection> connections_;
-  std::vector<Connection*> followers_;
+  Connections<Session> connections_;
+  std::vector<Session*> followers_;
   std::vector<std::string> events_;  // from first_ + 1 on
   int64_t first_;
   std::string say_first_;
@@ -53,4 +53,4 @@
   BusTraffic traffic_;  // the host's thread's
 };
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/gateway.cpp
+++ b/src/fakes/fake_gateway.cpp
@@ -1,15 +1,15 @@
-#include "standin/gateway.h"
+#include "fakes/fake_gateway.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
-class Gateway::Connection : public net::Link {
+class FakeGateway::Session : public net::Connection {
  public:
-  Connection(Gateway& owner, const Poco::Net::StreamSocket& socket)
-      : Link(owner.host_.loop(), socket), owner_(owner) {}
+  Session(FakeGateway& owner, const Poco::Net::StreamSocket& socket)
+      : net::Connection(owner.host_.loop(), socket), owner_(owner) {}
 
  protected:
   void on_bytes() override {
@@ -18,22 +18,22 @@
       const proto::Read read = frames_.next(inbox_, body);
       if (read == proto::Read::kMore) return;
       if (read == proto::Read::kBroken) return owner_.connections_.end(this);
-      owner_.hear(*this, body);
+      owner_.handle(*this, body);
       if (!open()) return;
     }
   }
   void on_end(End) override { owner_.connections_.end(this); }
 
  private:
-  Gateway& owner_;
+  FakeGateway& owner_;
   proto::RpcFrames frames_;
 };
 
-Gateway::Gateway(Host& host, const std::string& address)
+FakeGateway::FakeGateway(FakeHost& host, const std::string& address)
     : host_(host), connections_(host), alive_(std::make_shared<bool>(true)) {
   host_.do_now([&] {
     listener_ = std::make_unique<Listener>(host_, [this](Poco::Net::StreamSocket socket) {
-      connections_.add(std::make_unique<Connection>(*this, socket));
+      connections_.add(std::make_unique<Session>(*this, socket));
       const std::lock_guard lock(mutex_);
       accepted_.push_back(host_.loop().now());
     });
@@ -42,7 +42,7 @@
   });
 }
 
-Gateway::~Gateway() {
+FakeGateway::~FakeGateway() {
   host_.do_now([&] {
     *alive_ = false;
     listener_.reset();
@@ -50,44 +50,44 @@
   });
 }
 
-void Gateway::kill(bool with_reset) {
+void FakeGateway::kill(bool with_reset) {
   host_.do_now([&] {
     listener_->close();
     connections_.end_all(with_reset);
   });
 }
-void Gateway::come_back() {
+void FakeGateway::come_back() {
   host_.do_now([&] { listener_->listen(address_); });
 }
-void Gateway::set_healthy(bool healthy) {
+void FakeGateway::set_healthy(bool healthy) {
   host_.do_now([&] { healthy_ = healthy; });
 }
-void Gateway::set_marks(bool marks) {
+void FakeGateway::set_marks(bool marks) {
   host_.do_now([&] { marks_ = marks; });
 }
-void Gateway::set_mute(bool mute) {
+void FakeGateway::set_mute(bool mute) {
   host_.do_now([&] { mute_ = mute; });
 }
 
-std::vector<Gateway::Heard> Gateway::heard() const {
+std::vector<FakeGateway::Heard> FakeGateway::heard() const {
   const std::lock_guard lock(mutex_);
   return heard_;
 }
-int Gateway::heard(const std::string& statement) const {
+int FakeGateway::heard(const std::string& statement) const {
   const std::lock_guard lock(mutex_);
   return static_cast<int>(
       std::count_if(heard_.begin(), heard_.end(), [&](const Heard& h) { return h.statement == statement; }));
 }
-int Gateway::revoked() const {
+int FakeGateway::revoked() const {
   const std::lock_guard lock(mutex_);
   return revoked_;
 }
-std::vector<Ms> Gateway::accepted_at() const {
+std::vector<Ms> FakeGateway::accepted_at() const {
   const std::lock_guard lock(mutex_);
   return accepted_;
 }
 
-void Gateway::hear(Connection& connection, std::span<char> body) {
+void FakeGateway::handle(Session& connection, std::span<char> body) {
   const proto::RpcCall call = proto::read_call(body);
   using Kind = proto::RpcCall::Kind;
   if (call.kind == Kind::kRevoke) {
@@ -112,7 +112,7 @@
                       std::string(call.first), call.timeout, host_.loop().now()});
   }
   if (mute_) return;
-  const Script script = script_of(call.statement);
+  const FaultScript script = script_of(call.statement);
   if (script.late <= 0) return answer(connection, call.id, script, call.statement);
   host_.after(script.late,
               [this, alive = alive_, key = &connection, id = call.id, script, statement = call.statement] {
@@ -120,7 +120,8 @@
               });
 }
 
-void Gateway::answer(Connection& connection, int64_t id, const Script& s, const std::string& statement) {
+void FakeGateway::answer(Session& connection, int64_t id, const FaultScript& s,
+                         const std::string& statement) {
   if (s.answer == "none") return;
   const bool breaks = (s.reset >= 0 || s.cut >= 0) && broken_[statement]++ < s.times;
   std::string out;
@@ -147,4 +148,4 @@
   connection.write(out);
 }
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/gateway.h
+++ b/src/fakes/fake_gateway.h
@@ -6,17 +6,17 @@
 #include <string>
 #include <vector>
 
+#include "fakes/fake_host.h"
+#include "fakes/fault_script.h"
 #include "proto/jsonrpc/rpc.h"
-#include "standin/host.h"
-#include "standin/script.h"
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
 // From any thread.
-class Gateway {
+class FakeGateway {
  public:
-  explicit Gateway(Host& host, const std::string& address = "127.0.0.1:0");
-  ~Gateway();
+  explicit FakeGateway(FakeHost& host, const std::string& address = "127.0.0.1:0");
+  ~FakeGateway();
   std::string address() const { return address_; }
 
   void kill(bool with_reset = false);  // all connections end, the address refuses
@@ -35,14 +35,14 @@
   std::vector<Ms> accepted_at() const;  // of each connection, by monotonic_ms()
 
  private:
-  class Connection;
-  void hear(Connection& connection, std::span<char> body);
-  void answer(Connection& connection, int64_t id, const Script& script, const std::string& statement);
+  class Session;
+  void handle(Session& connection, std::span<char> body);
+  void answer(Session& connection, int64_t id, const FaultScript& script, const std::string& statement);
 
-  Host& host_;
+  FakeHost& host_;
   std::string address_;
   std::unique_ptr<Listener> listener_;
-  Connections<Connection> connections_;
+  Connections<Session> connections_;
   bool healthy_ = true, marks_ = false, mute_ = false;
   std::map<std::string, int> broken_;
   std::shared_ptr<bool> alive_;
@@ -52,4 +52,4 @@
   int revoked_ = 0;
 };
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/host.cpp
+++ b/src/fakes/fake_host.cpp
@@ -1,4 +1,4 @@
-#include "standin/host.h"
+#include "fakes/fake_host.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/NetException.h>
@@ -8,31 +8,31 @@
 
 #include <future>
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
 using Poco::Net::ReadableNotification;
 using Poco::Net::SocketAddress;
 using Poco::Net::StreamSocket;
 
-Host::Host() {
+FakeHost::FakeHost() {
   loop_.limit(1 << 20, size_t{1} << 30);
   bell_ = std::make_unique<net::Waker>(loop_, [this] { run_posted(); });
   loop_.on_turn = [this](Ms now) { return turn(now); };
   thread_ = std::thread([this] { loop_.run(); });
 }
 
-Host::~Host() {
+FakeHost::~FakeHost() {
   post([this] { loop_.stop(); });
   thread_.join();
 }
 
-void Host::post(std::function<void()> task) {
+void FakeHost::post(std::function<void()> task) {
   const std::lock_guard lock(mutex_);
   posted_.push_back(std::move(task));
   bell_->wake();
 }
 
-void Host::do_now(const std::function<void()>& task) {
+void FakeHost::do_now(const std::function<void()>& task) {
   std::promise<void> done;
   post([&] {
     try {
@@ -45,7 +45,7 @@
   done.get_future().get();
 }
 
-void Host::run_posted() {
+void FakeHost::run_posted() {
   std::vector<std::function<void()>> tasks;
   {
     const std::lock_guard lock(mutex_);
@@ -54,11 +54,11 @@
   for (const auto& task : tasks) task();
 }
 
-void Host::after(Ms wait, std::function<void()> task) {
+void FakeHost::after(Ms wait, std::function<void()> task) {
   timers_.emplace(loop_.now() + wait, std::move(task));
 }
 
-Ms Host::turn(Ms now) {
+Ms FakeHost::turn(Ms now) {
   while (!timers_.empty() && timers_.begin()->first <= now) {
     const auto task = std::move(timers_.begin()->second);
     timers_.erase(timers_.begin());
@@ -67,7 +67,7 @@
   return timers_.empty() ? 0 : timers_.begin()->first;
 }
 
-Listener::Listener(Host& host, std::function<void(StreamSocket)> accepted)
+Listener::Listener(FakeHost& host, std::function<void(StreamSocket)> accepted)
     : host_(host), accepted_(std::move(accepted)) {}
 
 void Listener::listen(const std::string& address) {
@@ -99,4 +99,4 @@
   }
 }
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/host.h
+++ b/src/fakes/fake_host.h
@@ -14,14 +14,14 @@
 
 #include "net/waker.h"
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
-class Host {
+class FakeHost {
  public:
-  Host();
-  ~Host();  // what it plays must have gone before
-  Host(const Host&) = delete;
-  Host& operator=(const Host&) = delete;
+  FakeHost();
+  ~FakeHost();  // what it plays must have gone before
+  FakeHost(const FakeHost&) = delete;
+  FakeHost& operator=(const FakeHost&) = delete;
 
   // From any thread: runs it on the host's, between events; do_now waits until it has run.
   void post(std::function<void()> task);
@@ -46,7 +46,7 @@
 // A listening address whose connections are the owner's. On the host's thread alone.
 class Listener {
  public:
-  Listener(Host& host, std::function<void(Poco::Net::StreamSocket)> accepted);
+  Listener(FakeHost& host, std::function<void(Poco::Net::StreamSocket)> accepted);
   ~Listener() { close(); }
   // An address with port 0 takes a free one and keeps it over close() and listen() again. Throws
   // Poco::Exception where it is taken.
@@ -58,7 +58,7 @@
  private:
   void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
 
-  Host& host_;
+  FakeHost& host_;
   std::function<void(Poco::Net::StreamSocket)> accepted_;
   Poco::Net::ServerSocket socket_;
   bool listening_ = false;
@@ -69,7 +69,7 @@
 template <class Connection>
 class Connections {
  public:
-  explicit Connections(Host& host) : host_(host) {}
+  explicit Connections(FakeHost& host) : host_(host) {}
   Connection* add(std::unique_ptr<Connection> connection) {
     Connection* const key = connection.get();
     all_[key] = std::move(connection);
@@ -89,8 +89,8 @@
   size_t size() const { return all_.size(); }
 
  private:
-  Host& host_;
+  FakeHost& host_;
   std::map<Connection*, std::unique_ptr<Connection>> all_;
 };
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/between.cpp
+++ b/src/fakes/fault_proxy.cpp
@@ -1,25 +1,25 @@
-#include "standin/between.h"
+#include "fakes/fault_proxy.h"
 
 #include <deque>
 #include <random>
 
-#include "fleet/wire.h"
+#include "cluster/wire.h"
 #include "proto/jsonrpc/rpc.h"
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
 using Poco::Net::SocketAddress;
 using Poco::Net::StreamSocket;
 
 // One connection: of a gateway that dialled, and on to the one that it wanted.
-class Between::Passage {
+class FaultProxy::Passage {
  public:
-  class Side : public net::Link {
+  class Side : public net::Connection {
    public:
-    Side(Between& between, uint64_t passage, bool forth, const StreamSocket& socket)
-        : Link(between.host_.loop(), socket), between_(between), passage_(passage), forth_(forth) {}
-    Side(Between& between, uint64_t passage, bool forth, const SocketAddress& address)
-        : Link(between.host_.loop(), address), between_(between), passage_(passage), forth_(forth) {}
+    Side(FaultProxy& between, uint64_t passage, bool forth, const StreamSocket& socket)
+        : Connection(between.host_.loop(), socket), between_(between), passage_(passage), forth_(forth) {}
+    Side(FaultProxy& between, uint64_t passage, bool forth, const SocketAddress& address)
+        : Connection(between.host_.loop(), address), between_(between), passage_(passage), forth_(forth) {}
 
    protected:
     void on_bytes() override {
@@ -37,10 +37,10 @@
     void on_end(End) override { between_.end(passage_); }
 
    private:
-    Between& between_;
+    FaultProxy& between_;
     const uint64_t passage_;
     const bool forth_;
-    proto::RpcFrames frames_{fleet::kFrameMost};
+    proto::RpcFrames frames_{cluster::kFrameMost};
   };
 
   std::unique_ptr<Side> near, far;
@@ -49,10 +49,10 @@
   std::deque<std::string> held_forth, held_back;
 };
 
-Between::Between(Host& host, uint64_t seed)
+FaultProxy::FaultProxy(FakeHost& host, uint64_t seed)
     : host_(host), chance_(seed), alive_(std::make_shared<bool>(true)) {}
 
-Between::~Between() {
+FaultProxy::~FaultProxy() {
   host_.do_now([this] {
     *alive_ = false;
     doors_.clear();
@@ -60,9 +60,9 @@
   });
 }
 
-double Between::part() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
+double FaultProxy::part() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
 
-std::string Between::stand_before(const std::string& real, const std::string& address) {
+std::string FaultProxy::stand_before(const std::string& real, const std::string& address) {
   host_.do_now([&] {
     const size_t number = doors_.size();
     auto door = std::make_unique<Door>();
@@ -85,7 +85,7 @@
   return address;
 }
 
-void Between::end(uint64_t id) {
+void FaultProxy::end(uint64_t id) {
   const auto at = passages_.find(id);
   if (at == passages_.end()) return;
   at->second->near->abort();
@@ -95,54 +95,54 @@
   passages_.erase(at);
 }
 
-void Between::write(uint64_t id, bool forth, const std::string& frame) {
+void FaultProxy::write(uint64_t id, bool forth, const std::string& frame) {
   const auto at = passages_.find(id);
   if (at == passages_.end()) return;
   Passage& p = *at->second;
   const auto pair = forth ? std::pair(p.from, p.to) : std::pair(p.to, p.from);
-  if (terms_[pair].silent) return;
+  if (options_[pair].silent) return;
   ++passed_;
   bytes_[pair] += frame.size();
   if (on_frame) on_frame(pair.first, pair.second, frame);
   (forth ? *p.far : *p.near).write(frame);
 }
 
-void Between::carry(uint64_t id, bool forth, std::string frame) {
+void FaultProxy::carry(uint64_t id, bool forth, std::string frame) {
   const auto at = passages_.find(id);
   if (at == passages_.end()) return;
   Passage& p = *at->second;
   if (p.from == SIZE_MAX && forth) {
     const char* why = "";
     const size_t head = frame.find("\r\n\r\n") + 4;
-    const auto read = fleet::read_frame({frame.data() + head, frame.size() - head}, why);
+    const auto read = cluster::read_frame({frame.data() + head, frame.size() - head}, why);
     const auto name = read ? names_.find(read->from) : names_.end();
     if (name != names_.end()) p.from = name->second;
   }
-  Terms& terms = terms_[forth ? std::pair(p.from, p.to) : std::pair(p.to, p.from)];
-  if (terms.cut) return end(id);
-  if (terms.torn) {
-    terms.torn = false;
+  Options& options = options_[forth ? std::pair(p.from, p.to) : std::pair(p.to, p.from)];
+  if (options.cut) return end(id);
+  if (options.torn) {
+    options.torn = false;
     (forth ? *p.far : *p.near).write(frame.substr(0, frame.size() / 2));
     host_.after(1, [this, id, alive = alive_] {
       if (*alive) end(id);
     });
     return;
   }
-  if (terms.silent || part() < terms.lost) return;
-  if (terms.held) {
+  if (options.silent || part() < options.lost) return;
+  if (options.held) {
     (forth ? p.held_forth : p.held_back).push_back(std::move(frame));
     return;
   }
-  const int copies = part() < terms.repeated ? 2 : 1;
+  const int copies = part() < options.repeated ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    if (terms.delay_most <= 0) {
+    if (options.delay_most <= 0) {
       write(id, forth, frame);
       continue;
     }
     const Ms now = host_.loop().now();
-    Ms due = now + terms.delay_least + part() * (terms.delay_most - terms.delay_least);
+    Ms due = now + options.delay_least + part() * (options.delay_most - options.delay_least);
     Ms& last = forth ? p.last_forth : p.last_back;
-    if (!terms.reordered) due = last = std::max(due, last);
+    if (!options.reordered) due = last = std::max(due, last);
     host_.after(due - now, [this, id, forth, frame, alive = alive_] {
       if (*alive) write(id, forth, frame);
     });
@@ -150,7 +150,7 @@
 }
 
 // What was held goes on, once nothing holds it any more.
-void Between::let_go(size_t from, size_t to) {
+void FaultProxy::let_go(size_t from, size_t to) {
   std::vector<uint64_t> ids;
   for (const auto& [id, p] : passages_) ids.push_back(id);
   for (const uint64_t id : ids) {
@@ -159,7 +159,7 @@
     Passage& p = *at->second;
     const bool forth = p.from == from && p.to == to, back = p.to == from && p.from == to;
     if (!forth && !back) continue;
-    if (terms_[{from, to}].cut) {
+    if (options_[{from, to}].cut) {
       end(id);
       continue;
     }
@@ -168,36 +168,36 @@
   }
 }
 
-void Between::set(size_t from, size_t to, const Terms& terms) {
+void FaultProxy::set(size_t from, size_t to, const Options& options) {
   host_.do_now([&] {
-    terms_[{from, to}] = terms;
-    if (!terms.held) let_go(from, to);
+    options_[{from, to}] = options;
+    if (!options.held) let_go(from, to);
   });
 }
 
-void Between::set_both(size_t a, size_t b, const Terms& terms) {
-  set(a, b, terms);
-  set(b, a, terms);
+void FaultProxy::set_both(size_t a, size_t b, const Options& options) {
+  set(a, b, options);
+  set(b, a, options);
 }
 
-void Between::set_apart(size_t one, const Terms& terms) {
+void FaultProxy::set_apart(size_t one, const Options& options) {
   for (size_t other = 0; other < doors_.size(); ++other)
-    if (other != one) set_both(one, other, terms);
+    if (other != one) set_both(one, other, options);
 }
 
-void Between::set_all(const Terms& terms) {
+void FaultProxy::set_all(const Options& options) {
   for (size_t one = 0; one < doors_.size(); ++one)
     for (size_t other = 0; other < doors_.size(); ++other)
-      if (other != one) set(one, other, terms);
+      if (other != one) set(one, other, options);
 }
 
-uint64_t Between::passed() const {
+uint64_t FaultProxy::passed() const {
   uint64_t all = 0;
   host_.do_now([&] { all = passed_; });
   return all;
 }
 
-uint64_t Between::bytes(size_t from, size_t to) const {
+uint64_t FaultProxy::bytes(size_t from, size_t to) const {
   uint64_t all = 0;
   host_.do_now([&] {
     if (const auto at = bytes_.find({from, to}); at != bytes_.end()) all = at->second;
@@ -205,4 +205,4 @@
   return all;
 }
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/between.h
+++ b/src/fakes/fault_proxy.h
@@ -1,5 +1,5 @@
 // The network between gateways of a fleet, as it may fail: each gateway is reached at an address here, and
-// what its peers say to it passes through, frame by frame. Each ordered pair of gateways has terms of its
+// what its peers say to it passes through, frame by frame. Each ordered pair of gateways has options of its
 // own, which a test sets and changes. Chance comes from a seed; what the system's scheduling adds does not.
 #pragma once
 
@@ -10,14 +10,14 @@
 #include <string>
 #include <vector>
 
-#include "standin/host.h"
+#include "fakes/fake_host.h"
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
 // From any thread.
-class Between {
+class FaultProxy {
  public:
-  struct Terms {
+  struct Options {
     double lost = 0, repeated = 0;       // parts of the frames
     Ms delay_least = 0, delay_most = 0;  // of each frame
     bool reordered = false;              // delayed ones may pass each other
@@ -27,16 +27,16 @@
     bool torn = false;                   // the next frame is passed in half, then its connection is reset
   };
 
-  Between(Host& host, uint64_t seed);
-  ~Between();
+  FaultProxy(FakeHost& host, uint64_t seed);
+  ~FaultProxy();
 
   // Before the gateway that listens at `real`; gateways count from 0 in the order of these calls.
   // The address under which its peers reach it is `address`.
   std::string stand_before(const std::string& real, const std::string& address);
-  void set(size_t from, size_t to, const Terms& terms);
-  void set_both(size_t a, size_t b, const Terms& terms);
-  void set_all(const Terms& terms);
-  void set_apart(size_t one, const Terms& terms);  // from and to everybody
+  void set(size_t from, size_t to, const Options& options);
+  void set_both(size_t a, size_t b, const Options& options);
+  void set_all(const Options& options);
+  void set_apart(size_t one, const Options& options);  // from and to everybody
   // Shown each frame that comes through, on the host's thread. Set before anybody connects.
   std::function<void(size_t from, size_t to, const std::string& frame)> on_frame;
   uint64_t passed() const;  // frames
@@ -55,15 +55,15 @@
   void let_go(size_t from, size_t to);
   double part();
 
-  Host& host_;
+  FakeHost& host_;
   pcg32 chance_;
   std::vector<std::unique_ptr<Door>> doors_;
   std::map<std::string, size_t> names_;
-  std::map<std::pair<size_t, size_t>, Terms> terms_;
+  std::map<std::pair<size_t, size_t>, Options> options_;
   std::map<std::pair<size_t, size_t>, uint64_t> bytes_;
   std::map<uint64_t, std::unique_ptr<Passage>> passages_;
   uint64_t last_ = 0, passed_ = 0;
   std::shared_ptr<bool> alive_;
 };
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/script.cpp
+++ b/src/fakes/fault_script.cpp
@@ -1,11 +1,11 @@
-#include "standin/script.h"
+#include "fakes/fault_script.h"
 
 #include <fmt/format.h>
 
 #include <charconv>
 #include <stdexcept>
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 namespace {
 
 double figure(std::string_view word, std::string_view value) {
@@ -16,7 +16,7 @@
   return number;
 }
 
-void put(Script& s, std::string_view word, std::string_view value) {
+void put(FaultScript& s, std::string_view word, std::string_view value) {
   const auto whole = [&] { return static_cast<int>(figure(word, value)); };
   if (word == "delay")
     s.delay = figure(word, value);
@@ -60,8 +60,8 @@
 
 }  // namespace
 
-Script script_of(std::string_view statement) {
-  Script script;
+FaultScript script_of(std::string_view statement) {
+  FaultScript script;
   const size_t begin = statement.find("/*!");
   if (begin == std::string_view::npos) return script;
   std::string_view words = statement.substr(begin + 3);
@@ -79,7 +79,7 @@
   return script;
 }
 
-std::string rows_of(const Script& script, int page) {
+std::string rows_of(const FaultScript& script, int page) {
   std::string rows;
   for (int i = 0; i < script.rows; ++i) {
     rows += fmt::format("{}\t{}\t", page, i);
@@ -92,4 +92,4 @@
   return rows;
 }
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/script.h
+++ b/src/fakes/fault_script.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <string_view>
 
-#include "index/units.h"
+#include "base/units.h"
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
-struct Script {
+struct FaultScript {
   Ms delay = 0;  // until the rows are ready, or the answer is given
   int rows = 1;  // a page
   int pages = 1;
@@ -34,9 +34,9 @@
 };
 
 // Words that are not known, or figures that are none: std::invalid_argument names them.
-Script script_of(std::string_view statement);
+FaultScript script_of(std::string_view statement);
 
 // The rows of page `page` (from 0) of a statement, whole: three columns, told by nothing but these.
-std::string rows_of(const Script& script, int page);
+std::string rows_of(const FaultScript& script, int page);
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/crowd.cpp
+++ b/src/fakes/load_clients.cpp
@@ -1,4 +1,4 @@
-#include "standin/crowd.h"
+#include "fakes/load_clients.h"
 
 #include <fmt/format.h>
 #include <signal.h>
@@ -11,9 +11,9 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "index/monotonic_clock.h"
+#include "base/monotonic_clock.h"
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
 namespace {
 
@@ -41,45 +41,45 @@
 
 }  // namespace
 
-Crowd::Crowd(std::string program, const CrowdTerms& terms)
-    : program_(std::move(program)), terms_(terms), engines_(terms.engines) {
+LoadClients::LoadClients(std::string program, const LoadClientsOptions& options)
+    : program_(std::move(program)), options_(options), engines_(options.engines) {
   char name[] = "/tmp/firvalve-crowd-XXXXXX";
   if (!::mkdtemp(name)) throw std::runtime_error("no folder for a crowd");
   place_ = name;
-  between_ = std::make_unique<Between>(host_, terms.seed);
+  between_ = std::make_unique<FaultProxy>(host_, options.seed);
   std::vector<std::string> keepers;
-  const std::vector<std::string> free = free_addresses(3 * terms.gateways);
-  for (size_t i = 0; i < terms.gateways; ++i) {
+  const std::vector<std::string> free = free_addresses(3 * options.gateways);
+  for (size_t i = 0; i < options.gateways; ++i) {
     Member& m = members_.emplace_back();
     m.clients = free[3 * i];
     m.real = free[3 * i + 1];
     m.name = between_->stand_before(m.real, free[3 * i + 2]);
     m.log = fmt::format("{}/{}.log", place_, i);
-    if (i < terms.keepers) keepers.push_back(m.name);
+    if (i < options.keepers) keepers.push_back(m.name);
   }
-  read_.resize(terms.gateways);
-  for (size_t i = 0; i < terms.gateways; ++i) {
+  read_.resize(options.gateways);
+  for (size_t i = 0; i < options.gateways; ++i) {
     const std::string kept =
-        i < terms.keepers && terms.folders ? fmt::format(R"("folder": "{}", )", folder(i)) : "";
+        i < options.keepers && options.folders ? fmt::format(R"("folder": "{}", )", folder(i)) : "";
     std::ofstream(operator_file(i)) << fmt::format(
         R"({{"fleet": {{"on": true, "site": "here", "listen": "{}", "reached_at": "{}", "keepers": {}, {})"
         R"("lease_ms": {}, "duties": {}}}, "log": {{"level": "debug", "form": "json"}}}})",
-        members_[i].real, members_[i].name, listed(keepers), kept, terms.lease, listed(terms.duties));
+        members_[i].real, members_[i].name, listed(keepers), kept, options.lease, listed(options.duties));
   }
-  for (size_t i = 0; i < terms.gateways; ++i) start(i);
+  for (size_t i = 0; i < options.gateways; ++i) start(i);
 }
 
-Crowd::~Crowd() {
+LoadClients::~LoadClients() {
   members_.clear();
   between_.reset();
   std::error_code ignored;
   std::filesystem::remove_all(place_, ignored);
 }
 
-std::string Crowd::folder(size_t i) const { return fmt::format("{}/{}.kept", place_, i); }
-std::string Crowd::operator_file(size_t i) const { return fmt::format("{}/{}.json5", place_, i); }
+std::string LoadClients::folder(size_t i) const { return fmt::format("{}/{}.kept", place_, i); }
+std::string LoadClients::operator_file(size_t i) const { return fmt::format("{}/{}.json5", place_, i); }
 
-void Crowd::start(size_t i) {
+void LoadClients::start(size_t i) {
   Member& m = members_[i];
   if (m.process)
     m.process->start();
@@ -89,27 +89,27 @@
   m.up = true;
 }
 
-void Crowd::kill(size_t i) {
+void LoadClients::kill(size_t i) {
   members_[i].up = false;
   members_[i].process->stop(SIGKILL);
 }
 
-int Crowd::end(size_t i) {
+int LoadClients::end(size_t i) {
   members_[i].process->signal(SIGTERM);
   const int code = members_[i].process->wait();
   members_[i].up = false;
   return code;
 }
 
-void Crowd::forget(size_t i) {
+void LoadClients::forget(size_t i) {
   std::error_code ignored;
   std::filesystem::remove_all(folder(i), ignored);
 }
 
-void Crowd::pause(size_t i) { members_[i].process->signal(SIGSTOP); }
-void Crowd::go_on(size_t i) { members_[i].process->signal(SIGCONT); }
+void LoadClients::pause(size_t i) { members_[i].process->signal(SIGSTOP); }
+void LoadClients::go_on(size_t i) { members_[i].process->signal(SIGCONT); }
 
-void Crowd::rewrite(size_t i, const std::string& from, const std::string& to) {
+void LoadClients::rewrite(size_t i, const std::string& from, const std::string& to) {
   std::string text = whole(operator_file(i));
   const size_t at = text.find(from);
   if (at == std::string::npos) throw std::runtime_error("not in the operator's file: " + from);
@@ -117,9 +117,9 @@
   std::ofstream(operator_file(i), std::ios::trunc) << text;
 }
 
-std::string Crowd::log(size_t i) const { return whole(members_[i].log); }
+std::string LoadClients::log(size_t i) const { return whole(members_[i].log); }
 
-size_t Crowd::count(size_t i, const std::string& event, const std::string& with) const {
+size_t LoadClients::count(size_t i, const std::string& event, const std::string& with) const {
   std::istringstream lines(log(i));
   size_t all = 0;
   for (std::string line; std::getline(lines, line);)
@@ -127,15 +127,15 @@
   return all;
 }
 
-size_t Crowd::count(const std::string& event) const {
+size_t LoadClients::count(const std::string& event) const {
   size_t all = 0;
   for (size_t i = 0; i < size(); ++i) all += count(i, event);
   return all;
 }
 
-Ms Crowd::clock() { return boot_clock_ms(); }
+Ms LoadClients::clock() { return boot_clock_ms(); }
 
-std::optional<size_t> Crowd::holder(const std::string& duty) const {
+std::optional<size_t> LoadClients::holder(const std::string& duty) const {
   std::optional<size_t> found;
   for (size_t i = 0; i < size(); ++i) {
     Read& r = read_[i];
@@ -162,10 +162,10 @@
   return found;
 }
 
-bool Crowd::ready() const {
-  for (const std::string& duty : terms_.duties)
+bool LoadClients::ready() const {
+  for (const std::string& duty : options_.duties)
     if (!duty.ends_with("*") && !holder(duty)) return false;
   return true;
 }
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/crowd.h
+++ b/src/fakes/load_clients.h
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "standin/between.h"
-#include "standin/fleet.h"
-#include "standin/process.h"
+#include "fakes/fake_deployment.h"
+#include "fakes/fault_proxy.h"
+#include "fakes/process.h"
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
-struct CrowdTerms {
+struct LoadClientsOptions {
   size_t gateways = 5, keepers = 3;  // the keepers are the first
   int engines = 2;
   Ms lease = 1000;
@@ -23,10 +23,10 @@
   uint64_t seed = 1;
 };
 
-class Crowd {
+class LoadClients {
  public:
-  Crowd(std::string program, const CrowdTerms& terms);
-  ~Crowd();
+  LoadClients(std::string program, const LoadClientsOptions& options);
+  ~LoadClients();
 
   size_t size() const { return members_.size(); }
   Process& process(size_t i) { return *members_[i].process; }
@@ -38,8 +38,8 @@
   void pause(size_t i), go_on(size_t i);                                   // SIGSTOP, SIGCONT
   void rewrite(size_t i, const std::string& from, const std::string& to);  // in its operator's file
 
-  Between& between() { return *between_; }
-  Fleet& engines() { return engines_; }
+  FaultProxy& between() { return *between_; }
+  FakeDeployment& engines() { return engines_; }
   const std::string& clients(size_t i) const { return members_[i].clients; }  // where its clients connect
   const std::string& peers(size_t i) const { return members_[i].real; }       // where its peers' bytes arrive
   const std::string& name(size_t i) const { return members_[i].name; }        // as its peers know it
@@ -66,11 +66,11 @@
   };
 
   const std::string program_;
-  const CrowdTerms terms_;
+  const LoadClientsOptions options_;
   std::string place_;  // a folder for all that they write
-  Host host_;
-  std::unique_ptr<Between> between_;
-  Fleet engines_;
+  FakeHost host_;
+  std::unique_ptr<FaultProxy> between_;
+  FakeDeployment engines_;
   std::vector<Member> members_;
   struct Read {
     size_t at = 0;
@@ -79,4 +79,4 @@
   mutable std::vector<Read> read_;
 };
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/main.cpp
+++ b/src/fakes/main.cpp
@@ -1,4 +1,4 @@
-// firvalve_standin_fleet: engines and their event bus on loopback, for a gateway to be tried with.
+// firvalve_fake_deployment: engines and their event bus on loopback, for a gateway to be tried with.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "standin/fleet.h"
+#include "fakes/fake_deployment.h"
 
 int main(int argc, char** argv) {
   CLI::App app("Stand-in engines and event bus on loopback; what a statement does, it says itself.");
@@ -27,9 +27,9 @@
   sigaddset(&ends, SIGINT);
   pthread_sigmask(SIG_BLOCK, &ends, nullptr);
   try {
-    firvalve::standin::Fleet fleet(engines);
+    firvalve::fakes::FakeDeployment fleet(engines);
     for (size_t i = 0; i < configs.size(); ++i) {
-      const std::string listen = i < listens.size() ? listens[i] : firvalve::standin::free_address();
+      const std::string listen = i < listens.size() ? listens[i] : firvalve::fakes::free_address();
       std::ofstream file(configs[i] + ".new");
       file << fleet.config(listen);
       file.close();
@@ -42,7 +42,7 @@
     sigwait(&ends, &number);
     return 0;
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "firvalve_standin_fleet: %s\n", e.what());
+    std::fprintf(stderr, "firvalve_fake_deployment: %s\n", e.what());
     return 1;
   }
 }
--- a/src/standin/process.cpp
+++ b/src/fakes/process.cpp
@@ -1,4 +1,4 @@
-#include "standin/process.h"
+#include "fakes/process.h"
 
 #include <Poco/Net/NetException.h>
 #include <Poco/Net/StreamSocket.h>
@@ -15,7 +15,7 @@
 #include <fstream>
 #include <stdexcept>
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
 Process::Process(std::string program, const std::string& config, std::vector<std::string> arguments,
                  std::string log, Ends ends, std::vector<std::string> environment)
@@ -109,4 +109,4 @@
   return false;
 }
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/standin/process.h
+++ b/src/fakes/process.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace firvalve::standin {
+namespace firvalve::fakes {
 
 class Process {
  public:
@@ -43,4 +43,4 @@
   pid_t process_ = 0;
 };
 
-}  // namespace firvalve::standin
+}  // namespace firvalve::fakes
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -3,7 +3,7 @@
 #include <cstdio>
 #include <exception>
 
-#include "config/operator.h"
+#include "config/operator_config.h"
 #include "gateway/call.h"
 #include "gateway/serve.h"
 
