--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -11,19 +11,19 @@
 #include <random>
 #include <sstream>
 
-#include "config/operator.h"
-#include "core/articles.h"
-#include "fleet/fleet.h"
-#include "index/monotonic_clock.h"
+#include "base/monotonic_clock.h"
+#include "cluster/cluster_service.h"
+#include "config/operator_config.h"
+#include "core/settings.h"
 #include "log/log.h"
-#include "net/bus.h"
-#include "net/clients.h"
+#include "net/client_server.h"
 #include "net/clock_watch.h"
-#include "net/engines.h"
+#include "net/endpoint_watcher.h"
+#include "net/engine_connections.h"
 #include "net/signals.h"
 #include "net/waker.h"
 #include "proto/term.h"
-#include "spool/spool.h"
+#include "results/paged_result_store.h"
 
 namespace firvalve {
 namespace {
@@ -43,7 +43,7 @@
 
 constexpr Ms kClockLook = 1000;  // between looks whether the wall clock was stepped
 
-void set_log(log::Log& logger, const config::Operator::Log& wish) {
+void set_log(log::Log& logger, const config::OperatorConfig::Log& wish) {
   static constexpr std::pair<std::string_view, Level> kLevels[] = {{"debug", Level::kDebug},
                                                                    {"info", Level::kInfo},
                                                                    {"warning", Level::kWarning},
@@ -52,64 +52,64 @@
     if (name == wish.level) logger.set(wish.form == "json" ? log::Form::kJson : log::Form::kLogfmt, level);
 }
 
-struct Unusable : std::runtime_error {
+struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 const rapidjson::Value& field(const rapidjson::Value& of, const char* name) {
   const auto at = of.FindMember(name);
-  if (at == of.MemberEnd()) throw Unusable(fmt::format("configuration: {} is missing", name));
+  if (at == of.MemberEnd()) throw ConfigError(fmt::format("configuration: {} is missing", name));
   return at->value;
 }
 
 std::string text(const rapidjson::Value& of, const char* name) {
   const rapidjson::Value& v = field(of, name);
-  if (!v.IsString()) throw Unusable(fmt::format("configuration: {} is not a string", name));
+  if (!v.IsString()) throw ConfigError(fmt::format("configuration: {} is not a string", name));
   return v.GetString();
 }
 
 // What NODE_CONFIG's file says, read whole before any of it is used.
-struct Told {
+struct GatewayConfig {
   std::string listen, bus;
   uint64_t seed = 0;
   int sockets = 0;
   double memory_mb = 0;
   int64_t last = 0;  // the number of the last event known
   std::vector<proto::BusEvent> known;
-  Articles articles;
+  Settings settings;
 };
 
-Told read_told() {
+GatewayConfig read_told() {
   const char* const path = std::getenv("NODE_CONFIG");
-  if (!path) throw Unusable("NODE_CONFIG is not set");
+  if (!path) throw ConfigError("NODE_CONFIG is not set");
   std::ifstream file(path);
-  if (!file) throw Unusable(fmt::format("configuration {} cannot be read", path));
+  if (!file) throw ConfigError(fmt::format("configuration {} cannot be read", path));
   std::stringstream all;
   all << file.rdbuf();
   const std::string json = all.str();
   rapidjson::Document config;
   config.Parse<rapidjson::kParseIterativeFlag>(json.c_str());
-  if (config.HasParseError() || !config.IsObject()) throw Unusable("configuration is not a JSON object");
-  Told told;
+  if (config.HasParseError() || !config.IsObject()) throw ConfigError("configuration is not a JSON object");
+  GatewayConfig told;
   const rapidjson::Value& settings = field(config, "settings");
-  if (!settings.IsObject()) throw Unusable("configuration: settings is not an object");
-  told.articles = articles_from(settings);
+  if (!settings.IsObject()) throw ConfigError("configuration: settings is not an object");
+  told.settings = parse_settings(settings);
   told.seed = std::strtoull(text(config, "seed").c_str(), nullptr, 16);
   told.listen = text(config, "listen");
   told.bus = text(config, "bus");
   const rapidjson::Value& limits = field(config, "limits");
   if (!limits.IsObject() || !field(limits, "sockets").IsInt())
-    throw Unusable("configuration: limits.sockets");
-  if (!field(limits, "memory_mb").IsNumber()) throw Unusable("configuration: limits.memory_mb");
+    throw ConfigError("configuration: limits.sockets");
+  if (!field(limits, "memory_mb").IsNumber()) throw ConfigError("configuration: limits.memory_mb");
   told.sockets = field(limits, "sockets").GetInt();
   told.memory_mb = field(limits, "memory_mb").GetDouble();
   const rapidjson::Value& known = field(config, "known");
-  if (!known.IsObject()) throw Unusable("configuration: known is not an object");
+  if (!known.IsObject()) throw ConfigError("configuration: known is not an object");
   const rapidjson::Value& batch = field(known, "batch");
-  if (!batch.IsArray()) throw Unusable("configuration: known.batch is not a list");
+  if (!batch.IsArray()) throw ConfigError("configuration: known.batch is not a list");
   for (const rapidjson::Value& one : batch.GetArray()) {
     auto event = proto::read_bus_event(one);
-    if (!event) throw Unusable("configuration: an event of known.batch cannot be read");
+    if (!event) throw ConfigError("configuration: an event of known.batch cannot be read");
     told.known.push_back(std::move(*event));
   }
   const rapidjson::Value& offset = field(known, "offset");
@@ -118,43 +118,45 @@
 }
 
 // A time of the settings; one of nothing is taken as not told.
-Ms told_or(const Articles& articles, const char* name, Ms otherwise) {
-  const Ms told = number(articles, name, otherwise);
+Ms told_or(const Settings& settings, const char* name, Ms otherwise) {
+  const Ms told = number(settings, name, otherwise);
   return told > 0 ? told : otherwise;
 }
 
-config::Operator read_wishes(const std::string& file) {
+config::OperatorConfig read_wishes(const std::string& file) {
   if (file.empty()) return {};
   const config::Reading reading = config::read_operator_file(file);
   if (reading.good()) return reading.values;
   std::string all;
   for (const config::Fault& fault : reading.faults)
     all += (all.empty() ? "" : "; ") + config::line_of(file, fault);
-  throw Unusable(all);
+  throw ConfigError(all);
 }
 
 // The spool with its files, where the operator wants them. The files end before the waker that they ring.
-struct Shelving {
-  Shelving(const config::Operator::Spool& wish, net::Loop& loop, Counters& counters, log::Log& logger) {
+struct ResultStoreWiring {
+  ResultStoreWiring(const config::OperatorConfig::Spool& wish, net::Loop& loop, Metrics& counters,
+                    log::Log& logger) {
     if (!wish.on) return;
-    spool::SpoolTerms terms;
-    terms.keeping.memory = wish.memory_mb * 1e6;
-    terms.keeping.disk = wish.folder.empty() ? 0 : wish.disk_mb * 1e6;
-    terms.keeping.result_most = wish.result_mb * 1e6;
-    terms.keeping.lease = wish.lease_s * 1000;
-    terms.keeping.results_most = static_cast<size_t>(wish.results);
-    terms.first_expected = wish.first_expected_kb * 1000;
-    terms.backlog_most = terms.keeping.memory / 4;
+    results::PagedResultStoreOptions options;
+    options.keeping.memory = wish.memory_mb * 1e6;
+    options.keeping.disk = wish.folder.empty() ? 0 : wish.disk_mb * 1e6;
+    options.keeping.result_most = wish.result_mb * 1e6;
+    options.keeping.lease = wish.lease_s * 1000;
+    options.keeping.results_most = static_cast<size_t>(wish.results);
+    options.first_expected = wish.first_expected_kb * 1000;
+    options.backlog_most = options.keeping.memory / 4;
     std::random_device device;
     const uint64_t life = (static_cast<uint64_t>(device()) << 32) | device();
-    spool = std::make_unique<spool::Spool>(terms, life,
-                                           [&counters](std::string_view what) { counters.add(what); });
+    spool = std::make_unique<results::PagedResultStore>(
+        options, life, [&counters](std::string_view what) { counters.add(what); });
     if (wish.folder.empty()) return;
     waker = std::make_unique<net::Waker>(loop);  // the turn that follows looks at what the files have done
-    spool::Files::Terms files_terms;
-    files_terms.folder = wish.folder;
-    files_terms.boot = spool::boot_time();
-    files = std::make_unique<spool::Files>(files_terms, loop.now(), [w = waker.get()] { w->wake(); });
+    results::SegmentFiles::Options files_options;
+    files_options.folder = wish.folder;
+    files_options.boot = results::boot_time();
+    files =
+        std::make_unique<results::SegmentFiles>(files_options, loop.now(), [w = waker.get()] { w->wake(); });
     if (files->cut + files->broken > 0)
       logger.write(loop.now(), Level::kWarning, "parts of the spool's folder left out",
                    {{"component", "spool"},
@@ -164,14 +166,14 @@
     files->found.clear();
   }
   std::unique_ptr<net::Waker> waker;
-  std::unique_ptr<spool::Files> files;
-  std::unique_ptr<spool::Spool> spool;
+  std::unique_ptr<results::SegmentFiles> files;
+  std::unique_ptr<results::PagedResultStore> spool;
 };
 
-using Say = std::function<void(Level, std::string_view, log::Fields)>;
+using LogSink = std::function<void(Level, std::string_view, log::Fields)>;
 
-void tell_bus_change(const Say& say, const net::BusChange& change) {
-  using Kind = net::BusChange::Kind;
+void tell_bus_change(const LogSink& say, const net::EndpointChange& change) {
+  using Kind = net::EndpointChange::Kind;
   const auto offset = std::to_string(change.offset);
   const auto address = std::string(change.address);
   switch (change.kind) {
@@ -207,7 +209,7 @@
 }
 
 // Single commands, attempts and connections are told at the level `debug` alone: they are many.
-void observe(Core& core, net::Clients& clients, net::Engines& engines, log::Log& logger) {
+void observe(Core& core, net::ClientServer& clients, net::EngineConnections& engines, log::Log& logger) {
   core.observe([&logger](Ms now, const CommandEvent& event) {
     if (logger.level() == Level::kDebug) tell_command_event(logger, now, event);
   });
@@ -225,45 +227,46 @@
   engines.observe(told_as("engines"));
 }
 
-fleet::FleetTerms fleet_terms(const config::Operator::Fleet& wish, double memory) {
-  fleet::FleetTerms terms = fleet::terms_of(wish);
-  terms.record_bytes = static_cast<size_t>(kRecordPart * memory);
+cluster::ClusterOptions fleet_options(const config::OperatorConfig::Fleet& wish, double memory) {
+  cluster::ClusterOptions options = cluster::options_from(wish);
+  options.record_bytes = static_cast<size_t>(kRecordPart * memory);
   std::random_device device;
-  terms.draw = (static_cast<uint64_t>(device()) << 32) | device();
-  return terms;
+  options.draw = (static_cast<uint64_t>(device()) << 32) | device();
+  return options;
 }
 
 }  // namespace
 
 int serve(const std::string& operator_file) {
   net::hold_signals();
-  const config::Operator wishes = read_wishes(operator_file);
-  Told told = read_told();
+  const config::OperatorConfig wishes = read_wishes(operator_file);
+  GatewayConfig told = read_told();
   // Guards against a spool that takes the memory which connections and statements need: the gateway would be
   // ended for it. Half is more than they ever had.
   if (wishes.spool.on && wishes.spool.memory_mb > told.memory_mb / 2)
-    throw Unusable(fmt::format("{}: spool.memory_mb: {} is more than half of the gateway's own {} MB",
-                               operator_file, wishes.spool.memory_mb, told.memory_mb));
-  const Articles& articles = told.articles;
+    throw ConfigError(fmt::format("{}: spool.memory_mb: {} is more than half of the gateway's own {} MB",
+                                  operator_file, wishes.spool.memory_mb, told.memory_mb));
+  const Settings& settings = told.settings;
   const double bytes = told.memory_mb * 1024 * 1024;
   log::Log logger;
   set_log(logger, wishes.log);
   net::Loop loop;
   loop.limit(told.sockets - kDescriptorsKept, static_cast<size_t>(kBufferPart * bytes));
-  Counters counters;
-  const Ms longest = longest_timeout(articles);
-  const Ms connect = told_or(articles, "connect time-out", 250),
-           idle = told_or(articles, "idle close", 15000);
-  net::Clients clients(loop, counters);
+  Metrics counters;
+  const Ms longest = longest_timeout(settings);
+  const Ms connect = told_or(settings, "connect time-out", 250),
+           idle = told_or(settings, "idle close", 15000);
+  net::ClientServer clients(loop, counters);
   clients.read_marks(wishes.clients.marks);
-  net::Engines engines(loop, counters, {connect, idle});
+  net::EngineConnections engines(loop, counters, {connect, idle});
   const auto say = [&](Level level, std::string_view event, log::Fields fields) {
     logger.write(loop.now(), level, event, fields);
   };
-  std::unique_ptr<fleet::Fleet> peers;
+  std::unique_ptr<cluster::ClusterService> peers;
   if (wishes.fleet.on)
-    peers = std::make_unique<fleet::Fleet>(loop, counters, fleet_terms(wishes.fleet, bytes), clients, say);
-  Core core(articles, told.seed, peers ? static_cast<Front&>(*peers) : clients, engines, counters,
+    peers = std::make_unique<cluster::ClusterService>(loop, counters, fleet_options(wishes.fleet, bytes),
+                                                      clients, say);
+  Core core(settings, told.seed, peers ? static_cast<ResponseSink&>(*peers) : clients, engines, counters,
             [&](const std::string& text, const std::string& engine) {
               say(Level::kWarning, text, {{"component", "module"}, {"engine", engine}});
             });
@@ -273,7 +276,7 @@
     peers->serve(core);
     clients.ask_fleet(*peers);
   }
-  Shelving shelving(wishes.spool, loop, counters, logger);
+  ResultStoreWiring shelving(wishes.spool, loop, counters, logger);
   if (wishes.spool.on) {
     engines.limit_page(static_cast<size_t>(wishes.spool.page_kb * 1000));
     core.shelve(*shelving.spool);
@@ -281,7 +284,8 @@
     shelving.spool->on_room = [&core](Ms now) { core.room(now); };
   }
   observe(core, clients, engines, logger);
-  net::Bus bus(loop, counters, told.bus, connect, kFirstPart * number(articles, "drain grace"), told.seed);
+  net::EndpointWatcher bus(loop, counters, told.bus, connect, kFirstPart * number(settings, "drain grace"),
+                           told.seed);
 
   for (proto::BusEvent& event : told.known) net::tell_roster(core, loop.now(), std::move(event));
   bus.follow(core, told.last);
@@ -289,7 +293,7 @@
     say(Level::kWarning, "a line of the event bus cannot be read; connecting anew",
         {{"component", "bus"}, {"line", std::string(line)}});
   };
-  bus.on_change = [&](Ms, const net::BusChange& change) { tell_bus_change(say, change); };
+  bus.on_change = [&](Ms, const net::EndpointChange& change) { tell_bus_change(say, change); };
   clients.listen(told.listen, core);
   Ms ended_at = 0;  // SIGTERM came then
   net::Signals signals(loop, [&](int number) {
--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -37,7 +37,7 @@
  public:
   Judge(const RunRules& rules, Ms end) : rules_(rules), end_(end) {}
 
-  void hear(const Happening& h) {
+  void handle(const Happening& h) {
     switch (h.kind) {
       case Kind::kTold:
         told_[{h.gateway, h.engine}] = {h.state, h.at};
@@ -263,7 +263,7 @@
   for (size_t i = 0; i < kRules; ++i) {
     if (counts[i] == 0) continue;
     all += fmt::format("rule \"{}\" broken {} times\n", name_of(static_cast<Rule>(i)), counts[i]);
-    for (const Breach& b : first)
+    for (const Violation& b : first)
       if (b.rule == static_cast<Rule>(i))
         all += fmt::format("  at {:.1f} ms, gateway {}, engine {}, command {:016x}: {}\n", b.at, b.gateway,
                            b.engine, b.command, b.what);
@@ -273,7 +273,7 @@
 
 Verdict judge(const RunRules& rules, const History& history, Ms end) {
   Judge judge(rules, end);
-  for (const Happening& h : history) judge.hear(h);
+  for (const Happening& h : history) judge.handle(h);
   return judge.end();
 }
 
--- a/src/lab/checker.h
+++ b/src/lab/checker.h
@@ -24,7 +24,7 @@
 constexpr size_t kRules = 9;
 std::string_view name_of(Rule rule);
 
-struct Breach {
+struct Violation {
   Rule rule = Rule::kHistory;
   Ms at = 0;
   uint64_t command = 0;
@@ -34,7 +34,7 @@
 
 struct Verdict {
   std::array<uint64_t, kRules> counts{};
-  std::vector<Breach> first;  // the first few of each rule
+  std::vector<Violation> first;  // the first few of each rule
   uint64_t commands = 0, sends = 0;
   bool good() const;
   std::string text() const;  // a line for each rule that is broken, or one that says that none is
--- a/src/lab/engine_model.h
+++ b/src/lab/engine_model.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <vector>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::lab {
 
--- a/src/lab/fleet_world.cpp
+++ b/src/lab/fleet_world.cpp
@@ -9,16 +9,16 @@
 #include <random>
 #include <set>
 
-#include "duty/fence.h"
-#include "fleet/node.h"
+#include "cluster/cluster_node.h"
 #include "lab/queue.h"
+#include "lease/fence.h"
 
 namespace firvalve::lab {
 
 namespace {
 
-using record::Message;
-using record::Peer;
+using consensus::Message;
+using consensus::PeerId;
 
 constexpr Ms kActEvery = 40;                   // a holder acts so often
 constexpr Ms kReadEvery = 70;                  // a reader asks the record so often
@@ -67,17 +67,17 @@
     uint64_t number = 0;
   };
   struct Gateway {
-    std::unique_ptr<fleet::Node> node;
+    std::unique_ptr<cluster::ClusterNode> node;
     double rate = 1;
     Ms offset = 0;
     uint64_t start = 0;  // how often it was started: events of an earlier one are void
     bool stalled = false, disk_full = false;
     std::vector<Event> waiting;  // what came while it stood still
     Ms wake_at = 0;
-    duty::Fence fence;
+    lease::Fence fence;
     // On disk:
-    std::optional<record::Standing> standing;
-    std::map<std::string, record::Slot> slots;
+    std::optional<consensus::ReplicaMetadata> standing;
+    std::map<std::string, consensus::AcceptorSlot> slots;
     std::map<std::string, HeldSpan> open;  // by duty
     uint64_t last_seen = 0;                // the change that its reader saw last
     Ms stalled_at = 0;
@@ -137,7 +137,7 @@
 
   void start(uint32_t n) {
     Gateway& g = nodes_[n];
-    fleet::NodeTerms t;
+    cluster::ClusterNodeOptions t;
     t.self = n;
     t.keepers = o_.keepers;
     t.name = name_of(n);
@@ -149,9 +149,9 @@
     g.last_seen = 0;
     const Ms at = local(g);
     if (n < o_.keepers && g.standing)
-      g.node = std::make_unique<fleet::Node>(at, t, *g.standing, g.slots);
+      g.node = std::make_unique<cluster::ClusterNode>(at, t, *g.standing, g.slots);
     else
-      g.node = std::make_unique<fleet::Node>(at, t);
+      g.node = std::make_unique<cluster::ClusterNode>(at, t);
     for (uint32_t d = 0; d < o_.duties; ++d) g.node->duties().want(at, duty_name(d));
     turn(n);
   }
@@ -189,8 +189,8 @@
     const Ms at = local(g);
     g.node->due(at);
     for (int rounds = 0; rounds < 1000; ++rounds) {
-      fleet::Node::Out out = g.node->take();
-      std::vector<record::Envelope> sends = std::move(out.sends);
+      cluster::ClusterNode::Out out = g.node->take();
+      std::vector<consensus::Envelope> sends = std::move(out.sends);
       if (g.disk_full && (out.keeper.standing || !out.keeper.writes.empty())) {
         g.node->unwritten(std::move(out.keeper));
       } else {
@@ -198,12 +198,12 @@
           if (out.keeper.standing) g.standing = out.keeper.standing;
           for (auto& [key, slot] : out.keeper.writes) g.slots[key] = std::move(slot);
         }
-        for (record::Envelope& e : out.keeper.sends) sends.push_back(std::move(e));
+        for (consensus::Envelope& e : out.keeper.sends) sends.push_back(std::move(e));
       }
       if (sends.empty()) break;
-      for (record::Envelope& e : sends) {
+      for (consensus::Envelope& e : sends) {
         if (e.to == n)
-          g.node->hear(at, n, e.message);
+          g.node->handle(at, n, e.message);
         else
           carry(n, e.to, std::make_shared<const Message>(std::move(e.message)));
       }
@@ -254,8 +254,8 @@
 
   void hear_events(uint32_t n) {
     Gateway& g = nodes_[n];
-    using Kind = duty::Event::Kind;
-    for (const duty::Event& e : g.node->take_events()) {
+    using Kind = lease::Event::Kind;
+    for (const lease::Event& e : g.node->take_events()) {
       if (e.kind == Kind::kTaken) {
         ++out_.taken;
         close_span(g, e.duty, now_);
@@ -267,8 +267,8 @@
         close_span(g, e.duty, now_);
       }
     }
-    for (const duty::Merges::Action& a : g.node->merges().take_actions()) {
-      using Act = duty::Merges::Action::Kind;
+    for (const lease::RunOnceJobs::Action& a : g.node->merges().take_actions()) {
+      using Act = lease::RunOnceJobs::Action::Kind;
       if (a.kind == Act::kStart) {
         out_.history.begun.push_back({a.name, now_});
         run_names_.push_back(a.name);
@@ -284,8 +284,8 @@
         out_.history.bulletins.push_back(read_agreed(end.bulletin, now_, schema::written(end.applied.after)));
       out_.refused_changes += end.kind == Kind::kRefused;
     }
-    for (const record::End& end : g.node->take_ends()) {
-      using Kind = record::End::Kind;
+    for (const consensus::ProposalResult& end : g.node->take_ends()) {
+      using Kind = consensus::ProposalResult::Kind;
       if (end.kind == Kind::kUnknown || end.kind == Kind::kNoMajority) continue;
       RecordOp op;
       op.key = end.wish.key;
@@ -332,7 +332,7 @@
           ++(taken ? out_.acts : out_.refused);
           return;
         }
-        g.node->hear(at, c.from, *c.message);
+        g.node->handle(at, c.from, *c.message);
         return turn(e.node);
       }
       case What::kWake:
@@ -352,7 +352,7 @@
       case What::kRead: {
         put(now_ + kReadEvery * (0.5 + uniform()), e);
         if (!up) return;
-        record::Wish w;
+        consensus::Proposal w;
         w.key = fmt::format("fact {}", draw(2));
         w.until = at + 1000;
         if (uniform() < 0.6) {
@@ -374,7 +374,7 @@
         return turn(e.node);
       case What::kRunEnd:
         if (!up || e.number != g.start) return;
-        g.node->merges().run_ended(at, run_names_[e.other], duty::Merges::End::kAnswered, "1\n");
+        g.node->merges().run_ended(at, run_names_[e.other], lease::RunOnceJobs::End::kAnswered, "1\n");
         return turn(e.node);
       default:
         return;
@@ -497,7 +497,7 @@
   const auto breaks = [&rule](const FleetOptions& o) {
     const FleetOutcome out = play(o);
     return std::any_of(out.breaches.begin(), out.breaches.end(),
-                       [&](const FleetBreach& b) { return b.rule == rule; });
+                       [&](const FleetViolation& b) { return b.rule == rule; });
   };
   FleetOptions best = options;
   best.given = play(options).faults;
--- a/src/lab/histogram.h
+++ b/src/lab/histogram.h
@@ -6,7 +6,7 @@
 #include <bit>
 #include <cstdint>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::lab {
 
--- a/src/lab/judge.cpp
+++ b/src/lab/judge.cpp
@@ -18,7 +18,7 @@
   return out;
 }
 
-void judge_spans(const FleetHistory& history, std::vector<FleetBreach>& out) {
+void judge_spans(const FleetHistory& history, std::vector<FleetViolation>& out) {
   for (auto& [duty, spans] : by(history.held, &HeldSpan::duty)) {
     std::stable_sort(spans.begin(), spans.end(),
                      [](const HeldSpan& a, const HeldSpan& b) { return a.from < b.from; });
@@ -38,7 +38,7 @@
   }
 }
 
-void judge_acts(const FleetHistory& history, std::vector<FleetBreach>& out) {
+void judge_acts(const FleetHistory& history, std::vector<FleetViolation>& out) {
   std::map<std::pair<std::string, std::string>, uint64_t> highest;
   for (const TakenAct& a : history.acts) {
     uint64_t& h = highest[{a.duty, a.receiver}];
@@ -52,7 +52,7 @@
 // On one register that is changed by compare-and-set each operation tells its place: the version that it made
 // or read. They can be put in one order exactly where each version was made once, on top of the one before,
 // and no operation that ended before another began has a later place.
-void judge_ops(const FleetHistory& history, std::vector<FleetBreach>& out) {
+void judge_ops(const FleetHistory& history, std::vector<FleetViolation>& out) {
   for (auto& [key, ops] : by(history.ops, &RecordOp::key)) {
     const auto breach = [&, k = key](std::string text) {
       out.push_back({"linearizable", k + ": " + std::move(text)});
@@ -94,15 +94,15 @@
 
 }  // namespace
 
-std::vector<FleetBreach> judge(const FleetHistory& history) {
-  std::vector<FleetBreach> out;
+std::vector<FleetViolation> judge(const FleetHistory& history) {
+  std::vector<FleetViolation> out;
   judge_spans(history, out);
   judge_acts(history, out);
   for (const auto& [name, all] : by(history.begun, &Begun::name))
     if (all.size() > 1)
       out.push_back(
           {"once", fmt::format("{} was begun {} times, the second at {:.3f}", name, all.size(), all[1].at)});
-  for (const AgreedBulletin& b : history.bulletins)
+  for (const AgreedTopic& b : history.bulletins)
     for (const auto& [subscriber, reads] : b.declarations)
       for (const auto& [version, fields] : b.published)
         for (const std::string& field : reads)
@@ -113,8 +113,8 @@
   return out;
 }
 
-AgreedBulletin read_agreed(const std::string& name, Ms at, const std::string& json) {
-  AgreedBulletin out{name, at, {}, {}};
+AgreedTopic read_agreed(const std::string& name, Ms at, const std::string& json) {
+  AgreedTopic out{name, at, {}, {}};
   rapidjson::Document d;
   d.Parse(json.c_str());
   if (d.HasParseError() || !d.IsObject() || !d.HasMember("versions")) return out;
--- a/src/lab/judge.h
+++ b/src/lab/judge.h
@@ -18,7 +18,7 @@
 #include <string>
 #include <vector>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::lab {
 
@@ -49,7 +49,7 @@
   uint64_t on = 0;       // kChange: the change that it was to build on
 };
 
-struct AgreedBulletin {  // as it stood at some moment
+struct AgreedTopic {  // as it stood at some moment
   std::string name;
   Ms at = 0;
   std::map<uint64_t, std::set<std::string>> published;        // fields of each version that may be published
@@ -60,15 +60,15 @@
   std::vector<HeldSpan> held;
   std::vector<TakenAct> acts;
   std::vector<Begun> begun;
-  std::vector<AgreedBulletin> bulletins;
+  std::vector<AgreedTopic> bulletins;
   std::vector<RecordOp> ops;  // those that ended and told what stands
 };
 
-struct FleetBreach {
+struct FleetViolation {
   std::string rule, text;
 };
 
-std::vector<FleetBreach> judge(const FleetHistory& history);
+std::vector<FleetViolation> judge(const FleetHistory& history);
 
 // Reads the logs of processes, JSON a line: `duty.taken`, `duty.renewed`, `duty.left` and `duty.lost` with
 // `duty`, `epoch`, `at_ms` and, of the first two, `until_ms`, into spans. Lines of other events are passed
@@ -76,6 +76,6 @@
 void read_spans(const std::string& holder, const std::string& log, FleetHistory& into);
 
 // Reads a bulletin as gateways tell it: JSON with `versions` and `declarations`.
-AgreedBulletin read_agreed(const std::string& name, Ms at, const std::string& json);
+AgreedTopic read_agreed(const std::string& name, Ms at, const std::string& json);
 
 }  // namespace firvalve::lab
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -36,7 +36,7 @@
   std::string effect = "replayable", arrivals = "poisson";
   int threads = 2, closed = 0;
   double seconds = 5;
-  SearchTerms search;
+  SearchOptions search;
   bool json = false;
 };
 
@@ -210,7 +210,7 @@
     Meter meter;
     // New clients a step: what those of the last one were refused would keep them from asking.
     const StepOutcome step = Player(o).open(search.rate(), meter);
-    const std::string why = search.hear(step);
+    const std::string why = search.handle(step);
     tell(o, step, meter, why);
   }
   if (o.json) return 0;
--- a/src/lab/queue.h
+++ b/src/lab/queue.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::lab {
 
--- a/src/lab/scale/client_loss.cpp
+++ b/src/lab/scale/client_loss.cpp
@@ -10,9 +10,9 @@
 #include <thread>
 #include <vector>
 
+#include "base/monotonic_clock.h"
 #include "client/client.h"
-#include "index/monotonic_clock.h"
-#include "standin/gateway.h"
+#include "fakes/fake_gateway.h"
 
 namespace firvalve::lab::scale {
 namespace {
@@ -21,9 +21,9 @@
 constexpr Ms kCallTimeout = 2000;
 constexpr Ms kLookEvery = 5, kProgressEvery = 2000;
 
-std::vector<Ms> accepted_between(const std::vector<const standin::Gateway*>& gateways, Ms from, Ms until) {
+std::vector<Ms> accepted_between(const std::vector<const fakes::FakeGateway*>& gateways, Ms from, Ms until) {
   std::vector<Ms> out;
-  for (const standin::Gateway* const gateway : gateways)
+  for (const fakes::FakeGateway* const gateway : gateways)
     for (const Ms at : gateway->accepted_at())
       if (from <= at && at < until) out.push_back(at);
   std::sort(out.begin(), out.end());
@@ -99,8 +99,8 @@
 
 ClientLossResult try_client_loss(const ClientLossOptions& options, const Progress& progress) {
   if (options.clients < 1) throw ScaleError("no client that could lose its gateway");
-  standin::Host host;
-  standin::Gateway lost(host), left(host), also_left(host);
+  fakes::FakeHost host;
+  fakes::FakeGateway lost(host), left(host), also_left(host);
   Clients clients(options, {lost.address(), left.address(), also_left.address()});
   const Ms began = monotonic_ms();
   clients.call_until(began + options.rest, progress);
@@ -115,7 +115,7 @@
   const Ms end = monotonic_ms();
   const client::Stats after = clients.stats();
 
-  const std::vector<const standin::Gateway*> survivors = {&left, &also_left};
+  const std::vector<const fakes::FakeGateway*> survivors = {&left, &also_left};
   // The first half of the rest opens the first connections.
   const std::vector<Ms> at_rest = accepted_between(survivors, began + options.rest / 2, lost_at);
   ClientLossResult result;
--- a/src/lab/scale/client_loss.h
+++ b/src/lab/scale/client_loss.h
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-#include "index/units.h"
+#include "base/units.h"
 #include "lab/scale/parts.h"
 
 namespace firvalve::lab::scale {
--- a/src/lab/scale/control_changes.cpp
+++ b/src/lab/scale/control_changes.cpp
@@ -9,9 +9,9 @@
 #include <memory>
 #include <thread>
 
+#include "fakes/fake_deployment.h"
+#include "fakes/process.h"
 #include "lab/scale/control_series.h"
-#include "standin/fleet.h"
-#include "standin/process.h"
 
 namespace firvalve::lab::scale {
 namespace {
@@ -187,14 +187,14 @@
       : before_(bus_before), after_(bus_after) {
     const std::string program = sibling_program("firvalve");
     if (!std::filesystem::exists(program)) throw ScaleError(program + ": no such program");
-    for (const std::string& address : standin::free_addresses(static_cast<size_t>(count))) {
+    for (const std::string& address : fakes::free_addresses(static_cast<size_t>(count))) {
       configs_.push_back(with_seed(engines_.config(address), configs_.size()));
       addresses_.push_back(address);
-      processes_.push_back(std::make_unique<standin::Process>(program, with_bus(configs_.back(), before_),
-                                                              std::vector<std::string>{}, "/dev/null"));
+      processes_.push_back(std::make_unique<fakes::Process>(program, with_bus(configs_.back(), before_),
+                                                            std::vector<std::string>{}, "/dev/null"));
     }
     for (const std::string& address : addresses_)
-      if (!standin::Process::listens(address)) throw ScaleError("a gateway does not come up at " + address);
+      if (!fakes::Process::listens(address)) throw ScaleError("a gateway does not come up at " + address);
   }
   void change_bus() {
     for (size_t i = 0; i < processes_.size(); ++i) {
@@ -219,12 +219,12 @@
   }
 
   const std::string before_, after_;
-  standin::Fleet engines_{kEnginesOfReal};
+  fakes::FakeDeployment engines_{kEnginesOfReal};
   std::vector<std::string> configs_, addresses_;
-  std::vector<std::unique_ptr<standin::Process>> processes_;
+  std::vector<std::unique_ptr<fakes::Process>> processes_;
 };
 
-void wait_followed(const standin::Bus& bus, size_t gateways) {
+void wait_followed(const fakes::FakeEventBus& bus, size_t gateways) {
   for (const Ms began = hollow_clock(); bus.asked_from().size() < gateways; sleep_ms(kPollEvery))
     if (hollow_clock() > began + kInForceMost)
       throw ScaleError(fmt::format("{} of {} gateways have come to the event bus within {:.0f} s",
@@ -233,8 +233,8 @@
 
 // From the first file's write to the moment that the new bus was asked, for each.
 std::vector<double> measure_bus_change(int gateways) {
-  standin::Host host;
-  const standin::Bus before(host), after(host);
+  fakes::FakeHost host;
+  const fakes::FakeEventBus before(host), after(host);
   RealGateways processes(gateways, before.address(), after.address());
   wait_followed(before, static_cast<size_t>(gateways));
   const Ms written = hollow_clock();
--- a/src/lab/scale/cost_model.cpp
+++ b/src/lab/scale/cost_model.cpp
@@ -83,11 +83,13 @@
 // Mechanisms, by the package that holds them.
 constexpr const char* kDecision = "the module's turn over all engines (src/policy)";
 constexpr const char* kEngineConnections =
-    "a connection kept to each engine until 2 s before its idle close (src/net/engines)";
-constexpr const char* kClientLinks = "one link and its buffers a client connection (src/net/clients)";
-constexpr const char* kLeases = "one lease renewed a duty, changes polled at keepers (src/duty, src/fleet)";
-constexpr const char* kRegisters = "replicated registers, a majority of keepers a change (src/record)";
-constexpr const char* kBusFollower = "the event bus followed by each gateway itself (src/net/bus)";
+    "a connection kept to each engine until 2 s before its idle close (src/net/engine_connections)";
+constexpr const char* kClientLinks = "one link and its buffers a client connection (src/net/client_server)";
+constexpr const char* kLeases =
+    "one lease renewed a duty, changes polled at keepers (src/lease, src/cluster)";
+constexpr const char* kRegisters = "replicated registers, a majority of keepers a change (src/consensus)";
+constexpr const char* kBusFollower =
+    "the event bus followed by each gateway itself (src/net/endpoint_watcher)";
 constexpr const char* kReload = "a file and SIGHUP a process: no version, no proof (src/gateway)";
 constexpr const char* kClientReturn = "reconnects spread over `spread_ms` (src/client)";
 constexpr const char* kNone = "none yet";
@@ -306,7 +308,8 @@
        "",
        {measured("collapse.served", "gateways")},
        at_least_assumed([](const FleetSize&) { return kServedLeast; }),
-       "what gateways have out at engines, and what they leave there (src/policy, src/net/engines)",
+       "what gateways have out at engines, and what they leave there (src/policy, "
+       "src/net/engine_connections)",
        Owner::kProgram,
        "the bench's calm day at this size"},
       {PlannedLine::kMachines,
@@ -355,7 +358,7 @@
        "s",
        {},
        at_most(primary_change),
-       "the list of engines (src/net/bus)",
+       "the list of engines (src/net/endpoint_watcher)",
        Owner::kProgram,
        "a real fleet whose engine is killed with such work bound to it"},
       {PlannedLine::kConfigurationChanges, "a change of the engine list: in force at the last gateway", "s",
--- a/src/lab/scale/duty_view.cpp
+++ b/src/lab/scale/duty_view.cpp
@@ -2,7 +2,7 @@
 
 #include <tuple>
 
-#include "duty/claim.h"
+#include "lease/lease_record.h"
 
 namespace firvalve::lab::scale {
 
@@ -12,14 +12,14 @@
   for (Member& member : members_) member.seen.resize(duties_.size());
 }
 
-void DutyView::take_answer(size_t member, const record::Message& message, Ms now) {
-  if (message.say != record::Say::kChanges) return;
+void DutyView::take_answer(size_t member, const consensus::Message& message, Ms now) {
+  if (message.say != consensus::MessageType::kChanges) return;
   const std::lock_guard lock(mutex_);
   members_[member].told_at = now;
   for (const auto& [key, slot] : message.entries) {
     const auto number = numbers_.find(key);
     if (number == numbers_.end()) continue;
-    const std::optional<duty::Claim> claim = duty::read_claim(slot.fact.value);
+    const std::optional<lease::LeaseRecord> claim = lease::read_claim(slot.fact.value);
     if (!claim) continue;
     Seen& seen = members_[member].seen[number->second];
     if (std::tie(claim->epoch, claim->released) < std::tie(seen.epoch, seen.released)) continue;
--- a/src/lab/scale/duty_view.h
+++ b/src/lab/scale/duty_view.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "index/units.h"
-#include "record/fact.h"
+#include "base/units.h"
+#include "consensus/register.h"
 
 namespace firvalve::lab::scale {
 
@@ -19,7 +19,7 @@
   DutyView(std::vector<std::string> duties, size_t members);
 
   // An answer of a keeper that came to this member.
-  void take_answer(size_t member, const record::Message& message, Ms now);
+  void take_answer(size_t member, const consensus::Message& message, Ms now);
   // A new process there knows nothing yet.
   void forget(size_t member);
 
--- a/src/lab/scale/hollow_fleet.cpp
+++ b/src/lab/scale/hollow_fleet.cpp
@@ -9,7 +9,7 @@
 #include <filesystem>
 #include <map>
 
-#include "standin/bus.h"
+#include "fakes/fake_event_bus.h"
 
 namespace firvalve::lab::scale {
 namespace {
@@ -65,8 +65,8 @@
   std::string out;
   for (int i = first; i < first + count; ++i)
     out += fmt::format("{}{}", out.empty() ? "" : ",",
-                       standin::listing(fmt::format("s-{:08x}", i),
-                                        fmt::format("127.9.{}.{}:9042", i / 250, 1 + i % 250), state));
+                       fakes::listing(fmt::format("s-{:08x}", i),
+                                      fmt::format("127.9.{}.{}:9042", i / 250, 1 + i % 250), state));
   return out;
 }
 
@@ -81,8 +81,7 @@
   }
   HollowGatewayOptions common;
   common.lease = options.lease;
-  if (options.engines > 0)
-    common.known_list = standin::topology(1, true, engine_listings(0, options.engines));
+  if (options.engines > 0) common.known_list = fakes::topology(1, true, engine_listings(0, options.engines));
   for (int i = 0; i < options.duties; ++i) common.duties.push_back(fmt::format("trial:s-{:08x}", i));
   for (size_t i = 0; i < keepers; ++i) common.keepers.push_back(loopback_address(i));
   if (options.bus) common.bus = bus_address_ = loopback_address(static_cast<size_t>(options.gateways));
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -13,13 +13,13 @@
 #include <random>
 #include <thread>
 
-#include "config/operator.h"
-#include "core/articles.h"
-#include "fleet/fleet.h"
-#include "index/monotonic_clock.h"
+#include "base/monotonic_clock.h"
+#include "cluster/cluster_service.h"
+#include "config/operator_config.h"
+#include "core/settings.h"
 #include "lab/scale/parts.h"
-#include "net/bus.h"
-#include "net/engines.h"
+#include "net/endpoint_watcher.h"
+#include "net/engine_connections.h"
 #include "net/waker.h"
 
 namespace firvalve::lab::scale {
@@ -40,10 +40,10 @@
     R"("profiles":[{"name":"lookup","semantics":"idempotent","slo":800000000,"credit":1.0,)"
     R"("deadline":4000000000}]})";
 
-Articles read_settings() {
+Settings read_settings() {
   rapidjson::Document settings;
   settings.Parse(kSettings);
-  return articles_from(settings);
+  return parse_settings(settings);
 }
 
 std::string json_list(const std::vector<std::string>& texts) {
@@ -53,7 +53,7 @@
 }
 
 // The section of the operator's file that a real gateway would have, by the real reader.
-config::Operator::Fleet read_fleet_section(const HollowGatewayOptions& options) {
+config::OperatorConfig::Fleet read_fleet_section(const HollowGatewayOptions& options) {
   std::string text = fmt::format(R"({{"fleet":{{"on":true,"site":"{}","listen":"{}","keepers":{},)",
                                  options.site, options.address, json_list(options.keepers));
   if (!options.reached_at.empty()) text += fmt::format(R"("reached_at":"{}",)", options.reached_at);
@@ -66,12 +66,12 @@
   return reading.values.fleet;
 }
 
-class NoClients : public Front {
+class NoClients : public ResponseSink {
  public:
   void answer(CallRef, std::string_view) override {}
   void shed(CallRef, Ms) override {}
   void fail(CallRef, std::string_view) override {}
-  void answer_paged(CallRef, ShelfNo) override {}
+  void answer_paged(CallRef, ResultHandle) override {}
 };
 
 // As the program draws it: no two incarnations may share it.
@@ -96,8 +96,8 @@
       : settings(read_settings()),
         engines(loop, counters, {kConnectMost, kIdleClose}),
         fleet(make_fleet(options)),
-        core(settings, options.seed, fleet ? static_cast<Front&>(*fleet) : no_clients, engines, counters,
-             [](const std::string&, const std::string&) {}) {
+        core(settings, options.seed, fleet ? static_cast<ResponseSink&>(*fleet) : no_clients, engines,
+             counters, [](const std::string&, const std::string&) {}) {
     loop.limit(kDescriptorsMost, kBufferBytesMost);
     engines.serve(core);
     if (fleet) fleet->serve(core);
@@ -131,12 +131,12 @@
   }
 
  private:
-  std::unique_ptr<fleet::Fleet> make_fleet(const HollowGatewayOptions& options) {
+  std::unique_ptr<cluster::ClusterService> make_fleet(const HollowGatewayOptions& options) {
     if (options.keepers.empty()) return nullptr;
-    const config::Operator::Fleet section = read_fleet_section(options);
-    fleet::FleetTerms terms = fleet::terms_of(section);
+    const config::OperatorConfig::Fleet section = read_fleet_section(options);
+    cluster::ClusterOptions terms = cluster::options_from(section);
     terms.draw = draw_of_this_start();
-    return std::make_unique<fleet::Fleet>(
+    return std::make_unique<cluster::ClusterService>(
         loop, counters, terms, no_clients,
         [this](log::Level, std::string_view event, log::Fields fields) { note(event, fields); });
   }
@@ -151,8 +151,9 @@
       net::tell_roster(core, loop.now(), std::move(*event));
     }
     if (options.bus.empty()) return;
-    bus = std::make_unique<net::Bus>(loop, counters, options.bus, kConnectMost,
-                                     kFirstAskPart * number(settings, "drain grace"), options.seed);
+    bus =
+        std::make_unique<net::EndpointWatcher>(loop, counters, options.bus, kConnectMost,
+                                               kFirstAskPart * number(settings, "drain grace"), options.seed);
     bus->follow(core, last);
   }
 
@@ -192,7 +193,7 @@
     out.is_up = true;
     out.record_ready = record_ready;
     if (fleet) {
-      const fleet::LinkCounts& counts = fleet->link_counts();
+      const cluster::LinkCounts& counts = fleet->link_counts();
       out.peers = {counts.frames_in, counts.frames_out, counts.messages_in, counts.messages_out,
                    counts.bytes_in,  counts.bytes_out,  counts.connects};
       out.links_lost = counts.lost;
@@ -219,18 +220,18 @@
     for (const auto& task : tasks) task();
   }
 
-  const Articles settings;
+  const Settings settings;
   bool record_ready = false;
   uint64_t list_updates = 0;
   Ms list_updated_at = 0;
   std::vector<DutyEvent> duty_events;
   net::Loop loop;
-  Counters counters;
+  Metrics counters;
   NoClients no_clients;
-  net::Engines engines;
-  std::unique_ptr<fleet::Fleet> fleet;
+  net::EngineConnections engines;
+  std::unique_ptr<cluster::ClusterService> fleet;
   Core core;
-  std::unique_ptr<net::Bus> bus;
+  std::unique_ptr<net::EndpointWatcher> bus;
   std::unique_ptr<net::Waker> waker;
   std::mutex mutex;
   std::vector<std::function<void()>> posted;
--- a/src/lab/scale/hollow_gateway.h
+++ b/src/lab/scale/hollow_gateway.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::lab::scale {
 
--- a/src/lab/scale/hollow_main.cpp
+++ b/src/lab/scale/hollow_main.cpp
@@ -15,9 +15,9 @@
 #include <memory>
 #include <optional>
 
+#include "fakes/fake_event_bus.h"
 #include "lab/scale/hollow_wire.h"
 #include "lab/scale/parts.h"
-#include "standin/bus.h"
 
 namespace firvalve::lab::scale {
 namespace {
@@ -48,14 +48,15 @@
 // The event bus with the thread that plays it.
 class EventBus {
  public:
-  explicit EventBus(const std::string& address) : bus_(std::make_unique<standin::Bus>(host_, 1, address)) {}
+  explicit EventBus(const std::string& address)
+      : bus_(std::make_unique<fakes::FakeEventBus>(host_, 1, address)) {}
   void announce(const std::string& listings, bool whole) {
     report_.accepted_at = hollow_clock();
     ++report_.updates;
     bus_->announce(listings, whole);
   }
   HollowBusReport report() {
-    const standin::BusTraffic traffic = bus_->traffic();
+    const fakes::BusTraffic traffic = bus_->traffic();
     report_.connections_open = traffic.connections_open;
     report_.connections_made = traffic.connections_made;
     report_.lines_in = traffic.lines_in;
@@ -67,8 +68,8 @@
   }
 
  private:
-  standin::Host host_;
-  std::unique_ptr<standin::Bus> bus_;
+  fakes::FakeHost host_;
+  std::unique_ptr<fakes::FakeEventBus> bus_;
   HollowBusReport report_;
 };
 
--- a/src/lab/scale/hollow_process.cpp
+++ b/src/lab/scale/hollow_process.cpp
@@ -88,7 +88,7 @@
   }
 }
 
-std::string HollowProcess::hear() {
+std::string HollowProcess::handle() {
   if (channel_ < 0) throw ScaleError("a child process has ended");
   for (;;) {
     if (const size_t end = unread_.find('\n'); end != std::string::npos) {
@@ -109,13 +109,13 @@
 
 void HollowProcess::do_command(const std::string& line) {
   say(line);
-  read_report_line(hear());
+  read_report_line(handle());
 }
 
-void HollowProcess::wait_ready() { read_report_line(hear()); }
+void HollowProcess::wait_ready() { read_report_line(handle()); }
 
 void HollowProcess::ask_report() { say(to_line(HollowCommand{HollowCommand::Kind::kReport, {}, {}, false})); }
-HollowProcessReport HollowProcess::read_report() { return read_report_line(hear()); }
+HollowProcessReport HollowProcess::read_report() { return read_report_line(handle()); }
 
 HollowProcessReport HollowProcess::report() {
   ask_report();
--- a/src/lab/scale/hollow_process.h
+++ b/src/lab/scale/hollow_process.h
@@ -64,7 +64,7 @@
  private:
   void start();
   void say(const std::string& line);
-  std::string hear();
+  std::string handle();
   void do_command(const std::string& line);
 
   const HollowProcessOptions options_;
--- a/src/lab/scale/loss_fleet.cpp
+++ b/src/lab/scale/loss_fleet.cpp
@@ -128,7 +128,7 @@
       return at->second;
     };
     options.region_of = [this](size_t member) { return places_[member].region; };
-    options.on_answer = [this](size_t member, const record::Message& message) {
+    options.on_answer = [this](size_t member, const consensus::Message& message) {
       view_.take_answer(member, message, hollow_clock());
     };
     proxies_.push_back(std::make_unique<RegionProxy>(std::move(options)));
@@ -308,7 +308,7 @@
   return out;
 }
 
-std::vector<FleetBreach> LossFleet::breaches() {
+std::vector<FleetViolation> LossFleet::breaches() {
   collect_history();
   return judge(history_);
 }
--- a/src/lab/scale/loss_fleet.h
+++ b/src/lab/scale/loss_fleet.h
@@ -70,7 +70,7 @@
   void collect_history();
   // Members that may act for some duty at this moment, by their own reports.
   std::vector<size_t> holders_now();
-  std::vector<FleetBreach> breaches();
+  std::vector<FleetViolation> breaches();
   std::vector<pid_t> process_ids() const;
 
  private:
--- a/src/lab/scale/loss_run.cpp
+++ b/src/lab/scale/loss_run.cpp
@@ -135,7 +135,7 @@
                          name_of(loss), gateways, result.recovery, result.return_recovery));
     add_result(series, gateways, result);
   }
-  const std::vector<FleetBreach> breaches = fleet.breaches();
+  const std::vector<FleetViolation> breaches = fleet.breaches();
   if (!breaches.empty()) throw ScaleError(fmt::format("{}: {}", breaches[0].rule, breaches[0].text));
 }
 
--- a/src/lab/scale/quantity.cpp
+++ b/src/lab/scale/quantity.cpp
@@ -41,7 +41,7 @@
   return nearest;
 }
 
-// Between the two measured sizes around it; nothing outside of them.
+// FaultProxy the two measured sizes around it; nothing outside of them.
 std::optional<double> interpolate(const std::vector<Point>& points, double size) {
   for (size_t i = 0; i < points.size(); ++i) {
     if (points[i].size == size) return points[i].value;
--- a/src/lab/scale/real_gateway.cpp
+++ b/src/lab/scale/real_gateway.cpp
@@ -8,8 +8,8 @@
 #include <thread>
 
 #include "client/client.h"
+#include "fakes/fake_deployment.h"
 #include "lab/scale/parts.h"
-#include "standin/fleet.h"
 
 namespace firvalve::lab::scale {
 namespace {
@@ -28,13 +28,13 @@
 
 RealGateway::RealGateway(const std::string& program, const ScriptedEngines& engines,
                          ScriptedEngines::View view)
-    : program_(program), address_(standin::free_address()) {
+    : program_(program), address_(fakes::free_address()) {
   if (::access(program.c_str(), X_OK) != 0)
     throw ScaleError(fmt::format("the gateway's program {} cannot be run", program));
   const std::string config = engines.gateway_config(address_, view);
   const auto started = Clock::now();
-  process_ = std::make_unique<standin::Process>(program, config, std::vector<std::string>{}, "/dev/null",
-                                                standin::Process::Ends::kWithItsStarter);
+  process_ = std::make_unique<fakes::Process>(program, config, std::vector<std::string>{}, "/dev/null",
+                                              fakes::Process::Ends::kWithItsStarter);
   wait_until_ready();
   start_to_ready_ms_ = std::chrono::duration<double, std::milli>(Clock::now() - started).count();
 }
--- a/src/lab/scale/real_gateway.h
+++ b/src/lab/scale/real_gateway.h
@@ -4,8 +4,8 @@
 #include <memory>
 #include <string>
 
+#include "fakes/process.h"
 #include "lab/scale/scripted_engines.h"
-#include "standin/process.h"
 
 namespace firvalve::lab::scale {
 
@@ -27,7 +27,7 @@
   void wait_until_ready();
 
   std::string program_, address_;
-  std::unique_ptr<standin::Process> process_;
+  std::unique_ptr<fakes::Process> process_;
   double start_to_ready_ms_ = 0;
 };
 
--- a/src/lab/scale/region_proxy.cpp
+++ b/src/lab/scale/region_proxy.cpp
@@ -11,7 +11,7 @@
 #include <cstring>
 #include <string_view>
 
-#include "fleet/wire.h"
+#include "cluster/wire.h"
 #include "lab/scale/parts.h"
 #include "proto/jsonrpc/rpc.h"
 
@@ -43,7 +43,7 @@
   uint32_t watched = 0;
   std::string unsent;  // to this side
   proto::Inbox inbox;  // from this side: the frame that is not whole yet
-  proto::RpcFrames frames{fleet::kFrameMost};
+  proto::RpcFrames frames{cluster::kFrameMost};
 };
 
 // A gateway's connection and the one to the keeper that belongs to it.
@@ -182,13 +182,13 @@
   std::span<char> body;
   while (side.frames.next(side.inbox, body) == proto::Read::kWhole) {
     const char* why = "";
-    const std::optional<fleet::Frame> frame = fleet::read_frame(body, why);
+    const std::optional<cluster::Frame> frame = cluster::read_frame(body, why);
     if (!frame) continue;
     if (side.is_gateway && !connection.member) connection.member = options_.member_of(frame->from);
     if (connection.member && cut_[options_.region_of(*connection.member)]) return;
     messages_ += frame->parts.size();
     if (side.is_gateway || !connection.member || !options_.on_answer) continue;
-    for (const record::Message& message : frame->parts) options_.on_answer(*connection.member, message);
+    for (const consensus::Message& message : frame->parts) options_.on_answer(*connection.member, message);
   }
   side.inbox.rest();
 }
--- a/src/lab/scale/region_proxy.h
+++ b/src/lab/scale/region_proxy.h
@@ -12,7 +12,7 @@
 #include <thread>
 #include <vector>
 
-#include "record/fact.h"
+#include "consensus/register.h"
 
 namespace firvalve::lab::scale {
 
@@ -31,7 +31,7 @@
   std::function<std::optional<size_t>(const std::string& name)> member_of;
   std::function<size_t(size_t member)> region_of;
   // A message that the keeper said to a member and that got there; on the proxy's thread.
-  std::function<void(size_t member, const record::Message& message)> on_answer;
+  std::function<void(size_t member, const consensus::Message& message)> on_answer;
 };
 
 // One thread of its own. All functions may be called from any thread.
--- a/src/lab/scale/scripted_engines.cpp
+++ b/src/lab/scale/scripted_engines.cpp
@@ -4,8 +4,8 @@
 #include <fmt/format.h>
 #include <unistd.h>
 
+#include "fakes/fake_deployment.h"
 #include "lab/scale/parts.h"
-#include "standin/fleet.h"
 
 namespace firvalve::lab::scale {
 namespace {
@@ -27,14 +27,14 @@
 
 ScriptedEngines::ScriptedEngines(int count) {
   try {
-    for (size_t i = 0; i < kThreads; ++i) hosts_.push_back(std::make_unique<standin::Host>());
-    bus_ = std::make_unique<standin::Bus>(*hosts_.front());
-    standin::Engine::Means means;
+    for (size_t i = 0; i < kThreads; ++i) hosts_.push_back(std::make_unique<fakes::FakeHost>());
+    bus_ = std::make_unique<fakes::FakeEventBus>(*hosts_.front());
+    fakes::FakeEngine::Means means;
     means.slots = kSlots;
     means.records_calls = false;
     for (int i = 0; i < count; ++i) {
-      standin::Host& host = *hosts_[static_cast<size_t>(i) % kThreads];
-      engines_.push_back(std::make_unique<standin::Engine>(host, means, engine_address(i)));
+      fakes::FakeHost& host = *hosts_[static_cast<size_t>(i) % kThreads];
+      engines_.push_back(std::make_unique<fakes::FakeEngine>(host, means, engine_address(i)));
     }
   } catch (const Poco::Exception& error) {
     throw ScaleError(fmt::format("engine {} of {} cannot listen at {}: {}", engines_.size() + 1, count,
@@ -48,9 +48,9 @@
     const std::string name = fmt::format("s-{:08x}", 10 + i);
     const std::string zone = fmt::format("z{}", i % view.zones);
     if (i > 0) listings += ',';
-    listings += standin::listing(name, engines_[static_cast<size_t>(i)]->address(), "SERVING", "std", zone);
+    listings += fakes::listing(name, engines_[static_cast<size_t>(i)]->address(), "SERVING", "std", zone);
   }
-  standin::GatewayOptions options;
+  fakes::GatewayOptions options;
   options.listen = listen;
   options.bus = bus_->address();
   options.memory_mb = kGatewayMemoryMb;
@@ -58,7 +58,7 @@
   // It has the engines for itself. With a share of each it sends no more than that allows, and a stutter of
   // this machine, which it takes for crowded engines, would then decide how much it serves.
   options.gateways = 1;
-  return standin::gateway_config(options, listings);
+  return fakes::gateway_config(options, listings);
 }
 
 }  // namespace firvalve::lab::scale
--- a/src/lab/scale/scripted_engines.h
+++ b/src/lab/scale/scripted_engines.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
+#include "fakes/fake_engine.h"
+#include "fakes/fake_event_bus.h"
+#include "fakes/fake_host.h"
 #include "lab/scale/process_usage.h"
-#include "standin/bus.h"
-#include "standin/engine.h"
-#include "standin/host.h"
 
 namespace firvalve::lab::scale {
 
@@ -29,9 +29,9 @@
   std::string gateway_config(const std::string& listen, View view) const;
 
  private:
-  std::vector<std::unique_ptr<standin::Host>> hosts_;
-  std::unique_ptr<standin::Bus> bus_;
-  std::vector<std::unique_ptr<standin::Engine>> engines_;
+  std::vector<std::unique_ptr<fakes::FakeHost>> hosts_;
+  std::unique_ptr<fakes::FakeEventBus> bus_;
+  std::vector<std::unique_ptr<fakes::FakeEngine>> engines_;
 };
 
 }  // namespace firvalve::lab::scale
--- a/src/lab/search.h
+++ b/src/lab/search.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::lab {
 
@@ -16,7 +16,7 @@
   double cpu = 0;       // cores that the tool used
 };
 
-struct SearchTerms {
+struct SearchOptions {
   double first = 100, factor = 1.5;  // rates: where it begins, and times which it goes up
   int steps = 12;                    // at most, up and between together
   double close = 1.1;                // between what held and what broke: near enough
@@ -28,17 +28,17 @@
 
 class Search {
  public:
-  explicit Search(const SearchTerms& terms) : terms_(terms), rate_(terms.first) {}
+  explicit Search(const SearchOptions& options) : options_(options), rate_(options.first) {}
   bool done() const { return done_; }
   double rate() const { return rate_; }  // the next to try
   // What the step that was just played says; empty: service held.
-  std::string hear(const StepOutcome& outcome);
+  std::string handle(const StepOutcome& outcome);
   double held() const { return held_; }    // the highest rate that held; 0: none did
   double broke() const { return broke_; }  // the lowest that did not; 0: none was met
   bool tool_was_limit() const { return tool_; }
 
  private:
-  SearchTerms terms_;
+  SearchOptions options_;
   double rate_, held_ = 0, broke_ = 0;
   int played_ = 0;
   bool done_ = false, tool_ = false;
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -130,8 +130,8 @@
   void finish(uint32_t gateway, CallRef call, Happening::Kind kind);
   double busy() const;
   std::string zone_of(uint32_t engine) const;
-  NamedListing listing_of(uint32_t engine, uint32_t id) const;
-  Articles articles(int gateway) const;
+  NamedEngineInfo listing_of(uint32_t engine, uint32_t id) const;
+  Settings settings(int gateway) const;
   void put(Ms wait, Event e) { queue_.put(now_ + wait, e); }
   WorldSecond& second_at(Ms at);
   WorldSecond& this_second() { return second_at(now_); }
@@ -159,20 +159,20 @@
 };
 
 // One gateway: the real core, with the world as its front and back.
-struct World::Gateway : Front, Back {
+struct World::Gateway : ResponseSink, EngineTransport {
   struct IdleConnections {
     std::vector<Ms> since;  // the one that has rested longest first
     bool is_timed = false;  // its next close is in the event queue
   };
 
-  Gateway(World& world, uint32_t number, const Articles& articles, uint64_t seed)
+  Gateway(World& world, uint32_t number, const Settings& settings, uint64_t seed)
       : world(world),
         number(number),
         idle(world.uses_connections() ? world.engines_.size() : 0),
-        core(articles, seed, *this, *this, counters,
-             [this](const std::string& text, const std::string& engine) { hear(text, engine); }) {}
+        core(settings, seed, *this, *this, counters,
+             [this](const std::string& text, const std::string& engine) { handle(text, engine); }) {}
 
-  void hear(const std::string& text, const std::string& engine) {
+  void handle(const std::string& text, const std::string& engine) {
     text.ends_with("trusted again") ? ejected.erase(engine) : ejected.insert(engine).second;
   }
   void answer(CallRef call, std::string_view) override {
@@ -180,9 +180,9 @@
   }
   void shed(CallRef call, Ms) override { world.finish(number, call, Happening::Kind::kRefused); }
   void fail(CallRef call, std::string_view) override { world.finish(number, call, Happening::Kind::kFailed); }
-  void answer_paged(CallRef, ShelfNo) override {}
+  void answer_paged(CallRef, ResultHandle) override {}
 
-  void start(Ms, const Order& order) override {
+  void start(Ms, const AttemptRequest& order) override {
     const uint64_t attempt = ++world.last_attempt_;
     Attempt& a = world.attempts_[attempt];
     a.gateway = number;
@@ -224,11 +224,11 @@
     world.travel(Event::Kind::kStop, 0, attempt, world.network_delay());
   }
   void rank(Ms, uint64_t, int) override {}
-  void list(Ms, uint32_t, std::string_view, Life) override {}
+  void list(Ms, uint32_t, std::string_view, EngineState) override {}
 
   World& world;
   const uint32_t number;
-  Counters counters;
+  Metrics counters;
   std::unordered_map<uint64_t, uint64_t> by_send;  // its numbers to the run's
   std::unordered_map<uint32_t, uint32_t> place;    // engines' ids to their places
   std::unordered_map<CallRef, uint64_t> calls;     // to commands
@@ -266,9 +266,9 @@
   engines_.assign(static_cast<size_t>(options_.engines), Engine(options_.engine));
   for (Engine& e : engines_) e.id = ++last_engine_;
   for (int g = 0; g < options_.gateways; ++g)
-    gateways_.push_back(std::make_unique<Gateway>(*this, static_cast<uint32_t>(g), articles(g), chance_()));
+    gateways_.push_back(std::make_unique<Gateway>(*this, static_cast<uint32_t>(g), settings(g), chance_()));
   for (uint32_t g = 0; g < gateways_.size(); ++g) {
-    std::vector<NamedListing> all;
+    std::vector<NamedEngineInfo> all;
     for (uint32_t i = 0; i < engines_.size(); ++i) {
       gateways_[g]->place[engines_[i].id] = i;
       all.push_back(listing_of(i, engines_[i].id));
@@ -293,8 +293,8 @@
   return fmt::format("z{}", engine % static_cast<uint32_t>(options_.zones));
 }
 
-NamedListing World::listing_of(uint32_t engine, uint32_t id) const {
-  NamedListing l;
+NamedEngineInfo World::listing_of(uint32_t engine, uint32_t id) const {
+  NamedEngineInfo l;
   l.name = fmt::format("s-{:08x}", id);
   l.address = "127.0.0.1:1";
   l.listing.zone = zone_of(engine);
@@ -302,8 +302,8 @@
   return l;
 }
 
-Articles World::articles(int gateway) const {
-  Articles a;
+Settings World::settings(int gateway) const {
+  Settings a;
   a["gateways"] = static_cast<double>(options_.gateways);
   a["gateway number"] = static_cast<double>(gateway);
   a["may cancel"] = options_.may_cancel ? 1.0 : 0.0;
@@ -400,14 +400,14 @@
   note(h);
   const CallRef call = ++gateway.last_call;
   gateway.calls[call] = number;
-  Asked asked;
+  CommandRequest asked;
   asked.command = id;
   asked.profile = profile.name;
   asked.statement = "s";
   asked.timeout = profile.timeout;
   asked.estimate = profile.estimated ? std::min(command.work * guess, profile.timeout) : 0;
   asked.memory_mb = 10;
-  if (gateway.core.take_in(now_, call, std::move(asked)) != TakeIn::kTaken)
+  if (gateway.core.admit(now_, call, std::move(asked)) != AdmissionResult::kTaken)
     finish(g, call, Happening::Kind::kFailed);
 }
 
@@ -508,8 +508,8 @@
   if (e.model.is_silent() || progress.state == EngineModel::State::kAbsent) return;
   Core& core = gateways_[a.gateway]->core;
   if (progress.state == EngineModel::State::kQueued)
-    return core.noted(now_, a.of_gateway, NoteKind::kWaits, 0);
-  core.noted(now_, a.of_gateway, NoteKind::kProgress, 1 - progress.work_left / a.work);
+    return core.noted(now_, a.of_gateway, AttemptStatusKind::kWaits, 0);
+  core.noted(now_, a.of_gateway, AttemptStatusKind::kProgress, 1 - progress.work_left / a.work);
 }
 
 void World::done(uint32_t engine, uint64_t version) {
@@ -697,8 +697,8 @@
 
 void World::list(uint32_t g, uint32_t engine, uint32_t id, bool listed) {
   Gateway& gateway = *gateways_[g];
-  NamedListing l = listing_of(engine, id);
-  l.listing.life = listed ? Life::kReady : Life::kGone;
+  NamedEngineInfo l = listing_of(engine, id);
+  l.listing.life = listed ? EngineState::kReady : EngineState::kGone;
   if (listed)
     gateway.place[id] = engine;
   else
--- a/src/duty/fence.h
+++ b/src/lease/fence.h
@@ -6,16 +6,16 @@
 #include <map>
 #include <string>
 
-#include "index/planted.h"
+#include "base/injected_bug.h"
 
-namespace firvalve::duty {
+namespace firvalve::lease {
 
 class Fence {
  public:
   // Whether an act under this epoch is taken.
   bool pass(const std::string& duty, uint64_t epoch) {
     uint64_t& highest = highest_[duty];
-    if (epoch < highest && !planted(Flaw::kNoEpochCheck)) return false;
+    if (epoch < highest && !is_injected(InjectedBug::kNoEpochCheck)) return false;
     highest = epoch > highest ? epoch : highest;
     return true;
   }
@@ -29,4 +29,4 @@
   std::map<std::string, uint64_t> highest_;
 };
 
-}  // namespace firvalve::duty
+}  // namespace firvalve::lease
--- a/src/duty/duties.cpp
+++ b/src/lease/lease_manager.cpp
@@ -1,12 +1,12 @@
-#include "duty/duties.h"
+#include "lease/lease_manager.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "index/planted.h"
-#include "record/digest.h"
+#include "base/injected_bug.h"
+#include "consensus/digest.h"
 
-namespace firvalve::duty {
+namespace firvalve::lease {
 
 namespace {
 
@@ -45,17 +45,17 @@
 Ms guard_of(Ms lease) { return std::max(kGuardLeast, kGuardPart * lease); }
 Ms wait_of(Ms lease) { return lease * (1 + kDrift) / (1 - kDrift); }
 
-Duties::Duties(Ms now, const Terms& terms) : terms_(terms), started_at_(now) {}
+LeaseManager::LeaseManager(Ms now, const LeaseOptions& options) : options_(options), started_at_(now) {}
 
-uint64_t Duties::draw() {
-  uint64_t z = terms_.life + ++draws_ * 0x9e3779b97f4a7c15ull;
+uint64_t LeaseManager::draw() {
+  uint64_t z = options_.life + ++draws_ * 0x9e3779b97f4a7c15ull;
   z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ull;
   z = (z ^ (z >> 27)) * 0x94d049bb133111ebull;
   z ^= z >> 31;
   return z == 0 ? draw() : z;
 }
 
-void Duties::want(Ms now, const std::string& duty) {
+void LeaseManager::want(Ms now, const std::string& duty) {
   Wanted& w = wanted_[duty];
   w.wanted = true;
   if (w.seen_at == 0) {
@@ -64,7 +64,7 @@
   }
 }
 
-void Duties::unwant(Ms now, const std::string& duty) {
+void LeaseManager::unwant(Ms now, const std::string& duty) {
   const auto at = wanted_.find(duty);
   if (at == wanted_.end()) return;
   at->second.wanted = false;
@@ -76,14 +76,14 @@
   wanted_.erase(at);
 }
 
-std::optional<uint64_t> Duties::may_act(Ms now, const std::string& duty) const {
+std::optional<uint64_t> LeaseManager::may_act(Ms now, const std::string& duty) const {
   const auto at = wanted_.find(duty);
   if (at == wanted_.end() || at->second.epoch == 0 || at->second.leaving || now >= at->second.sure_until)
     return {};
   return at->second.epoch;
 }
 
-bool Duties::state(Ms now, const std::string& duty, std::string state) {
+bool LeaseManager::state(Ms now, const std::string& duty, std::string state) {
   const auto at = wanted_.find(duty);
   if (at == wanted_.end()) return false;
   Wanted& w = at->second;
@@ -94,30 +94,31 @@
   return true;
 }
 
-void Duties::pin(Ms now, const std::string& duty, bool on) {
+void LeaseManager::pin(Ms now, const std::string& duty, bool on) {
   const auto at = wanted_.find(duty);
   if (at == wanted_.end()) return;
   at->second.pinned = on;
   if (!on) due(now);
 }
 
-const Claim* Duties::claim(const std::string& duty) const {
+const LeaseRecord* LeaseManager::claim(const std::string& duty) const {
   const auto at = wanted_.find(duty);
   return at == wanted_.end() || !at->second.claim ? nullptr : &*at->second.claim;
 }
 
-Ms Duties::back_of(bool released) const {
-  return std::min(kBackMost, terms_.lease / 4) * (released ? kBackReleased : 1);
+Ms LeaseManager::back_of(bool released) const {
+  return std::min(kBackMost, options_.lease / 4) * (released ? kBackReleased : 1);
 }
 
-Ms Duties::stand_back(Ms now, const std::string& duty, bool released) const {
-  double parts = kBackDraw * place(duty, terms_.self);
+Ms LeaseManager::stand_back(Ms now, const std::string& duty, bool released) const {
+  double parts = kBackDraw * place(duty, options_.self);
   parts += std::min(kBackStallMost, kBackStall * static_cast<double>(stalls_.size()));
   if (now < started_at_ + kNew) parts += kBackNew;
   return parts * back_of(released);
 }
 
-void Duties::take_fact(Ms now, const std::string& duty, Wanted& w, const record::Fact& fact, bool stands) {
+void LeaseManager::take_fact(Ms now, const std::string& duty, Wanted& w, const consensus::Register& fact,
+                             bool stands) {
   // An older one than is known, from a keeper that lags: nothing is learned of it.
   if (w.known && (fact.version < w.fact.version || fact.change == w.fact.change)) return;
   if (w.known && w.stands && !stands && fact.version == w.fact.version) return;
@@ -139,12 +140,12 @@
   events_.push_back({Event::Kind::kSeen, duty, w.claim ? w.claim->epoch : 0, {}, 0, false});
 }
 
-void Duties::saw(Ms now, const std::string& key, const record::Fact& fact) {
+void LeaseManager::saw(Ms now, const std::string& key, const consensus::Register& fact) {
   const auto at = wanted_.find(key);
   if (at != wanted_.end()) take_fact(now, key, at->second, fact, false);
 }
 
-void Duties::looked(Ms now) {
+void LeaseManager::looked(Ms now) {
   if (looked_) return;
   looked_ = true;
   // Of what nobody has claimed yet the standing back begins here. Guards against one that looked first and
@@ -154,7 +155,7 @@
   due(now);
 }
 
-void Duties::lose(const std::string& duty, Wanted& w, std::string why) {
+void LeaseManager::lose(const std::string& duty, Wanted& w, std::string why) {
   events_.push_back({Event::Kind::kLost, duty, w.epoch, std::move(why), 0, false});
   if (w.next_state || w.step == Step::kStates) {
     // Whether it stands shows in the record alone.
@@ -166,7 +167,7 @@
   w.leaving = false;
 }
 
-void Duties::ask(Ms now, const std::string& duty, Wanted& w, Step step, const Claim& claim) {
+void LeaseManager::ask(Ms now, const std::string& duty, Wanted& w, Step step, const LeaseRecord& claim) {
   w.step = step;
   w.asked_at = now;
   w.wish.id = draw();
@@ -178,20 +179,20 @@
   wishes_.push_back(w.wish);
 }
 
-void Duties::ended(Ms now, const record::End& end) {
+void LeaseManager::ended(Ms now, const consensus::ProposalResult& end) {
   const auto at = wanted_.find(end.wish.key);
   if (at == wanted_.end() || at->second.wish.id != end.wish.id || at->second.step == Step::kNone) return;
   Wanted& w = at->second;
   const std::string& duty = at->first;
-  using Kind = record::End::Kind;
+  using Kind = consensus::ProposalResult::Kind;
   if (end.kind == Kind::kUnknown) {
     // It may stand. Asked again under its id, it counts from when it was asked first.
-    w.wish.until = now + kAskPart * terms_.lease;
+    w.wish.until = now + kAskPart * options_.lease;
     wishes_.push_back(w.wish);
     return;
   }
   const Step step = std::exchange(w.step, Step::kNone);
-  const Ms counted_from = planted(Flaw::kLeaseFromAnswer) ? now : w.asked_at;
+  const Ms counted_from = is_injected(InjectedBug::kLeaseFromAnswer) ? now : w.asked_at;
   if (end.kind == Kind::kNoMajority) {
     // It was not made and is asked for anew, a state too: whoever wanted it written is owed an end.
     if (step == Step::kStates && w.epoch > 0 && !w.next_state)
@@ -200,7 +201,7 @@
   }
   if (end.kind == Kind::kAgreed) {
     const bool mine = end.fact.change == end.wish.id;
-    const std::optional<Claim> claim = read_claim(end.wish.value);
+    const std::optional<LeaseRecord> claim = read_claim(end.wish.value);
     if (mine) {
       w.known = w.stands = true;
       w.fact = end.fact;
@@ -216,7 +217,7 @@
       if (!w.wanted) wanted_.erase(at);
       return;
     }
-    const Ms sure = counted_from + terms_.lease - guard_of(terms_.lease);
+    const Ms sure = counted_from + options_.lease - guard_of(options_.lease);
     if (!mine) {
       // It stood, and another has changed it since: nothing of it is left to hold.
       if (w.epoch > 0) lose(duty, w, "another has claimed it");
@@ -227,11 +228,11 @@
       held_ += w.epoch == 0;
       w.epoch = claim->epoch;
       w.sure_until = sure;
-      w.renew_at = w.asked_at + kRenewPart * terms_.lease;
+      w.renew_at = w.asked_at + kRenewPart * options_.lease;
       events_.push_back({Event::Kind::kTaken, duty, w.epoch, {}, w.sure_until, false});
     } else if (w.epoch > 0) {
       w.sure_until = std::max(w.sure_until, sure);
-      w.renew_at = w.asked_at + kRenewPart * terms_.lease;
+      w.renew_at = w.asked_at + kRenewPart * options_.lease;
       events_.push_back({Event::Kind::kRenewed, duty, w.epoch, {}, w.sure_until, false});
       if (step == Step::kStates) events_.push_back({Event::Kind::kStated, duty, w.epoch, {}, 0, true});
     }
@@ -250,40 +251,40 @@
   due(now);
 }
 
-Ms Duties::free_at(const Wanted& w) const {
+Ms LeaseManager::free_at(const Wanted& w) const {
   if (!w.wanted || leaving_ || w.unreadable || !(w.known || looked_)) return 0;
   // What it holds counts as it is now: it may have taken others since it saw this one.
   const Ms held =
       std::min(kBackHeldMost, kBackHeld * static_cast<double>(held_)) * back_of(w.claim && w.claim->released);
   const Ms at = w.seen_at + w.back + held;
-  if (!w.claim || w.claim->released || planted(Flaw::kNoWait)) return at;
+  if (!w.claim || w.claim->released || is_injected(InjectedBug::kNoWait)) return at;
   // Its own of which it knows that it acts no more.
-  if (w.claim->life == terms_.life && w.claim->holder == terms_.self) return at;
-  return at + wait_of(std::max(w.claim->lease, terms_.lease));
+  if (w.claim->life == options_.life && w.claim->holder == options_.self) return at;
+  return at + wait_of(std::max(w.claim->lease, options_.lease));
 }
 
-void Duties::stalled(Ms now, Ms gap) {
-  if (gap < guard_of(terms_.lease)) return;
+void LeaseManager::stalled(Ms now, Ms gap) {
+  if (gap < guard_of(options_.lease)) return;
   stalls_.push_back(now);
   if (stalls_.size() < kLame) return;
   for (auto& [duty, w] : wanted_)
     if (w.epoch > 0 && !w.leaving) w.leaving = true, w.why = "stalled too often";
 }
 
-void Duties::leave(Ms now) {
+void LeaseManager::leave(Ms now) {
   leaving_ = true;
   for (auto& [duty, w] : wanted_)
     if (w.epoch > 0 || w.step == Step::kClaims) w.leaving = true, w.why = "this gateway ends";
   due(now);
 }
 
-bool Duties::holds_any() const {
+bool LeaseManager::holds_any() const {
   return std::any_of(wanted_.begin(), wanted_.end(), [](const auto& w) {
     return w.second.epoch > 0 || w.second.step == Step::kClaims || w.second.step == Step::kReleases;
   });
 }
 
-void Duties::due(Ms now) {
+void LeaseManager::due(Ms now) {
   while (!stalls_.empty() && now > stalls_.front() + kStallsKept) stalls_.pop_front();
   for (auto at = wanted_.begin(); at != wanted_.end();) {
     const auto& duty = at->first;
@@ -294,7 +295,7 @@
     }
     if (w.step == Step::kNone) {
       if (w.epoch > 0 && w.claim) {
-        Claim claim = *w.claim;
+        LeaseRecord claim = *w.claim;
         if (w.next_state) {
           claim.state = std::move(*w.next_state);
           w.next_state.reset();
@@ -309,12 +310,12 @@
         at = wanted_.erase(at);
         continue;
       } else if (const Ms free = free_at(w); free > 0 && now >= free) {
-        Claim claim;
+        LeaseRecord claim;
         if (w.claim) claim = *w.claim;
         ++claim.epoch;
-        claim.holder = terms_.self;
-        claim.life = terms_.life;
-        claim.lease = terms_.lease;
+        claim.holder = options_.self;
+        claim.life = options_.life;
+        claim.lease = options_.lease;
         claim.released = false;
         ask(now, duty, w, Step::kClaims, claim);
       }
@@ -323,7 +324,7 @@
   }
 }
 
-Ms Duties::next_due() const {
+Ms LeaseManager::next_due() const {
   Ms next = 0;
   const auto sooner = [&next](Ms at) {
     if (at > 0 && (next == 0 || at < next)) next = at;
@@ -339,8 +340,8 @@
   return next;
 }
 
-std::string Duties::digest() const {
-  record::Digest d;
+std::string LeaseManager::digest() const {
+  consensus::Digest d;
   d.add(looked_).add(leaving_);
   for (const auto& [duty, w] : wanted_) {
     d.add(duty).add(w.fact).add(w.known).add(w.wanted).add(w.seen_at).add(static_cast<uint8_t>(w.step));
@@ -350,4 +351,4 @@
   return d.text();
 }
 
-}  // namespace firvalve::duty
+}  // namespace firvalve::lease
--- a/src/duty/duties.h
+++ b/src/lease/lease_manager.h
@@ -1,5 +1,5 @@
-// Duties: named rights that one gateway holds at a time. What a gateway decides about them: when it claims
-// one, until when it may act, when it hands it on. No I/O and no clock.
+// LeaseManager: named rights that one gateway holds at a time. What a gateway decides about them: when it
+// claims one, until when it may act, when it hands it on. No I/O and no clock.
 //
 // Safety rests on monotonic clocks whose rates differ by at most a stated part, and on nothing else:
 //  - A holder counts its lease from before it asked for it and stops acting a guard before its end.
@@ -22,12 +22,12 @@
 #include <string>
 #include <vector>
 
-#include "duty/claim.h"
-#include "record/asker.h"
+#include "consensus/proposer.h"
+#include "lease/lease_record.h"
 
-namespace firvalve::duty {
+namespace firvalve::lease {
 
-struct Terms {
+struct LeaseOptions {
   std::string self;   // the address that peers reach this gateway at
   uint64_t life = 1;  // of this process: drawn at its start
   Ms lease = 3000;
@@ -50,9 +50,9 @@
   bool made = false;  // kStated: the state stands
 };
 
-class Duties {
+class LeaseManager {
  public:
-  Duties(Ms now, const Terms& terms);
+  LeaseManager(Ms now, const LeaseOptions& options);
 
   // From here on this gateway is willing to hold it, and claims it when it is free.
   void want(Ms now, const std::string& duty);
@@ -68,12 +68,12 @@
   // Something that was begun under it is not at its end: it is kept, renewed and handed on only after that.
   void pin(Ms now, const std::string& duty, bool on);
   // What was last seen to stand.
-  const Claim* claim(const std::string& duty) const;
+  const LeaseRecord* claim(const std::string& duty) const;
 
   // The record, as anybody saw it: under a key that is no wanted duty's it is passed over.
-  void saw(Ms now, const std::string& key, const record::Fact& fact);
+  void saw(Ms now, const std::string& key, const consensus::Register& fact);
   void looked(Ms now);  // all that stands has been seen once
-  void ended(Ms now, const record::End& end);
+  void ended(Ms now, const consensus::ProposalResult& end);
 
   // This process did nothing for so long.
   void stalled(Ms now, Ms gap);
@@ -90,21 +90,21 @@
 
   void due(Ms now);
   Ms next_due() const;
-  std::vector<record::Wish> take_wishes() { return std::exchange(wishes_, {}); }
+  std::vector<consensus::Proposal> take_wishes() { return std::exchange(wishes_, {}); }
   std::vector<Event> take_events() { return std::exchange(events_, {}); }
   std::string digest() const;
 
  private:
   enum class Step : uint8_t { kNone, kClaims, kRenews, kStates, kReleases };
   struct Wanted {
-    record::Fact fact;  // what stands, as far as seen
-    std::optional<Claim> claim;
+    consensus::Register fact;  // what stands, as far as seen
+    std::optional<LeaseRecord> claim;
     bool unreadable = false, known = false, wanted = true;
     bool stands = false;       // a majority holds it, not only the keeper that showed it
     Ms seen_at = 0, back = 0;  // that fact was seen first; and how long it stands back then
     // What is asked of the record now.
     Step step = Step::kNone;
-    record::Wish wish;
+    consensus::Proposal wish;
     Ms asked_at = 0;
     // Held:
     uint64_t epoch = 0;  // 0: not held
@@ -114,23 +114,23 @@
     std::string why;  // it leaves
   };
 
-  void ask(Ms now, const std::string& duty, Wanted& w, Step step, const Claim& claim);
+  void ask(Ms now, const std::string& duty, Wanted& w, Step step, const LeaseRecord& claim);
   void lose(const std::string& duty, Wanted& w, std::string why);
-  void take_fact(Ms now, const std::string& duty, Wanted& w, const record::Fact& fact, bool stands);
+  void take_fact(Ms now, const std::string& duty, Wanted& w, const consensus::Register& fact, bool stands);
   Ms back_of(bool released) const;
   Ms stand_back(Ms now, const std::string& duty, bool released) const;
   Ms free_at(const Wanted& w) const;  // 0: not to be claimed now
   uint64_t draw();  // an id for a change: one of a sequence that starts at this process's life
 
-  Terms terms_;
+  LeaseOptions options_;
   Ms started_at_;
   std::map<std::string, Wanted> wanted_;
   std::deque<Ms> stalls_;
   bool looked_ = false, leaving_ = false;
   uint64_t draws_ = 0;
   size_t held_ = 0;
-  std::vector<record::Wish> wishes_;
+  std::vector<consensus::Proposal> wishes_;
   std::vector<Event> events_;
 };
 
-}  // namespace firvalve::duty
+}  // namespace firvalve::lease
--- a/src/duty/claim.cpp
+++ b/src/lease/lease_record.cpp
@@ -1,16 +1,16 @@
-#include "duty/claim.h"
+#include "lease/lease_record.h"
 
 #include <cmath>
 
-#include "claim_generated.h"
+#include "lease_record_generated.h"
 
-namespace firvalve::duty {
+namespace firvalve::lease {
 
-std::string written(const Claim& claim) {
+std::string written(const LeaseRecord& claim) {
   flatbuffers::FlatBufferBuilder b(128);
   const auto holder = b.CreateString(claim.holder);
   const auto state = b.CreateVector(reinterpret_cast<const uint8_t*>(claim.state.data()), claim.state.size());
-  wire::ClaimBuilder out(b);
+  wire::LeaseRecordBuilder out(b);
   out.add_epoch(claim.epoch);
   out.add_holder(holder);
   out.add_life(claim.life);
@@ -21,12 +21,12 @@
   return {reinterpret_cast<const char*>(b.GetBufferPointer()), b.GetSize()};
 }
 
-std::optional<Claim> read_claim(std::string_view bytes) {
+std::optional<LeaseRecord> read_claim(std::string_view bytes) {
   const auto* const data = reinterpret_cast<const uint8_t*>(bytes.data());
   flatbuffers::Verifier verifier(data, bytes.size());
-  if (bytes.size() < 8 || !verifier.VerifyBuffer<wire::Claim>()) return {};
-  const auto* const in = flatbuffers::GetRoot<wire::Claim>(data);
-  Claim claim;
+  if (bytes.size() < 8 || !verifier.VerifyBuffer<wire::LeaseRecord>()) return {};
+  const auto* const in = flatbuffers::GetRoot<wire::LeaseRecord>(data);
+  LeaseRecord claim;
   claim.epoch = in->epoch();
   if (in->holder()) claim.holder = in->holder()->str();
   claim.life = in->life();
@@ -37,4 +37,4 @@
   return claim;
 }
 
-}  // namespace firvalve::duty
+}  // namespace firvalve::lease
--- a/src/duty/claim.h
+++ b/src/lease/lease_record.h
@@ -7,21 +7,21 @@
 #include <string>
 #include <string_view>
 
-#include "index/units.h"
+#include "base/units.h"
 
-namespace firvalve::duty {
+namespace firvalve::lease {
 
-struct Claim {
+struct LeaseRecord {
   uint64_t epoch = 0;     // grows with every new holder; 0: never held
   std::string holder;     // the address that its peers reach it at
   uint64_t life = 0;      // of the holder's process
   Ms lease = 0;           // counted by the holder from before it asked for it
   bool released = false;  // its holder acts no more
   std::string state;
-  bool operator==(const Claim&) const = default;
+  bool operator==(const LeaseRecord&) const = default;
 };
 
-std::string written(const Claim& claim);
-std::optional<Claim> read_claim(std::string_view bytes);  // none: it is no claim
+std::string written(const LeaseRecord& claim);
+std::optional<LeaseRecord> read_claim(std::string_view bytes);  // none: it is no claim
 
-}  // namespace firvalve::duty
+}  // namespace firvalve::lease
--- a/src/duty/merges.cpp
+++ b/src/lease/run_once_jobs.cpp
@@ -1,22 +1,22 @@
-#include "duty/merges.h"
+#include "lease/run_once_jobs.h"
 
 #include <algorithm>
 
-#include "index/planted.h"
-#include "merge_generated.h"
-#include "record/digest.h"
+#include "base/injected_bug.h"
+#include "consensus/digest.h"
+#include "run_once_job_generated.h"
 
-namespace firvalve::duty {
+namespace firvalve::lease {
 
 namespace {
 // Another gateway may have begun it meanwhile: no proof that it never ran.
 constexpr const char* kEnds = "this gateway ends; it may have run";
 }  // namespace
 
-std::string written(const Merge& merge) {
+std::string written(const RunOnceJob& merge) {
   flatbuffers::FlatBufferBuilder b(64 + merge.rows.size());
   const auto rows = b.CreateString(merge.rows);
-  wire::MergeBuilder out(b);
+  wire::RunOnceJobBuilder out(b);
   out.add_stage(static_cast<wire::Stage>(merge.stage));
   out.add_run(merge.run);
   out.add_statement(merge.statement);
@@ -25,22 +25,22 @@
   return {reinterpret_cast<const char*>(b.GetBufferPointer()), b.GetSize()};
 }
 
-Merge read_merge(std::string_view bytes) {
+RunOnceJob read_merge(std::string_view bytes) {
   if (bytes.empty()) return {};
   const auto* const data = reinterpret_cast<const uint8_t*>(bytes.data());
   flatbuffers::Verifier verifier(data, bytes.size());
-  Merge merge;
-  merge.stage = Merge::Stage::kUnknown;
-  if (bytes.size() < 8 || !verifier.VerifyBuffer<wire::Merge>()) return merge;
-  const auto* const in = flatbuffers::GetRoot<wire::Merge>(data);
-  if (in->stage() <= wire::Stage_MAX) merge.stage = static_cast<Merge::Stage>(in->stage());
+  RunOnceJob merge;
+  merge.stage = RunOnceJob::Stage::kUnknown;
+  if (bytes.size() < 8 || !verifier.VerifyBuffer<wire::RunOnceJob>()) return merge;
+  const auto* const in = flatbuffers::GetRoot<wire::RunOnceJob>(data);
+  if (in->stage() <= wire::Stage_MAX) merge.stage = static_cast<RunOnceJob::Stage>(in->stage());
   merge.run = in->run();
   merge.statement = in->statement();
   if (in->rows()) merge.rows = in->rows()->str();
   return merge;
 }
 
-void Merges::ask(Ms now, const std::string& name, Call call, uint64_t statement, Ms until) {
+void RunOnceJobs::ask(Ms now, const std::string& name, Call call, uint64_t statement, Ms until) {
   if (leaving_) {
     actions_.push_back({Action::Kind::kFail, name, call, kEnds, 0});
     return;
@@ -51,7 +51,7 @@
   go_on(now, at);
 }
 
-void Merges::leave() {
+void RunOnceJobs::leave() {
   leaving_ = true;
   for (auto& [name, n] : names_) {
     if (n.step != Step::kSeeks) continue;
@@ -60,7 +60,7 @@
   }
 }
 
-void Merges::gone(Ms now, Call call) {
+void RunOnceJobs::gone(Ms now, Call call) {
   for (auto at = names_.begin(); at != names_.end(); ++at) {
     const size_t before = at->second.calls.size();
     std::erase_if(at->second.calls, [call](const Waiting& w) { return w.call == call; });
@@ -70,22 +70,22 @@
   }
 }
 
-void Merges::answer_all(Names::iterator at, const Merge& end) {
+void RunOnceJobs::answer_all(Names::iterator at, const RunOnceJob& end) {
   using Kind = Action::Kind;
   for (const Waiting& w : at->second.calls) {
     if (end.statement != 0 && w.statement != end.statement)
       actions_.push_back({Kind::kRefuse, at->first, w.call, "another statement stands under this name", 0});
-    else if (end.stage == Merge::Stage::kAnswered)
+    else if (end.stage == RunOnceJob::Stage::kAnswered)
       actions_.push_back({Kind::kAnswer, at->first, w.call, end.rows, 0});
     else
-      actions_.push_back({Kind::kFail, at->first, w.call,
-                          end.stage == Merge::Stage::kFailed ? "failed; it may have run" : "it may have run",
-                          0});
+      actions_.push_back(
+          {Kind::kFail, at->first, w.call,
+           end.stage == RunOnceJob::Stage::kFailed ? "failed; it may have run" : "it may have run", 0});
   }
   at->second.calls.clear();
 }
 
-void Merges::done(Ms now, Names::iterator at) {
+void RunOnceJobs::done(Ms now, Names::iterator at) {
   const std::string duty = duty_of(at->first);
   names_.erase(at);
   duties_.pin(now, duty, false);
@@ -93,13 +93,13 @@
 }
 
 // Where the claim's state leads from here.
-void Merges::go_on(Ms now, Names::iterator at) {
+void RunOnceJobs::go_on(Ms now, Names::iterator at) {
   Name& n = at->second;
   if (n.step != Step::kSeeks) return;
   const std::string duty = duty_of(at->first);
-  const Claim* const claim = duties_.claim(duty);
-  const Merge merge = claim ? read_merge(claim->state) : Merge{};
-  using Stage = Merge::Stage;
+  const LeaseRecord* const claim = duties_.claim(duty);
+  const RunOnceJob merge = claim ? read_merge(claim->state) : RunOnceJob{};
+  using Stage = RunOnceJob::Stage;
   if (n.owes && (merge.stage != Stage::kBegun || merge.run != n.run)) n.owes = false;
   if (n.owes) {
     if (duties_.may_act(now, duty)) tell(now, at);
@@ -120,7 +120,7 @@
     answer_all(at, n.end);
     return tell(now, at);
   }
-  Merge begun;
+  RunOnceJob begun;
   begun.stage = Stage::kBegun;
   begun.run = n.run = (life_ << 16) + ++runs_;
   begun.statement = n.calls.front().statement;
@@ -130,11 +130,11 @@
     n.step = Step::kSeeks;
     return;
   }
-  if (planted(Flaw::kIntentAfterSend))
+  if (is_injected(InjectedBug::kIntentAfterSend))
     actions_.push_back({Action::Kind::kStart, at->first, n.calls.front().call, {}, 0});
 }
 
-void Merges::hear(Ms now, const Event& event) {
+void RunOnceJobs::handle(Ms now, const Event& event) {
   if (!event.duty.starts_with("merge:")) return;
   const auto at = names_.find(event.duty.substr(6));
   if (at == names_.end()) return;
@@ -148,7 +148,7 @@
     if (n.calls.empty()) return run_ended(now, at->first, End::kNeverRan, {});
     never_begun_.erase(n.run);
     n.runs_for = n.calls.front().call;
-    if (!planted(Flaw::kIntentAfterSend))
+    if (!is_injected(InjectedBug::kIntentAfterSend))
       actions_.push_back({Action::Kind::kStart, at->first, n.runs_for, {}, 0});
     return;
   }
@@ -161,7 +161,7 @@
 }
 
 // Whoever waits here is answered at once: the end is known, whatever becomes of the record.
-void Merges::run_ended(Ms now, const std::string& name, End end, std::string rows, Ms advice) {
+void RunOnceJobs::run_ended(Ms now, const std::string& name, End end, std::string rows, Ms advice) {
   const auto at = names_.find(name);
   if (at == names_.end()) return;
   Name& n = at->second;
@@ -176,9 +176,9 @@
     never_begun_.insert(n.run);
     return tell(now, at);
   }
-  n.end.stage = end == End::kAnswered ? Merge::Stage::kAnswered : Merge::Stage::kFailed;
+  n.end.stage = end == End::kAnswered ? RunOnceJob::Stage::kAnswered : RunOnceJob::Stage::kFailed;
   n.end.statement = n.calls.empty() ? 0 : n.calls.front().statement;
-  if (const Claim* const claim = duties_.claim(duty_of(name)))
+  if (const LeaseRecord* const claim = duties_.claim(duty_of(name)))
     n.end.statement = read_merge(claim->state).statement;
   n.end.rows = std::move(rows);
   answer_all(at, n.end);
@@ -186,12 +186,12 @@
   tell(now, at);
 }
 
-void Merges::tell(Ms now, Names::iterator at) {
+void RunOnceJobs::tell(Ms now, Names::iterator at) {
   Name& n = at->second;
   n.step = Step::kTells;
   n.owes = true;
   duties_.pin(now, duty_of(at->first), true);
-  if (duties_.state(now, duty_of(at->first), n.end.stage == Merge::Stage::kNone ? "" : written(n.end)))
+  if (duties_.state(now, duty_of(at->first), n.end.stage == RunOnceJob::Stage::kNone ? "" : written(n.end)))
     return;
   // The duty is lost. It is told if it comes back before another holder has taken it for one that may have
   // run.
@@ -199,12 +199,12 @@
   duties_.pin(now, duty_of(at->first), false);
 }
 
-bool Merges::runs() const {
+bool RunOnceJobs::runs() const {
   return std::any_of(names_.begin(), names_.end(),
                      [](const auto& n) { return n.second.step != Step::kSeeks; });
 }
 
-void Merges::due(Ms now) {
+void RunOnceJobs::due(Ms now) {
   std::vector<std::string> names;
   for (auto& [name, n] : names_) {
     const auto over = [now](const Waiting& w) { return w.until <= now; };
@@ -216,8 +216,8 @@
   for (const std::string& name : names) done(now, names_.find(name));
 }
 
-std::string Merges::digest() const {
-  record::Digest d;
+std::string RunOnceJobs::digest() const {
+  consensus::Digest d;
   for (const auto& [name, n] : names_) {
     d.add(name).add(static_cast<uint8_t>(n.step)).add(n.run).add(n.owes).add(n.calls.size());
     d.add(static_cast<uint8_t>(n.end.stage));
@@ -226,7 +226,7 @@
   return d.text();
 }
 
-Ms Merges::next_due() const {
+Ms RunOnceJobs::next_due() const {
   Ms next = 0;
   for (const auto& [name, n] : names_)
     for (const Waiting& w : n.calls)
@@ -234,4 +234,4 @@
   return next;
 }
 
-}  // namespace firvalve::duty
+}  // namespace firvalve::lease
--- a/src/duty/merges.h
+++ b/src/lease/run_once_jobs.h
@@ -16,24 +16,24 @@
 #include <string>
 #include <vector>
 
-#include "duty/duties.h"
+#include "lease/lease_manager.h"
 
-namespace firvalve::duty {
+namespace firvalve::lease {
 
-struct Merge {
+struct RunOnceJob {
   enum class Stage : uint8_t { kNone, kBegun, kAnswered, kFailed, kUnknown };
   Stage stage = Stage::kNone;
   uint64_t run = 0;        // of kBegun: no other attempt's
   uint64_t statement = 0;  // its hash: the same name stands for the same statement
   std::string rows;        // of kAnswered, where they are few
-  bool operator==(const Merge&) const = default;
+  bool operator==(const RunOnceJob&) const = default;
 };
-std::string written(const Merge& merge);
-Merge read_merge(std::string_view bytes);  // of no or foreign bytes: kUnknown, never kNone
+std::string written(const RunOnceJob& merge);
+RunOnceJob read_merge(std::string_view bytes);  // of no or foreign bytes: kUnknown, never kNone
 
 constexpr size_t kMergeRowsMost = 4096;  // bytes of rows kept in the record; longer ones go to who ran it
 
-class Merges {
+class RunOnceJobs {
  public:
   using Call = uint64_t;
   enum class End : uint8_t { kAnswered, kFailed, kNeverRan };
@@ -52,9 +52,9 @@
     Ms advice = 0;     // of kShed
   };
 
-  Merges(Duties& duties, uint64_t life) : duties_(duties), life_(life) {}
+  RunOnceJobs(LeaseManager& duties, uint64_t life) : duties_(duties), life_(life) {}
   // The same, over a copy of its duties.
-  Merges(const Merges& of, Duties& duties)
+  RunOnceJobs(const RunOnceJobs& of, LeaseManager& duties)
       : duties_(duties),
         life_(of.life_),
         runs_(of.runs_),
@@ -66,7 +66,7 @@
 
   void ask(Ms now, const std::string& name, Call call, uint64_t statement, Ms until);
   void gone(Ms now, Call call);  // its client waits no longer; what has begun goes on
-  void hear(Ms now, const Event& event);
+  void handle(Ms now, const Event& event);
   void run_ended(Ms now, const std::string& name, End end, std::string rows, Ms advice = 0);
   // This gateway ends: what it has not begun it does not begin, and who waits here for it is told at once.
   void leave();
@@ -89,17 +89,17 @@
     std::vector<Waiting> calls;
     uint64_t run = 0;
     Call runs_for = 0;
-    Merge end;
+    RunOnceJob end;
     bool owes = false;  // that end does not stand in the record yet
   };
   using Names = std::map<std::string, Name>;
 
   void go_on(Ms now, Names::iterator at);
-  void answer_all(Names::iterator at, const Merge& end);
+  void answer_all(Names::iterator at, const RunOnceJob& end);
   void done(Ms now, Names::iterator at);
   void tell(Ms now, Names::iterator at);
 
-  Duties& duties_;
+  LeaseManager& duties_;
   uint64_t life_ = 0, runs_ = 0;
   Names names_;
   bool leaving_ = false;
@@ -107,4 +107,4 @@
   std::vector<Action> actions_;
 };
 
-}  // namespace firvalve::duty
+}  // namespace firvalve::lease
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -11,7 +11,7 @@
 #include <cmath>
 #include <ctime>
 
-#include "index/monotonic_clock.h"
+#include "base/monotonic_clock.h"
 
 namespace firvalve::log {
 namespace {
@@ -56,7 +56,7 @@
   return line;
 }
 
-bool Bursts::hear(Ms now, const std::string& line) {
+bool Bursts::handle(Ms now, const std::string& line) {
   const auto at = seen_.find(line);
   if (at != seen_.end()) {
     ++at->second.unwritten;
@@ -109,7 +109,7 @@
   if (level < level_) return;
   std::string same(event);
   for (const Field& f : fields) same.append(" ").append(f.name).append("=").append(f.value);
-  if (!bursts_.hear(now, same)) {
+  if (!bursts_.handle(now, same)) {
     levels_[same] = level;
     return;
   }
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::log {
 
@@ -33,7 +33,7 @@
  public:
   explicit Bursts(Ms window) : window_(window) {}
   // False: the same has been written within the window; it is counted.
-  bool hear(Ms now, const std::string& line);
+  bool handle(Ms now, const std::string& line);
   // Lines whose window is over, with how often they came unwritten.
   std::vector<std::pair<std::string, uint64_t>> over(Ms now);
   Ms next_due() const;  // 0: nothing is due
--- a/src/net/clients.cpp
+++ b/src/net/client_server.cpp
@@ -1,4 +1,4 @@
-#include "net/clients.h"
+#include "net/client_server.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/StreamSocketImpl.h>
@@ -22,10 +22,10 @@
 constexpr Ms kLingerAtEnd = 150;  // the same of all clients, when the gateway itself ends
 }  // namespace
 
-class Clients::Connection : public Link {
+class ClientServer::ClientConnection : public Connection {
  public:
-  Connection(Clients& owner, const StreamSocket& socket)
-      : Link(owner.loop_, socket, Kind::kClient), owner_(owner), since_(loop_.now()) {
+  ClientConnection(ClientServer& owner, const StreamSocket& socket)
+      : Connection(owner.loop_, socket, Kind::kClient), owner_(owner), since_(loop_.now()) {
     if (owner.shelf_) peer_ = socket.peerAddress().host().toString();
   }
 
@@ -114,7 +114,7 @@
       if (read == proto::Read::kBroken) return break_off("broken framing");
       spoken_ = true;
       since_ = loop_.now();
-      hear(body);
+      handle(body);
       if (!open() || lingers()) return;
     }
   }
@@ -134,7 +134,7 @@
   void on_end(End end) override { finish(lingers() ? ConnectionEnd::kInGoodOrder : end_of(end)); }
 
  private:
-  void hear(std::span<char> body);
+  void handle(std::span<char> body);
   // Each adds to `out` what is answered at once.
   void refuse(const proto::RpcCall& call, std::string& out, int code, std::string_view why);
   bool may_open(const proto::RpcCall& call, std::string& out);
@@ -149,7 +149,7 @@
     owner_.open_[ref] = {this, id, std::string(key)};
   }
 
-  Clients& owner_;
+  ClientServer& owner_;
   proto::RpcFrames frames_;
   std::string peer_;     // the client's address, where results count against somebody's share
   bool spoken_ = false;  // a whole message has come
@@ -157,7 +157,7 @@
   Ms part_since_ = 0;    // a part of one has come; 0: none
 };
 
-void Clients::Connection::hear(std::span<char> body) {
+void ClientServer::ClientConnection::handle(std::span<char> body) {
   proto::RpcCall call = proto::read_call(body);
   std::string out;
   switch (call.kind) {
@@ -188,14 +188,14 @@
   if (!out.empty()) write(out);
 }
 
-void Clients::Connection::refuse(const proto::RpcCall& call, std::string& out, int code,
-                                 std::string_view why) {
+void ClientServer::ClientConnection::refuse(const proto::RpcCall& call, std::string& out, int code,
+                                            std::string_view why) {
   owner_.counters_.add("calls not understood");
   proto::append_error(out, call.id, call.has_id, code, why);
 }
 
 // Two calls under one number end the connection: no answer would tell which one it is for.
-bool Clients::Connection::may_open(const proto::RpcCall& call, std::string& out) {
+bool ClientServer::ClientConnection::may_open(const proto::RpcCall& call, std::string& out) {
   if (open_calls.size() >= proto::kRpcOpenMost) {
     refuse(call, out, proto::kRpcBadRequest, "too many open requests");
     return false;
@@ -208,7 +208,7 @@
 }
 
 // Only what came over this connection: nobody takes back another's command.
-void Clients::Connection::revoke(const proto::RpcCall& call) {
+void ClientServer::ClientConnection::revoke(const proto::RpcCall& call) {
   const auto at = open_calls.find(call.revoked);
   const CallRef ref = at != open_calls.end() ? at->second : owner_.core_->call_of(call.command);
   const auto open = owner_.open_.find(ref);
@@ -218,7 +218,7 @@
   owner_.gone(loop_.now(), ref);
 }
 
-bool Clients::Connection::names_fleet_call(const proto::RpcCall& call, std::string& out) {
+bool ClientServer::ClientConnection::names_fleet_call(const proto::RpcCall& call, std::string& out) {
   if (!owner_.fleet_) {
     refuse(call, out, proto::kRpcNoMethod, "no such method");
     return false;
@@ -230,17 +230,18 @@
   return true;
 }
 
-void Clients::Connection::ask_bulletin(const proto::RpcCall& call, std::string& out) {
+void ClientServer::ClientConnection::ask_bulletin(const proto::RpcCall& call, std::string& out) {
   if (!names_fleet_call(call, out) || !may_open(call, out)) return;
   const CallRef ref = ++owner_.last_call_;
   opened(ref, call.id);
-  owner_.fleet_->bulletin(loop_.now(), call.profile, call.name, call.statement, call.timeout,
-                          [&owner = owner_, ref](const FleetCalls::Told& told) { owner.reply(ref, told); });
+  owner_.fleet_->bulletin(
+      loop_.now(), call.profile, call.name, call.statement, call.timeout,
+      [&owner = owner_, ref](const ClusterRequests::ClusterReply& told) { owner.reply(ref, told); });
 }
 
-void Clients::Connection::take_command(proto::RpcCall& call, std::string& out) {
+void ClientServer::ClientConnection::take_command(proto::RpcCall& call, std::string& out) {
   if (!may_open(call, out)) return;
-  Asked asked;
+  CommandRequest asked;
   asked.command = call.command;
   asked.profile = call.profile;
   asked.tables = proto::table_group(call.statement);
@@ -264,25 +265,25 @@
     owner_.fleet_->merge(loop_.now(), ref, call.name, std::move(asked));
     return;
   }
-  switch (owner_.core_->take_in(loop_.now(), ref, std::move(asked))) {
-    case TakeIn::kTaken:
+  switch (owner_.core_->admit(loop_.now(), ref, std::move(asked))) {
+    case AdmissionResult::kTaken:
       return opened(ref, call.id, call.key);
-    case TakeIn::kFound:
+    case AdmissionResult::kFound:
       opened(ref, call.id, call.key);
       return owner_.answer_paged(ref, owner_.core_->found());
-    case TakeIn::kUnknownProfile:
+    case AdmissionResult::kUnknownProfile:
       return refuse(call, out, proto::kRpcNoMethod, "no such method");
-    case TakeIn::kOutOfRange:
+    case AdmissionResult::kOutOfRange:
       return refuse(call, out, proto::kRpcBadParams, "a figure is out of range");
-    case TakeIn::kNoRoom:
+    case AdmissionResult::kNoRoom:
       owner_.counters_.add("calls not taken for want of memory");
       return proto::append_error(out, call.id, true, proto::kRpcFailed, "failed");
-    case TakeIn::kNotNew:
+    case AdmissionResult::kNotNew:
       return refuse(call, out, proto::kRpcBadParams, "req is in hand already");
   }
 }
 
-void Clients::Connection::release_result(const proto::RpcCall& call, std::string& out) {
+void ClientServer::ClientConnection::release_result(const proto::RpcCall& call, std::string& out) {
   if (!owner_.shelf_) return refuse(call, out, proto::kRpcNoMethod, "no such method");
   if (owner_.shelf_->release(loop_.now(), call.token, call.key))
     proto::append_released(out, call.id);
@@ -290,18 +291,18 @@
     proto::append_error(out, call.id, true, proto::kRpcGone, "gone");
 }
 
-void Clients::Connection::read_page(const proto::RpcCall& call, std::string& out) {
+void ClientServer::ClientConnection::read_page(const proto::RpcCall& call, std::string& out) {
   if (!owner_.shelf_) return refuse(call, out, proto::kRpcNoMethod, "no such method");
   if (!may_open(call, out)) return;
   const CallRef ref = ++owner_.last_call_;
   opened(ref, call.id);
   owner_.counters_.add("pages asked for");
-  const auto reply = [&owner = owner_, ref, page = call.page](Ms, Shelf::Read what, std::string_view rows,
-                                                              uint64_t pages) {
+  const auto reply = [&owner = owner_, ref, page = call.page](Ms, ResultStore::Read what,
+                                                              std::string_view rows, uint64_t pages) {
     owner.reply(ref, [&](std::string& text, int64_t id) {
-      if (what == Shelf::Read::kRows)
+      if (what == ResultStore::Read::kRows)
         proto::append_page(text, id, page, pages, rows);
-      else if (what == Shelf::Read::kGone)
+      else if (what == ResultStore::Read::kGone)
         proto::append_error(text, id, true, proto::kRpcGone, "gone");
       else
         proto::append_error(text, id, true, proto::kRpcNoSuchPage, "no such page");
@@ -310,18 +311,18 @@
   owner_.shelf_->read(loop_.now(), call.token, call.key, call.page, reply);
 }
 
-Clients::Clients(Loop& loop, Counters& counters) : loop_(loop), counters_(counters) {}
+ClientServer::ClientServer(Loop& loop, Metrics& counters) : loop_(loop), counters_(counters) {}
 
-Clients::~Clients() { accept_on(false); }
+ClientServer::~ClientServer() { accept_on(false); }
 
-void Clients::accept_on(bool on) {
-  const Poco::NObserver<Clients, ReadableNotification> observer(*this, &Clients::on_accept);
+void ClientServer::accept_on(bool on) {
+  const Poco::NObserver<ClientServer, ReadableNotification> observer(*this, &ClientServer::on_accept);
   if (on != accepting_)
     on ? loop_.addEventHandler(listener_, observer) : loop_.removeEventHandler(listener_, observer);
   accepting_ = on;
 }
 
-void Clients::listen(const std::string& address, Core& core) {
+void ClientServer::listen(const std::string& address, Core& core) {
   core_ = &core;
   listener_.bind(SocketAddress(address), true);
   listener_.listen(1024);
@@ -329,19 +330,19 @@
   accept_on(true);
 }
 
-void Clients::due(Ms now) {
+void ClientServer::due(Ms now) {
   if (now < look_at_) return;
   look_at_ = now + kLook;
-  std::vector<Connection*> all;
+  std::vector<ClientConnection*> all;
   for (const auto& [key, connection] : connections_) all.push_back(key);
-  for (Connection* const connection : all)
+  for (ClientConnection* const connection : all)
     if (connection->open()) connection->look(now);
   if (!left_) accept_on(true);
 }
 
 // Whatever is in the system's hands by now is still taken and answered: connections not accepted yet, bytes
 // not read yet. The others are ended in good order. Only then is there nothing that the exit could lose.
-bool Clients::leave(Ms now) {
+bool ClientServer::leave(Ms now) {
   if (!left_) {
     accept_on(false);
     for (size_t before = SIZE_MAX; before != connections_.size(); accept()) before = connections_.size();
@@ -358,13 +359,13 @@
   return all && (connections_.empty() || now - leaving_since_ > kLingerAtEnd);
 }
 
-size_t Clients::unsent() const {
+size_t ClientServer::unsent() const {
   size_t all = 0;
   for (const auto& [key, connection] : connections_) all += connection->unsent();
   return all;
 }
 
-void Clients::accept() {
+void ClientServer::accept() {
   for (int i = 0; i < kAcceptAtOnce; ++i) {
     // Guards against a loop that spins on connections it has no descriptor for: they wait in the system
     // meanwhile.
@@ -375,31 +376,32 @@
       if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) accept_on(false);
       return;
     }
-    auto connection = std::make_unique<Connection>(*this, StreamSocket(new StreamSocketImpl(descriptor)));
-    Connection* const key = connection.get();
+    auto connection =
+        std::make_unique<ClientConnection>(*this, StreamSocket(new StreamSocketImpl(descriptor)));
+    ClientConnection* const key = connection.get();
     connections_[key] = std::move(connection);
     counters_.add("client connections");
   }
 }
 
-void Clients::gone(Ms now, CallRef call) {
+void ClientServer::gone(Ms now, CallRef call) {
   core_->client_gone(now, call);
   if (fleet_) fleet_->gone(now, call);
 }
 
-Clients::Connection* Clients::close_call(CallRef call, int64_t& id) {
+ClientServer::ClientConnection* ClientServer::close_call(CallRef call, int64_t& id) {
   const auto at = open_.find(call);
   if (at == open_.end()) return nullptr;
-  Connection* const connection = at->second.connection;
+  ClientConnection* const connection = at->second.connection;
   id = at->second.id;
   connection->open_calls.erase(id);
   open_.erase(at);
   return connection;
 }
 
-void Clients::reply(CallRef call, const std::function<void(std::string&, int64_t)>& append) {
+void ClientServer::reply(CallRef call, const std::function<void(std::string&, int64_t)>& append) {
   int64_t id = 0;
-  Connection* const connection = close_call(call, id);
+  ClientConnection* const connection = close_call(call, id);
   if (!connection) return;
   std::string out;
   append(out, id);
@@ -407,9 +409,9 @@
   if (connection->open()) connection->answered();
 }
 
-void Clients::reply(CallRef call, const FleetCalls::Told& told) {
+void ClientServer::reply(CallRef call, const ClusterRequests::ClusterReply& told) {
   reply(call, [&](std::string& out, int64_t id) {
-    using Kind = FleetCalls::Told::Kind;
+    using Kind = ClusterRequests::ClusterReply::Kind;
     switch (told.kind) {
       case Kind::kDone:
         return proto::append_json_result(out, id, told.text);
@@ -426,29 +428,29 @@
   });
 }
 
-void Clients::answer(CallRef call, std::string_view rows) {
+void ClientServer::answer(CallRef call, std::string_view rows) {
   reply(call, [&](std::string& out, int64_t id) { proto::append_result(out, id, rows); });
 }
 
-void Clients::shed(CallRef call, Ms advice) {
+void ClientServer::shed(CallRef call, Ms advice) {
   reply(call, [&](std::string& out, int64_t id) { proto::append_shed(out, id, advice); });
 }
 
-void Clients::fail(CallRef call, std::string_view why) {
+void ClientServer::fail(CallRef call, std::string_view why) {
   reply(call,
         [&](std::string& out, int64_t id) { proto::append_error(out, id, true, proto::kRpcFailed, why); });
 }
 
-void Clients::answer_paged(CallRef call, ShelfNo no) {
+void ClientServer::answer_paged(CallRef call, ResultHandle no) {
   const auto at = open_.find(call);
   if (at == open_.end()) return;
   const PagedAnswer paged = shelf_->answer(no);
   const std::string key = at->second.key;
   // Its first page may have to come from the disk.
   shelf_->read(loop_.now(), paged.token, key, 1,
-               [this, call, paged](Ms, Shelf::Read what, std::string_view rows, uint64_t) {
+               [this, call, paged](Ms, ResultStore::Read what, std::string_view rows, uint64_t) {
                  reply(call, [&](std::string& out, int64_t id) {
-                   what == Shelf::Read::kGone
+                   what == ResultStore::Read::kGone
                        ? proto::append_error(out, id, true, proto::kRpcFailed, "the result was lost")
                        : proto::append_paged(out, id, paged.token, paged.pages, paged.rows, rows);
                  });
--- a/src/net/clients.h
+++ b/src/net/client_server.h
@@ -6,18 +6,18 @@
 #include <map>
 #include <memory>
 
+#include "core/cluster_requests.h"
 #include "core/core.h"
-#include "core/fleet_calls.h"
+#include "net/connection.h"
 #include "net/connection_end.h"
-#include "net/link.h"
 #include "proto/jsonrpc/rpc.h"
 
 namespace firvalve::net {
 
-class Clients : public Front {
+class ClientServer : public ResponseSink {
  public:
-  Clients(Loop& loop, Counters& counters);
-  ~Clients() override;
+  ClientServer(Loop& loop, Metrics& counters);
+  ~ClientServer() override;
 
   void due(Ms now);  // ends connections that have had their time, and accepts again once there is room
   Ms next_due() const { return look_at_; }
@@ -26,20 +26,20 @@
   // once none is left that could lose anything; until then it is called again each turn.
   bool leave(Ms now);
 
-  void read_pages(Shelf& shelf) { shelf_ = &shelf; }
-  void ask_fleet(FleetCalls& fleet) { fleet_ = &fleet; }
+  void read_pages(ResultStore& shelf) { shelf_ = &shelf; }
+  void ask_fleet(ClusterRequests& fleet) { fleet_ = &fleet; }
   void observe(ConnectionObserver observer) { observer_ = std::move(observer); }
   void read_marks(bool on) { marks_ = on; }  // of repeats; the operator's wish
   void listen(const std::string& address, Core& core);
   void answer(CallRef call, std::string_view rows) override;
   void shed(CallRef call, Ms advice) override;
   void fail(CallRef call, std::string_view why) override;
-  void answer_paged(CallRef call, ShelfNo no) override;
+  void answer_paged(CallRef call, ResultHandle no) override;
 
  private:
-  class Connection;
+  class ClientConnection;
   struct Open {
-    Connection* connection = nullptr;
+    ClientConnection* connection = nullptr;
     int64_t id = 0;
     std::string key;  // that its pages are bound to
   };
@@ -48,20 +48,20 @@
   void on_accept(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { accept(); }
   void accept();
   void reply(CallRef call, const std::function<void(std::string&, int64_t)>& append);
-  void reply(CallRef call, const FleetCalls::Told& told);
-  Connection* close_call(CallRef call, int64_t& id);  // null: no such call
-  void gone(Ms now, CallRef call);                    // its client waits no longer
+  void reply(CallRef call, const ClusterRequests::ClusterReply& told);
+  ClientConnection* close_call(CallRef call, int64_t& id);  // null: no such call
+  void gone(Ms now, CallRef call);                          // its client waits no longer
 
   Loop& loop_;
-  Counters& counters_;
+  Metrics& counters_;
   Core* core_ = nullptr;
   ConnectionObserver observer_;
-  FleetCalls* fleet_ = nullptr;  // none: this gateway is in no fleet
-  Shelf* shelf_ = nullptr;       // none: there are no paged answers
+  ClusterRequests* fleet_ = nullptr;  // none: this gateway is in no fleet
+  ResultStore* shelf_ = nullptr;      // none: there are no paged answers
   Poco::Net::ServerSocket listener_;
   bool accepting_ = false, marks_ = false, left_ = false;
   Ms look_at_ = 0, leaving_since_ = 0;
-  std::map<Connection*, std::unique_ptr<Connection>> connections_;
+  std::map<ClientConnection*, std::unique_ptr<ClientConnection>> connections_;
   std::map<CallRef, Open> open_;
   CallRef last_call_ = 0;
 };
--- a/src/net/clock_watch.h
+++ b/src/net/clock_watch.h
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <optional>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::net {
 
--- a/src/net/link.cpp
+++ b/src/net/connection.cpp
@@ -1,4 +1,4 @@
-#include "net/link.h"
+#include "net/connection.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/NetException.h>
@@ -14,15 +14,16 @@
 constexpr size_t kReadAtOnce = 16 * 1024;  // bytes: several messages, little for a thousand connections
 }
 
-Link::Link(Loop& loop, const StreamSocket& up, Kind kind)
+Connection::Connection(Loop& loop, const StreamSocket& up, Kind kind)
     : loop_(loop), socket_(up), client_(kind == Kind::kClient), place_(loop.enter(*this)), up_(true) {
   socket_.setBlocking(false);
   if (kind != Kind::kLocal) socket_.setNoDelay(true);
-  loop_.addEventHandler(socket_, Poco::NObserver<Link, ErrorNotification>(*this, &Link::on_error));
+  loop_.addEventHandler(socket_,
+                        Poco::NObserver<Connection, ErrorNotification>(*this, &Connection::on_error));
   want(true, false);
 }
 
-Link::Link(Loop& loop, const SocketAddress& address) : loop_(loop), place_(loop.enter(*this)) {
+Connection::Connection(Loop& loop, const SocketAddress& address) : loop_(loop), place_(loop.enter(*this)) {
   try {
     socket_.connectNB(address);
     socket_.setNoDelay(true);
@@ -30,13 +31,14 @@
     refused_ = true;
   }
   if (refused_) return;
-  loop_.addEventHandler(socket_, Poco::NObserver<Link, ErrorNotification>(*this, &Link::on_error));
+  loop_.addEventHandler(socket_,
+                        Poco::NObserver<Connection, ErrorNotification>(*this, &Connection::on_error));
   want(false, true);
 }
 
-Link::~Link() { close(); }
+Connection::~Connection() { close(); }
 
-void Link::close() {
+void Connection::close() {
   if (!open_) return;
   open_ = false;
   loop_.buffered(buffered_, 0);
@@ -44,30 +46,31 @@
   loop_.leave(place_);
   if (!refused_) {
     if (reading_)
-      loop_.removeEventHandler(socket_,
-                               Poco::NObserver<Link, ReadableNotification>(*this, &Link::on_readable));
+      loop_.removeEventHandler(
+          socket_, Poco::NObserver<Connection, ReadableNotification>(*this, &Connection::on_readable));
     if (writing_)
-      loop_.removeEventHandler(socket_,
-                               Poco::NObserver<Link, WritableNotification>(*this, &Link::on_writable));
-    loop_.removeEventHandler(socket_, Poco::NObserver<Link, ErrorNotification>(*this, &Link::on_error));
+      loop_.removeEventHandler(
+          socket_, Poco::NObserver<Connection, WritableNotification>(*this, &Connection::on_writable));
+    loop_.removeEventHandler(socket_,
+                             Poco::NObserver<Connection, ErrorNotification>(*this, &Connection::on_error));
   }
   socket_.close();
 }
 
-void Link::account() {
+void Connection::account() {
   if (!open_) return;
   const size_t now = inbox_.space() + out_.capacity();
   loop_.buffered(buffered_, now);
   buffered_ = now;
 }
 
-bool Link::quiet() const {
+bool Connection::quiet() const {
   char byte;
   return ::recv(socket_.impl()->sockfd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
          (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-void Link::linger() {
+void Connection::linger() {
   if (!open_ || lingers_) return;
   lingers_ = true;
   loop_.yield(place_);
@@ -78,17 +81,17 @@
   if (unsent() == 0) end_stream();
 }
 
-void Link::end_stream() { ::shutdown(socket_.impl()->sockfd(), SHUT_WR); }
+void Connection::end_stream() { ::shutdown(socket_.impl()->sockfd(), SHUT_WR); }
 
 // Bounded a turn: a peer that sends without end must not keep the others waiting.
-void Link::discard() {
+void Connection::discard() {
   char bytes[kReadAtOnce];
   const ssize_t got = ::recv(socket_.impl()->sockfd(), bytes, sizeof bytes, 0);
   if (got == 0) return ended(End::kClosed);
   if (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) ended(End::kReset);
 }
 
-void Link::abort() {
+void Connection::abort() {
   if (open_ && up_) {
     const struct ::linger now { 1, 0 };
     ::setsockopt(socket_.impl()->sockfd(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -96,9 +99,9 @@
   close();
 }
 
-void Link::want(bool read, bool write) {
-  const Poco::NObserver<Link, ReadableNotification> reader(*this, &Link::on_readable);
-  const Poco::NObserver<Link, WritableNotification> writer(*this, &Link::on_writable);
+void Connection::want(bool read, bool write) {
+  const Poco::NObserver<Connection, ReadableNotification> reader(*this, &Connection::on_readable);
+  const Poco::NObserver<Connection, WritableNotification> writer(*this, &Connection::on_writable);
   if (read != reading_)
     read ? loop_.addEventHandler(socket_, reader) : loop_.removeEventHandler(socket_, reader);
   if (write != writing_)
@@ -106,29 +109,30 @@
   // Guards against a whole core spent on sockets that are always writable: the reactor (POCO 1.11) goes on
   // asking for what a removed handler wanted until a handler, even one it has, is added.
   if ((reading_ && !read) || (writing_ && !write))
-    loop_.addEventHandler(socket_, Poco::NObserver<Link, ErrorNotification>(*this, &Link::on_error));
+    loop_.addEventHandler(socket_,
+                          Poco::NObserver<Connection, ErrorNotification>(*this, &Connection::on_error));
   reading_ = read;
   writing_ = write;
 }
 
-void Link::read_on(bool on) {
+void Connection::read_on(bool on) {
   if (open_ && up_) want(on, writing_);
 }
 
-int Link::socket_error() {
+int Connection::socket_error() {
   int error = 0;
   socklen_t size = sizeof error;
   if (::getsockopt(socket_.impl()->sockfd(), SOL_SOCKET, SO_ERROR, &error, &size) != 0) return errno;
   return error;
 }
 
-void Link::ended(End end) {
+void Connection::ended(End end) {
   if (!open_) return;
   close();
   on_end(end);
 }
 
-void Link::on_error(const Poco::AutoPtr<ErrorNotification>&) {
+void Connection::on_error(const Poco::AutoPtr<ErrorNotification>&) {
   if (!open_) return;
   if (!up_) return ended(socket_error() == ECONNREFUSED ? End::kRefused : End::kReset);
   // What came before the reset is still read.
@@ -136,7 +140,7 @@
   if (open_ && socket_error() != 0) ended(End::kReset);
 }
 
-void Link::on_writable(const Poco::AutoPtr<WritableNotification>&) {
+void Connection::on_writable(const Poco::AutoPtr<WritableNotification>&) {
   if (!open_) return;
   if (!up_) {
     if (const int error = socket_error()) return ended(error == ECONNREFUSED ? End::kRefused : End::kReset);
@@ -148,7 +152,7 @@
   flush();
 }
 
-void Link::ready() {
+void Connection::ready() {
   if (!open_) return;
   if (!up_) return;
   if (lingers_) return discard();
@@ -169,14 +173,14 @@
   }
 }
 
-void Link::write(std::string_view bytes) {
+void Connection::write(std::string_view bytes) {
   if (!open_) return;
   out_ += bytes;
   if (up_ && !writing_) flush();
   account();
 }
 
-void Link::flush() {
+void Connection::flush() {
   while (open_ && out_sent_ < out_.size()) {
     const ssize_t sent =
         ::send(socket_.impl()->sockfd(), out_.data() + out_sent_, out_.size() - out_sent_, MSG_NOSIGNAL);
--- a/src/net/link.h
+++ b/src/net/connection.h
@@ -11,17 +11,17 @@
 
 namespace firvalve::net {
 
-class Link {
+class Connection {
  public:
   enum class End { kClosed, kReset, kRefused };
 
   enum class Kind { kTcp, kClient, kLocal };
 
-  Link(Loop& loop, const Poco::Net::StreamSocket& up, Kind kind = Kind::kTcp);  // accepted
-  Link(Loop& loop, const Poco::Net::SocketAddress& address);                    // to be connected
-  virtual ~Link();
-  Link(const Link&) = delete;
-  Link& operator=(const Link&) = delete;
+  Connection(Loop& loop, const Poco::Net::StreamSocket& up, Kind kind = Kind::kTcp);  // accepted
+  Connection(Loop& loop, const Poco::Net::SocketAddress& address);                    // to be connected
+  virtual ~Connection();
+  Connection(const Connection&) = delete;
+  Connection& operator=(const Connection&) = delete;
 
   bool from_client() const { return client_; }
   virtual bool spare() const { return false; }  // nothing depends on it: it may be ended to make room
--- a/src/net/connection_end.cpp
+++ b/src/net/connection_end.cpp
@@ -10,9 +10,9 @@
   return kNames[static_cast<size_t>(end)];
 }
 
-ConnectionEnd end_of(Link::End end) {
-  if (end == Link::End::kRefused) return ConnectionEnd::kRefused;
-  return end == Link::End::kReset ? ConnectionEnd::kReset : ConnectionEnd::kClosedByPeer;
+ConnectionEnd end_of(Connection::End end) {
+  if (end == Connection::End::kRefused) return ConnectionEnd::kRefused;
+  return end == Connection::End::kReset ? ConnectionEnd::kReset : ConnectionEnd::kClosedByPeer;
 }
 
 }  // namespace firvalve::net
--- a/src/net/connection_end.h
+++ b/src/net/connection_end.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <string_view>
 
-#include "net/link.h"
+#include "net/connection.h"
 
 namespace firvalve::net {
 
@@ -27,7 +27,7 @@
 std::string_view name_of(ConnectionEnd end);
 
 // The end as the socket told it.
-ConnectionEnd end_of(Link::End end);
+ConnectionEnd end_of(Connection::End end);
 
 struct ConnectionEnded {
   ConnectionEnd why = ConnectionEnd::kClosedByPeer;
--- a/src/net/bus.cpp
+++ b/src/net/endpoint_watcher.cpp
@@ -1,4 +1,4 @@
-#include "net/bus.h"
+#include "net/endpoint_watcher.h"
 
 #include <Poco/Net/NetException.h>
 
@@ -6,16 +6,16 @@
 
 namespace firvalve::net {
 
-class Bus::Connection : public Link {
+class EndpointWatcher::WatchConnection : public Connection {
  public:
-  Connection(Bus& owner, const Poco::Net::SocketAddress& address)
-      : Link(owner.loop_, address), owner_(owner) {}
+  WatchConnection(EndpointWatcher& owner, const Poco::Net::SocketAddress& address)
+      : Connection(owner.loop_, address), owner_(owner) {}
 
  protected:
   void on_up() override {
     write(proto::bus_request(owner_.last_));
     owner_.listen(loop_.now());
-    owner_.tell(loop_.now(), BusChange::Kind::kConnected);
+    owner_.tell(loop_.now(), EndpointChange::Kind::kConnected);
   }
   void on_bytes() override {
     const Ms now = loop_.now();
@@ -24,14 +24,14 @@
       const proto::Read read = proto::next_line(inbox_, line);
       if (read == proto::Read::kMore) return;
       if (read == proto::Read::kBroken) return owner_.lost(now, ConnectionEnd::kUnreadable);
-      owner_.hear(now, line);
+      owner_.handle(now, line);
       if (!open()) return;
     }
   }
   void on_end(End end) override { owner_.lost(loop_.now(), end_of(end)); }
 
  private:
-  Bus& owner_;
+  EndpointWatcher& owner_;
 };
 
 namespace {
@@ -40,12 +40,12 @@
 constexpr Ms kAgainMost = 1000;   // between attempts to reach it
 constexpr Ms kMoveSpread = 1000;  // over which the gateways go where a new configuration sends them
 
-BusChange change_of(const proto::BusEvent& event, std::string_view address) {
-  BusChange change{BusChange::Kind::kListTaken, address, {}, event.offset};
+EndpointChange change_of(const proto::BusEvent& event, std::string_view address) {
+  EndpointChange change{EndpointChange::Kind::kListTaken, address, {}, event.offset};
   for (const proto::BusListing& l : event.listings) {
-    change.serving += l.listing.life == Life::kReady;
-    change.draining += l.listing.life == Life::kDraining;
-    change.gone += l.listing.life == Life::kGone;
+    change.serving += l.listing.life == EngineState::kReady;
+    change.draining += l.listing.life == EngineState::kDraining;
+    change.gone += l.listing.life == EngineState::kGone;
   }
   return change;
 }
@@ -54,7 +54,8 @@
 // A fleet that starts together does not come to the bus in one moment. But what a gateway knows at its start
 // may be long out of date, and what the bus would have told counts as told: it is asked well within the grace
 // for drains, whatever the time for a connection is.
-Bus::Bus(Loop& loop, Counters& counters, std::string address, Ms connect_most, Ms first_within, uint64_t seed)
+EndpointWatcher::EndpointWatcher(Loop& loop, Metrics& counters, std::string address, Ms connect_most,
+                                 Ms first_within, uint64_t seed)
     : loop_(loop),
       counters_(counters),
       address_(std::move(address)),
@@ -62,16 +63,16 @@
       backoff_(connect_most, kAgainMost, seed) {
   due_at_ = loop_.now() + backoff_.spread(std::min(connect_most_, first_within));
 }
-Bus::~Bus() = default;
+EndpointWatcher::~EndpointWatcher() = default;
 
 void tell_roster(Core& core, Ms now, proto::BusEvent event, Ms current_at) {
-  std::vector<NamedListing> listings;
+  std::vector<NamedEngineInfo> listings;
   for (proto::BusListing& l : event.listings)
     listings.push_back({std::move(l.name), std::move(l.address), std::move(l.listing)});
   core.roster(now, event.full, std::move(listings), current_at);
 }
 
-void Bus::hear(Ms now, std::span<char> line) {
+void EndpointWatcher::handle(Ms now, std::span<char> line) {
   auto event = proto::read_bus_line(line);
   if (!event) {
     counters_.add("bus lines unreadable");
@@ -89,45 +90,45 @@
   tell_roster(*core_, now, std::move(*event), current_at_);
 }
 
-void Bus::tell(Ms now, BusChange::Kind kind, ConnectionEnd why) const {
+void EndpointWatcher::tell(Ms now, EndpointChange::Kind kind, ConnectionEnd why) const {
   if (on_change) on_change(now, {kind, address_, why, last_});
 }
 
-void Bus::lost(Ms now, ConnectionEnd why) {
+void EndpointWatcher::lost(Ms now, ConnectionEnd why) {
   if (!link_) return;
   leave();
-  tell(now, BusChange::Kind::kLost, why);
+  tell(now, EndpointChange::Kind::kLost, why);
   counters_.add("bus connections lost");
   if (!moving_) due_at_ = now + backoff_.next_delay();
 }
 
-void Bus::listen(Ms now) {
+void EndpointWatcher::listen(Ms now) {
   if (!moving_) due_at_ = now + proto::kBusSilence;
 }
 
-void Bus::leave() {
+void EndpointWatcher::leave() {
   if (!link_) return;
   link_->close();
   loop_.bury(std::move(link_));
 }
 
-void Bus::move(Ms now, std::string address) {
+void EndpointWatcher::move(Ms now, std::string address) {
   if (address == address_) return;
   address_ = std::move(address);
   // Guards against configurations in a row that would each put the move off: the first one's moment stands.
   if (!moving_) due_at_ = now + backoff_.spread(kMoveSpread);
   moving_ = true;
-  tell(now, BusChange::Kind::kMoveDue);
+  tell(now, EndpointChange::Kind::kMoveDue);
 }
 
-void Bus::due(Ms now) {
+void EndpointWatcher::due(Ms now) {
   if (now < due_at_) return;
   if (link_ && !moving_)
     return lost(now, link_->up() ? ConnectionEnd::kSilent : ConnectionEnd::kConnectTimeout);
   moving_ = false;
   leave();
   try {
-    link_ = std::make_unique<Connection>(*this, Poco::Net::SocketAddress(address_));
+    link_ = std::make_unique<WatchConnection>(*this, Poco::Net::SocketAddress(address_));
   } catch (const Poco::Exception&) {
     counters_.add("bus connections lost");
   }
--- a/src/net/engines.cpp
+++ b/src/net/engine_connections.cpp
@@ -1,4 +1,4 @@
-#include "net/engines.h"
+#include "net/engine_connections.h"
 
 #include <Poco/Net/NetException.h>
 
@@ -14,10 +14,10 @@
 constexpr Ms kWaySlack = 100;            // past a time that the protocol states: for the way there and back
 }  // namespace
 
-class Engines::Connection : public Link {
+class EngineConnections::EngineConnection : public Connection {
  public:
-  Connection(Engines& owner, uint32_t engine, const std::string& host)
-      : Link(owner.loop_, Poco::Net::SocketAddress(host)),
+  EngineConnection(EngineConnections& owner, uint32_t engine, const std::string& host)
+      : Connection(owner.loop_, Poco::Net::SocketAddress(host)),
         engine(engine),
         host(host),
         reader(owner.page_most_),
@@ -55,22 +55,22 @@
     // A second copy of such a word that is still on its way would be taken for the answer to the next start.
     answer.keeps &= answer.status != 0 && behind.empty() && !answer.not_begun;
     reader.reset();
-    owner_.hear(*this, answer);
+    owner_.handle(*this, answer);
   }
   void on_end(End end) override { owner_.lost(*this, end_of(end)); }
 
  private:
-  Engines& owner_;
+  EngineConnections& owner_;
 };
 
-Engines::Engines(Loop& loop, Counters& counters, Times times)
+EngineConnections::EngineConnections(Loop& loop, Metrics& counters, Times times)
     : loop_(loop), counters_(counters), times_(times) {}
-Engines::~Engines() = default;
+EngineConnections::~EngineConnections() = default;
 
 // An engine that has gone keeps its address, until that is another's, and its connections for what still runs
 // there: it takes no new ones.
-void Engines::list(Ms, uint32_t engine, std::string_view address, Life life) {
-  const bool gone = life == Life::kGone;
+void EngineConnections::list(Ms, uint32_t engine, std::string_view address, EngineState life) {
+  const bool gone = life == EngineState::kGone;
   if (Pool& had = pools_[engine]; gone ? had.sends == 0 : had.address != address) drop_idle(engine);
   Pool& pool = pools_[engine];
   pool.gone = gone;
@@ -84,25 +84,25 @@
   at->second = engine;
 }
 
-void Engines::release_address(uint32_t engine, Pool& pool) {
+void EngineConnections::release_address(uint32_t engine, Pool& pool) {
   const auto at = engine_at_.find(pool.address);
   if (at != engine_at_.end() && at->second == engine) engine_at_.erase(at);
   pool.address.clear();
 }
 
-void Engines::forget(uint32_t engine) {
+void EngineConnections::forget(uint32_t engine) {
   const auto at = pools_.find(engine);
   if (at == pools_.end() || !at->second.gone || at->second.sends > 0 || !at->second.links.empty()) return;
   release_address(engine, at->second);
   pools_.erase(at);
 }
 
-Engines::Connection* Engines::link_to(uint32_t engine, Ms now) {
+EngineConnections::EngineConnection* EngineConnections::link_to(uint32_t engine, Ms now) {
   const auto at = pools_.find(engine);
   if (at == pools_.end()) return nullptr;
   // The one that has rested longest, so that whatever may still follow its last answer has come by now.
   while (!at->second.idle.empty()) {
-    Connection* const link = at->second.idle.front();
+    EngineConnection* const link = at->second.idle.front();
     if (!link->quiet()) {
       drop(*link, ConnectionEnd::kClosedByPeer);
       continue;
@@ -116,8 +116,8 @@
     return nullptr;
   }
   try {
-    auto link = std::make_unique<Connection>(*this, engine, at->second.address);
-    Connection* const key = link.get();
+    auto link = std::make_unique<EngineConnection>(*this, engine, at->second.address);
+    EngineConnection* const key = link.get();
     begin(*key, now);
     at->second.links[key] = std::move(link);
     counters_.add("engine connections");
@@ -129,7 +129,7 @@
 
 // Guards against a send that comes to its engine after its final answer: bytes for a machine that is cut off
 // wait in the system and would go out when it is back, even from a closed connection.
-void Engines::drop(Connection& link, ConnectionEnd why) {
+void EngineConnections::drop(EngineConnection& link, ConnectionEnd why) {
   link.task == Task::kIdle ? link.close() : link.abort();
   const auto pool = pools_.find(link.engine);
   if (pool == pools_.end()) return;  // dropped before, as is what has no place in it any longer
@@ -143,18 +143,19 @@
   forget(link.engine);
 }
 
-void Engines::drop_idle(uint32_t engine) {
-  const std::vector<Connection*> idle = pools_.at(engine).idle;  // the pool may end with the last of them
-  for (Connection* const link : idle) drop(*link, ConnectionEnd::kNotListed);
+void EngineConnections::drop_idle(uint32_t engine) {
+  const std::vector<EngineConnection*> idle =
+      pools_.at(engine).idle;  // the pool may end with the last of them
+  for (EngineConnection* const link : idle) drop(*link, ConnectionEnd::kNotListed);
 }
 
 // A new task, or a new call of one, with its own time.
-void Engines::begin(Connection& link, Ms now) {
+void EngineConnections::begin(EngineConnection& link, Ms now) {
   link.since = now;
   look_at_ = sooner(look_at_, ends_at(link));
 }
 
-void Engines::rest(Connection& link, Ms now) {
+void EngineConnections::rest(EngineConnection& link, Ms now) {
   link.task = Task::kIdle;
   link.send = 0;
   begin(link, now);
@@ -165,12 +166,12 @@
     if (send.refused_since > 0 && send.order.engine == link.engine) look_at_ = now;
 }
 
-void Engines::start(Ms now, const Order& order) {
+void EngineConnections::start(Ms now, const AttemptRequest& order) {
   Send& send = sends_[order.send];
   send.query = order.paged ? proto::Query(SIZE_MAX, kPagedMost) : proto::Query();
   send.order = order;
   pools_[order.engine].sends += 1;
-  Connection* const link = link_to(order.engine, now);
+  EngineConnection* const link = link_to(order.engine, now);
   // For want of a descriptor nothing has begun, and the engine is not to blame.
   if (!link)
     return end(order.send,
@@ -178,7 +179,7 @@
   give(*link, order.send, send, now);
 }
 
-void Engines::give(Connection& link, uint64_t id, Send& send, Ms now) {
+void EngineConnections::give(EngineConnection& link, uint64_t id, Send& send, Ms now) {
   send.on = &link;
   link.task = Task::kSend;
   link.send = id;
@@ -186,7 +187,7 @@
   if (link.up()) carry(link, now);
 }
 
-void Engines::carry(Connection& link, Ms now) {
+void EngineConnections::carry(EngineConnection& link, Ms now) {
   if (link.task == Task::kErrand) {
     begin(link, now);
     return link.write(link.call);
@@ -206,7 +207,7 @@
     end(link.send, Outcome::kMoot);
     return rest(link, now);
   } else {
-    const Order& o = send.order;
+    const AttemptRequest& o = send.order;
     proto::append_start(call, {o.command, o.profile, o.statement, host, o.until - now, o.priority});
     send.begun = true;
   }
@@ -216,15 +217,15 @@
   send.told |= link.unsent() == 0;
 }
 
-void Engines::ask(uint64_t id, Ms now) {
+void EngineConnections::ask(uint64_t id, Ms now) {
   Send& send = sends_.at(id);
   send.ask_at = 0;
-  Connection* const link = link_to(send.order.engine, now);
+  EngineConnection* const link = link_to(send.order.engine, now);
   if (!link) return ask_past_refusal(id, now);
   send.ends_at > 0 ? errand(*link, id, {}, true, now) : give(*link, id, send, now);
 }
 
-Ms Engines::unasked_end(const Send& send) {
+Ms EngineConnections::unasked_end(const Send& send) {
   return send.asked_at + proto::kNewsWait + proto::kUnaskedMost + kWaySlack;
 }
 
@@ -233,7 +234,7 @@
 // has died is not to be told, so nothing ends by a refusal: it is asked over the first connection to it that
 // comes free, or over a new one at growing intervals, until a query unasked for has ended by itself. Where
 // the engine did die, that costs its commands this time before they go elsewhere.
-void Engines::ask_past_refusal(uint64_t id, Ms now) {
+void EngineConnections::ask_past_refusal(uint64_t id, Ms now) {
   Send& send = sends_.at(id);
   const Ms over = send.ends_at > 0 ? send.ends_at : unasked_end(send);
   if (now >= over) return end(id, send.ends_at > 0 ? send.as : Outcome::kReset);
@@ -241,7 +242,7 @@
   ask_later(send, now, std::min(over - now, std::max(proto::kNewsWait, now - send.refused_since)));
 }
 
-void Engines::ask_later(Send& send, Ms now, Ms wait) {
+void EngineConnections::ask_later(Send& send, Ms now, Ms wait) {
   send.ask_at = now + wait;
   look_at_ = sooner(look_at_, send.ask_at);
 }
@@ -251,7 +252,7 @@
 // due. Where an engine has gone silent that costs a connection each time, until the module or the client
 // gives the send up; where all its answers stay spoilt for as long as an unasked query lives, it is given up
 // here.
-void Engines::ask_again(uint64_t id, Ms now) {
+void EngineConnections::ask_again(uint64_t id, Ms now) {
   Send& send = sends_.at(id);
   send.on = nullptr;
   counters_.add("asked again on another connection");
@@ -262,7 +263,7 @@
   ask_later(send, now);
 }
 
-void Engines::hear(Connection& link, const proto::HttpAnswer& answer) {
+void EngineConnections::handle(EngineConnection& link, const proto::HttpAnswer& answer) {
   const Ms now = loop_.now();
   const uint64_t id = link.send;
   const Task task = link.task;
@@ -272,12 +273,12 @@
     Send& send = sends_.at(id);
     send.told = true;
     send.refused_since = 0;
-    const proto::Query::Step step = send.query.hear(answer, link.starts);
+    const proto::Query::Step step = send.query.handle(answer, link.starts);
     if (step.noted) core_->noted(now, id, step.note, step.value);
     bool slow = false;
     if (send.order.paged && send.query.has_rows()) {
-      const Shelf::Put put = core_->page(now, id, send.query.take_rows());
-      if (put == Shelf::Put::kOutgrown) {
+      const ResultStore::Put put = core_->page(now, id, send.query.take_rows());
+      if (put == ResultStore::Put::kOutgrown) {
         // The query ends here; the core has told its clients, and the module withdraws a send that is no
         // more.
         send.on = nullptr;
@@ -285,7 +286,7 @@
         end(id, Outcome::kCancelled);
         return keeps ? rest(link, now) : drop(link, not_kept);
       }
-      slow = put == Shelf::Put::kSlow;
+      slow = put == ResultStore::Put::kSlow;
     }
     if (step.next == proto::Query::Next::kAsk && slow) {
       send.spoilt_since = 0;
@@ -324,7 +325,7 @@
 // A connection has ended, or its call has had no answer in its time. What that proves: one that never came
 // up, or took only part of the start, has begun nothing. Else the query may run on, whatever becomes of the
 // connections that ask for it.
-void Engines::lost(Connection& link, ConnectionEnd why) {
+void EngineConnections::lost(EngineConnection& link, ConnectionEnd why) {
   const Ms now = loop_.now();
   const uint64_t id = link.send;
   const Task task = link.task;
@@ -342,13 +343,13 @@
   refused ? ask_past_refusal(id, now) : ask_again(id, now);
 }
 
-void Engines::withdraw(Ms now, uint64_t id, Outcome as) {
+void EngineConnections::withdraw(Ms now, uint64_t id, Outcome as) {
   const auto at = sends_.find(id);
   if (at == sends_.end() || (at->second.ends_at > 0 && as == Outcome::kCancelled)) return;
   Send& send = at->second;
   const bool begun = send.begun;
   if (send.on) {
-    Connection& link = *send.on;
+    EngineConnection& link = *send.on;
     send.on = nullptr;
     // Nothing else may use it before the answer to its last call has come.
     link.task = Task::kDiscard;
@@ -358,15 +359,15 @@
   if (!begun) return end(id, as == Outcome::kCancelled ? Outcome::kMoot : as);
   if (as == Outcome::kCancelled) return give_up(id, as, now);
   // Guards engines against commands that nobody waits for: one that runs when its client's time is over runs
-  // on and keeps its place, and many gateways' together fill every engine. Told once, and nothing waits for
-  // it: without the word a query ends unasked.
+  // on and keeps its place, and many gateways' together fill every engine. ClusterReply once, and nothing
+  // waits for it: without the word a query ends unasked.
   if (send.order.may_cancel) errand(id, {}, now);
   end(id, as);
 }
 
 // The engine is told, and the send ends with its word, or at the latest when nobody has asked for the query
 // for as long as one lives unasked: it may run on until then.
-void Engines::give_up(uint64_t id, Outcome as, Ms now) {
+void EngineConnections::give_up(uint64_t id, Outcome as, Ms now) {
   Send& send = sends_.at(id);
   send.as = as;
   send.ask_at = 0;
@@ -375,7 +376,7 @@
   ask(id, now);
 }
 
-void Engines::rank(Ms now, uint64_t id, int priority) {
+void EngineConnections::rank(Ms now, uint64_t id, int priority) {
   const auto at = sends_.find(id);
   if (at == sends_.end()) return;
   at->second.order.priority = priority;
@@ -386,12 +387,13 @@
   errand(id, std::move(call), now);
 }
 
-void Engines::errand(uint64_t id, std::string call, Ms now) {
-  if (Connection* const link = link_to(sends_.at(id).order.engine, now))
+void EngineConnections::errand(uint64_t id, std::string call, Ms now) {
+  if (EngineConnection* const link = link_to(sends_.at(id).order.engine, now))
     errand(*link, id, std::move(call), false, now);
 }
 
-void Engines::errand(Connection& link, uint64_t id, std::string call, bool ends_send, Ms now) {
+void EngineConnections::errand(EngineConnection& link, uint64_t id, std::string call, bool ends_send,
+                               Ms now) {
   if (call.empty()) proto::append_give_up(call, sends_.at(id).order.command, link.host);
   link.task = Task::kErrand;
   link.send = id;
@@ -401,11 +403,11 @@
   if (link.up()) carry(link, now);
 }
 
-void Engines::end(uint64_t id, Outcome outcome, std::string rows) {
+void EngineConnections::end(uint64_t id, Outcome outcome, std::string rows) {
   const auto at = sends_.find(id);
   if (at == sends_.end()) return;
   const uint32_t engine = at->second.order.engine;
-  if (Connection* const link = at->second.on) drop(*link, ConnectionEnd::kAttemptOver);
+  if (EngineConnection* const link = at->second.on) drop(*link, ConnectionEnd::kAttemptOver);
   sends_.erase(at);
   Pool& pool = pools_.at(engine);
   pool.sends -= 1;
@@ -415,7 +417,7 @@
 }
 
 // Ends what has run out of time, and asks for what is to be asked for again.
-void Engines::look(Ms now) {
+void EngineConnections::look(Ms now) {
   look_at_ = 0;
   std::vector<uint64_t> ended, asked;
   for (const auto& [id, send] : sends_) {
@@ -428,30 +430,30 @@
   for (const uint64_t id : ended) end(id, sends_.at(id).as);
   for (const uint64_t id : asked)
     if (sends_.count(id)) ask(id, now);
-  std::vector<Connection*> late;
+  std::vector<EngineConnection*> late;
   for (auto& [engine, pool] : pools_)
     for (const auto& [link, owned] : pool.links) {
       const Ms at = ends_at(*link);
       if (at > 0 && now >= at) late.push_back(link);
       if (at > now) look_at_ = sooner(look_at_, at);
     }
-  for (Connection* const link : late) lost(*link, why_late(*link));
+  for (EngineConnection* const link : late) lost(*link, why_late(*link));
 }
 
-ConnectionEnd Engines::why_late(const Connection& link) {
+ConnectionEnd EngineConnections::why_late(const EngineConnection& link) {
   if (link.refused()) return ConnectionEnd::kRefused;
   if (!link.up()) return ConnectionEnd::kConnectTimeout;
   return link.task == Task::kIdle ? ConnectionEnd::kIdle : ConnectionEnd::kNoAnswer;
 }
 
-Ms Engines::ends_at(const Connection& link) const {
+Ms EngineConnections::ends_at(const EngineConnection& link) const {
   if (!link.up()) return link.since + (link.refused() ? 0 : times_.connect);
   if (link.task == Task::kIdle)
     return link.since + times_.idle - std::min(kIdleSlack, kIdlePart * times_.idle);
   return link.since + (link.task == Task::kDiscard ? proto::kUnaskedMost : proto::kNewsWait + kWaySlack);
 }
 
-void Engines::due(Ms now) {
+void EngineConnections::due(Ms now) {
   if (look_at_ > 0 && now >= look_at_) look(now);
   telling_.swap(endings_);
   for (Ending& e : telling_) core_->ended(now, e.send, e.outcome, std::move(e.rows));
--- a/src/net/engines.h
+++ b/src/net/engine_connections.h
@@ -6,42 +6,42 @@
 #include <vector>
 
 #include "core/core.h"
+#include "net/connection.h"
 #include "net/connection_end.h"
-#include "net/link.h"
 #include "proto/store/query.h"
 
 namespace firvalve::net {
 
-class Engines : public Back {
+class EngineConnections : public EngineTransport {
  public:
   struct Times {
     Ms connect = 0, idle = 0;  // until a connection must be up; until the engine closes an idle one
   };
   // Bytes of a page; the platform's own figure unless the operator's file states another. What a paged result
   // may have, the shelf decides.
-  Engines(Loop& loop, Counters& counters, Times times);
+  EngineConnections(Loop& loop, Metrics& counters, Times times);
   void limit_page(size_t bytes) { page_most_ = bytes; }
-  ~Engines() override;
+  ~EngineConnections() override;
 
   void serve(Core& core) { core_ = &core; }
   void observe(ConnectionObserver observer) { observer_ = std::move(observer); }
-  void start(Ms now, const Order& order) override;
+  void start(Ms now, const AttemptRequest& order) override;
   void withdraw(Ms now, uint64_t send, Outcome as) override;
   void rank(Ms now, uint64_t send, int priority) override;
-  void list(Ms now, uint32_t engine, std::string_view address, Life life) override;
+  void list(Ms now, uint32_t engine, std::string_view address, EngineState life) override;
 
   void due(Ms now);  // ends what has run out of time, and tells the core of what has ended
   Ms next_due() const { return endings_.empty() ? look_at_ : 1; }  // 0: nothing is due; 1: at once
 
  private:
-  class Connection;
+  class EngineConnection;
   enum class Task { kIdle, kSend, kErrand, kDiscard };
   struct Send {
-    Order order;
+    AttemptRequest order;
     proto::Query query;
-    Connection* on = nullptr;  // the connection that starts it or asks for its news
-    bool begun = false;        // some of its start has been handed to a connection that is up
-    bool told = false;         // all of it: it may have run
+    EngineConnection* on = nullptr;  // the connection that starts it or asks for its news
+    bool begun = false;              // some of its start has been handed to a connection that is up
+    bool told = false;               // all of it: it may have run
     Outcome as = Outcome::kCancelled;
     Ms asked_at = 0;                  // the last call for it that may have come to its engine
     Ms spoilt_since = 0, ask_at = 0;  // 0: not so; when to ask again, 0: not by itself
@@ -52,8 +52,8 @@
     std::string address;  // empty: it belongs to another engine by now
     bool gone = false;
     int sends = 0;
-    std::map<Connection*, std::unique_ptr<Connection>> links;
-    std::vector<Connection*> idle;  // the one that has rested longest first
+    std::map<EngineConnection*, std::unique_ptr<EngineConnection>> links;
+    std::vector<EngineConnection*> idle;  // the one that has rested longest first
   };
   struct Ending {
     uint64_t send = 0;
@@ -61,24 +61,24 @@
     std::string rows;
   };
 
-  Connection* link_to(uint32_t engine, Ms now);  // idle or new; null: none can be had
-  static Ms unasked_end(const Send& send);       // it has ended by then, unless it is asked for again
-  void drop(Connection& link, ConnectionEnd why);
+  EngineConnection* link_to(uint32_t engine, Ms now);  // idle or new; null: none can be had
+  static Ms unasked_end(const Send& send);             // it has ended by then, unless it is asked for again
+  void drop(EngineConnection& link, ConnectionEnd why);
   void drop_idle(uint32_t engine);
-  void rest(Connection& link, Ms now);
-  void carry(Connection& link, Ms now);  // the link is up: what it is for goes out
-  void hear(Connection& link, const proto::HttpAnswer& answer);
-  void lost(Connection& link, ConnectionEnd why);
-  static ConnectionEnd why_late(const Connection& link);
-  void begin(Connection& link, Ms now);
-  Ms ends_at(const Connection& link) const;  // 0: not by itself
+  void rest(EngineConnection& link, Ms now);
+  void carry(EngineConnection& link, Ms now);  // the link is up: what it is for goes out
+  void handle(EngineConnection& link, const proto::HttpAnswer& answer);
+  void lost(EngineConnection& link, ConnectionEnd why);
+  static ConnectionEnd why_late(const EngineConnection& link);
+  void begin(EngineConnection& link, Ms now);
+  Ms ends_at(const EngineConnection& link) const;  // 0: not by itself
   void look(Ms now);
-  void give(Connection& link, uint64_t id, Send& send, Ms now);
+  void give(EngineConnection& link, uint64_t id, Send& send, Ms now);
   void ask(uint64_t id, Ms now);  // for its news, or that it be given up
   void ask_past_refusal(uint64_t id, Ms now);
   void ask_again(uint64_t id, Ms now);
   void ask_later(Send& send, Ms now, Ms wait = proto::kNewsWait);
-  void errand(Connection& link, uint64_t send, std::string call, bool ends_send, Ms now);
+  void errand(EngineConnection& link, uint64_t send, std::string call, bool ends_send, Ms now);
   void errand(uint64_t send, std::string call, Ms now);  // one that nothing waits for
   void give_up(uint64_t id, Outcome as, Ms now);
   void end(uint64_t send, Outcome outcome, std::string rows = {});
@@ -86,7 +86,7 @@
   void forget(uint32_t engine);  // once it has gone and nothing of it is left
 
   Loop& loop_;
-  Counters& counters_;
+  Metrics& counters_;
   Times times_;
   size_t page_most_ = proto::kHttpBodyMost;
   Core* core_ = nullptr;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -2,8 +2,8 @@
 
 #include <cmath>
 
-#include "index/monotonic_clock.h"
-#include "net/link.h"
+#include "base/monotonic_clock.h"
+#include "net/connection.h"
 
 namespace firvalve::net {
 
@@ -20,7 +20,7 @@
   most_bytes_ = bytes;
 }
 
-Loop::Place Loop::enter(Link& link) {
+Loop::Place Loop::enter(Connection& link) {
   clients_ += link.from_client();
   return links_.insert(links_.end(), &link);
 }
@@ -30,8 +30,8 @@
   links_.erase(place);
 }
 
-Link* Loop::idlest(bool clients_alone, bool with_bytes, bool spare_alone) const {
-  for (Link* const link : links_)
+Connection* Loop::idlest(bool clients_alone, bool with_bytes, bool spare_alone) const {
+  for (Connection* const link : links_)
     if ((!clients_alone || link->from_client()) && (!with_bytes || link->held() > 0) &&
         (!spare_alone || link->spare()))
       return link;
@@ -43,7 +43,7 @@
 bool Loop::room(bool for_client) {
   const auto most = static_cast<size_t>(most_descriptors_);
   if (links_.size() < most) return true;
-  Link* const goes = idlest(for_client && clients_ * 3 >= most_descriptors_, false, true);
+  Connection* const goes = idlest(for_client && clients_ * 3 >= most_descriptors_, false, true);
   if (!goes) return false;
   goes->spared();
   return links_.size() < most;
@@ -53,14 +53,14 @@
 // for: the idlest goes, those without a command in hand first.
 void Loop::shrink() {
   while (bytes_ > most_bytes_) {
-    Link* goes = idlest(true, true, true);
+    Connection* goes = idlest(true, true, true);
     if (!goes) goes = idlest(true, true, false);
     if (!goes) return;
     goes->spared();
   }
 }
 
-void Loop::bury(std::unique_ptr<Link> link) { buried_.push_back(std::move(link)); }
+void Loop::bury(std::unique_ptr<Connection> link) { buried_.push_back(std::move(link)); }
 
 // The reactor calls this before it hands out a turn's events. The turn before is ended here, when its events
 // were followed by others at once, so that decisions never wait for a quiet moment.
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -14,7 +14,7 @@
 
 namespace firvalve::net {
 
-class Link;
+class Connection;
 
 class Loop : public Poco::Net::SocketReactor {
  public:
@@ -23,7 +23,7 @@
 
   // By monotonic_ms(): no step of the wall clock moves it. One value for the whole of a turn.
   Ms now();
-  void bury(std::unique_ptr<Link> link);  // destroyed once nothing of this turn can refer to it
+  void bury(std::unique_ptr<Connection> link);  // destroyed once nothing of this turn can refer to it
 
   // The most that all links together may hold: descriptors, and bytes in their buffers.
   void limit(int descriptors, size_t bytes);
@@ -32,8 +32,8 @@
   bool room(bool for_client);
 
   // For links alone: what they hold.
-  using Place = std::list<Link*>::iterator;
-  Place enter(Link& link);
+  using Place = std::list<Connection*>::iterator;
+  Place enter(Connection& link);
   void leave(Place place);
   void touch(Place place) { links_.splice(links_.end(), links_, place); }    // the least idle now
   void yield(Place place) { links_.splice(links_.begin(), links_, place); }  // the first to go
@@ -46,15 +46,15 @@
  private:
   void end_turn();
   void shrink();
-  Link* idlest(bool clients_alone, bool with_bytes, bool spare_alone) const;
+  Connection* idlest(bool clients_alone, bool with_bytes, bool spare_alone) const;
 
   WakeTimer wake_timer_{*this};
   Ms now_ = 0;
   bool turn_open_ = false;
-  std::list<Link*> links_;  // the idlest first
+  std::list<Connection*> links_;  // the idlest first
   int clients_ = 0, most_descriptors_ = 1024;
   size_t bytes_ = 0, most_bytes_ = 16 * 1024 * 1024;
-  std::vector<std::unique_ptr<Link>> buried_;
+  std::vector<std::unique_ptr<Connection>> buried_;
 };
 
 }  // namespace firvalve::net
--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -46,7 +46,7 @@
 }
 
 Signals::Signals(Loop& loop, std::function<void(int)> heard)
-    : Link(loop, read_end(), Kind::kLocal), heard_(std::move(heard)) {
+    : Connection(loop, read_end(), Kind::kLocal), heard_(std::move(heard)) {
   write_end_ = tell;
   struct sigaction action {};
   action.sa_handler = on_signal;
--- a/src/net/signals.h
+++ b/src/net/signals.h
@@ -5,7 +5,7 @@
 
 #include <functional>
 
-#include "net/link.h"
+#include "net/connection.h"
 
 namespace firvalve::net {
 
@@ -13,7 +13,7 @@
 void hold_signals();
 
 // One instance at a time. Also lets writes to ended connections fail with an error instead of a signal.
-class Signals : public Link {
+class Signals : public Connection {
  public:
   Signals(Loop& loop, std::function<void(int)> heard);
   ~Signals() override;
--- a/src/net/wake_timer.h
+++ b/src/net/wake_timer.h
@@ -8,7 +8,7 @@
 #include <Poco/Net/SocketNotification.h>
 #include <Poco/Net/SocketReactor.h>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::net {
 
--- a/src/net/waker.cpp
+++ b/src/net/waker.cpp
@@ -23,7 +23,7 @@
 Waker::Waker(Loop& loop, std::function<void()> on_wake) : Waker(loop, std::move(on_wake), Ends().ends) {}
 
 Waker::Waker(Loop& loop, std::function<void()> on_wake, const int (&ends)[2])
-    : Link(loop, Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(ends[0])), Kind::kLocal),
+    : Connection(loop, Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(ends[0])), Kind::kLocal),
       on_wake_(std::move(on_wake)),
       write_end_(ends[1]) {}
 
--- a/src/net/waker.h
+++ b/src/net/waker.h
@@ -3,13 +3,13 @@
 
 #include <functional>
 
-#include "net/link.h"
+#include "net/connection.h"
 
 namespace firvalve::net {
 
 // wake() may be called from any thread as long as this stands; on_wake then runs once or more on the loop's.
 // Throws std::runtime_error where no descriptor is left.
-class Waker : public Link {
+class Waker : public Connection {
  public:
   explicit Waker(Loop& loop, std::function<void()> on_wake = {});
   ~Waker() override;
--- a/src/policy/rules.cpp
+++ b/src/policy/rules.cpp
@@ -1,8 +1,8 @@
 // The decisions of firvalve: which engine runs which command, when, and what is shed.
 //
-// Invoked by its host: open() at start, hear() for each event, decide() once after the events of one moment;
-// decide() sets what is wanted (out, held, ended, timed) and emit() alone turns the difference into actions.
-// The interface is rules.h. The design it follows, and each departure from it, is in docs/design.md.
+// Invoked by its host: open() at start, handle() for each event, decide() once after the events of one
+// moment; decide() sets what is wanted (out, held, ended, timed) and emit() alone turns the difference into
+// actions. The interface is rules.h. The design it follows, and each departure from it, is in docs/design.md.
 //
 // Beside the design, six mechanisms:
 //   1. level    a learned limit on the threads that this gateway runs at once, on each engine and on all
@@ -159,7 +159,7 @@
   s.heavy_work = s.heavy_work * kWorkFade + (c.heavy ? c.cost : 0);
 }
 
-void learn(State& s, Ms now, const Command& c, const Settled& r) {
+void learn(State& s, Ms now, const Command& c, const AttemptFinished& r) {
   Profile& p = profile_of(s, c);
   p.told = r.work > 0;
   const bool late = now == s.awake_at;
@@ -189,7 +189,7 @@
     }
   }
   Engine& e = s.engines[c.engine];
-  Kin& kin = s.kin[e.kin];
+  EngineGroup& kin = s.kin[e.kin];
   const Ms by_itself = p.told ? r.work / p.threads * std::max(1.0, p.base) : c.alone;
   // Two means: short commands of high priority glide past a crowd that holds up all others, and where no
   // priority is heeded they are the first to feel one. Work that is only guessed adds noise to the weight.
@@ -247,15 +247,15 @@
 
 // ---- Events -------------------------------------------------------------------------------------
 
-void hear_roster(State& s, Ms now, const Roster& r) {
+void hear_roster(State& s, Ms now, const EngineListUpdate& r) {
   if (r.full) {
     std::vector<uint32_t> listed;
-    for (const Listing& l : r.listings) listed.push_back(l.engine);
+    for (const EngineInfo& l : r.listings) listed.push_back(l.engine);
     std::sort(listed.begin(), listed.end());
     for (Engine& e : s.engines)
-      if (!std::binary_search(listed.begin(), listed.end(), e.id)) e.life = Life::kGone;
+      if (!std::binary_search(listed.begin(), listed.end(), e.id)) e.life = EngineState::kGone;
   }
-  for (const Listing& l : r.listings) {
+  for (const EngineInfo& l : r.listings) {
     Engine* e = &engine_of(s, l.engine);
     e->zone = l.zone;
     e->zone_number = number_of(s.zones, l.zone);
@@ -263,10 +263,10 @@
     e->kind = number_of(s.machines, l.machine);
     s.kin.resize(2 * s.machines.size());
     e->cell = l.cell;
-    e->cores = number(s.articles, "cores." + l.machine, 1);
+    e->cores = number(s.settings, "cores." + l.machine, 1);
     if (e->limit == 0) e->limit = kLevelStart * e->cores / s.gateways;
     // Guards rule 4: a start within the warm-up makes a cold engine, whether it is new or came back.
-    const bool joins = e->life == Life::kGone && l.life == Life::kReady && now > 0;
+    const bool joins = e->life == EngineState::kGone && l.life == EngineState::kReady && now > 0;
     e->life = l.life;
     const bool starts = l.born > 0 && l.born != e->born;
     const Ms start = start_of(l.born, r.current_at, now);
@@ -282,7 +282,7 @@
   forget_gone(s);
 }
 
-void hear_taken(State& s, Ms now, const Taken& t) {
+void hear_taken(State& s, Ms now, const Admitted& t) {
   if (t.profile < 0 || t.profile >= static_cast<int>(s.profiles.size())) return s.unknown.push_back(t.id);
   Command& c = new_place(s);
   c.asked = t;
@@ -291,14 +291,14 @@
   predict(s, c);
 }
 
-void hear_note(State& s, Ms now, const Note& n) {
+void hear_note(State& s, Ms now, const AttemptStatus& n) {
   Command* c = command_of(s, n.id);
   if (!c || !c->out || n.send != c->sends - 1) return;
   Engine& e = s.engines[c->engine];
   e.sign_at = c->noted_at = now;
-  c->waiting = n.kind == NoteKind::kWaits;
+  c->waiting = n.kind == AttemptStatusKind::kWaits;
   double seen = 0;  // a sample of the stretch
-  if (n.kind == NoteKind::kProgress) {
+  if (n.kind == AttemptStatusKind::kProgress) {
     c->share_done = n.value;
     // Guards against a crowd of long commands that shows in no outcome for as long as they run. A pace far
     // off the engine's own is more likely a bad plan.
@@ -330,7 +330,7 @@
   counted_at = now;
 }
 
-void hear_settled(State& s, Ms now, const Settled& r) {
+void hear_settled(State& s, Ms now, const AttemptFinished& r) {
   Command* found = command_of(s, r.id);
   if (!found || !found->out || r.send != found->sends - 1) return;
   Command& c = *found;
@@ -413,9 +413,9 @@
 
 }  // namespace
 
-State open(const Articles& a, uint64_t salt) {
+State open(const Settings& a, uint64_t salt) {
   State s;
-  s.articles = a;
+  s.settings = a;
   s.chance.state = salt * 2 + 1;
   s.chance.next();
   s.gateways = std::max(1.0, number(a, "gateways", 1));
@@ -440,24 +440,24 @@
   return s;
 }
 
-void hear(State& s, Ms now, const Event& event) {
+void handle(State& s, Ms now, const Event& event) {
   // Guards against a stall of this gateway itself: what it finds then came at some time before, so neither
   // times taken nor paces of that moment tell of the engines.
   if (s.want_bell > 0 && now > s.want_bell + kStall) s.awake_at = now;
   if (s.opened_at == 0) s.opened_at = now;
-  if (const auto* r = std::get_if<Roster>(&event)) return hear_roster(s, now, *r);
-  if (const auto* t = std::get_if<Taken>(&event)) return hear_taken(s, now, *t);
-  if (const auto* n = std::get_if<Note>(&event)) return hear_note(s, now, *n);
-  if (const auto* r = std::get_if<Settled>(&event)) return hear_settled(s, now, *r);
-  if (const auto* x = std::get_if<Closing>(&event)) s.closes_at = x->at;
+  if (const auto* r = std::get_if<EngineListUpdate>(&event)) return hear_roster(s, now, *r);
+  if (const auto* t = std::get_if<Admitted>(&event)) return hear_taken(s, now, *t);
+  if (const auto* n = std::get_if<AttemptStatus>(&event)) return hear_note(s, now, *n);
+  if (const auto* r = std::get_if<AttemptFinished>(&event)) return hear_settled(s, now, *r);
+  if (const auto* x = std::get_if<ShutdownStarted>(&event)) s.closes_at = x->at;
   if (const auto* g = std::get_if<ClientGone>(&event))
     if (Command* c = command_of(s, g->id)) c->ended = true;
   // Guards against sends for a client that has closed: what is out may end and be answered, nothing follows.
-  if (const auto* h = std::get_if<HalfClosed>(&event))
+  if (const auto* h = std::get_if<ClientHalfClosed>(&event))
     if (Command* c = command_of(s, h->id)) c->left_at = h->is ? now : 0;
-  if (const auto* p = std::get_if<Place>(&event))
+  if (const auto* p = std::get_if<ResultReservation>(&event))
     if (Command* c = command_of(s, p->id)) c->placeless = !p->had;
-  if (std::get_if<Bell>(&event) && now >= s.bell_at) s.bell_at = 0;
+  if (std::get_if<TimerFired>(&event) && now >= s.bell_at) s.bell_at = 0;
 }
 
 void judge_engines(State& s, Ms now) {
@@ -474,7 +474,7 @@
   for (Engine& e : s.engines) {
     fade(e.counted_at, now, {&e.tries, &e.fails, &e.seen});
     e.usual = with_kin(e, e.stretch, s.kin[e.kin].stretch);
-    if (e.life == Life::kReady) s.sorted_costs.push_back(e.usual);
+    if (e.life == EngineState::kReady) s.sorted_costs.push_back(e.usual);
   }
   std::sort(s.sorted_costs.begin(), s.sorted_costs.end());
   s.usual_stretch = s.sorted_costs.empty() ? 1 : std::max(1.0, s.sorted_costs[s.sorted_costs.size() / 2]);
@@ -508,7 +508,7 @@
   ready.clear();
   for (size_t i = 0; i < s.engines.size(); ++i) {
     s.engines[i].in_pool = false;
-    if (s.engines[i].life == Life::kReady) ready.push_back(static_cast<int>(i));
+    if (s.engines[i].life == EngineState::kReady) ready.push_back(static_cast<int>(i));
   }
   if (ready.empty()) return;
   s.zone_counts.assign(s.zones.size(), 0);
@@ -580,7 +580,7 @@
 // Whether the rules let it run there now, whatever room there is.
 bool may_run_on(const State& s, const Command& c, const Engine& e, Ms now) {
   const Profile& p = profile_of(s, c);
-  if (e.life != Life::kReady || !allowed(p, e) || has_left(c, now)) return false;
+  if (e.life != EngineState::kReady || !allowed(p, e) || has_left(c, now)) return false;
   if (!c.may_have_run || p.effect == Effect::kReplayable) return true;
   if (p.effect == Effect::kNonReplayable) return false;
   const Engine& first = s.engines[c.risked_on];
@@ -738,7 +738,7 @@
     for (const Engine& e : s.engines) {
       if (e.in_pool != pool) continue;
       out += e.threads_out - e.short_out;
-      if (e.life == Life::kReady && !e.doubted) room += e.limit * warmth(s, e, now);
+      if (e.life == EngineState::kReady && !e.doubted) room += e.limit * warmth(s, e, now);
     }
     s.debts[pool] = std::clamp(s.debts[pool] + (out - room) * passed, 0.0, room * kDebtMost);
   }
--- a/src/policy/rules.h
+++ b/src/policy/rules.h
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve {
 
@@ -21,15 +21,15 @@
 };
 
 // What a gateway is told at start: a plain map of names to values.
-using Article = std::variant<double, std::string>;
-using Articles = std::map<std::string, Article>;
+using SettingValue = std::variant<double, std::string>;
+using Settings = std::map<std::string, SettingValue>;
 
 enum class Effect { kReplayable, kUniqued, kNonReplayable };
 enum class Group { kAll, kZone, kCell };
 // Spoilt: it may have run, and what came in between tells nothing of its engine.
 enum class Outcome { kOk, kFailed, kFull, kTimedOut, kConnectFailed, kReset, kCancelled, kMoot, kSpoilt };
-enum class Life { kGone, kReady, kDraining };
-enum class NoteKind { kProgress = 1, kSpills = 2, kWaits = 3 };
+enum class EngineState { kGone, kReady, kDraining };
+enum class AttemptStatusKind { kProgress = 1, kSpills = 2, kWaits = 3 };
 // Why an attempt is cancelled, or a command is shed or fails: for the log and the counters.
 enum class Reason {
   kNone,
@@ -49,19 +49,19 @@
 
 // ---- Events -------------------------------------------------------------------------------------
 
-struct Listing {
+struct EngineInfo {
   uint32_t engine = 0;
   std::string zone, machine;
   int cell = 0;
-  Life life = Life::kReady;
+  EngineState life = EngineState::kReady;
   Ms born = 0;  // its start, by the clock of the list's writer; 0: long ago
 };
-struct Roster {
+struct EngineListUpdate {
   bool full = false;  // the whole list: what it omits is gone
-  std::vector<Listing> listings;
+  std::vector<EngineInfo> listings;
   Ms current_at = 0;  // the list was known to be current then, before this change; 0: it never was
 };
-struct Taken {
+struct Admitted {
   CommandId id;
   int profile = 0, tenant = -1;
   bool has_key = false, repeat = false;
@@ -71,13 +71,13 @@
   double memory_mb = 0;
   int64_t tables = -1;
 };
-struct Note {
+struct AttemptStatus {
   CommandId id;
   int send = 0;
-  NoteKind kind = NoteKind::kProgress;
+  AttemptStatusKind kind = AttemptStatusKind::kProgress;
   double value = 0;
 };
-struct Settled {
+struct AttemptFinished {
   CommandId id;
   int send = 0;
   Outcome outcome = Outcome::kOk;
@@ -86,7 +86,7 @@
   Ms work = 0;  // what the answer says it cost; 0: not told
   double memory_mb = 0;
 };
-struct Probed {
+struct ProbeResult {
   uint32_t engine = 0;
   Outcome outcome = Outcome::kOk;
 };
@@ -95,23 +95,23 @@
 };
 // Its client has ended its stream (a half-close): it may still read, or have closed altogether, which looks
 // the same. Not so: somebody waits for it again.
-struct HalfClosed {
+struct ClientHalfClosed {
   CommandId id;
   bool is = true;
 };
-struct Bell {
+struct TimerFired {
   uint64_t ref = 0;
 };
-struct Closing {
+struct ShutdownStarted {
   Ms at = 0;  // this gateway ends then: whatever it holds must have its answer
 };
 // Whether the rows of a command have a place to go to; without a word they have.
-struct Place {
+struct ResultReservation {
   CommandId id;
   bool had = true;
 };
-using Event =
-    std::variant<Roster, Taken, Note, Settled, Probed, ClientGone, HalfClosed, Bell, Closing, Place>;
+using Event = std::variant<EngineListUpdate, Admitted, AttemptStatus, AttemptFinished, ProbeResult,
+                           ClientGone, ClientHalfClosed, TimerFired, ShutdownStarted, ResultReservation>;
 
 // ---- Actions ------------------------------------------------------------------------------------
 
@@ -161,7 +161,7 @@
   std::string zone, machine;
   int zone_number = 0;  // its zone's place in the state's zones
   int cell = 0;
-  Life life = Life::kGone;
+  EngineState life = EngineState::kGone;
   Ms born = 0;  // its start as last told
   double cores = 0;
   bool in_pool = false;
@@ -199,7 +199,7 @@
 };
 
 // Engines of one kind of machine, those of the pool or the others.
-struct Kin {
+struct EngineGroup {
   double stretch = 1, work_stretch = 1;
 };
 
@@ -208,7 +208,7 @@
 enum class Want { kHold, kOut, kWithdraw, kShed, kFail };
 
 struct Command {
-  Taken asked;
+  Admitted asked;
   Ms taken_at = 0;
   Ms cost = 0;   // predicted
   Ms alone = 0;  // predicted time on an engine by itself
@@ -237,7 +237,7 @@
 };
 
 // A queue of moments in reused places.
-class Moments {
+class SlidingWindow {
  public:
   void add(Ms at);
   void forget_before(Ms at);
@@ -262,22 +262,22 @@
 struct State {
   Pcg chance;
   std::vector<Profile> profiles;
-  Articles articles;
+  Settings settings;
   std::vector<Engine> engines;  // by id; places move only when a new id is listed
   std::vector<std::string> machines, zones;
   std::vector<size_t> zone_counts;  // scratch: ready engines by zone number
   uint64_t zones_looked_at = 0;     // to draw the pool, since the start: a measure of its work
   std::array<double, 2> debts{};  // light engines, pool: thread-ms that ran past the levels, not made up for
   Ms debts_at = 0;
-  std::vector<Kin> kin;       // two for each of the machines: light, pool
-  std::vector<Command> slab;  // commands in hand, places reused
+  std::vector<EngineGroup> kin;  // two for each of the machines: light, pool
+  std::vector<Command> slab;     // commands in hand, places reused
   std::vector<int> free_places;
   std::vector<int> live;           // places in the order taken
   std::vector<int> line, drawn;    // scratch
   std::vector<CommandId> unknown;  // of profiles never told: failed at once
   std::vector<KeyRest> key_rests;
   std::vector<HeldTables> held_tables;  // by loads, as waiting sends have told
-  Moments taken, further;               // for the budget of further sends
+  SlidingWindow taken, further;         // for the budget of further sends
   std::vector<Ms> recent_costs, sorted_costs;
   size_t recent_next = 0;
   Ms heavy_from = 0;
@@ -288,7 +288,7 @@
   Ms bell_at = 0, want_bell = 0, awake_at = -1;  // awake: since a stall of this gateway
   Ms closes_at = 0;                              // this gateway's own end; 0: none is known
   Ms opened_at = 0;                              // its start: the first event
-  // Read from the articles once, since every command needs them:
+  // Read from the settings once, since every command needs them:
   double gateways = 1, gateway_number = 0;
   int most_sends = 0;
   bool may_cancel = false, ranks = false, grants = false;
@@ -301,10 +301,10 @@
 
 // ---- Helpers of the state, in state.cpp: no decision there ---------------------------------------
 
-double number(const Articles& a, const std::string& name, double otherwise = 0);
-std::string word(const Articles& a, const std::string& name);
-std::vector<std::string> words(const Articles& a, const std::string& name);  // a list numbered from 0
-Profile profile_from(const Articles& a, int number);
+double number(const Settings& a, const std::string& name, double otherwise = 0);
+std::string word(const Settings& a, const std::string& name);
+std::vector<std::string> words(const Settings& a, const std::string& name);  // a list numbered from 0
+Profile profile_from(const Settings& a, int number);
 int number_of(std::vector<std::string>& names, const std::string& name);  // its place; a new one is added
 Engine& engine_of(State& s, uint32_t id);                                 // a new one takes its place by id
 void forget_gone(State& s);  // once they are more than the others: those that no command in hand refers to
@@ -314,10 +314,10 @@
 
 // ---- The module ---------------------------------------------------------------------------------
 
-State open(const Articles& articles, uint64_t salt);
-void hear(State& s, Ms now, const Event& event);  // takes an event into the state
-void decide(State& s, Ms now, Actions& out);      // once after the events of one moment
-void emit(State& s, Ms now, Actions& out);        // the difference of wanted and present state
+State open(const Settings& settings, uint64_t salt);
+void handle(State& s, Ms now, const Event& event);  // takes an event into the state
+void decide(State& s, Ms now, Actions& out);        // once after the events of one moment
+void emit(State& s, Ms now, Actions& out);          // the difference of wanted and present state
 
 // The parts of decide, apart for the tests.
 void judge_engines(State& s, Ms now);
@@ -326,8 +326,8 @@
 void review_out(State& s, Ms now);
 void review_line(State& s, Ms now);
 bool may_send(const State& s, const Command& c, const Engine& e, Ms now);
-// Asked right before the start of the send that is out is written: connections come up late, and meanwhile
-// its engine may have begun to drain, its client have gone, its window have run out.
+// CommandRequest right before the start of the send that is out is written: connections come up late, and
+// meanwhile its engine may have begun to drain, its client have gone, its window have run out.
 bool may_begin(const State& s, const CommandId& id, Ms now);
 bool stands_still(const State& s, const Command& c, const Engine& e);
 bool has_turn(const State& s, const Command& c, Ms now);
--- a/src/policy/state.cpp
+++ b/src/policy/state.cpp
@@ -1,4 +1,4 @@
-// The containers of the state and the reading of articles. Nothing is decided here.
+// The containers of the state and the reading of settings. Nothing is decided here.
 #include <algorithm>
 #include <utility>
 
@@ -22,26 +22,26 @@
   return kNames[static_cast<size_t>(reason)];
 }
 
-double number(const Articles& a, const std::string& name, double otherwise) {
+double number(const Settings& a, const std::string& name, double otherwise) {
   const auto at = a.find(name);
   const double* value = at == a.end() ? nullptr : std::get_if<double>(&at->second);
   return value ? *value : otherwise;
 }
 
-std::string word(const Articles& a, const std::string& name) {
+std::string word(const Settings& a, const std::string& name) {
   const auto at = a.find(name);
   const std::string* value = at == a.end() ? nullptr : std::get_if<std::string>(&at->second);
   return value ? *value : std::string();
 }
 
-std::vector<std::string> words(const Articles& a, const std::string& name) {
+std::vector<std::string> words(const Settings& a, const std::string& name) {
   std::vector<std::string> all;
   for (int i = 0; a.count(name + "." + std::to_string(i)); ++i)
     all.push_back(word(a, name + "." + std::to_string(i)));
   return all;
 }
 
-Profile profile_from(const Articles& a, int i) {
+Profile profile_from(const Settings& a, int i) {
   const std::string at = "profile." + std::to_string(i) + ".";
   Profile p;
   p.benefit = number(a, at + "benefit", 1);
@@ -86,7 +86,7 @@
 }
 
 void forget_gone(State& s) {
-  const auto gone = [](const Engine& e) { return e.life == Life::kGone; };
+  const auto gone = [](const Engine& e) { return e.life == EngineState::kGone; };
   const auto all_gone = static_cast<size_t>(std::count_if(s.engines.begin(), s.engines.end(), gone));
   if (2 * all_gone <= s.engines.size()) return;
   for (size_t i = s.engines.size(); i-- > 0;) {
@@ -133,7 +133,7 @@
   return (shifted >> turn) | (shifted << ((32 - turn) & 31));
 }
 
-void Moments::add(Ms at) {
+void SlidingWindow::add(Ms at) {
   if (count_ == places_.size()) {
     std::rotate(places_.begin(), places_.begin() + static_cast<long>(first_), places_.end());
     first_ = 0;
@@ -142,7 +142,7 @@
   places_[(first_ + count_++) % places_.size()] = at;
 }
 
-void Moments::forget_before(Ms at) {
+void SlidingWindow::forget_before(Ms at) {
   while (count_ > 0 && places_[first_] < at) {
     first_ = (first_ + 1) % places_.size();
     --count_;
--- a/src/proto/bus/bus.cpp
+++ b/src/proto/bus/bus.cpp
@@ -16,17 +16,17 @@
   if (!v.IsObject()) return false;
   out.name = text_of(v, "id");
   out.address = text_of(v, "addr");
-  Listing& l = out.listing;
+  EngineInfo& l = out.listing;
   l.zone = text_of(v, "zone");
   l.machine = text_of(v, "kind");
   const std::string state = text_of(v, "state");
   if (out.name.empty()) return false;
   if (state == "SERVING") {
-    l.life = Life::kReady;
+    l.life = EngineState::kReady;
   } else if (state == "DRAINING") {
-    l.life = Life::kDraining;
+    l.life = EngineState::kDraining;
   } else if (state == "DELETED") {
-    l.life = Life::kGone;
+    l.life = EngineState::kGone;
   } else {
     return false;
   }
--- a/src/proto/bus/bus.h
+++ b/src/proto/bus/bus.h
@@ -18,7 +18,7 @@
 
 struct BusListing {
   std::string name, address;
-  Listing listing;  // its engine's number is the reader's to give
+  EngineInfo listing;  // its engine's number is the reader's to give
 };
 struct BusEvent {
   int64_t offset = 0;
--- a/src/proto/jsonrpc/rpc.h
+++ b/src/proto/jsonrpc/rpc.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "index/units.h"
+#include "base/units.h"
 #include "proto/inbox.h"
 
 namespace firvalve::proto {
--- a/src/proto/store/query.cpp
+++ b/src/proto/store/query.cpp
@@ -12,8 +12,10 @@
 constexpr std::string_view kPath = "/v1/store";
 
 bool read_note(const HttpAnswer& answer, Query::Step& step) {
-  static constexpr std::pair<std::string_view, NoteKind> kNotes[] = {
-      {"share", NoteKind::kProgress}, {"short", NoteKind::kSpills}, {"held", NoteKind::kWaits}};
+  static constexpr std::pair<std::string_view, AttemptStatusKind> kNotes[] = {
+      {"share", AttemptStatusKind::kProgress},
+      {"short", AttemptStatusKind::kSpills},
+      {"held", AttemptStatusKind::kWaits}};
   const auto* end = answer.value.data() + answer.value.size();
   const auto [at, error] = std::from_chars(answer.value.data(), end, step.value);
   if (error != std::errc() || at != end || !std::isfinite(step.value)) return false;
@@ -80,7 +82,7 @@
 // That it never ran is told by the answer to the start itself alone. Guards against a later call that a full
 // or draining engine turns away, or that a process in its place answers, while the query runs on: such a word
 // says nothing of it. It may cost a command that its engine gave up in line a second time to ask.
-Query::Step Query::hear(const HttpAnswer& answer, bool to_start) {
+Query::Step Query::handle(const HttpAnswer& answer, bool to_start) {
   Step step;
   const auto ended = [&](Outcome outcome) {
     step.next = Next::kEnded;
--- a/src/proto/store/query.h
+++ b/src/proto/store/query.h
@@ -37,11 +37,11 @@
     Next next = Next::kAsk;
     Outcome outcome = Outcome::kFailed;  // once ended
     bool noted = false;
-    NoteKind note = NoteKind::kProgress;
+    AttemptStatusKind note = AttemptStatusKind::kProgress;
     double value = 0;
   };
 
-  Step hear(const HttpAnswer& answer, bool to_start = false);  // to_start: it answers the start itself
+  Step handle(const HttpAnswer& answer, bool to_start = false);  // to_start: it answers the start itself
   void append_ask(std::string& out, std::string_view id, std::string_view host) const;
   bool has_rows() const { return !rows_.empty(); }
   std::string take_rows() { return std::exchange(rows_, {}); }  // since the last taking
--- a/src/proto/term.h
+++ b/src/proto/term.h
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve::proto {
 
--- a/src/spool/lease_clock.cpp
+++ b/src/results/lease_clock.cpp
@@ -1,4 +1,4 @@
-#include "spool/lease_clock.h"
+#include "results/lease_clock.h"
 
 #include <fmt/format.h>
 
@@ -6,9 +6,9 @@
 #include <cstdio>
 #include <fstream>
 
-#include "index/monotonic_clock.h"
+#include "base/monotonic_clock.h"
 
-namespace firvalve::spool {
+namespace firvalve::results {
 
 BootTime boot_time() {
   BootTime out;
@@ -34,4 +34,4 @@
   return offset;
 }
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/src/spool/lease_clock.h
+++ b/src/results/lease_clock.h
@@ -6,9 +6,9 @@
 
 #include <string>
 
-#include "index/units.h"
+#include "base/units.h"
 
-namespace firvalve::spool {
+namespace firvalve::results {
 
 // The machine's own count of time: Linux' CLOCK_BOOTTIME, and what tells one boot from the next.
 struct BootTime {
@@ -22,4 +22,4 @@
 // written leaves the offset good for this run alone.
 Ms lease_clock_offset(const std::string& folder, const BootTime& boot, Ms unix_now);
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/src/spool/page.cpp
+++ b/src/results/page.cpp
@@ -1,4 +1,4 @@
-#include "spool/page.h"
+#include "results/page.h"
 
 #include <lz4.h>
 #include <sys/random.h>
@@ -8,7 +8,7 @@
 #include <cstring>
 #include <stdexcept>
 
-namespace firvalve::spool {
+namespace firvalve::results {
 namespace {
 
 constexpr uint32_t kMagic = 0x46565350;           // begins each record
@@ -155,7 +155,7 @@
   return ReadRecord::kRecord;
 }
 
-size_t Recovery::hear(size_t number, std::string_view segment) {
+size_t Recovery::handle(size_t number, std::string_view segment) {
   if (!segment.starts_with(kSegmentHead)) return 0;
   size_t at = kSegmentHead.size(), next = 0;
   Record r;
@@ -205,4 +205,4 @@
   return all;
 }
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/src/spool/page.h
+++ b/src/results/page.h
@@ -10,9 +10,9 @@
 #include <string_view>
 #include <vector>
 
-#include "index/units.h"
+#include "base/units.h"
 
-namespace firvalve::spool {
+namespace firvalve::results {
 
 // Pages are LZ4 (docs/design-spool.md has the comparison with Zstandard); what does not shrink stays as it
 // is.
@@ -75,7 +75,7 @@
 class Recovery {
  public:
   // One segment, in the order of their numbers. Gives where it is to be cut, npos: nowhere.
-  size_t hear(size_t number, std::string_view segment);
+  size_t handle(size_t number, std::string_view segment);
   // Results of which all is there and that nobody has released; `broken` counts those with a page that is
   // not.
   std::vector<Found> found(double now, size_t& broken) const;
@@ -89,4 +89,4 @@
   std::map<std::pair<uint64_t, uint64_t>, Part> parts_;  // by life and result
 };
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/src/spool/spool.cpp
+++ b/src/results/paged_result_store.cpp
@@ -1,4 +1,4 @@
-#include "spool/spool.h"
+#include "results/paged_result_store.h"
 
 #include <xxhash.h>
 
@@ -6,7 +6,7 @@
 #include <cstring>
 #include <utility>
 
-namespace firvalve::spool {
+namespace firvalve::results {
 
 namespace {
 
@@ -18,30 +18,30 @@
 
 }  // namespace
 
-Spool::Spool(const SpoolTerms& terms, uint64_t life, Count count)
-    : terms_(terms),
+PagedResultStore::PagedResultStore(const PagedResultStoreOptions& options, uint64_t life, Count count)
+    : options_(options),
       life_(life),
       count_(std::move(count)),
-      keeping_(terms.keeping),
-      sizes_(terms.first_expected) {
+      keeping_(options.keeping),
+      sizes_(options.first_expected) {
   const Token salt = new_token();
   std::memcpy(&salt_, salt.data(), sizeof salt_);
   keeping_.on_gone = [this](ResultNo no, Gone why) { gone(no, why); };
   keeping_.on_leave_memory = [this](ResultNo no) { leave_memory(no); };
 }
 
-Spool::~Spool() { keeping_.on_gone = nullptr; }
+PagedResultStore::~PagedResultStore() { keeping_.on_gone = nullptr; }
 
-uint64_t Spool::key_hash(std::string_view key) const { return key.empty() ? 0 : hash(key) | 1; }
+uint64_t PagedResultStore::key_hash(std::string_view key) const { return key.empty() ? 0 : hash(key) | 1; }
 
 // What a repeat must match: the chain's first id, and all of the command.
-uint64_t Spool::chain_hash(const Wish& w) const {
+uint64_t PagedResultStore::chain_hash(const Reservation& w) const {
   std::string all(w.chain);
   for (const std::string_view part : {w.profile, w.key, w.statement}) all.append("\n").append(part);
   return hash(all) | 1;
 }
 
-void Spool::use(Ms now, Storage& storage, const std::vector<Found>& found, Ms lease_offset) {
+void PagedResultStore::use(Ms now, Storage& storage, const std::vector<Found>& found, Ms lease_offset) {
   now_ = now;
   lease_offset_ = lease_offset;
   storage_ = &storage;
@@ -76,7 +76,7 @@
   drop_segments();
 }
 
-ResultNo Spool::reserve(Ms now, const Wish& w) {
+ResultNo PagedResultStore::reserve(Ms now, const Reservation& w) {
   now_ = now;
   const std::string profile(w.profile);
   const ResultNo no = keeping_.reserve(now, std::string(w.owner), sizes_.expected(profile, w.tables));
@@ -93,7 +93,7 @@
   return no;
 }
 
-ResultNo Spool::find(Ms now, const Wish& w) {
+ResultNo PagedResultStore::find(Ms now, const Reservation& w) {
   now_ = now;
   const auto [begin, end] = chains_.equal_range(chain_hash(w));
   for (auto at = begin; at != end; ++at) {
@@ -105,11 +105,11 @@
   return 0;
 }
 
-Shelf::Put Spool::page(Ms now, ShelfNo no, std::string_view rows) {
+ResultStore::Put PagedResultStore::page(Ms now, ResultHandle no, std::string_view rows) {
   now_ = now;
   const auto at = results_.find(no);
   if (at == results_.end() || at->second.whole) return Put::kOutgrown;
-  if (at->second.raw + static_cast<double>(rows.size()) > terms_.keeping.result_most) {
+  if (at->second.raw + static_cast<double>(rows.size()) > options_.keeping.result_most) {
     keeping_.forget(no, Gone::kOutgrown);
     return Put::kOutgrown;
   }
@@ -122,11 +122,11 @@
   r.raw += static_cast<double>(rows.size());
   r.pages.push_back(std::move(p));
   write(now, no, r.pages.size() - 1);
-  return storage_ && static_cast<double>(storage_->backlog()) > terms_.backlog_most ? Put::kSlow
-                                                                                    : Put::kTaken;
+  return storage_ && static_cast<double>(storage_->backlog()) > options_.backlog_most ? Put::kSlow
+                                                                                      : Put::kTaken;
 }
 
-void Spool::write(Ms now, ResultNo no, size_t page) {
+void PagedResultStore::write(Ms now, ResultNo no, size_t page) {
   if (!storage_) return;
   Result& r = results_.at(no);
   Page& p = r.pages[page];
@@ -144,7 +144,7 @@
   storage_->append(last_tag_, std::move(record));
 }
 
-void Spool::let_go(const Result& r) {
+void PagedResultStore::let_go(const Result& r) {
   for (const Page& p : r.pages) {
     if (!p.on_disk) continue;
     const auto at = live_.find(p.place.segment);
@@ -152,7 +152,7 @@
   }
 }
 
-void Spool::clear(Ms now, ShelfNo no) {
+void PagedResultStore::clear(Ms now, ResultHandle no) {
   now_ = now;
   const auto at = results_.find(no);
   if (at == results_.end() || at->second.whole) return;
@@ -164,12 +164,12 @@
   keeping_.clear(no);
 }
 
-void Spool::drop(Ms now, ShelfNo no) {
+void PagedResultStore::drop(Ms now, ResultHandle no) {
   now_ = now;
   keeping_.forget(no, Gone::kGivenUp);
 }
 
-void Spool::whole(Ms now, ShelfNo no) {
+void PagedResultStore::whole(Ms now, ResultHandle no) {
   now_ = now;
   const auto at = results_.find(no);
   if (at == results_.end()) return;
@@ -188,33 +188,33 @@
 }
 
 // What began anew is another to the storage; what an earlier life stored keeps its name.
-void Spool::put_name(ResultNo no, const Result& r, Record& record) const {
+void PagedResultStore::put_name(ResultNo no, const Result& r, Record& record) const {
   record.life = r.life ? r.life : life_;
   record.result = r.life ? r.stored_as : (no << 16) + r.tries;
 }
 
 // Only what is wholly on its way to the disk can be read back: the rest gets no record of being whole.
-void Spool::tell_whole(Ms now, ResultNo no) {
+void PagedResultStore::tell_whole(Ms now, ResultNo no) {
   Result& r = results_.at(no);
   if (!storage_ || !std::all_of(r.pages.begin(), r.pages.end(), [](const Page& p) { return p.written; }))
     return;
   Record record;
   record.kind = Record::Kind::kWhole;
   put_name(no, r, record);
-  r.told_until = now + terms_.keeping.lease;
+  r.told_until = now + options_.keeping.lease;
   record.whole = {
       r.token, r.key,  r.chain, r.told_until + lease_offset_, static_cast<uint32_t>(r.pages.size()),
       r.rows,  r.owner};
   storage_->append(0, std::move(record));
 }
 
-PagedAnswer Spool::answer(ShelfNo no) const {
+PagedAnswer PagedResultStore::answer(ResultHandle no) const {
   const auto at = results_.find(no);
   if (at == results_.end()) return {};
   return {hex_of(at->second.token), at->second.pages.size(), at->second.rows};
 }
 
-ResultNo Spool::by_token(std::string_view hex, std::string_view key) const {
+ResultNo PagedResultStore::by_token(std::string_view hex, std::string_view key) const {
   const auto token = token_of(hex);
   if (!token) return 0;
   const uint64_t h = hash({reinterpret_cast<const char*>(token->data()), token->size()}, salt_);
@@ -226,14 +226,14 @@
   return 0;
 }
 
-void Spool::read(Ms now, std::string_view token, std::string_view key, uint64_t page, Rows done) {
+void PagedResultStore::read(Ms now, std::string_view token, std::string_view key, uint64_t page, Rows done) {
   now_ = now;
   const ResultNo no = by_token(token, key);
   if (no == 0 || !keeping_.read(now, no)) return done(now, Read::kGone, {}, 0);
   Result& r = results_.at(no);
   if (page < 1 || page > r.pages.size()) return done(now, Read::kNoSuchPage, {}, r.pages.size());
   // The storage is told of a lease that goes on, before half of what it knows is over.
-  if (r.told_until > 0 && r.told_until < now + terms_.keeping.lease / 2) tell_whole(now, no);
+  if (r.told_until > 0 && r.told_until < now + options_.keeping.lease / 2) tell_whole(now, no);
   const Page& p = r.pages[page - 1];
   if (p.stored.bytes.empty() && p.on_disk) {
     reads_[++last_tag_] = {no, page - 1, std::move(done)};
@@ -248,7 +248,7 @@
   done(now, Read::kRows, *rows, r.pages.size());
 }
 
-bool Spool::release(Ms now, std::string_view token, std::string_view key) {
+bool PagedResultStore::release(Ms now, std::string_view token, std::string_view key) {
   now_ = now;
   const ResultNo no = by_token(token, key);
   if (no == 0) return false;
@@ -256,13 +256,13 @@
   return true;
 }
 
-void Spool::leave_memory(ResultNo no) {
+void PagedResultStore::leave_memory(ResultNo no) {
   for (Page& p : results_.at(no).pages)
     if (p.on_disk) std::string().swap(p.stored.bytes);
   count_("results moved to disk alone");
 }
 
-void Spool::gone(ResultNo no, Gone why) {
+void PagedResultStore::gone(ResultNo no, Gone why) {
   static constexpr std::string_view kWhy[] = {"results released", "results whose lease was over",
                                               "results evicted", "results outgrown", "results given up"};
   const auto at = results_.find(no);
@@ -292,7 +292,7 @@
 }
 
 // Segments go from the oldest on, so that no word of a result's end goes before its pages.
-void Spool::drop_segments() {
+void PagedResultStore::drop_segments() {
   if (!storage_) return;
   const size_t until =
       live_.empty() ? storage_->current() : std::min(live_.begin()->first, storage_->current());
@@ -301,7 +301,7 @@
   storage_->drop_until(until);
 }
 
-void Spool::due(Ms now) {
+void PagedResultStore::due(Ms now) {
   now_ = now;
   keeping_.due(now);
   if (storage_) {
@@ -344,4 +344,4 @@
   if (std::exchange(room_, false) && on_room) on_room(now);
 }
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/src/spool/spool.h
+++ b/src/results/paged_result_store.h
@@ -1,4 +1,4 @@
-// The spool: results as pages under a token. It carries out what Keeping decides, and holds the bytes.
+// The spool: results as pages under a token. It carries out what Retention decides, and holds the bytes.
 // One thread: the loop's. The files have their own.
 #pragma once
 
@@ -8,45 +8,45 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/shelf.h"
-#include "spool/files.h"
-#include "spool/keeping.h"
-#include "spool/sizes.h"
-#include "spool/storage.h"
+#include "core/result_store.h"
+#include "results/retention.h"
+#include "results/segment_files.h"
+#include "results/sizes.h"
+#include "results/storage.h"
 
-namespace firvalve::spool {
+namespace firvalve::results {
 
-struct SpoolTerms {
-  KeepingTerms keeping;
+struct PagedResultStoreOptions {
+  RetentionOptions keeping;
   double first_expected = 64 * 1024;  // bytes of a result of which nothing is known
   double backlog_most = 4e6;          // bytes waiting for the disk, past which engines are asked more slowly
 };
 
-class Spool : public Shelf {
+class PagedResultStore : public ResultStore {
  public:
   // Counts by name: kept, evicted, outgrown and so on.
   using Count = std::function<void(std::string_view what)>;
-  Spool(const SpoolTerms& terms, uint64_t life, Count count);
-  ~Spool() override;
+  PagedResultStore(const PagedResultStoreOptions& options, uint64_t life, Count count);
+  ~PagedResultStore() override;
 
   // Results of earlier lives, and where pages go from here on. The storage must outlive the spool.
   // lease_offset: by how much the time in which the storage holds leases lies past `now`.
   void use(Ms now, Storage& storage, const std::vector<Found>& found, Ms lease_offset = 0);
   std::function<void(Ms now)> on_room;  // a place may be had again
 
-  ShelfNo reserve(Ms now, const Wish& wish) override;
-  ShelfNo find(Ms now, const Wish& wish) override;
-  Put page(Ms now, ShelfNo no, std::string_view rows) override;
-  void clear(Ms now, ShelfNo no) override;
-  void drop(Ms now, ShelfNo no) override;
-  void whole(Ms now, ShelfNo no) override;
-  PagedAnswer answer(ShelfNo no) const override;
+  ResultHandle reserve(Ms now, const Reservation& wish) override;
+  ResultHandle find(Ms now, const Reservation& wish) override;
+  Put page(Ms now, ResultHandle no, std::string_view rows) override;
+  void clear(Ms now, ResultHandle no) override;
+  void drop(Ms now, ResultHandle no) override;
+  void whole(Ms now, ResultHandle no) override;
+  PagedAnswer answer(ResultHandle no) const override;
   void read(Ms now, std::string_view token, std::string_view key, uint64_t page, Rows done) override;
   bool release(Ms now, std::string_view token, std::string_view key) override;
 
   void due(Ms now);  // what the storage has done, and leases that are over
   Ms next_due() const { return room_ ? 1 : keeping_.next_due(); }
-  const Keeping& keeping() const { return keeping_; }
+  const Retention& keeping() const { return keeping_; }
   bool settled() const { return reads_.empty(); }
 
  private:
@@ -81,7 +81,7 @@
   };
 
   uint64_t key_hash(std::string_view key) const;
-  uint64_t chain_hash(const Wish& wish) const;
+  uint64_t chain_hash(const Reservation& wish) const;
   ResultNo by_token(std::string_view token, std::string_view key) const;  // 0: none that this client may have
   void gone(ResultNo no, Gone why);
   void leave_memory(ResultNo no);
@@ -91,10 +91,10 @@
   void let_go(const Result& r);
   void drop_segments();
 
-  const SpoolTerms terms_;
+  const PagedResultStoreOptions options_;
   const uint64_t life_;
   Count count_;
-  Keeping keeping_;
+  Retention keeping_;
   Sizes sizes_;
   Storage* storage_ = nullptr;
   Ms lease_offset_ = 0;
@@ -109,4 +109,4 @@
   Ms now_ = 0;
 };
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
