--- a/src/spool/keeping.cpp
+++ b/src/results/retention.cpp
@@ -1,26 +1,26 @@
-#include "spool/keeping.h"
+#include "results/retention.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace firvalve::spool {
+namespace firvalve::results {
 
-double Keeping::fair_share() const {
-  return (terms_.memory + terms_.disk) / static_cast<double>(std::max<size_t>(owners_.size(), 1));
+double Retention::fair_share() const {
+  return (options_.memory + options_.disk) / static_cast<double>(std::max<size_t>(owners_.size(), 1));
 }
 
-double Keeping::held_by(const std::string& owner) const {
+double Retention::held_by(const std::string& owner) const {
   const auto at = owners_.find(owner);
   return at == owners_.end() ? 0 : at->second->held;
 }
 
-void Keeping::rank(Owner& owner, double held) {
+void Retention::rank(Owner& owner, double held) {
   by_held_.erase({owner.held, &owner});
   owner.held = held;
   by_held_.insert({owner.held, &owner});
 }
 
-void Keeping::charge(Result& r, double memory, double disk, double reserved) {
+void Retention::charge(Result& r, double memory, double disk, double reserved) {
   r.memory += memory;
   r.disk += disk;
   r.reserved += reserved;
@@ -30,7 +30,7 @@
   rank(*r.owner, r.owner->held + memory + disk + reserved);
 }
 
-Keeping::Result& Keeping::add(const std::string& name) {
+Retention::Result& Retention::add(const std::string& name) {
   auto& owner = owners_[name];
   if (!owner) {
     owner = std::make_unique<Owner>();
@@ -46,7 +46,7 @@
   return r;
 }
 
-bool Keeping::remove(ResultNo no) {
+bool Retention::remove(ResultNo no) {
   const auto at = results_.find(no);
   if (at == results_.end()) return false;
   const std::unique_ptr<Result> r = std::move(at->second);
@@ -62,18 +62,18 @@
   return true;
 }
 
-void Keeping::forget(ResultNo no, Gone why) {
+void Retention::forget(ResultNo no, Gone why) {
   if (remove(no) && on_gone) on_gone(no, why);
 }
 
-void Keeping::lend(Result& r, Ms until) {
+void Retention::lend(Result& r, Ms until) {
   r.by_read.unlink();
   r.owner->whole.push_back(r);
   leases_.put(r, tick_of(until));
 }
 
 // What is on disk costs nothing to take out of memory: it is read from there.
-bool Keeping::leave_memory() {
+bool Retention::leave_memory() {
   if (cached_.empty()) return false;
   const ResultNo no = *cached_.begin();
   cached_.erase(cached_.begin());
@@ -88,7 +88,7 @@
 // first where it would hold more than that one with what it asks for.
 // Guards against one owner that leaves results behind and so fills the spool for all. It may cost an owner
 // that reads many results at once the one it was about to read.
-bool Keeping::evict(bool on_disk, double bytes, const Result* not_this, Owner& asks) {
+bool Retention::evict(bool on_disk, double bytes, const Result* not_this, Owner& asks) {
   const auto first_of = [&](Owner& owner) -> Result* {
     for (Result& r : owner.whole)
       if (&r != not_this && (on_disk ? r.disk > 0 : r.memory > 0)) return &r;
@@ -109,8 +109,8 @@
   return false;
 }
 
-bool Keeping::make_room(bool on_disk, double bytes, const Result* not_this, Owner& asks) {
-  const double most = on_disk ? terms_.disk : terms_.memory;
+bool Retention::make_room(bool on_disk, double bytes, const Result* not_this, Owner& asks) {
+  const double most = on_disk ? options_.disk : options_.memory;
   if (bytes > most) return false;
   while ((on_disk ? disk_ : memory_ + reserved_) + bytes > most) {
     if (!on_disk && leave_memory()) continue;
@@ -119,12 +119,12 @@
   return true;
 }
 
-ResultNo Keeping::reserve(Ms, const std::string& owner, double expected) {
+ResultNo Retention::reserve(Ms, const std::string& owner, double expected) {
   // A place is never more than a part of all: what turns out larger moves to disk as it comes.
-  const double bytes = std::min({expected, terms_.result_most, terms_.memory});
+  const double bytes = std::min({expected, options_.result_most, options_.memory});
   Result& r = add(owner);
   const ResultNo no = r.no;
-  const bool too_many = results_.size() > terms_.results_most && !evict(false, bytes, &r, *r.owner);
+  const bool too_many = results_.size() > options_.results_most && !evict(false, bytes, &r, *r.owner);
   if (too_many || !make_room(false, bytes, &r, *r.owner)) {
     remove(no);  // nobody knows of it yet
     return 0;
@@ -133,12 +133,12 @@
   return no;
 }
 
-bool Keeping::grow(Ms, ResultNo no, double bytes) {
+bool Retention::grow(Ms, ResultNo no, double bytes) {
   const auto at = results_.find(no);
   if (at == results_.end()) return false;
   Result& r = *at->second;
   const double from_place = std::min(bytes, r.reserved);
-  if (r.total + bytes > terms_.result_most || !make_room(false, bytes - from_place, &r, *r.owner)) {
+  if (r.total + bytes > options_.result_most || !make_room(false, bytes - from_place, &r, *r.owner)) {
     forget(no, Gone::kOutgrown);
     return false;
   }
@@ -147,16 +147,16 @@
   return true;
 }
 
-bool Keeping::take_disk(Ms, ResultNo no, double bytes) {
+bool Retention::take_disk(Ms, ResultNo no, double bytes) {
   const auto at = results_.find(no);
-  if (at == results_.end() || terms_.disk <= 0) return false;
+  if (at == results_.end() || options_.disk <= 0) return false;
   Result& r = *at->second;
   if (!make_room(true, bytes, &r, *r.owner)) return false;
   charge(r, 0, bytes, 0);
   return true;
 }
 
-void Keeping::stored(ResultNo no, double bytes, bool written) {
+void Retention::stored(ResultNo no, double bytes, bool written) {
   const auto at = results_.find(no);
   if (at == results_.end()) return;
   Result& r = *at->second;
@@ -165,16 +165,16 @@
   cached_.insert(no);
 }
 
-void Keeping::whole(Ms now, ResultNo no) {
+void Retention::whole(Ms now, ResultNo no) {
   const auto at = results_.find(no);
   if (at == results_.end()) return;
   Result& r = *at->second;
   charge(r, 0, 0, -r.reserved);
   r.whole = true;
-  lend(r, now + terms_.lease);
+  lend(r, now + options_.lease);
 }
 
-void Keeping::clear(ResultNo no) {
+void Retention::clear(ResultNo no) {
   const auto at = results_.find(no);
   if (at == results_.end()) return;
   Result& r = *at->second;
@@ -183,7 +183,7 @@
   charge(r, -r.memory, -r.disk, r.memory);
 }
 
-ResultNo Keeping::restore(Ms now, const std::string& owner, double bytes, Ms lease_left) {
+ResultNo Retention::restore(Ms now, const std::string& owner, double bytes, Ms lease_left) {
   Result& r = add(owner);
   if (!make_room(true, bytes, &r, *r.owner)) {
     remove(r.no);
@@ -191,27 +191,28 @@
   }
   charge(r, 0, bytes, 0);
   r.whole = true;
-  lend(r, now + std::min(lease_left, terms_.lease));
+  lend(r, now + std::min(lease_left, options_.lease));
   return r.no;
 }
 
-bool Keeping::read(Ms now, ResultNo no) {
+bool Retention::read(Ms now, ResultNo no) {
   const auto at = results_.find(no);
   if (at == results_.end()) return false;
   Result& r = *at->second;
   if (!r.whole) return false;
-  lend(r, now + terms_.lease);
+  lend(r, now + options_.lease);
   return true;
 }
 
-void Keeping::due(Ms now) {
-  leases_.advance(static_cast<uint64_t>(now / kTick),
-                  [&](index::WheelNode& node) { forget(static_cast<Result&>(node).no, Gone::kLeaseOver); });
+void Retention::due(Ms now) {
+  leases_.advance(static_cast<uint64_t>(now / kTick), [&](base::TimingWheelNode& node) {
+    forget(static_cast<Result&>(node).no, Gone::kLeaseOver);
+  });
 }
 
-Ms Keeping::next_due() const {
+Ms Retention::next_due() const {
   const uint64_t tick = leases_.next();
   return tick == 0 ? 0 : static_cast<double>(tick) * kTick;
 }
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/src/spool/keeping.h
+++ b/src/results/retention.h
@@ -21,14 +21,14 @@
 #include <unordered_map>
 #include <vector>
 
-#include "index/units.h"
-#include "index/wheel.h"
+#include "base/timing_wheel.h"
+#include "base/units.h"
 
-namespace firvalve::spool {
+namespace firvalve::results {
 
 using ResultNo = uint64_t;  // from 1 up
 
-struct KeepingTerms {
+struct RetentionOptions {
   double memory = 8e6;       // bytes of pages in memory, reserved places included
   double disk = 0;           // bytes of pages on disk; 0: there is none
   double result_most = 1e9;  // bytes of one result, as rows
@@ -38,14 +38,14 @@
 
 enum class Gone { kReleased, kLeaseOver, kEvicted, kOutgrown, kGivenUp };
 
-class Keeping {
+class Retention {
  public:
   // Told when a result goes, whatever the reason: its pages are to be forgotten everywhere.
   std::function<void(ResultNo, Gone)> on_gone;
   // Told when pages of a result that the disk has are to leave memory.
   std::function<void(ResultNo)> on_leave_memory;
 
-  explicit Keeping(const KeepingTerms& terms) : terms_(terms) {}
+  explicit Retention(const RetentionOptions& options) : options_(options) {}
 
   // A place for a result of so many bytes expected; 0: none now, and none that may be taken from others.
   // What is expected past `result_most` gets a place for that.
@@ -76,7 +76,7 @@
 
  private:
   struct Owner;
-  struct Result : index::WheelNode {
+  struct Result : base::TimingWheelNode {
     ResultNo no = 0;
     Owner* owner = nullptr;
     double memory = 0, disk = 0, reserved = 0;
@@ -113,14 +113,14 @@
   bool evict(bool on_disk, double bytes, const Result* not_this, Owner& asks);
   double fair_share() const;
 
-  KeepingTerms terms_;
+  RetentionOptions options_;
   std::unordered_map<ResultNo, std::unique_ptr<Result>> results_;
   std::unordered_map<std::string, std::unique_ptr<Owner>> owners_;
-  index::Wheel leases_;
+  base::TimingWheel leases_;
   std::set<std::pair<double, Owner*>> by_held_;
   std::set<ResultNo> cached_;  // with bytes that may leave memory; the oldest first
   double memory_ = 0, disk_ = 0, reserved_ = 0;
   ResultNo last_ = 0;
 };
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/src/spool/files.cpp
+++ b/src/results/segment_files.cpp
@@ -1,4 +1,4 @@
-#include "spool/files.h"
+#include "results/segment_files.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -13,7 +13,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace firvalve::spool {
+namespace firvalve::results {
 
 namespace {
 
@@ -48,22 +48,23 @@
 
 }  // namespace
 
-std::string Files::path_of(size_t segment) const {
-  return fmt::format("{}/segment-{:010}", terms_.folder, segment);
+std::string SegmentFiles::path_of(size_t segment) const {
+  return fmt::format("{}/segment-{:010}", options_.folder, segment);
 }
 
-Files::Files(const Terms& terms, Ms now, std::function<void()> wake) : terms_(terms), wake_(std::move(wake)) {
+SegmentFiles::SegmentFiles(const Options& options, Ms now, std::function<void()> wake)
+    : options_(options), wake_(std::move(wake)) {
   std::error_code error;
-  std::filesystem::create_directories(terms_.folder, error);
-  if (error) throw unusable(terms_.folder, error.message());
-  lock_ = ::open((terms_.folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock_ < 0) throw unusable(terms_.folder, std::strerror(errno));
+  std::filesystem::create_directories(options_.folder, error);
+  if (error) throw unusable(options_.folder, error.message());
+  lock_ = ::open((options_.folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+  if (lock_ < 0) throw unusable(options_.folder, std::strerror(errno));
   if (::flock(lock_, LOCK_EX | LOCK_NB) != 0) {
     ::close(lock_);
-    throw unusable(terms_.folder, "another gateway uses it");
+    throw unusable(options_.folder, "another gateway uses it");
   }
   std::vector<size_t> numbers;
-  for (const auto& entry : std::filesystem::directory_iterator(terms_.folder, error)) {
+  for (const auto& entry : std::filesystem::directory_iterator(options_.folder, error)) {
     const std::string name = entry.path().filename();
     if (name.starts_with("segment-") && name.find_first_not_of("0123456789", 8) == std::string::npos &&
         name.size() == 18)
@@ -77,13 +78,13 @@
       ++broken;
       continue;
     }
-    const size_t end = recovery.hear(number, read_whole(fd));
+    const size_t end = recovery.handle(number, read_whole(fd));
     if (end != std::string_view::npos && ::ftruncate(fd, static_cast<off_t>(end)) == 0) ++cut;
     ::close(fd);
   }
-  if (terms_.boot) {
-    const Ms offset = lease_clock_offset(terms_.folder, *terms_.boot, now);
-    lease_offset_ = terms_.boot->since_boot + offset - now;
+  if (options_.boot) {
+    const Ms offset = lease_clock_offset(options_.folder, *options_.boot, now);
+    lease_offset_ = options_.boot->since_boot + offset - now;
   }
   found = recovery.found(now + lease_offset_, broken);
   if (!numbers.empty()) {
@@ -93,12 +94,12 @@
   if (!open_segment()) {
     const std::string why = std::strerror(errno);
     ::close(lock_);
-    throw unusable(terms_.folder, why);
+    throw unusable(options_.folder, why);
   }
   thread_ = std::thread([this] { run(); });
 }
 
-Files::~Files() {
+SegmentFiles::~SegmentFiles() {
   {
     const std::lock_guard lock(mutex_);
     ending_ = true;
@@ -109,7 +110,7 @@
   ::close(lock_);
 }
 
-bool Files::open_segment() {
+bool SegmentFiles::open_segment() {
   const int fd = ::open(path_of(current_ + 1).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (fd < 0) return false;
   if (!write_all(fd, kSegmentHead)) {
@@ -124,7 +125,7 @@
   return true;
 }
 
-void Files::post(Task task) {
+void SegmentFiles::post(Task task) {
   {
     const std::lock_guard lock(mutex_);
     backlog_ += task.bytes;
@@ -133,7 +134,7 @@
   wanted_.notify_one();
 }
 
-void Files::append(uint64_t tag, Record record) {
+void SegmentFiles::append(uint64_t tag, Record record) {
   Task t;
   t.tag = tag;
   t.bytes = kRecordHead + record.stored.bytes.size();
@@ -141,7 +142,7 @@
   post(std::move(t));
 }
 
-void Files::read(uint64_t tag, const Found::Place& place) {
+void SegmentFiles::read(uint64_t tag, const Found::Place& place) {
   Task t;
   t.kind = Task::Kind::kRead;
   t.tag = tag;
@@ -149,34 +150,34 @@
   post(std::move(t));
 }
 
-void Files::drop_until(size_t segment) {
+void SegmentFiles::drop_until(size_t segment) {
   Task t;
   t.kind = Task::Kind::kDrop;
   t.place.segment = segment;
   post(std::move(t));
 }
 
-std::vector<Storage::Done> Files::done() {
+std::vector<Storage::Done> SegmentFiles::done() {
   const std::lock_guard lock(mutex_);
   return std::exchange(done_, {});
 }
 
-size_t Files::backlog() const {
+size_t SegmentFiles::backlog() const {
   const std::lock_guard lock(mutex_);
   return backlog_;
 }
 
-size_t Files::current() const {
+size_t SegmentFiles::current() const {
   const std::lock_guard lock(mutex_);
   return current_;
 }
 
-Storage::Done Files::write(const Task& task) {
+Storage::Done SegmentFiles::write(const Task& task) {
   Done d;
   d.tag = task.tag;
   std::string bytes;
   append_record(bytes, task.record);
-  if (written_ + bytes.size() > terms_.segment_bytes && written_ > kSegmentHead.size()) open_segment();
+  if (written_ + bytes.size() > options_.segment_bytes && written_ > kSegmentHead.size()) open_segment();
   // Guards against a disk that is full in the middle of a record: what follows would be behind a torn one,
   // and lost with it. The record goes again whole, or not at all.
   if (!write_all(segment_fd_, bytes)) {
@@ -193,7 +194,7 @@
   return d;
 }
 
-Storage::Done Files::fetch(const Task& task) {
+Storage::Done SegmentFiles::fetch(const Task& task) {
   Done d;
   d.tag = task.tag;
   const int fd = ::open(path_of(task.place.segment).c_str(), O_RDONLY | O_CLOEXEC);
@@ -212,7 +213,7 @@
   return d;
 }
 
-void Files::run() {
+void SegmentFiles::run() {
   for (;;) {
     Task task;
     {
@@ -240,4 +241,4 @@
   }
 }
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/src/spool/files.h
+++ b/src/results/segment_files.h
@@ -12,14 +12,14 @@
 #include <string>
 #include <thread>
 
-#include "spool/lease_clock.h"
-#include "spool/storage.h"
+#include "results/lease_clock.h"
+#include "results/storage.h"
 
-namespace firvalve::spool {
+namespace firvalve::results {
 
-class Files : public Storage {
+class SegmentFiles : public Storage {
  public:
-  struct Terms {
+  struct Options {
     std::string folder;
     size_t segment_bytes = 16 * 1024 * 1024;
     std::optional<BootTime> boot = std::nullopt;  // none: leases are written in the caller's own time
@@ -27,8 +27,8 @@
   // Locks the folder, reads back what is there and cuts torn tails off. `wake` is called on the files' thread
   // when done() has something. Throws std::runtime_error in one sentence: the folder cannot be made or
   // written, or another gateway uses it.
-  Files(const Terms& terms, Ms now, std::function<void()> wake);
-  ~Files() override;  // what waits is written first
+  SegmentFiles(const Options& options, Ms now, std::function<void()> wake);
+  ~SegmentFiles() override;  // what waits is written first
 
   void append(uint64_t tag, Record record) override;
   void read(uint64_t tag, const Found::Place& place) override;
@@ -58,7 +58,7 @@
   std::string path_of(size_t segment) const;
   void post(Task task);
 
-  const Terms terms_;
+  const Options options_;
   std::function<void()> wake_;
   Ms lease_offset_ = 0;
   int lock_ = -1, segment_fd_ = -1;
@@ -72,4 +72,4 @@
   std::thread thread_;
 };
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/src/spool/sizes.cpp
+++ b/src/results/sizes.cpp
@@ -1,9 +1,9 @@
-#include "spool/sizes.h"
+#include "results/sizes.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace firvalve::spool {
+namespace firvalve::results {
 namespace {
 
 constexpr double kQuantile = 0.9;
@@ -54,4 +54,4 @@
   return first_;
 }
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/src/spool/sizes.h
+++ b/src/results/sizes.h
@@ -8,7 +8,7 @@
 #include <map>
 #include <string>
 
-namespace firvalve::spool {
+namespace firvalve::results {
 
 class Sizes {
  public:
@@ -38,4 +38,4 @@
   std::list<Key> by_use_;                   // the longest unused first
 };
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/src/spool/storage.h
+++ b/src/results/storage.h
@@ -1,13 +1,13 @@
-// Where pages are kept beside memory. Asked from the loop's thread, never waited for: what has been done
-// comes back with done().
+// Where pages are kept beside memory. CommandRequest from the loop's thread, never waited for: what has been
+// done comes back with done().
 #pragma once
 
 #include <cstdint>
 #include <vector>
 
-#include "spool/page.h"
+#include "results/page.h"
 
-namespace firvalve::spool {
+namespace firvalve::results {
 
 class Storage {
  public:
@@ -26,4 +26,4 @@
   virtual size_t current() const = 0;  // the number of the segment that is written now
 };
 
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/src/schema/check.cpp
+++ b/src/schema/check.cpp
@@ -125,7 +125,7 @@
           fmt::format("then leave {} out", field)};
 }
 
-void malformed(const Schema& s, std::vector<Breach>& out) {
+void malformed(const Schema& s, std::vector<Violation>& out) {
   const auto breach = [&out](uint32_t field, std::string what) {
     out.push_back({Rule::kMalformed, field, std::move(what), {}, {}});
   };
@@ -163,8 +163,8 @@
   if (s.order != "number" && s.order != "key") breach(0, "order is \"number\" or \"key\"");
 }
 
-void merge(std::vector<Breach>& into, const Breach& b) {
-  const auto same = std::find_if(into.begin(), into.end(), [&](const Breach& o) {
+void merge(std::vector<Violation>& into, const Violation& b) {
+  const auto same = std::find_if(into.begin(), into.end(), [&](const Violation& o) {
     return o.rule == b.rule && o.field == b.field && o.what == b.what;
   });
   if (same == into.end()) {
@@ -174,19 +174,19 @@
   same->readers.insert(same->readers.end(), b.readers.begin(), b.readers.end());
 }
 
-Verdict sorted(std::vector<Breach> all) {
-  for (Breach& b : all) {
+Verdict sorted(std::vector<Violation> all) {
+  for (Violation& b : all) {
     std::sort(b.readers.begin(), b.readers.end());
     b.readers.erase(std::unique(b.readers.begin(), b.readers.end()), b.readers.end());
   }
-  std::sort(all.begin(), all.end(), [](const Breach& a, const Breach& b) {
+  std::sort(all.begin(), all.end(), [](const Violation& a, const Violation& b) {
     return std::tie(a.rule, a.field, a.what) < std::tie(b.rule, b.field, b.what);
   });
   return {std::move(all)};
 }
 
 // Once and for all: what a number and a name, and a choice's number, have meant in any version.
-void meanings(const Bulletin& bulletin, const Schema& s, std::vector<Breach>& out) {
+void meanings(const Topic& bulletin, const Schema& s, std::vector<Violation>& out) {
   std::map<uint32_t, std::string> by_number;
   std::map<std::string, uint32_t> by_name;
   std::map<std::pair<uint32_t, int64_t>, std::string> choices;
@@ -225,7 +225,7 @@
 
 // The versions that a declaration can be served in, the newest first: it speaks them, they are there, and
 // they have all that it reads.
-std::vector<const Version*> spoken(const Bulletin& bulletin, const Declaration& d) {
+std::vector<const Version*> spoken(const Topic& bulletin, const Declaration& d) {
   std::vector<const Version*> out;
   for (auto v = d.versions.rbegin(); v != d.versions.rend(); ++v) {
     const Version* const version = bulletin.find(*v);
@@ -253,14 +253,14 @@
   return at != fields.end() && at->number == number ? &*at : nullptr;
 }
 
-const Version* Bulletin::find(uint32_t number) const {
+const Version* Topic::find(uint32_t number) const {
   const auto at =
       std::find_if(versions.begin(), versions.end(), [&](const Version& v) { return v.number == number; });
   return at != versions.end() ? &*at : nullptr;
 }
 
-std::vector<Breach> between(const Schema& from, const Schema& to, const Declaration& reader) {
-  std::vector<Breach> out;
+std::vector<Violation> between(const Schema& from, const Schema& to, const Declaration& reader) {
+  std::vector<Violation> out;
   const auto breach = [&out](Rule rule, uint32_t field, std::string what, std::vector<std::string> way_out) {
     out.push_back({rule, field, std::move(what), {}, std::move(way_out)});
   };
@@ -326,24 +326,24 @@
   return out;
 }
 
-Verdict check_new(const Bulletin& bulletin, const Schema& proposed) {
-  std::vector<Breach> all;
+Verdict check_new(const Topic& bulletin, const Schema& proposed) {
+  std::vector<Violation> all;
   malformed(proposed, all);
   if (!all.empty()) return sorted(std::move(all));  // nothing further can be said of it
   meanings(bulletin, proposed, all);
   for (const Declaration& d : bulletin.declarations) {
     // One version that it speaks is enough. Where none is, the newest tells why.
     const auto versions = spoken(bulletin, d);
-    std::vector<Breach> newest;
+    std::vector<Violation> newest;
     bool served = versions.empty();
     for (const Version* const v : versions) {
-      std::vector<Breach> found = between(proposed, v->schema, d);
+      std::vector<Violation> found = between(proposed, v->schema, d);
       served |= found.empty();
-      for (Breach& b : found) b.readers = {{d.subscriber, d.site, v->number}};
+      for (Violation& b : found) b.readers = {{d.subscriber, d.site, v->number}};
       if (v == versions.front()) newest = std::move(found);
     }
     if (!served)
-      for (const Breach& b : newest) merge(all, b);
+      for (const Violation& b : newest) merge(all, b);
   }
   // Whoever still publishes an older version has nothing for a field that is new and required.
   for (const Version& v : bulletin.versions) {
@@ -364,8 +364,8 @@
   return sorted(std::move(all));
 }
 
-Verdict check_retire(const Bulletin& bulletin, uint32_t version) {
-  std::vector<Breach> all;
+Verdict check_retire(const Topic& bulletin, uint32_t version) {
+  std::vector<Violation> all;
   const Version* const v = bulletin.find(version);
   if (!v || v->state == State::kGone) {
     all.push_back({Rule::kNoSuchVersion, 0, fmt::format("there is no version {}", version), {}, {}});
@@ -387,8 +387,8 @@
   return sorted(std::move(all));
 }
 
-Verdict check_declaration(const Bulletin& bulletin, const Declaration& d) {
-  std::vector<Breach> all;
+Verdict check_declaration(const Topic& bulletin, const Declaration& d) {
+  std::vector<Violation> all;
   const auto versions = spoken(bulletin, d);
   const auto named = [&](auto&& has) {
     return std::any_of(bulletin.versions.begin(), bulletin.versions.end(), [&](const Version& v) {
@@ -407,16 +407,16 @@
   // It has to be able to read what is published now: by one of its versions, each live one.
   for (const Version& live : bulletin.versions) {
     if (live.state != State::kLive || versions.empty()) continue;
-    std::vector<Breach> newest;
+    std::vector<Violation> newest;
     bool served = false;
     for (const Version* const v : versions) {
-      std::vector<Breach> found = between(live.schema, v->schema, d);
+      std::vector<Violation> found = between(live.schema, v->schema, d);
       served |= found.empty();
-      for (Breach& b : found) b.readers = {{d.subscriber, d.site, v->number}};
+      for (Violation& b : found) b.readers = {{d.subscriber, d.site, v->number}};
       if (v == versions.front()) newest = std::move(found);
     }
     if (!served)
-      for (const Breach& b : newest) merge(all, b);
+      for (const Violation& b : newest) merge(all, b);
   }
   return sorted(std::move(all));
 }
--- a/src/schema/check.h
+++ b/src/schema/check.h
@@ -38,27 +38,27 @@
   auto operator<=>(const Reader&) const = default;
 };
 
-struct Breach {
+struct Violation {
   Rule rule = Rule::kMalformed;
   uint32_t field = 0;                // its number; 0: of the whole
   std::string what;                  // a sentence
   std::vector<Reader> readers;       // whom it would break; empty: nobody in particular
   std::vector<std::string> way_out;  // steps, in order
-  bool operator==(const Breach&) const = default;
+  bool operator==(const Violation&) const = default;
 };
 
 struct Verdict {
-  std::vector<Breach> breaches;  // all of them, by rule and field
+  std::vector<Violation> breaches;  // all of them, by rule and field
   bool good() const { return breaches.empty(); }
 };
 
 // Whether what is published as `from` can be given to a reader as `to`, and what keeps it from that: of the
 // fields that it reads alone.
-std::vector<Breach> between(const Schema& from, const Schema& to, const Declaration& reader);
+std::vector<Violation> between(const Schema& from, const Schema& to, const Declaration& reader);
 
-Verdict check_new(const Bulletin& bulletin, const Schema& proposed);
-Verdict check_retire(const Bulletin& bulletin, uint32_t version);
-Verdict check_declaration(const Bulletin& bulletin, const Declaration& declaration);
+Verdict check_new(const Topic& bulletin, const Schema& proposed);
+Verdict check_retire(const Topic& bulletin, uint32_t version);
+Verdict check_declaration(const Topic& bulletin, const Declaration& declaration);
 
 // How a notice of one version is told in another: what to do with each field of that one.
 struct Projection {
--- a/src/schema/lapses.h
+++ b/src/schema/declaration_expiry.h
@@ -16,12 +16,12 @@
 
 namespace firvalve::schema {
 
-class Lapses {
+class DeclarationExpiry {
  public:
   // `part`: from 0 to 1, this gateway's own: who looks first.
-  explicit Lapses(double part) : part_(part) {}
+  explicit DeclarationExpiry(double part) : part_(part) {}
 
-  void saw(Ms now, const std::string& bulletin, const Bulletin& b) {
+  void saw(Ms now, const std::string& bulletin, const Topic& b) {
     auto& known = seen_[bulletin];
     std::map<std::string, Sign> next;
     for (const Declaration& d : b.declarations) {
--- a/src/schema/registry.cpp
+++ b/src/schema/registry.cpp
@@ -4,11 +4,11 @@
 
 #include <algorithm>
 
-#include "index/planted.h"
+#include "base/injected_bug.h"
 
 namespace firvalve::schema {
 
-Applied apply(const Bulletin& before, const Change& c) {
+Applied apply(const Topic& before, const Change& c) {
   Applied out;
   out.after = before;
   using Kind = Change::Kind;
@@ -101,7 +101,7 @@
 }
 
 void Registry::read(Open& o) {
-  record::Wish w;
+  consensus::Proposal w;
   w.key = key_of(o.change.bulletin);
   w.until = o.until;
   o.id = 0;
@@ -115,7 +115,7 @@
   open_.erase(at);
 }
 
-void Registry::ended(Ms, const record::End& end) {
+void Registry::ended(Ms, const consensus::ProposalResult& end) {
   // A reading answers all that wait for one of that key: what it tells was so after each of them asked, or is
   // found out to be older when the change is agreed on top of it.
   std::vector<uint64_t> numbers;
@@ -123,7 +123,7 @@
     if (end.wish.key == key_of(o.change.bulletin) && o.id == end.wish.id) numbers.push_back(number);
   for (const uint64_t number : numbers) {
     Open& o = open_[number];
-    using Kind = record::End::Kind;
+    using Kind = consensus::ProposalResult::Kind;
     if (end.kind == Kind::kNoMajority) {
       finish(number, End::Kind::kNoMajority);
       continue;
@@ -138,15 +138,15 @@
     }
     // Read, or another came first: checked against what stands now, and agreed on top of just that.
     std::string why;
-    const auto bulletin = end.fact.version == 0 ? Bulletin{} : read_bulletin(end.fact.value, why);
+    const auto bulletin = end.fact.version == 0 ? Topic{} : read_bulletin(end.fact.value, why);
     if (!bulletin) {
       finish(number, End::Kind::kUnreadable);
       continue;
     }
-    const bool stale = planted(Flaw::kCheckBeforeAgreement) && o.applied.changed;
+    const bool stale = is_injected(InjectedBug::kCheckBeforeAgreement) && o.applied.changed;
     if (stale) {
-      // The planted flaw: what was checked before is put on top of what stands now.
-      const Bulletin checked = o.applied.after;
+      // The is_injected flaw: what was checked before is put on top of what stands now.
+      const Topic checked = o.applied.after;
       o.applied.after = *bulletin;
       for (const Version& v : checked.versions)
         if (!o.applied.after.find(v.number)) o.applied.after.versions.push_back(v);
@@ -165,7 +165,7 @@
       finish(number, End::Kind::kAgreed);
       continue;
     }
-    record::Wish w;
+    consensus::Proposal w;
     uint64_t z = life_ + ++ids_ * 0x9e3779b97f4a7c15ull;
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ull;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebull;
--- a/src/schema/registry.h
+++ b/src/schema/registry.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "record/asker.h"
+#include "consensus/proposer.h"
 #include "schema/check.h"
 
 namespace firvalve::schema {
@@ -34,17 +34,17 @@
 
 // What a change makes of a bulletin, or why it may not be.
 struct Applied {
-  Bulletin after;
+  Topic after;
   Verdict verdict;
   uint32_t version = 0;  // that was made, or stands already just so
   bool changed = false;
 };
-Applied apply(const Bulletin& before, const Change& change);
+Applied apply(const Topic& before, const Change& change);
 
 // The form in which bulletins stand in the record, and parts of it come from clients: JSON. None: it cannot
 // be read; `why` says where.
-std::string written(const Bulletin& bulletin);
-std::optional<Bulletin> read_bulletin(const std::string& json, std::string& why);
+std::string written(const Topic& bulletin);
+std::optional<Topic> read_bulletin(const std::string& json, std::string& why);
 std::optional<Schema> read_schema(const std::string& json, std::string& why);
 std::optional<Declaration> read_declaration(const std::string& json, std::string& why);
 // All that a client tells of one: `schema`, `version`, and a declaration's own fields. Its kind is the
@@ -72,8 +72,8 @@
 
   uint64_t ask(Ms now, Change change, Ms until);
   // Ends of wishes of other keys or ids are passed over.
-  void ended(Ms now, const record::End& end);
-  std::vector<record::Wish> take_wishes() { return std::exchange(wishes_, {}); }
+  void ended(Ms now, const consensus::ProposalResult& end);
+  std::vector<consensus::Proposal> take_wishes() { return std::exchange(wishes_, {}); }
   std::vector<End> take_ends() { return std::exchange(ends_, {}); }
   size_t open() const { return open_.size(); }
 
@@ -89,7 +89,7 @@
 
   uint64_t life_, last_ = 0, ids_ = 0;
   std::map<uint64_t, Open> open_;
-  std::vector<record::Wish> wishes_;
+  std::vector<consensus::Proposal> wishes_;
   std::vector<End> ends_;
 };
 
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -63,11 +63,11 @@
   bool operator==(const Declaration&) const = default;
 };
 
-struct Bulletin {
+struct Topic {
   std::vector<Version> versions;          // by number, ascending; those that are gone stay
   std::vector<Declaration> declarations;  // by subscriber, ascending
   const Version* find(uint32_t number) const;
-  bool operator==(const Bulletin&) const = default;
+  bool operator==(const Topic&) const = default;
 };
 
 // A notice's content under a version.
--- a/src/schema/text.cpp
+++ b/src/schema/text.cpp
@@ -241,7 +241,7 @@
 
 }  // namespace
 
-std::string written(const Bulletin& bulletin) {
+std::string written(const Topic& bulletin) {
   rapidjson::StringBuffer buffer;
   Writer w(buffer);
   w.StartObject();
@@ -278,9 +278,9 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::optional<Bulletin> read_bulletin(const std::string& json, std::string& why) {
+std::optional<Topic> read_bulletin(const std::string& json, std::string& why) {
   return parsed(json, why, [&why](const Json& in) {
-    Bulletin out;
+    Topic out;
     Reading r(in, "", why);
     r.each("versions", [&](const Json& v, const std::string& at) {
       Version version;
@@ -320,7 +320,7 @@
   rapidjson::StringBuffer buffer;
   Writer w(buffer);
   w.StartArray();
-  for (const Breach& b : verdict.breaches) {
+  for (const Violation& b : verdict.breaches) {
     w.StartObject();
     text(w, "rule", name_of(b.rule));
     w.Key("field");
--- a/src/drill/wire.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -1,4 +1,4 @@
-#include "drill/wire.h"
+#include "simulator_adapter/simulator_adapter.h"
 
 #include <rapidjson/document.h>
 #include <rapidjson/error/en.h>
@@ -10,7 +10,7 @@
 #include <cstring>
 #include <iostream>
 
-#include "core/articles.h"
+#include "core/settings.h"
 
 namespace firvalve::drill {
 
@@ -101,20 +101,20 @@
   f.wrong("disposition", "a known outcome");
 }
 
-std::vector<Listing> listings_of(const Fields& f) {
+std::vector<EngineInfo> listings_of(const Fields& f) {
   const Value& members = f.required("members");
   if (!members.IsArray()) f.wrong("members", "a list");
-  std::vector<Listing> all;
+  std::vector<EngineInfo> all;
   for (const Value& member : members.GetArray()) {
     static const std::string kMember = "MANIFEST members";
     const Fields m(kMember, member);
-    Listing l;
+    EngineInfo l;
     l.engine = static_cast<uint32_t>(m.whole("engine"));
     l.zone = m.find("zone") ? m.text("zone") : "";
     l.machine = m.find("generation_hw") ? m.text("generation_hw") : "";
     l.cell = static_cast<int>(m.whole("block", 0));
     const int64_t life = m.whole("lifecycle");
-    l.life = life == 1 ? Life::kReady : life == 2 ? Life::kDraining : Life::kGone;
+    l.life = life == 1 ? EngineState::kReady : life == 2 ? EngineState::kDraining : EngineState::kGone;
     l.born = to_ms(m.whole("born", 0));
     all.push_back(l);
   }
@@ -130,7 +130,7 @@
 
 }  // namespace
 
-Drill::Gateway* Drill::held(int64_t id) {
+SimulatorAdapter::Gateway* SimulatorAdapter::held(int64_t id) {
   const auto at = gateways_.find(id);
   if (at == gateways_.end()) return nullptr;
   if (!at->second.heard) {
@@ -140,7 +140,7 @@
   return &at->second;
 }
 
-void Drill::take(const std::string& name, const Fields& f, Ms now) {
+void SimulatorAdapter::take(const std::string& name, const Fields& f, Ms now) {
   if (name == "MANIFEST") {
     lists_[f.whole("ref")] = listings_of(f);
     return;
@@ -150,15 +150,15 @@
   if (std::none_of(std::begin(kKnown), std::end(kKnown), [&](const char* k) { return name == k; })) return;
   const int64_t id = f.whole("gateway_id");
   if (name == "START") {
-    const Value& settings = f.required("settings");
-    if (!settings.IsObject()) f.wrong("settings", "an object");
+    const Value& json = f.required("settings");
+    if (!json.IsObject()) f.wrong("settings", "an object");
     const int64_t salt = f.whole("salt");
-    const Articles articles = articles_from(settings);
+    const Settings settings = parse_settings(json);
     gateways_.erase(id);
     Gateway& g = gateways_[id];
-    g.state = open(articles, static_cast<uint64_t>(salt));
-    g.profiles = names_of(articles, "profile");
-    g.customers = names_of(articles, "customer");
+    g.state = open(settings, static_cast<uint64_t>(salt));
+    g.profiles = names_of(settings, "profile");
+    g.customers = names_of(settings, "customer");
     std::erase(order_, id);
     held(id);
     return;
@@ -172,7 +172,7 @@
   Event event;
   std::string profile, customer;
   if (name == "UPDATE") {
-    Roster r;
+    EngineListUpdate r;
     const int64_t how = f.whole("how");
     if (how == 2) return;  // a call failed: the old list holds
     const auto list = lists_.find(f.whole("ref"));
@@ -181,7 +181,7 @@
     r.listings = list->second;
     event = std::move(r);
   } else if (name == "ACCEPT") {
-    Taken t;
+    Admitted t;
     t.id = f.command();
     profile = f.text("class");
     if (f.find("billing") && f.find("billing")->IsString()) customer = f.text("billing");
@@ -194,16 +194,16 @@
     t.repeat = f.flag("resent");
     event = t;
   } else if (name == "CHANGE") {
-    Note n;
+    AttemptStatus n;
     n.id = f.command();
     n.send = static_cast<int>(f.whole("round_no"));
     const int64_t kind = f.whole("kind");
     if (kind < 1 || kind > 3) return;
-    n.kind = static_cast<NoteKind>(kind);
+    n.kind = static_cast<AttemptStatusKind>(kind);
     n.value = f.number("x", 0);
     event = n;
   } else if (name == "SETTLED") {
-    Settled r;
+    AttemptFinished r;
     r.id = f.command();
     r.send = static_cast<int>(f.whole("round_no"));
     r.outcome = outcome_of(f);
@@ -214,23 +214,24 @@
     r.memory_mb = static_cast<double>(bill % 4096) * 4;
     event = r;
   } else if (name == "PROBE_RESULT") {
-    event = Probed{static_cast<uint32_t>(f.whole("engine")), outcome_of(f)};
+    event = ProbeResult{static_cast<uint32_t>(f.whole("engine")), outcome_of(f)};
   } else if (name == "GONE") {
     event = ClientGone{f.command()};
   } else {
-    event = Bell{static_cast<uint64_t>(f.whole("ref"))};
+    event = TimerFired{static_cast<uint64_t>(f.whole("ref"))};
   }
   Gateway* g = held(id);
   if (!g) return;
-  if (auto* t = std::get_if<Taken>(&event)) {
+  if (auto* t = std::get_if<Admitted>(&event)) {
     t->profile = place_of(g->profiles, profile);
     t->tenant = place_of(g->customers, customer);
-    if (t->profile < 0) std::cerr << "firvalve_drill: event ACCEPT: no profile is named " << profile << '\n';
+    if (t->profile < 0)
+      std::cerr << "firvalve-simulator-adapter: event ACCEPT: no profile is named " << profile << '\n';
   }
-  hear(g->state, now, event);
+  handle(g->state, now, event);
 }
 
-void Drill::write(int64_t id, const Action& a) {
+void SimulatorAdapter::write(int64_t id, const Action& a) {
   const auto begin = [&](const char* name) {
     if (reply_.back() != '[') reply_ += ',';
     reply_.append("{\"").append(name).append("\":{\"gateway_id\":").append(std::to_string(id));
@@ -270,14 +271,14 @@
   reply_ += "}}";
 }
 
-void Drill::panic(int64_t id, const std::string& why) {
+void SimulatorAdapter::panic(int64_t id, const std::string& why) {
   if (reply_.back() != '[') reply_ += ',';
   reply_.append("{\"PANIC\":{\"gateway_id\":").append(std::to_string(id)).append(",\"line\":");
   append_text(reply_, why);
   reply_ += "}}";
 }
 
-void Drill::reply_for(int64_t id, Gateway& g, Ms now) {
+void SimulatorAdapter::reply_for(int64_t id, Gateway& g, Ms now) {
   g.heard = false;
   actions_.clear();
   try {
@@ -288,7 +289,7 @@
   for (const Action& a : actions_) write(id, a);
 }
 
-const std::string& Drill::answer(std::string line) {
+const std::string& SimulatorAdapter::answer(std::string line) {
   rapidjson::Document batch;
   batch.ParseInsitu(line.data());
   if (batch.HasParseError())
--- a/src/drill/wire.h
+++ b/src/simulator_adapter/simulator_adapter.h
@@ -19,7 +19,7 @@
 
 class Fields;
 
-class Drill {
+class SimulatorAdapter {
  public:
   // Reads a batch and returns the reply, without a line's end. Throws Malformed.
   const std::string& answer(std::string line);
@@ -39,7 +39,7 @@
 
   std::map<int64_t, Gateway> gateways_;
   std::vector<int64_t> order_;  // of first being heard in this batch
-  std::map<int64_t, std::vector<Listing>> lists_;
+  std::map<int64_t, std::vector<EngineInfo>> lists_;
   Actions actions_;
   std::string reply_;
 };
--- a/tests/index/backoff_test.cpp
+++ b/tests/base/backoff_test.cpp
@@ -1,4 +1,4 @@
-#include "index/backoff.h"
+#include "base/backoff.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/index/wheel_test.cpp
+++ b/tests/base/timing_wheel_test.cpp
@@ -1,4 +1,4 @@
-#include "index/wheel.h"
+#include "base/timing_wheel.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -7,48 +7,48 @@
 #include <map>
 #include <set>
 
-namespace firvalve::index {
+namespace firvalve::base {
 namespace {
 
-struct Node : WheelNode {
+struct Node : TimingWheelNode {
   int number = 0;
 };
 
-TEST(Wheel, WhatIsInThePastIsDueAtOnce) {
-  Wheel wheel(1000);
+TEST(TimingWheel, WhatIsInThePastIsDueAtOnce) {
+  TimingWheel wheel(1000);
   Node node;
   wheel.put(node, 500);
   EXPECT_EQ(wheel.next(), 1000u);
   int fired = 0;
-  wheel.advance(1000, [&](WheelNode&) { ++fired; });
+  wheel.advance(1000, [&](TimingWheelNode&) { ++fired; });
   EXPECT_EQ(fired, 1);
   EXPECT_EQ(wheel.next(), 0u);
 }
 
-TEST(Wheel, ANodeTakesItselfOutAtItsEnd) {
-  Wheel wheel;
+TEST(TimingWheel, ANodeTakesItselfOutAtItsEnd) {
+  TimingWheel wheel;
   {
     Node node;
     wheel.put(node, 300);
   }
-  wheel.advance(1000, [](WheelNode&) { FAIL(); });
+  wheel.advance(1000, [](TimingWheelNode&) { FAIL(); });
 }
 
-TEST(Wheel, WhatLiesPastAllLevelsIsStillDueInItsTime) {
-  Wheel wheel;
+TEST(TimingWheel, WhatLiesPastAllLevelsIsStillDueInItsTime) {
+  TimingWheel wheel;
   Node node;
   const uint64_t far = (uint64_t{1} << 32) + 12345;
   wheel.put(node, far);
   bool fired = false;
-  wheel.advance(far - 1, [&](WheelNode&) { fired = true; });
+  wheel.advance(far - 1, [&](TimingWheelNode&) { fired = true; });
   EXPECT_FALSE(fired);
-  wheel.advance(far, [&](WheelNode&) { fired = true; });
+  wheel.advance(far, [&](TimingWheelNode&) { fired = true; });
   EXPECT_TRUE(fired);
 }
 
 // Against a plain map: the same nodes come out at the same advances, and next() is never too late.
 RC_GTEST_PROP(WheelProperty, DoesAsAMapDoes, (const std::vector<std::pair<uint8_t, uint32_t>>& steps)) {
-  Wheel wheel;
+  TimingWheel wheel;
   std::deque<Node> nodes;
   std::map<int, uint64_t> plain;
   uint64_t now = 1;
@@ -66,7 +66,7 @@
         if (nodes.empty()) break;
         Node& node = nodes[how % nodes.size()];
         if (how % 3 == 0) {
-          Wheel::take_out(node);
+          TimingWheel::take_out(node);
           plain.erase(node.number);
         } else {
           wheel.put(node, now + how % 1000);
@@ -78,7 +78,7 @@
         now += how % 20000;
         std::set<int> came, wanted;
         uint64_t last = 0;
-        wheel.advance(now, [&](WheelNode& node) {
+        wheel.advance(now, [&](TimingWheelNode& node) {
           RC_ASSERT(node.due >= last || node.due + 1 >= last);
           came.insert(static_cast<Node&>(node).number);
         });
@@ -102,4 +102,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::index
+}  // namespace firvalve::base
--- a/tests/client/budget_test.cpp
+++ b/tests/client/budget_test.cpp
@@ -124,10 +124,10 @@
 }
 
 TEST(Standing, TheSpanDoublesToItsEndAndIsForgottenAfterAGoodTime) {
-  SpreadTerms terms;
-  terms.spread = 1000;
-  terms.spread_most = 3000;
-  Standing s(terms);
+  SpreadOptions options;
+  options.spread = 1000;
+  options.spread_most = 3000;
+  Standing s(options);
   s.leave(0, 0.5);
   EXPECT_EQ(s.try_at(), 500);
   s.trying();
--- a/tests/client/client_gateway_test.cpp
+++ b/tests/client/client_gateway_test.cpp
@@ -7,19 +7,19 @@
 #include <thread>
 
 #include "client/client.h"
+#include "fakes/fake_deployment.h"
+#include "fakes/process.h"
 #include "soon.h"
-#include "standin/fleet.h"
-#include "standin/process.h"
 
 namespace firvalve::client {
 namespace {
 
 struct ClientGateway : testing::Test {
-  standin::Fleet fleet{3};
-  std::string address = standin::free_address();
-  standin::Process process{FIRVALVE_PROGRAM, fleet.config(address)};
+  fakes::FakeDeployment fleet{3};
+  std::string address = fakes::free_address();
+  fakes::Process process{FIRVALVE_PROGRAM, fleet.config(address)};
 
-  void SetUp() override { ASSERT_TRUE(standin::Process::listens(address)); }
+  void SetUp() override { ASSERT_TRUE(fakes::Process::listens(address)); }
   Options options() {
     Options o;
     o.gateways = {address};
@@ -69,7 +69,7 @@
       ASSERT_TRUE(soon([&] { return fleet.started() >= before + 60; }));
       process.stop(SIGKILL);
       process.start();
-      ASSERT_TRUE(standin::Process::listens(address));
+      ASSERT_TRUE(fakes::Process::listens(address));
     }
     stop = true;
     sender.join();
--- a/tests/client/client_test.cpp
+++ b/tests/client/client_test.cpp
@@ -12,15 +12,15 @@
 #include <future>
 #include <thread>
 
+#include "fakes/fake_gateway.h"
 #include "soon.h"
-#include "standin/gateway.h"
 
 namespace firvalve::client {
 namespace {
 
 struct ClientTest : testing::Test {
-  standin::Host host;
-  standin::Gateway gateway{host};
+  fakes::FakeHost host;
+  fakes::FakeGateway gateway{host};
 
   Options options() {
     Options o;
@@ -120,7 +120,7 @@
 }
 
 TEST_F(ClientTest, AGatewayThatAcceptsAndNeverAnswersIsLeftForOneThatDoes) {
-  standin::Gateway other(host);
+  fakes::FakeGateway other(host);
   gateway.set_mute(true);
   Options o = options();
   o.gateways = {gateway.address(), other.address()};
--- a/tests/client/plan_property_test.cpp
+++ b/tests/client/plan_property_test.cpp
@@ -25,7 +25,7 @@
 
 class World {
  public:
-  explicit World(const PlanTerms& terms) : terms_(terms), plan_(terms) {}
+  explicit World(const PlanOptions& options) : options_(options), plan_(options) {}
 
   void play(const Step& s) {
     switch (s.what % 16) {
@@ -174,7 +174,7 @@
     const Call& c = calls_.at(open->second);
     if (r.holdoff > 0) {
       Ms& until = away_[{l.gateway, c.profile}];
-      until = std::max(until, now_ + std::min(r.holdoff, terms_.holdoff_most));
+      until = std::max(until, now_ + std::min(r.holdoff, options_.holdoff_most));
     }
     l.open.erase(open);
     l.passed_at = l.heard_at = now_;
@@ -283,7 +283,7 @@
     RC_ASSERT(c.replayable || c.sound);
     const auto away = away_.find({l.gateway, c.profile});
     RC_ASSERT(away == away_.end() || now_ >= away->second);
-    RC_ASSERT(c.sends < terms_.sends_most);
+    RC_ASSERT(c.sends < options_.sends_most);
     RC_ASSERT(reqs_.insert(a.req).second);
     if (c.sends == 0) {
       firsts_.push_back(now_);
@@ -294,9 +294,9 @@
       repeats_.push_back(now_);
       const auto in = [&](const std::vector<Ms>& all) {
         return static_cast<double>(
-            std::count_if(all.begin(), all.end(), [&](Ms t) { return t >= now_ - terms_.retry_window; }));
+            std::count_if(all.begin(), all.end(), [&](Ms t) { return t >= now_ - options_.retry_window; }));
       };
-      RC_ASSERT(in(repeats_) <= terms_.retry_share * in(firsts_) + 1);
+      RC_ASSERT(in(repeats_) <= options_.retry_share * in(firsts_) + 1);
     }
     c.may_cross = false;
     c.sends += 1;
@@ -304,10 +304,10 @@
     l.sent[a.id] = {now_, l.open.empty() ? now_ - l.passed_at : 0};
     l.open[a.id] = a.call;
     l.passed_at = now_;
-    RC_ASSERT(l.open.size() <= static_cast<size_t>(terms_.calls_a_link));
+    RC_ASSERT(l.open.size() <= static_cast<size_t>(options_.calls_a_link));
   }
 
-  const PlanTerms terms_;
+  const PlanOptions options_;
   Plan plan_;
   Ms now_ = 1000;
   CallNo last_call_ = 0;
@@ -326,15 +326,15 @@
 }
 
 void run(int gateways, double share, int calls_a_link) {
-  PlanTerms terms;
-  terms.gateways = gateways;
-  terms.seed = *rc::gen::arbitrary<uint64_t>();
-  terms.retry_share = share;
-  terms.retry_window = 3000;
-  terms.calls_a_link = calls_a_link;
-  terms.links_most = 2;
-  terms.ids_a_link = 20;
-  World world(terms);
+  PlanOptions options;
+  options.gateways = gateways;
+  options.seed = *rc::gen::arbitrary<uint64_t>();
+  options.retry_share = share;
+  options.retry_window = 3000;
+  options.calls_a_link = calls_a_link;
+  options.links_most = 2;
+  options.ids_a_link = 20;
+  World world(options);
   for (const Step& s : *scripts()) world.play(s);
   world.end();
 }
--- a/tests/client/plan_test.cpp
+++ b/tests/client/plan_test.cpp
@@ -10,8 +10,8 @@
 using Kind = PlanAction::Kind;
 
 struct PlanTest : testing::Test {
-  PlanTerms terms = [] {
-    PlanTerms t;
+  PlanOptions options = [] {
+    PlanOptions t;
     t.seed = 7;
     t.retry_share = 1;
     t.marks = false;
@@ -22,8 +22,8 @@
   PlanActions all;
 
   void open(int gateways = 1) {
-    terms.gateways = gateways;
-    plan = std::make_unique<Plan>(terms);
+    options.gateways = gateways;
+    plan = std::make_unique<Plan>(options);
   }
   PlanActions step(Ms at) {
     now = at;
@@ -226,7 +226,7 @@
 }
 
 TEST_F(PlanTest, ACloseThatCrossesACallSendsItOnceMoreUnlessItIsALoad) {
-  terms.retry_share = 0;  // it counts against no budget
+  options.retry_share = 0;  // it counts against no budget
   for (const bool replayable : {true, false}) {
     all.clear();
     now = 1000;
@@ -273,7 +273,7 @@
 }
 
 TEST_F(PlanTest, NumbersNeverComeAgainOnAConnection) {
-  terms.ids_a_link = 3;
+  options.ids_a_link = 3;
   open();
   std::set<std::pair<LinkNo, int64_t>> seen;
   for (CallNo no = 1; no <= 10; ++no) {
@@ -286,7 +286,7 @@
 }
 
 TEST_F(PlanTest, AtMost32CallsGoOnAConnectionAndTheRestWaits) {
-  terms.links_most = 1;
+  options.links_most = 1;
   open();
   for (CallNo no = 1; no <= 40; ++no) ask(no);
   const PlanActions a = step(1000);
@@ -310,7 +310,7 @@
 }
 
 TEST_F(PlanTest, MarksGoOnlyToAGatewayThatReadsThem) {
-  terms.marks = true;
+  options.marks = true;
   for (const bool reads : {true, false}) {
     all.clear();
     now = 1000;
@@ -386,7 +386,7 @@
 }
 
 TEST_F(PlanTest, MostRefusedStopsCallsHere) {
-  terms.retry_share = 0;
+  options.retry_share = 0;
   open();
   for (CallNo no = 1; no <= 200; ++no) {
     ask(no);
--- a/tests/fleet/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -13,22 +13,22 @@
 #include <thread>
 
 #include "client/client.h"
-#include "fleet/wire.h"
+#include "cluster/wire.h"
+#include "fakes/load_clients.h"
 #include "lab/judge.h"
 #include "soon.h"
-#include "standin/crowd.h"
 
 namespace firvalve {
 namespace {
 
-using standin::Between;
-using standin::Crowd;
-using standin::CrowdTerms;
+using fakes::FaultProxy;
+using fakes::LoadClients;
+using fakes::LoadClientsOptions;
 
 class Processes : public testing::Test {
  protected:
-  Crowd& begin(const CrowdTerms& terms = {}) {
-    crowd_ = std::make_unique<Crowd>(FIRVALVE_PROGRAM, terms);
+  LoadClients& begin(const LoadClientsOptions& options = {}) {
+    crowd_ = std::make_unique<LoadClients>(FIRVALVE_PROGRAM, options);
     EXPECT_TRUE(soon([&] { return crowd_->ready(); }));
     return *crowd_;
   }
@@ -37,7 +37,7 @@
     lab::FleetHistory history;
     for (size_t i = 0; i < crowd_->size(); ++i)
       lab::read_spans(fmt::format("g{}", i), crowd_->log(i), history);
-    for (const lab::FleetBreach& b : lab::judge(history)) ADD_FAILURE() << b.rule << ": " << b.text;
+    for (const lab::FleetViolation& b : lab::judge(history)) ADD_FAILURE() << b.rule << ": " << b.text;
     EXPECT_GT(history.held.size(), 0u);
     for (const auto& [statement, most] : once_)
       EXPECT_LE(crowd_->engines().runs(statement), most) << statement;
@@ -78,12 +78,12 @@
   }
   int runs(const std::string& statement) { return crowd_->engines().runs(statement); }
 
-  std::unique_ptr<Crowd> crowd_;
+  std::unique_ptr<LoadClients> crowd_;
   std::map<std::string, int> once_;
 };
 
 TEST_F(Processes, HolderStoppedPastItsLeaseAndContinued) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   const size_t first = held_by();
   c.pause(first);
   EXPECT_TRUE(handed_on(first));
@@ -93,18 +93,18 @@
 }
 
 TEST_F(Processes, HolderKilled) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   const size_t first = held_by();
-  const Ms at = Crowd::clock();
+  const Ms at = LoadClients::clock();
   c.kill(first);
   EXPECT_TRUE(handed_on(first));
-  EXPECT_LT(Crowd::clock() - at, 1000 + 1000 + 500);  // lease, a second, and what the watching takes
+  EXPECT_LT(LoadClients::clock() - at, 1000 + 1000 + 500);  // lease, a second, and what the watching takes
 }
 
 TEST_F(Processes, HolderThatEndsHandsOnWithoutAGapOfALease) {
-  CrowdTerms t;
+  LoadClientsOptions t;
   t.lease = 5000;
-  Crowd& c = begin(t);
+  LoadClients& c = begin(t);
   const size_t first = held_by();
   EXPECT_EQ(c.end(first), 0);
   EXPECT_TRUE(handed_on(first));
@@ -116,9 +116,9 @@
 }
 
 TEST_F(Processes, HolderCutOffFromTheKeepersAlone) {
-  CrowdTerms t;
+  LoadClientsOptions t;
   t.duties = {"trial:a", "trial:b", "trial:c", "trial:d", "trial:e", "trial:f"};
-  Crowd& c = begin(t);
+  LoadClients& c = begin(t);
   std::optional<size_t> cut;  // a holder that is no keeper
   for (const std::string& duty : t.duties)
     if (const auto h = c.holder(duty); h && *h >= 3) cut = *h;
@@ -134,7 +134,7 @@
 }
 
 TEST_F(Processes, HolderThatIsHeardAndHearsNothing) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   const size_t first = held_by();
   for (size_t k = 0; k < c.size(); ++k)
     if (k != first) c.between().set(k, first, {.silent = true});
@@ -144,7 +144,7 @@
 }
 
 TEST_F(Processes, LinksResetInTheMiddleOfFrames) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   for (int i = 0; i < 10; ++i) {
     c.between().set_all({.torn = true});
     ::usleep(50000);
@@ -154,7 +154,7 @@
 }
 
 TEST_F(Processes, KeeperKilledAndStartedAgainWithAndWithoutWhatItHad) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   EXPECT_EQ(merge({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
   for (const size_t keeper : {size_t{0}, size_t{1}, size_t{2}}) {
     const size_t before = c.count(keeper, "record.ready");
@@ -169,9 +169,9 @@
 }
 
 TEST_F(Processes, KeepersWithoutFoldersComeBackOneAfterTheOther) {
-  CrowdTerms t;
+  LoadClientsOptions t;
   t.folders = false;
-  Crowd& c = begin(t);
+  LoadClients& c = begin(t);
   EXPECT_EQ(merge({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
   for (const size_t keeper : {size_t{0}, size_t{1}, size_t{2}}) {
     c.kill(keeper);
@@ -183,10 +183,10 @@
 }
 
 TEST_F(Processes, TwoOfFiveKeepersGoneAndThenThree) {
-  CrowdTerms t;
+  LoadClientsOptions t;
   t.gateways = 7;
   t.keepers = 5;
-  Crowd& c = begin(t);
+  LoadClients& c = begin(t);
   for (const size_t k : {size_t{0}, size_t{1}}) c.kill(k);
   EXPECT_TRUE(soon([&] { return c.ready(); }));
   EXPECT_EQ(merge({5}, "two", "insert two").outcome, client::Outcome::kAnswered);
@@ -203,7 +203,7 @@
 }
 
 TEST_F(Processes, AllKeepersRestartedAtOnce) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   EXPECT_EQ(merge({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
   for (size_t k = 0; k < 3; ++k) c.kill(k);
   for (size_t k = 0; k < 3; ++k) c.start(k);
@@ -215,9 +215,9 @@
 class Lossy : public Processes, public testing::WithParamInterface<double> {};
 
 TEST_P(Lossy, MessagesLostRepeatedLateAndOutOfOrder) {
-  CrowdTerms t;
+  LoadClientsOptions t;
   t.duties = {"trial:a", "trial:b", "trial:c"};
-  Crowd& c = begin(t);
+  LoadClients& c = begin(t);
   c.between().set_all(
       {.lost = GetParam(), .repeated = 0.1, .delay_least = 0, .delay_most = 60, .reordered = true});
   std::vector<std::future<client::Result>> asked;
@@ -236,7 +236,7 @@
                          [](const auto& p) { return std::to_string(static_cast<int>(p.param * 100)); });
 
 TEST_F(Processes, MessagesLaterThanALease) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   for (int i = 0; i < 3; ++i) {
     c.between().set_all({.held = true});
     EXPECT_TRUE(soon([&] { return !holder(); }));
@@ -246,7 +246,7 @@
 }
 
 TEST_F(Processes, RollingRestartOfAllUnderLoad) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   std::atomic<bool> over = false;
   std::atomic<int> answered = 0, lost = 0;
   std::thread load([&] {
@@ -271,7 +271,7 @@
 }
 
 TEST_F(Processes, ALoadAskedOfAllBeginsOnceAndAllAreToldItsEnd) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   const std::string load = "insert night /*! delay=300 rows=2 */";
   std::vector<std::future<client::Result>> asked;
   for (size_t g = 0; g < c.size(); ++g) asked.push_back(merge_soon(g, "night", load));
@@ -286,7 +286,7 @@
 }
 
 TEST_F(Processes, AHolderKilledInTheMiddleOfALoadLeavesWhatMayHaveRun) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   const std::string load = "insert night /*! delay=3000 */";
   auto first = merge_soon(3, "night", load);
   EXPECT_TRUE(soon([&] { return runs(load) == 1; }));
@@ -299,7 +299,7 @@
 }
 
 TEST_F(Processes, AHolderStoppedInTheMiddleOfALoadDoesNotBeginItAgain) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   const std::string load = "insert night /*! delay=500 */";
   auto first = merge_soon(3, "night", load);
   EXPECT_TRUE(soon([&] { return runs(load) == 1; }));
@@ -312,7 +312,7 @@
 }
 
 TEST_F(Processes, AHolderToldToEndInTheMiddleOfALoadAnswersItFirst) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   const std::string load = "insert night /*! delay=800 */";
   auto first = merge_soon(3, "night", load);
   EXPECT_TRUE(soon([&] { return runs(load) == 1; }));
@@ -323,7 +323,7 @@
 }
 
 TEST_F(Processes, AKeeperWhoseDiskIsFullSaysNothingUntilItTakesWritesAgain) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   const rlimit none{0, RLIM_INFINITY}, any{RLIM_INFINITY, RLIM_INFINITY};
   ASSERT_EQ(::prlimit(c.process(0).id(), RLIMIT_FSIZE, &none, nullptr), 0);
   EXPECT_TRUE(soon([&] { return c.between().passed() > 0 && c.ready(); }));
@@ -339,7 +339,7 @@
 }
 
 TEST_F(Processes, GarbageAndAFloodFromOnePeerCostNobodyElse) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   const auto send = [&](size_t to, const std::string& bytes) {
     Poco::Net::StreamSocket s;
     s.connect(Poco::Net::SocketAddress(c.peers(to)));
@@ -352,11 +352,11 @@
       }
     }
   };
-  fleet::Frame odd;
+  cluster::Frame odd;
   odd.from = "127.0.0.1:1";
   odd.keepers = 1;  // of others
   std::string frame;
-  fleet::append_frame(frame, odd);
+  cluster::append_frame(frame, odd);
   for (size_t k = 0; k < 3; ++k) {
     send(k, std::string(100000, 'x'));
     send(k, "Content-Length: 99999999999\r\n\r\n");
@@ -373,7 +373,7 @@
 }
 
 TEST_F(Processes, AFileThatNamesOtherKeepersThanTheRest) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   const size_t odd = 4;
   EXPECT_EQ(c.end(odd), 0);
   c.rewrite(odd, c.name(2), c.name(3));
@@ -390,7 +390,7 @@
 }
 
 TEST_F(Processes, AFolderThatAnotherUsesOrThatIsAnothersRefusesTheStart) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   EXPECT_EQ(c.end(1), 0);
   c.rewrite(1, c.folder(1), c.folder(0));
   c.process(1).start();
@@ -434,14 +434,14 @@
     EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.why;
     lab::FleetHistory h;
     h.bulletins.push_back(lab::read_agreed("cabins", 0, r.rows));
-    for (const lab::FleetBreach& b : lab::judge(h)) ADD_FAILURE() << b.rule << ": " << b.text;
+    for (const lab::FleetViolation& b : lab::judge(h)) ADD_FAILURE() << b.rule << ": " << b.text;
     return r.rows;
   }
   std::map<size_t, std::unique_ptr<client::Client>> clients_;
 };
 
 TEST_F(Bulletins, AChangeThatBreaksASubscriberIsRefusedAtEveryGateway) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   EXPECT_EQ(at(0).propose("cabins", schema({1, 2}), 5000).wait().outcome, client::Outcome::kAnswered);
   EXPECT_EQ(at(3).declare("cabins", reader("screen", "2"), 5000).wait().outcome, client::Outcome::kAnswered);
   std::string first;
@@ -461,9 +461,9 @@
 }
 
 TEST_F(Bulletins, ProposalsAndDeclarationsThatCrossACutAndLossAndAKilledKeeper) {
-  CrowdTerms t;
+  LoadClientsOptions t;
   t.keepers = 5;
-  Crowd& c = begin(t);
+  LoadClients& c = begin(t);
   EXPECT_EQ(at(0).propose("cabins", schema({1, 2, 3, 4}), 5000).wait().outcome, client::Outcome::kAnswered);
   c.between().set_all({.lost = 0.1, .repeated = 0.1, .delay_least = 0, .delay_most = 20, .reordered = true});
   std::vector<std::future<std::pair<int, int>>> all;  // agreed, refused
@@ -520,7 +520,7 @@
 }
 
 TEST_F(Bulletins, WithoutAMajorityNothingIsChangedAndThatIsTold) {
-  Crowd& c = begin();
+  LoadClients& c = begin();
   c.kill(0);
   c.kill(1);
   const client::Result r = at(3).propose("cabins", schema({1}), 1500).wait();
@@ -531,10 +531,10 @@
 }
 
 TEST_F(Processes, AGatewayOutsideAnyFleetRefusesNamedLoads) {
-  const std::string listen = standin::free_address();
-  standin::Fleet engines(1);
-  standin::Process process(FIRVALVE_PROGRAM, engines.config(listen));
-  ASSERT_TRUE(standin::Process::listens(listen));
+  const std::string listen = fakes::free_address();
+  fakes::FakeDeployment engines(1);
+  fakes::Process process(FIRVALVE_PROGRAM, engines.config(listen));
+  ASSERT_TRUE(fakes::Process::listens(listen));
   client::Options o;
   o.gateways = {listen};
   client::Client client(o);
--- a/tests/fleet/folder_test.cpp
+++ b/tests/cluster/replica_storage_test.cpp
@@ -1,5 +1,5 @@
 // A keeper's folder on a disk that fills up and has room again.
-#include "fleet/folder.h"
+#include "cluster/replica_storage.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 #include "soon.h"
 
-namespace firvalve::fleet {
+namespace firvalve::cluster {
 namespace {
 
 class FolderOnAFullDisk : public testing::Test {
@@ -30,9 +30,9 @@
     const rlimit limit{bytes, RLIM_INFINITY};
     ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &limit), 0);
   }
-  static void put(Folder& folder, int number) {
-    record::Step step;
-    step.writes.emplace_back(fmt::format("key {}", number % 8), record::Slot{});
+  static void put(ReplicaStorage& folder, int number) {
+    consensus::Step step;
+    step.writes.emplace_back(fmt::format("key {}", number % 8), consensus::AcceptorSlot{});
     folder.put(std::move(step));
   }
   std::string path_;
@@ -41,7 +41,7 @@
 // The disk fills up and has room again so often that some commit meets it between its pages.
 TEST_F(FolderOnAFullDisk, WritesAgainOnceThereIsRoomWhereverACommitWasCutOff) {
   constexpr int kWrites = 3000;
-  Folder folder(path_, "127.0.0.1:1", 1, [] {});
+  ReplicaStorage folder(path_, "127.0.0.1:1", 1, [] {});
   std::atomic<bool> ending = false;
   std::thread disk([&] {
     while (!ending) {
@@ -59,16 +59,16 @@
   disk.join();
   put(folder, 0);  // may meet what the last one left behind
   put(folder, 1);
-  std::vector<Folder::Done> done;
+  std::vector<ReplicaStorage::Done> done;
   EXPECT_TRUE(soon([&] {
-    for (Folder::Done& one : folder.done()) done.push_back(std::move(one));
+    for (ReplicaStorage::Done& one : folder.done()) done.push_back(std::move(one));
     return done.size() >= 2;
   }));
   ASSERT_GE(done.size(), 2u);
   put(folder, 2);
   done.clear();
   EXPECT_TRUE(soon([&] {
-    for (Folder::Done& one : folder.done()) done.push_back(std::move(one));
+    for (ReplicaStorage::Done& one : folder.done()) done.push_back(std::move(one));
     return !done.empty();
   }));
   ASSERT_FALSE(done.empty());
@@ -76,4 +76,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::fleet
+}  // namespace firvalve::cluster
--- a/tests/fleet/wire_test.cpp
+++ b/tests/cluster/wire_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/wire.h"
+#include "cluster/wire.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -7,14 +7,14 @@
 #include <cstdlib>
 #include <filesystem>
 
-#include "fleet/folder.h"
+#include "cluster/replica_storage.h"
 #include "peers_generated.h"
 
-namespace firvalve::fleet {
+namespace firvalve::cluster {
 namespace {
 
-using record::Message;
-using record::Say;
+using consensus::Message;
+using consensus::MessageType;
 
 std::optional<Frame> read(const std::string& bytes, const char** told = nullptr) {
   const char* why = "";
@@ -34,7 +34,7 @@
   const auto number = [] { return *rc::gen::arbitrary<uint64_t>(); };
   return rc::gen::exec([=] {
     const auto fact = [&] {
-      record::Fact f;
+      consensus::Register f;
       f.version = number();
       f.change = number();
       f.before = *rc::gen::arbitrary<std::vector<uint64_t>>();
@@ -43,7 +43,7 @@
       return f;
     };
     Message m;
-    m.say = static_cast<Say>(*rc::gen::inRange(1, 12));
+    m.say = static_cast<MessageType>(*rc::gen::inRange(1, 12));
     m.op = number();
     m.key = word();
     m.ballot = {number(), number()};
@@ -56,7 +56,8 @@
     m.full = number() % 2;
     m.more = number() % 2;
     for (int i = *rc::gen::inRange(0, 3); i > 0; --i)
-      m.entries.emplace_back(word(), record::Slot{{number(), number()}, {number(), number()}, fact()});
+      m.entries.emplace_back(word(),
+                             consensus::AcceptorSlot{{number(), number()}, {number(), number()}, fact()});
     return m;
   });
 }
@@ -99,7 +100,7 @@
   std::vector<flatbuffers::Offset<wire::Part>> parts;
   {
     wire::PartBuilder known(b);
-    known.add_say(static_cast<uint8_t>(Say::kPrepare));
+    known.add_say(static_cast<uint8_t>(MessageType::kPrepare));
     known.add_key(key);
     b.AddElement<uint64_t>(4 + 2 * 40, 7, 0);  // a field that this program has not
     parts.push_back(known.Finish());
@@ -122,8 +123,8 @@
     path_ = ::mkdtemp(name);
   }
   ~FolderTest() override { std::filesystem::remove_all(path_); }
-  std::unique_ptr<Folder> open(const std::string& owner = "me", uint64_t keepers = 7) {
-    return std::make_unique<Folder>(path_, owner, keepers, [] {});
+  std::unique_ptr<ReplicaStorage> open(const std::string& owner = "me", uint64_t keepers = 7) {
+    return std::make_unique<ReplicaStorage>(path_, owner, keepers, [] {});
   }
   std::string refused(const std::string& owner, uint64_t keepers) {
     try {
@@ -133,10 +134,10 @@
     }
     return "";
   }
-  static record::Step step(const std::string& key, uint64_t change) {
-    record::Step s;
-    s.standing = record::Standing{5, true, {5, 6, 7}, {1, 2, 3}};
-    record::Slot slot{{9, 1}, {8, 1}, {}};
+  static consensus::Step step(const std::string& key, uint64_t change) {
+    consensus::Step s;
+    s.standing = consensus::ReplicaMetadata{5, true, {5, 6, 7}, {1, 2, 3}};
+    consensus::AcceptorSlot slot{{9, 1}, {8, 1}, {}};
     slot.fact.version = slot.fact.change = change;
     slot.fact.value = "value";
     s.writes.emplace_back(key, slot);
@@ -172,7 +173,7 @@
 TEST_F(FolderTest, TenThousandFactsAreReadBackInUnderASecond) {
   {
     const auto folder = open();
-    record::Step all;
+    consensus::Step all;
     all.standing = step("", 1).standing;
     for (uint64_t i = 0; i < 10000; ++i)
       all.writes.push_back(step("duty:" + std::to_string(i), i + 1).writes[0]);
@@ -187,4 +188,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::fleet
+}  // namespace firvalve::cluster
--- a/tests/fleet/world_test.cpp
+++ b/tests/cluster/world_test.cpp
@@ -1,10 +1,10 @@
-// The fleet in virtual time, with drawn faults, under the judge; and the judge under planted faults.
+// The fleet in virtual time, with drawn faults, under the judge; and the judge under is_injected faults.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
+#include "base/injected_bug.h"
 #include "bound.h"
-#include "index/planted.h"
 #include "lab/fleet_world.h"
 
 namespace firvalve::lab {
@@ -26,13 +26,13 @@
 
 std::string told(const FleetOutcome& out) {
   std::string all;
-  for (const FleetBreach& b : out.breaches) all += b.rule + ": " + b.text + "\n";
+  for (const FleetViolation& b : out.breaches) all += b.rule + ": " + b.text + "\n";
   return all;
 }
 
 bool breaks(const FleetOutcome& out, const std::string& rule) {
   return std::any_of(out.breaches.begin(), out.breaches.end(),
-                     [&](const FleetBreach& b) { return b.rule == rule; });
+                     [&](const FleetViolation& b) { return b.rule == rule; });
 }
 
 TEST(FleetWorld, ACalmFleetHoldsAllItsDutiesWithoutAGap) {
@@ -112,28 +112,28 @@
   EXPECT_GE(out.taken, 10u);
 }
 
-// Each flaw, planted into the real machines, is found by the judge on some of a few seeds.
-class Planted : public testing::TestWithParam<std::pair<Flaw, const char*>> {};
+// Each flaw, is_injected into the real machines, is found by the judge on some of a few seeds.
+class Planted : public testing::TestWithParam<std::pair<InjectedBug, const char*>> {};
 
 TEST_P(Planted, IsFound) {
   const auto [flaw, rule] = GetParam();
   bool found = false;
   for (uint64_t seed = 1; seed <= 2 * seeds_most() && !found; ++seed) {
-    planted_flaw = flaw;
+    injected_bug = flaw;
     const FleetOutcome out = play(rough(seed));
     found = breaks(out, rule);
-    planted_flaw = Flaw::kNone;
+    injected_bug = InjectedBug::kNone;
   }
   EXPECT_TRUE(found);
 }
 
 INSTANTIATE_TEST_SUITE_P(Flaws, Planted,
-                         testing::Values(std::pair(Flaw::kLeaseFromAnswer, "one_holder"),
-                                         std::pair(Flaw::kNoWait, "one_holder"),
-                                         std::pair(Flaw::kIntentAfterSend, "once"),
-                                         std::pair(Flaw::kNoEpochCheck, "acts_in_order"),
-                                         std::pair(Flaw::kCheckBeforeAgreement, "compatible"),
-                                         std::pair(Flaw::kNoPromise, "linearizable")),
+                         testing::Values(std::pair(InjectedBug::kLeaseFromAnswer, "one_holder"),
+                                         std::pair(InjectedBug::kNoWait, "one_holder"),
+                                         std::pair(InjectedBug::kIntentAfterSend, "once"),
+                                         std::pair(InjectedBug::kNoEpochCheck, "acts_in_order"),
+                                         std::pair(InjectedBug::kCheckBeforeAgreement, "compatible"),
+                                         std::pair(InjectedBug::kNoPromise, "linearizable")),
                          [](const auto& p) {
                            return std::string(p.param.second) +
                                   std::to_string(static_cast<int>(p.param.first));
@@ -151,20 +151,20 @@
     const FleetOutcome out = play(o);
     EXPECT_EQ(told(out), "");
     for (const RecordOp& op : out.history.ops) EXPECT_LT(op.ended, 6500);
-    planted_flaw = Flaw::kForgetfulKeeper;
+    injected_bug = InjectedBug::kForgetfulKeeper;
     found |= breaks(play(o), "linearizable");
-    planted_flaw = Flaw::kNone;
+    injected_bug = InjectedBug::kNone;
   }
   EXPECT_TRUE(found);
 }
 
 TEST(FleetWorld, ABadHistoryIsCutDownToAShortOne) {
-  planted_flaw = Flaw::kNoWait;
+  injected_bug = InjectedBug::kNoWait;
   FleetOptions o = rough(1);
   o.span = 6000;
   const FleetOptions cut = cut_down(o, "one_holder");
   const FleetOutcome out = play(cut);
-  planted_flaw = Flaw::kNone;
+  injected_bug = InjectedBug::kNone;
   EXPECT_TRUE(breaks(out, "one_holder"));
   EXPECT_LT(cut.given.size(), 3u);
   EXPECT_LE(cut.span, o.span);
--- a/tests/config/operator_test.cpp
+++ b/tests/config/operator_config_test.cpp
@@ -1,4 +1,4 @@
-#include "config/operator.h"
+#include "config/operator_config.h"
 
 #include <gtest/gtest.h>
 
@@ -11,18 +11,18 @@
   return all;
 }
 
-TEST(Operator, EmptyIsAllDefaults) {
+TEST(OperatorConfig, EmptyIsAllDefaults) {
   EXPECT_TRUE(read_operator("{}").good());
   EXPECT_FALSE(read_operator("{}").values.clients.marks);
 }
 
-TEST(Operator, CommentsAndTrailingCommasAreRead) {
+TEST(OperatorConfig, CommentsAndTrailingCommasAreRead) {
   const Reading r = read_operator("// a file\n{ \"clients\": { \"marks\": true, /* on */ }, }");
   EXPECT_TRUE(r.good()) << line_of("f", r.faults[0]);
   EXPECT_TRUE(r.values.clients.marks);
 }
 
-TEST(Operator, AMisspeltFieldIsToldWithItsLineAndTheNearest) {
+TEST(OperatorConfig, AMisspeltFieldIsToldWithItsLineAndTheNearest) {
   EXPECT_EQ(faults("{\n\"clients\": {\n\"mark\": true}}"),
             std::vector<std::string>{"f:3: clients.mark: no such field; the nearest is clients.marks"});
   EXPECT_EQ(faults("{\"zzzzzzzzzzzzzz\": 1}"),
@@ -39,7 +39,7 @@
   return text.replace(text.find(from), from.size(), to);
 }
 
-TEST(Operator, AFleetIsReadWhole) {
+TEST(OperatorConfig, AFleetIsReadWhole) {
   const Reading r = read_operator(kFleet);
   ASSERT_TRUE(r.good()) << line_of("f", r.faults[0]);
   EXPECT_EQ(r.values.fleet.keepers.size(), 3u);
@@ -47,7 +47,7 @@
   EXPECT_NE(described(r.values).find("fleet.duties = [\"trial:*\"]"), std::string::npos);
 }
 
-TEST(Operator, EachFaultOfAFleetIsToldWithItsLineAndAWayOut) {
+TEST(OperatorConfig, EachFaultOfAFleetIsToldWithItsLineAndAWayOut) {
   const auto only = [](const std::string& text) {
     const auto all = faults(text);
     return all.size() == 1 ? all[0] : std::to_string(all.size()) + " faults";
@@ -73,11 +73,11 @@
   EXPECT_TRUE(read_operator(R"({"fleet": {"on": false, "keepers": ["x"]}})").good());
 }
 
-TEST(Operator, AllFaultsAreToldAtOnce) {
+TEST(OperatorConfig, AllFaultsAreToldAtOnce) {
   EXPECT_EQ(faults("{\"clients\": {\"marks\": 1, \"marks\": false, \"x\": [1, {\"y\": 2}]}}").size(), 3u);
 }
 
-TEST(Operator, WhatIsNoObjectOrIsCutAnywhereIsRefused) {
+TEST(OperatorConfig, WhatIsNoObjectOrIsCutAnywhereIsRefused) {
   EXPECT_FALSE(read_operator("").good());
   EXPECT_FALSE(read_operator("7").good());
   EXPECT_FALSE(read_operator("[]").good());
@@ -88,10 +88,10 @@
   EXPECT_FALSE(read_operator_file("/nowhere").good());
 }
 
-TEST(Operator, TheFileThatShipsIsGoodAndAllDefaults) {
+TEST(OperatorConfig, TheFileThatShipsIsGoodAndAllDefaults) {
   const Reading r = read_operator_file(FIRVALVE_OPERATOR_FILE);
   ASSERT_TRUE(r.good()) << line_of("f", r.faults[0]);
-  EXPECT_EQ(described(r.values), described(Operator{}));
+  EXPECT_EQ(described(r.values), described(OperatorConfig{}));
 }
 
 }  // namespace
--- a/tests/record/explore_test.cpp
+++ b/tests/consensus/explore_test.cpp
@@ -6,12 +6,12 @@
 #include <algorithm>
 #include <map>
 
-#include "record/asker.h"
-#include "record/digest.h"
-#include "record/keeper.h"
+#include "consensus/acceptor.h"
+#include "consensus/digest.h"
+#include "consensus/proposer.h"
 #include "searching.h"
 
-namespace firvalve::record {
+namespace firvalve::consensus {
 namespace {
 
 struct Bounds {
@@ -32,17 +32,17 @@
   };
 
   explicit Race(const Bounds& bounds) : bounds_(bounds) {
-    for (Peer p = 0; p < 3; ++p) {
-      KeeperTerms t;
+    for (PeerId p = 0; p < 3; ++p) {
+      AcceptorOptions t;
       t.self = p;
-      Standing standing;
+      ReplicaMetadata standing;
       standing.life = 1 + p;
       standing.full = true;
       standing.lives = standing.founders = {1, 2, 3};
-      keepers_.emplace_back(t, standing, std::map<std::string, Slot>{});
+      keepers_.emplace_back(t, standing, std::map<std::string, AcceptorSlot>{});
     }
     for (uint64_t a = 0; a < 2; ++a) {
-      AskerTerms t;
+      ProposerOptions t;
       t.asker = t.seed = a + 1;
       t.repeats = 0;  // the first time-out already begins anew: what was lost is asked under a new ballot
       askers_.emplace_back(t);
@@ -90,16 +90,16 @@
         break;
       case Move::kDie: {
         --bounds_.deaths;
-        KeeperTerms t;
-        t.self = static_cast<Peer>(move.which);
-        keepers_[move.which] = Keeper(t, 50 + move.which);
+        AcceptorOptions t;
+        t.self = static_cast<PeerId>(move.which);
+        keepers_[move.which] = Acceptor(t, 50 + move.which);
         keepers_[move.which].due(now_ += 1000);
         for (bool more = bounds_.learns_at_once; more;) {
           more = false;
-          for (Peer k = 0; k < 3; ++k)
+          for (PeerId k = 0; k < 3; ++k)
             for (const Envelope& e : keepers_[k].take().sends) {
               if (e.to < 3) {
-                keepers_[e.to].hear(now_, k, e.message);
+                keepers_[e.to].handle(now_, k, e.message);
                 more = true;
               } else {
                 fly(k, e.to, e.message);
@@ -110,10 +110,10 @@
       }
       case Move::kRestart: {
         --bounds_.restarts;
-        KeeperTerms t;
-        t.self = static_cast<Peer>(move.which);
-        Keeper& k = keepers_[move.which];
-        k = Keeper(t, k.standing(), k.slots());
+        AcceptorOptions t;
+        t.self = static_cast<PeerId>(move.which);
+        Acceptor& k = keepers_[move.which];
+        k = Acceptor(t, k.standing(), k.slots());
         k.due(now_ += 1000);
         break;
       }
@@ -136,10 +136,10 @@
 
   std::string digest() const {
     Digest d;
-    for (const Keeper& k : keepers_) d.add(k.digest());
+    for (const Acceptor& k : keepers_) d.add(k.digest());
     for (size_t a = 0; a < askers_.size(); ++a) {
       d.add(askers_[a].digest()).add(timeouts_[a]).add(changes_[a]);
-      for (const End& e : ends_[a]) d.add(static_cast<uint8_t>(e.kind)).add(e.wish.id).add(e.fact);
+      for (const ProposalResult& e : ends_[a]) d.add(static_cast<uint8_t>(e.kind)).add(e.wish.id).add(e.fact);
     }
     for (const Flying& f : flying_) d.add(f.from).add(f.to).add(f.message);
     d.add(bounds_.repeats).add(bounds_.deaths).add(bounds_.restarts);
@@ -151,8 +151,8 @@
   // before.
   std::optional<std::string> breach() const {
     std::map<uint64_t, uint64_t> made;
-    for (const End& e : told_) {
-      const Fact& f = e.fact;
+    for (const ProposalResult& e : told_) {
+      const Register& f = e.fact;
       for (uint64_t v = f.version, i = 0; v > 0; --v, ++i) {
         const uint64_t id = i == 0 ? f.change : f.before[i - 1];
         const auto [at, first] = made.emplace(v, id);
@@ -161,8 +161,8 @@
                  std::to_string(id);
       }
     }
-    for (const End& e : told_)
-      if (e.kind == End::Kind::kConflict)
+    for (const ProposalResult& e : told_)
+      if (e.kind == ProposalResult::Kind::kConflict)
         for (const auto& [version, id] : made)
           if (id == e.wish.id) return "change " + std::to_string(id) + " was told as never made, and stands";
     // Each of these ended after the wish of the next began only where the machines ran beside each other: the
@@ -175,14 +175,14 @@
 
  private:
   struct Flying {
-    Peer from = 0, to = 0;  // askers are 3 and 4
+    PeerId from = 0, to = 0;  // askers are 3 and 4
     Message message;
     std::string text;
     bool same(const Flying& o) const { return text == o.text; }
   };
 
   void want(size_t asker, uint64_t expected) {
-    Wish w;
+    Proposal w;
     w.id = 10 * (asker + 1) + static_cast<uint64_t>(++changes_[asker]);
     w.key = "k";
     w.expected = expected;
@@ -192,22 +192,22 @@
 
   void deliver(const Flying& f) {
     if (f.to < 3)
-      keepers_[f.to].hear(now_, f.from, f.message);
+      keepers_[f.to].handle(now_, f.from, f.message);
     else
-      askers_[f.to - 3].hear(now_, f.from, f.message);
+      askers_[f.to - 3].handle(now_, f.from, f.message);
   }
 
-  void fly(Peer from, Peer to, const Message& m) {
+  void fly(PeerId from, PeerId to, const Message& m) {
     Digest d;
     d.add(from).add(to).add(m);
     flying_.push_back({from, to, m, d.text()});
   }
 
   void settle() {
-    for (Peer k = 0; k < 3; ++k)
+    for (PeerId k = 0; k < 3; ++k)
       for (const Envelope& e : keepers_[k].take().sends) fly(k, e.to, e.message);
-    for (Peer a = 0; a < 2; ++a) {
-      for (const End& e : askers_[a].take_ends()) {
+    for (PeerId a = 0; a < 2; ++a) {
+      for (const ProposalResult& e : askers_[a].take_ends()) {
         ends_[a].push_back(e);
         told_.push_back(e);
         if (changes_[a] < bounds_.changes) want(a, e.fact.change);
@@ -222,11 +222,11 @@
   }
 
   Bounds bounds_;
-  std::vector<Keeper> keepers_;
-  std::vector<Asker> askers_;
+  std::vector<Acceptor> keepers_;
+  std::vector<Proposer> askers_;
   std::vector<int> timeouts_, changes_;
-  std::vector<std::vector<End>> ends_;
-  std::vector<End> told_;
+  std::vector<std::vector<ProposalResult>> ends_;
+  std::vector<ProposalResult> told_;
   std::vector<Flying> flying_;
   Ms now_ = 1;
 };
@@ -234,7 +234,7 @@
 const size_t kMost = states_most();
 
 lab::Explored explore(const Bounds& bounds, size_t most) { return explored<Race>(bounds, most); }
-bool found(const Bounds& bounds, Flaw flaw) { return walks_find<Race>(bounds, flaw, kMost / 2); }
+bool found(const Bounds& bounds, InjectedBug flaw) { return walks_find<Race>(bounds, flaw, kMost / 2); }
 
 TEST(Explore, TwoThatChangeOneFactAndNobodyGivesUp) {
   Bounds b;
@@ -275,16 +275,16 @@
 TEST(Explore, EachPlantedFlawIsFound) {
   Bounds b;
   b.timeouts = 1;
-  EXPECT_TRUE(found(b, Flaw::kNoPromise));
-  EXPECT_TRUE(found(b, Flaw::kConflictUnfinished));
+  EXPECT_TRUE(found(b, InjectedBug::kNoPromise));
+  EXPECT_TRUE(found(b, InjectedBug::kConflictUnfinished));
   b.deaths = 1;
-  EXPECT_TRUE(found(b, Flaw::kForgetfulKeeper));
+  EXPECT_TRUE(found(b, InjectedBug::kForgetfulKeeper));
   b.learns_at_once = true;
-  EXPECT_TRUE(found(b, Flaw::kLivesIgnored));
-  EXPECT_FALSE(found(b, Flaw::kNone));
+  EXPECT_TRUE(found(b, InjectedBug::kLivesIgnored));
+  EXPECT_FALSE(found(b, InjectedBug::kNone));
   b.changes = 2;
-  EXPECT_FALSE(found(b, Flaw::kNone));  // and nothing without one
+  EXPECT_FALSE(found(b, InjectedBug::kNone));  // and nothing without one
 }
 
 }  // namespace
-}  // namespace firvalve::record
+}  // namespace firvalve::consensus
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -5,9 +5,9 @@
 namespace firvalve {
 namespace {
 
-struct Heard : Front, Back {
+struct Heard : ResponseSink, EngineTransport {
   std::vector<std::string> finals;
-  std::vector<Order> started;
+  std::vector<AttemptRequest> started;
   std::vector<std::pair<uint64_t, Outcome>> withdrawn;
   std::map<uint32_t, std::string> addresses;
   void answer(CallRef call, std::string_view rows) override {
@@ -15,19 +15,19 @@
   }
   void shed(CallRef call, Ms) override { finals.push_back("shed " + std::to_string(call)); }
   void fail(CallRef call, std::string_view) override { finals.push_back("fail " + std::to_string(call)); }
-  void answer_paged(CallRef call, ShelfNo no) override {
+  void answer_paged(CallRef call, ResultHandle no) override {
     finals.push_back("paged " + std::to_string(call) + " " + std::to_string(no));
   }
-  void start(Ms, const Order& order) override { started.push_back(order); }
+  void start(Ms, const AttemptRequest& order) override { started.push_back(order); }
   void withdraw(Ms, uint64_t send, Outcome as) override { withdrawn.push_back({send, as}); }
   void rank(Ms, uint64_t, int) override {}
-  void list(Ms, uint32_t engine, std::string_view address, Life) override {
+  void list(Ms, uint32_t engine, std::string_view address, EngineState) override {
     addresses[engine] = std::string(address);
   }
 };
 
 struct CoreTest : testing::Test {
-  const Articles articles{{"profile.0.name", std::string("quick")},
+  const Settings settings{{"profile.0.name", std::string("quick")},
                           {"profile.0.effect", std::string("replayable")},
                           {"sends at most", 3.0},
                           {"may cancel", 1.0},
@@ -36,29 +36,29 @@
                           {"memory.std", 1000.0},
                           {"profile.0.client timeout", 4000.0}};
   Heard heard;
-  Counters counters;
-  Core core{articles, 1, heard, heard, counters, [](const std::string&, const std::string&) {}};
+  Metrics counters;
+  Core core{settings, 1, heard, heard, counters, [](const std::string&, const std::string&) {}};
 
-  void list(const std::string& name, Life life = Life::kReady) {
-    NamedListing l{name, "127.0.0.1:1", {}};
+  void list(const std::string& name, EngineState life = EngineState::kReady) {
+    NamedEngineInfo l{name, "127.0.0.1:1", {}};
     l.listing.machine = "std";
     l.listing.life = life;
     core.roster(1000, false, {l});
   }
-  TakeIn take(CallRef call, const char* id = "9b1f03aa5c7e2d41", const char* profile = "quick") {
-    Asked asked;
+  AdmissionResult take(CallRef call, const char* id = "9b1f03aa5c7e2d41", const char* profile = "quick") {
+    CommandRequest asked;
     asked.command = id;
     asked.profile = profile;
     asked.statement = "select 1";
     asked.timeout = 4000;
     asked.estimate = 100;
-    return core.take_in(1000, call, std::move(asked));
+    return core.admit(1000, call, std::move(asked));
   }
 };
 
 TEST_F(CoreTest, ACommandGoesOutAndIsAnsweredOnce) {
   list("s-00c41f7a");
-  EXPECT_EQ(take(1), TakeIn::kTaken);
+  EXPECT_EQ(take(1), AdmissionResult::kTaken);
   core.turn(1000);
   ASSERT_EQ(heard.started.size(), 1u);
   EXPECT_EQ(heard.started[0].engine, 0x00c41f7au);
@@ -157,7 +157,7 @@
   core.turn(1000);
   EXPECT_TRUE(core.may_begin(1010, 1));
   EXPECT_FALSE(core.may_begin(5000, 1));  // its client waits no longer
-  list("s-1", Life::kDraining);
+  list("s-1", EngineState::kDraining);
   EXPECT_FALSE(core.may_begin(1020, 1));
   list("s-1");
   EXPECT_TRUE(core.may_begin(1030, 1));
@@ -169,34 +169,34 @@
 // Other customers' settings tell less: then any figure may be a client's.
 TEST(CoreSettings, WithoutMachinesOrTimesOrMemoryCommandsAreTaken) {
   Heard heard;
-  Counters counters;
+  Metrics counters;
   Core core({{"profile.0.name", std::string("quick")}, {"profile.0.effect", std::string("replayable")}}, 1,
             heard, heard, counters, [](const std::string&, const std::string&) {});
-  Asked asked;
+  CommandRequest asked;
   asked.command = "9b1f03aa5c7e2d41";
   asked.profile = "quick";
   asked.timeout = 4000;
   asked.estimate = 100;
   asked.memory_mb = 64;
-  EXPECT_EQ(core.take_in(1000, 1, std::move(asked)), TakeIn::kTaken);
+  EXPECT_EQ(core.admit(1000, 1, std::move(asked)), AdmissionResult::kTaken);
 }
 
 TEST_F(CoreTest, WhatCannotBeTakenInIsTold) {
-  EXPECT_EQ(take(1, "9b1f03aa5c7e2d41", "odd"), TakeIn::kUnknownProfile);
-  EXPECT_EQ(take(2), TakeIn::kTaken);
-  EXPECT_EQ(take(3), TakeIn::kNotNew);
+  EXPECT_EQ(take(1, "9b1f03aa5c7e2d41", "odd"), AdmissionResult::kUnknownProfile);
+  EXPECT_EQ(take(2), AdmissionResult::kTaken);
+  EXPECT_EQ(take(3), AdmissionResult::kNotNew);
   EXPECT_EQ(core.call_of("9b1f03aa5c7e2d41"), 2u);
 }
 
 TEST_F(CoreTest, FiguresThatNoClientCanHaveAreNotTakenIn) {
   const auto figures = [&](Ms timeout, Ms estimate, double memory_mb) {
-    return core.take_in(1000, 1, {"9b1f03aa5c7e2d41", "quick", "select 1", -1, timeout, estimate, memory_mb});
+    return core.admit(1000, 1, {"9b1f03aa5c7e2d41", "quick", "select 1", -1, timeout, estimate, memory_mb});
   };
-  EXPECT_EQ(figures(1e23, 100, 10), TakeIn::kOutOfRange);
-  EXPECT_EQ(figures(4000, 1e9, 10), TakeIn::kOutOfRange);
-  EXPECT_EQ(figures(4000, 100, 1e12), TakeIn::kOutOfRange);
+  EXPECT_EQ(figures(1e23, 100, 10), AdmissionResult::kOutOfRange);
+  EXPECT_EQ(figures(4000, 1e9, 10), AdmissionResult::kOutOfRange);
+  EXPECT_EQ(figures(4000, 100, 1e12), AdmissionResult::kOutOfRange);
   EXPECT_EQ(core.in_hand(), 0u);
-  EXPECT_EQ(figures(4000, 100, 10), TakeIn::kTaken);
+  EXPECT_EQ(figures(4000, 100, 10), AdmissionResult::kTaken);
 }
 
 TEST_F(CoreTest, AnIdIsNewAgainOnlyOnceItsEndIsDecidedOn) {
@@ -204,9 +204,9 @@
   core.turn(1000);
   take(1);
   core.client_gone(1000, 1);
-  EXPECT_EQ(take(2), TakeIn::kNotNew);
+  EXPECT_EQ(take(2), AdmissionResult::kNotNew);
   core.turn(1005);
-  EXPECT_EQ(take(3), TakeIn::kTaken);
+  EXPECT_EQ(take(3), AdmissionResult::kTaken);
   core.client_gone(1005, 3);
   core.turn(1010);
   EXPECT_TRUE(heard.started.empty());
@@ -215,10 +215,10 @@
 
 TEST_F(CoreTest, StatementsInHandStayWithinTheirBytes) {
   core.limit(10);
-  EXPECT_EQ(take(1), TakeIn::kTaken);
-  EXPECT_EQ(take(2, "0000000000000002"), TakeIn::kNoRoom);
+  EXPECT_EQ(take(1), AdmissionResult::kTaken);
+  EXPECT_EQ(take(2, "0000000000000002"), AdmissionResult::kNoRoom);
   core.client_gone(1000, 1);
-  EXPECT_EQ(take(3, "0000000000000003"), TakeIn::kTaken);
+  EXPECT_EQ(take(3, "0000000000000003"), AdmissionResult::kTaken);
 }
 
 TEST_F(CoreTest, AFullListEndsWhatItOmits) {
@@ -231,15 +231,16 @@
 // ---- Marked repeats -----------------------------------------------------------------------------
 
 struct CoreMarks : CoreTest {
-  TakeIn repeat(CallRef call, const char* id, const char* first, const char* statement = "select 1") {
-    Asked asked;
+  AdmissionResult repeat(CallRef call, const char* id, const char* first,
+                         const char* statement = "select 1") {
+    CommandRequest asked;
     asked.command = id;
     asked.profile = "quick";
     asked.first = first;
     asked.statement = statement;
     asked.timeout = 4000;
     asked.estimate = 100;
-    return core.take_in(1000, call, std::move(asked));
+    return core.admit(1000, call, std::move(asked));
   }
   static constexpr const char* kFirst = "00000000000000a1";
   static constexpr const char* kSecond = "00000000000000a2";
@@ -250,7 +251,7 @@
   list("s-1");
   take(1, kFirst);
   core.turn(1000);
-  EXPECT_EQ(repeat(2, kSecond, kFirst), TakeIn::kTaken);
+  EXPECT_EQ(repeat(2, kSecond, kFirst), AdmissionResult::kTaken);
   core.turn(1010);
   ASSERT_EQ(heard.started.size(), 1u);
   EXPECT_EQ(core.unanswered(), 2u);
@@ -261,9 +262,9 @@
 
 TEST_F(CoreMarks, TheChainHoldsOverARepeatThatRunsAnew) {
   list("s-1");
-  EXPECT_EQ(repeat(1, kSecond, kFirst), TakeIn::kTaken);  // the first is not known here
+  EXPECT_EQ(repeat(1, kSecond, kFirst), AdmissionResult::kTaken);  // the first is not known here
   core.turn(1000);
-  EXPECT_EQ(repeat(2, kThird, kFirst), TakeIn::kTaken);
+  EXPECT_EQ(repeat(2, kThird, kFirst), AdmissionResult::kTaken);
   core.turn(1010);
   EXPECT_EQ(heard.started.size(), 1u);
 }
@@ -272,16 +273,16 @@
   list("s-1");
   take(1, kFirst);
   core.turn(1000);
-  EXPECT_EQ(repeat(2, kSecond, kFirst, "select 2"), TakeIn::kTaken);
+  EXPECT_EQ(repeat(2, kSecond, kFirst, "select 2"), AdmissionResult::kTaken);
   core.turn(1010);
   EXPECT_EQ(heard.started.size(), 2u);
 }
 
 TEST_F(CoreMarks, ARepeatThatJoinsKeepsAHalfClosedCommandGoing) {
-  list("s-1", Life::kDraining);
-  EXPECT_EQ(take(1, kFirst), TakeIn::kTaken);
+  list("s-1", EngineState::kDraining);
+  EXPECT_EQ(take(1, kFirst), AdmissionResult::kTaken);
   core.half_closed(1000, 1);
-  EXPECT_EQ(repeat(2, kSecond, kFirst), TakeIn::kTaken);
+  EXPECT_EQ(repeat(2, kSecond, kFirst), AdmissionResult::kTaken);
   core.turn(1100);
   EXPECT_TRUE(heard.finals.empty());
   core.client_gone(1110, 2);  // the one that was sure to be there
@@ -311,28 +312,28 @@
   take(1, kFirst);
   core.turn(1000);
   core.client_gone(1010, 1);
-  EXPECT_EQ(repeat(2, kSecond, kFirst), TakeIn::kTaken);
+  EXPECT_EQ(repeat(2, kSecond, kFirst), AdmissionResult::kTaken);
   core.turn(1020);
   EXPECT_EQ(heard.started.size(), 2u);
 }
 
 // ---- Paged commands -----------------------------------------------------------------------------
 
-struct FakeShelf : Shelf {
+struct FakeShelf : ResultStore {
   bool room = true;
   Put put = Put::kTaken;
-  ShelfNo last = 0, known = 0;
+  ResultHandle last = 0, known = 0;
   std::vector<std::string> said;
-  ShelfNo reserve(Ms, const Wish&) override { return room ? ++last : 0; }
-  ShelfNo find(Ms, const Wish&) override { return known; }
-  Put page(Ms, ShelfNo no, std::string_view rows) override {
+  ResultHandle reserve(Ms, const Reservation&) override { return room ? ++last : 0; }
+  ResultHandle find(Ms, const Reservation&) override { return known; }
+  Put page(Ms, ResultHandle no, std::string_view rows) override {
     said.push_back("page " + std::to_string(no) + " " + std::string(rows));
     return put;
   }
-  void clear(Ms, ShelfNo no) override { said.push_back("clear " + std::to_string(no)); }
-  void drop(Ms, ShelfNo no) override { said.push_back("drop " + std::to_string(no)); }
-  void whole(Ms, ShelfNo no) override { said.push_back("whole " + std::to_string(no)); }
-  PagedAnswer answer(ShelfNo) const override { return {}; }
+  void clear(Ms, ResultHandle no) override { said.push_back("clear " + std::to_string(no)); }
+  void drop(Ms, ResultHandle no) override { said.push_back("drop " + std::to_string(no)); }
+  void whole(Ms, ResultHandle no) override { said.push_back("whole " + std::to_string(no)); }
+  PagedAnswer answer(ResultHandle) const override { return {}; }
   void read(Ms, std::string_view, std::string_view, uint64_t, Rows) override {}
   bool release(Ms, std::string_view, std::string_view) override { return false; }
 };
@@ -340,8 +341,8 @@
 struct CorePaged : CoreTest {
   FakeShelf shelf;
   CorePaged() { core.shelve(shelf); }
-  TakeIn ask(CallRef call, const char* id, const char* first = "") {
-    Asked asked;
+  AdmissionResult ask(CallRef call, const char* id, const char* first = "") {
+    CommandRequest asked;
     asked.command = id;
     asked.profile = "quick";
     asked.first = first;
@@ -349,7 +350,7 @@
     asked.timeout = 4000;
     asked.estimate = 100;
     asked.paged = true;
-    return core.take_in(1000, call, std::move(asked));
+    return core.admit(1000, call, std::move(asked));
   }
 };
 
@@ -412,8 +413,8 @@
   list("s-1");
   ask(1, "00000000000000a1");
   core.turn(1000);
-  shelf.put = Shelf::Put::kOutgrown;
-  EXPECT_EQ(core.page(1010, 1, "a\n"), Shelf::Put::kOutgrown);
+  shelf.put = ResultStore::Put::kOutgrown;
+  EXPECT_EQ(core.page(1010, 1, "a\n"), ResultStore::Put::kOutgrown);
   EXPECT_EQ(heard.finals, std::vector<std::string>{"fail 1"});
   core.ended(1020, 1, Outcome::kCancelled);
   core.turn(1040);
@@ -430,7 +431,7 @@
 TEST_F(CorePaged, AMarkedRepeatOfAFinishedResultRunsNothing) {
   list("s-1");
   shelf.known = 9;
-  EXPECT_EQ(ask(1, "00000000000000a2", "00000000000000a1"), TakeIn::kFound);
+  EXPECT_EQ(ask(1, "00000000000000a2", "00000000000000a1"), AdmissionResult::kFound);
   EXPECT_EQ(core.found(), 9u);
   core.turn(1000);
   EXPECT_TRUE(heard.started.empty());
--- a/tests/gateway/clock_faults_test.cpp
+++ b/tests/gateway/clock_faults_test.cpp
@@ -15,9 +15,9 @@
 #include <string>
 #include <vector>
 
+#include "base/monotonic_clock.h"
 #include "gateway/gateway_fixture.h"
 #include "gateway/stepped_clock.h"
-#include "index/monotonic_clock.h"
 #include "soon.h"
 
 namespace firvalve {
@@ -32,8 +32,8 @@
 // One gateway with its clock and the one client that it has.
 struct FaultyGateway {
   SteppedClock clock;
-  std::string address = standin::free_address();
-  std::unique_ptr<standin::Process> process;
+  std::string address = fakes::free_address();
+  std::unique_ptr<fakes::Process> process;
   StreamSocket client;
   std::string held;            // bytes read of the next answer
   std::map<int, int> answers;  // by command
@@ -52,10 +52,10 @@
 
   void start_gateway() {
     FaultyGateway& gateway = *gateways_.emplace_back(std::make_unique<FaultyGateway>());
-    gateway.process = std::make_unique<standin::Process>(
+    gateway.process = std::make_unique<fakes::Process>(
         FIRVALVE_PROGRAM, config_of(gateway, engines_.bus().address()), std::vector<std::string>{},
-        std::string(), standin::Process::Ends::kWithItsStarter, gateway.clock.environment());
-    ASSERT_TRUE(standin::Process::listens(gateway.address));
+        std::string(), fakes::Process::Ends::kWithItsStarter, gateway.clock.environment());
+    ASSERT_TRUE(fakes::Process::listens(gateway.address));
     gateway.client.connect(SocketAddress(gateway.address));
   }
 
@@ -104,9 +104,8 @@
   }
 
   void move_bus_and_drain(int engine) {
-    moved_ = std::make_unique<standin::Bus>(engines_.host());
-    moved_->announce(
-        standin::listing(engines_.name_of(engine), engines_.engine(engine).address(), "DRAINING"));
+    moved_ = std::make_unique<fakes::FakeEventBus>(engines_.host());
+    moved_->announce(fakes::listing(engines_.name_of(engine), engines_.engine(engine).address(), "DRAINING"));
     for (const auto& gateway : gateways_) {
       gateway->process->rewrite(config_of(*gateway, moved_->address()));
       gateway->process->signal(SIGHUP);
@@ -140,8 +139,8 @@
     return all;
   }
 
-  standin::Fleet engines_{kEngines};
-  std::unique_ptr<standin::Bus> moved_;
+  fakes::FakeDeployment engines_{kEngines};
+  std::unique_ptr<fakes::FakeEventBus> moved_;
   std::vector<std::unique_ptr<FaultyGateway>> gateways_;
   std::mt19937 chance_{GetParam()};
   std::map<int, SentCommand> sent_;
--- a/tests/gateway/endings_test.cpp
+++ b/tests/gateway/endings_test.cpp
@@ -20,11 +20,11 @@
 #include <thread>
 #include <vector>
 
+#include "fakes/fake_deployment.h"
+#include "fakes/process.h"
 #include "gateway/speaking.h"
 #include "net/signals.h"
 #include "soon.h"
-#include "standin/fleet.h"
-#include "standin/process.h"
 
 namespace firvalve {
 namespace {
@@ -89,7 +89,7 @@
     log_ = "endings-" + std::to_string(::getpid()) + "-" +
            testing::UnitTest::GetInstance()->current_test_info()->name() + ".log";
     std::remove(log_.c_str());
-    process_ = std::make_unique<standin::Process>(FIRVALVE_PROGRAM, config, std::vector<std::string>{}, log_);
+    process_ = std::make_unique<fakes::Process>(FIRVALVE_PROGRAM, config, std::vector<std::string>{}, log_);
   }
   ~Endings() override {
     process_.reset();
@@ -105,10 +105,10 @@
     });
   }
 
-  standin::Fleet fleet_{1};
-  standin::Engine& engine_ = fleet_.engine(0);
-  std::string address_ = standin::free_address(), log_, client_says_;
-  std::unique_ptr<standin::Process> process_;
+  fakes::FakeDeployment fleet_{1};
+  fakes::FakeEngine& engine_ = fleet_.engine(0);
+  std::string address_ = fakes::free_address(), log_, client_says_;
+  std::unique_ptr<fakes::Process> process_;
 };
 
 // A client that has closed while its command waited looks like one that has only ended its stream: it is told
@@ -119,7 +119,7 @@
   closed.send(command(1, "select 1", 20000, "report"));
   closed.end_stream();
   EXPECT_TRUE(has(closed.rest(), R"("id":1,"error":{"code":-32001)"));  // at once, not with its patience
-  fleet_.bus().announce(standin::listing(fleet_.name_of(0), engine_.address(), "SERVING"));
+  fleet_.bus().announce(fakes::listing(fleet_.name_of(0), engine_.address(), "SERVING"));
   Client there(address_);
   there.send(command(2, "select 2"));
   EXPECT_TRUE(has(there.answer(), R"("result")"));
@@ -187,7 +187,7 @@
   Client client(address_);
   client.send(command(1, "select 1", 20000, "report"));
   ASSERT_TRUE(counted("engine connections: 1"));
-  fleet_.bus().announce(standin::listing(fleet_.name_of(0), door_.address(), "DRAINING"));
+  fleet_.bus().announce(fakes::listing(fleet_.name_of(0), door_.address(), "DRAINING"));
   ASSERT_TRUE(counted("bus events: 1"));
   process_->signal(SIGTERM);  // it ends in its time, and its connection with it
   EXPECT_FALSE(door_.open_and_hear());
@@ -281,7 +281,7 @@
   EXPECT_EQ(process_->wait(), 0);
 }
 
-// Between the last turn and the end of the process.
+// FaultProxy the last turn and the end of the process.
 TEST(Signals, ASecondOneDuringTheExitDoesNotChangeItsCode) {
   testing::GTEST_FLAG(death_test_style) = "threadsafe";
   EXPECT_EXIT(
@@ -321,7 +321,7 @@
 // Idle clients in every descriptor, and no event bus since the start: a health check is answered and a
 // command served, and the bus is followed once it is there.
 TEST_F(Endings, IdleClientsMayFillTheDescriptorsWhileDiscoveryIsDown) {
-  const std::string bus = standin::free_address();
+  const std::string bus = fakes::free_address();
   start(with(fleet_.config(address_, 192, 64), fleet_.bus().address(), bus));
   { Client first(address_); }  // it serves
   std::vector<std::unique_ptr<StreamSocket>> idle;
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
+#include "fakes/fake_deployment.h"
+#include "fakes/process.h"
 #include "gateway/speaking.h"
-#include "standin/fleet.h"
-#include "standin/process.h"
 
 namespace firvalve {
 
@@ -54,9 +54,8 @@
   void start(const std::string& config, std::vector<std::string> arguments = {}) {
     process_.reset();
     config_ = config;
-    process_ =
-        std::make_unique<standin::Process>(FIRVALVE_PROGRAM, config, std::move(arguments), std::string(),
-                                           standin::Process::Ends::kWithItsStarter, environment_);
+    process_ = std::make_unique<fakes::Process>(FIRVALVE_PROGRAM, config, std::move(arguments), std::string(),
+                                                fakes::Process::Ends::kWithItsStarter, environment_);
   }
   StreamSocket connect() {
     for (int tries = 0;; ++tries) {
@@ -77,11 +76,11 @@
     std::string held;
     return read_message(client, held);
   }
-  standin::Fleet fleet_{1};
-  standin::Engine& engine_ = fleet_.engine(0);
-  std::string address_ = standin::free_address(), config_;
+  fakes::FakeDeployment fleet_{1};
+  fakes::FakeEngine& engine_ = fleet_.engine(0);
+  std::string address_ = fakes::free_address(), config_;
   std::vector<std::string> environment_;  // of the program, beside this process's own
-  std::unique_ptr<standin::Process> process_;
+  std::unique_ptr<fakes::Process> process_;
 };
 
 }  // namespace firvalve
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -80,7 +80,7 @@
 class OneSlot : public Gateway {
  protected:
   void SetUp() override { start(engines_.config(address_)); }
-  standin::Fleet engines_{1, {1, 1e18}};
+  fakes::FakeDeployment engines_{1, {1, 1e18}};
 };
 
 // A query unasked for would hold the engine's only slot for 2 s: longer than the second client waits.
@@ -101,7 +101,7 @@
   fleet_.bus().say_first("junk\n");
   start(config_);
   ASSERT_TRUE(soon([&] { return fleet_.bus().asked_from().size() >= 2; }));
-  fleet_.bus().announce(standin::listing("s-0000000b", "127.0.0.1:1", "DELETED"));
+  fleet_.bus().announce(fakes::listing("s-0000000b", "127.0.0.1:1", "DELETED"));
   EXPECT_TRUE(has(ask(command(1, "select 1")), R"("result")"));
 }
 
@@ -119,7 +119,7 @@
 TEST_F(Gateway, ANewConfigurationMovesTheBusAndItsNumbersGoOn) {
   ask(command(1, "select 1"));  // it is ready
   ASSERT_TRUE(soon([&] { return fleet_.bus().asked_from().size() == 1; }));
-  standin::Bus moved(fleet_.host());
+  fakes::FakeEventBus moved(fleet_.host());
   process_->rewrite("{");
   process_->signal(SIGHUP);  // cannot be read: the one before stays in force
   EXPECT_TRUE(has(ask(command(2, "select 1")), R"("result")"));
@@ -138,14 +138,14 @@
 TEST_F(Gateway, ConfigurationsInARowDoNotPutOffTheMoveOfTheBus) {
   ask(command(1, "select 1"));  // it is ready
   ASSERT_TRUE(soon([&] { return fleet_.bus().asked_from().size() == 1; }));
-  std::vector<std::unique_ptr<standin::Bus>> moved;
+  std::vector<std::unique_ptr<fakes::FakeEventBus>> moved;
   const auto asked = [&] {
     return std::any_of(moved.begin(), moved.end(),
                        [](const auto& bus) { return !bus->asked_from().empty(); });
   };
   constexpr int kConfigurations = 60;  // over 1.2 s; a move is due within one
   for (int i = 0; i < kConfigurations && !asked(); ++i) {
-    moved.push_back(std::make_unique<standin::Bus>(fleet_.host()));
+    moved.push_back(std::make_unique<fakes::FakeEventBus>(fleet_.host()));
     std::string config = config_;
     const std::string from = fleet_.bus().address();
     process_->rewrite(config.replace(config.find(from), from.size(), moved.back()->address()));
@@ -159,19 +159,19 @@
 class NeverRan : public Gateway {
  protected:
   void SetUp() override {
-    engines_ = std::make_unique<standin::Fleet>(2);
+    engines_ = std::make_unique<fakes::FakeDeployment>(2);
     std::string config = engines_->config(address_);
     const std::string one = R"("try_limit":1,)";
     start(config.replace(config.find(one), one.size(), R"("try_limit":3,)"));
   }
-  standin::Engine& engine(int i) { return engines_->engine(i); }
+  fakes::FakeEngine& engine(int i) { return engines_->engine(i); }
   int calls(const std::string& call) { return engine(0).calls(call) + engine(1).calls(call); }
   // Each engine's first call comes only once what the other was asked last has ended by itself unasked.
   void expect_apart() {
     const int first = engine(0).first_call_at() < engine(1).first_call_at() ? 0 : 1;
     EXPECT_GE(engine(1 - first).first_call_at() - engine(first).last_call_at(), 2000);
   }
-  std::unique_ptr<standin::Fleet> engines_;
+  std::unique_ptr<fakes::FakeDeployment> engines_;
 };
 
 TEST_F(NeverRan, AnEngineThatDrainsIsToldToGiveUpOverAConnectionItHas) {
--- a/tests/gateway/spool_gateway_test.cpp
+++ b/tests/gateway/spool_gateway_test.cpp
@@ -12,10 +12,10 @@
 #include <thread>
 
 #include "client/client.h"
+#include "fakes/fake_deployment.h"
+#include "fakes/process.h"
 #include "proto/jsonrpc/reply.h"
 #include "soon.h"
-#include "standin/fleet.h"
-#include "standin/process.h"
 
 namespace firvalve {
 namespace {
@@ -29,9 +29,9 @@
     char name[] = "/tmp/firvalve-spool-XXXXXX";
     return std::string(::mkdtemp(name));
   }();
-  standin::Fleet fleet{3};
-  std::string address = standin::free_address();
-  std::unique_ptr<standin::Process> process;
+  fakes::FakeDeployment fleet{3};
+  std::string address = fakes::free_address();
+  std::unique_ptr<fakes::Process> process;
   std::unique_ptr<client::Client> client;
 
   ~SpoolGateway() override {
@@ -42,10 +42,10 @@
   void start(const std::string& spool) {
     std::ofstream(folder + "/operator.json5")
         << R"({"clients": {"marks": true}, "spool": {"on": true, )" << spool << "}}";
-    process = std::make_unique<standin::Process>(
-        FIRVALVE_PROGRAM, fleet.config(address),
-        std::vector<std::string>{"--operator", folder + "/operator.json5"});
-    ASSERT_TRUE(standin::Process::listens(address));
+    process =
+        std::make_unique<fakes::Process>(FIRVALVE_PROGRAM, fleet.config(address),
+                                         std::vector<std::string>{"--operator", folder + "/operator.json5"});
+    ASSERT_TRUE(fakes::Process::listens(address));
     client::Options o;
     o.gateways = {address};
     o.seed = 3;
@@ -154,7 +154,7 @@
   process->signal(SIGTERM);
   EXPECT_EQ(process->wait(), 0);
   process->start();
-  ASSERT_TRUE(standin::Process::listens(address));
+  ASSERT_TRUE(fakes::Process::listens(address));
   for (const std::string& token : tokens) {
     Pages pages(*client, {address}, token, "", 1, {});
     EXPECT_EQ(read_all(pages), std::pair(Next::kEnd, 1000));
@@ -227,14 +227,13 @@
 
 TEST_F(SpoolGateway, ASpoolLargerThanHalfTheGatewaysMemoryIsRefused) {
   std::ofstream(folder + "/operator.json5") << R"({"spool": {"on": true, "memory_mb": 100}})";
-  standin::Process gateway(FIRVALVE_PROGRAM, fleet.config(address),
-                           {"--operator", folder + "/operator.json5"});
+  fakes::Process gateway(FIRVALVE_PROGRAM, fleet.config(address), {"--operator", folder + "/operator.json5"});
   EXPECT_EQ(gateway.wait(), 1);
 }
 
 TEST_F(SpoolGateway, AFaultyOperatorsFileInServiceChangesNothingAndTheBusStillMoves) {
   start("");
-  standin::Bus moved(fleet.host());
+  fakes::FakeEventBus moved(fleet.host());
   std::string config = fleet.config(address);
   config.replace(config.find(fleet.bus().address()), fleet.bus().address().size(), moved.address());
   process->rewrite(config);
@@ -317,12 +316,12 @@
 
 TEST_F(SpoolGateway, AFolderInUseOrThatCannotBeEndsTheStartInOneLine) {
   start(on_disk());
-  standin::Process second(FIRVALVE_PROGRAM, fleet.config(standin::free_address()),
-                          {"--operator", folder + "/operator.json5"});
+  fakes::Process second(FIRVALVE_PROGRAM, fleet.config(fakes::free_address()),
+                        {"--operator", folder + "/operator.json5"});
   EXPECT_EQ(second.wait(), 1);
   std::ofstream(folder + "/other.json5") << R"({"spool": {"on": true, "folder": "/proc/firvalve"}})";
-  standin::Process third(FIRVALVE_PROGRAM, fleet.config(standin::free_address()),
-                         {"--operator", folder + "/other.json5"});
+  fakes::Process third(FIRVALVE_PROGRAM, fleet.config(fakes::free_address()),
+                       {"--operator", folder + "/other.json5"});
   EXPECT_EQ(third.wait(), 1);
 }
 
--- a/tests/gateway/stepped_clock.h
+++ b/tests/gateway/stepped_clock.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "index/units.h"
+#include "base/units.h"
 
 namespace firvalve {
 
--- a/tests/gateway/wall_clock_test.cpp
+++ b/tests/gateway/wall_clock_test.cpp
@@ -4,9 +4,9 @@
 #include <gtest/gtest.h>
 #include <signal.h>
 
+#include "base/monotonic_clock.h"
 #include "gateway/gateway_fixture.h"
 #include "gateway/stepped_clock.h"
-#include "index/monotonic_clock.h"
 #include "soon.h"
 
 namespace firvalve {
@@ -29,18 +29,18 @@
     return engines_.engine(0).calls(call) + engines_.engine(1).calls(call);
   }
   std::string draining(int engine) {
-    return standin::listing(engines_.name_of(engine), engines_.engine(engine).address(), "DRAINING");
+    return fakes::listing(engines_.name_of(engine), engines_.engine(engine).address(), "DRAINING");
   }
   // The bus goes to another address, as a new configuration says; what it tells from then on comes from
   // there.
-  void move_bus(const standin::Bus& to) {
+  void move_bus(const fakes::FakeEventBus& to) {
     process_->rewrite(with(config_, engines_.bus().address(), to.address()));
     process_->signal(SIGHUP);
   }
 
   static constexpr int kFirstId = 1000;
   SteppedClock clock_;
-  standin::Fleet engines_{2};
+  fakes::FakeDeployment engines_{2};
 };
 
 // The incident: after a step forward what runs is taken for lost and sent a second time while it runs on;
@@ -57,7 +57,7 @@
   EXPECT_EQ(calls("DELETE"), 0);
 
   clock_.step(-kHour);
-  standin::Bus moved(engines_.host());
+  fakes::FakeEventBus moved(engines_.host());
   move_bus(moved);
   moved.announce(draining(0));
   EXPECT_TRUE(soon([&] { return !moved.asked_from().empty(); }));
@@ -81,7 +81,7 @@
 TEST_F(WallClock, ALostBusIsAskedAgainAfterAStepBack) {
   clock_.step(-kHour);
   engines_.bus().say_first("junk\n");  // at its next connection
-  standin::Bus moved(engines_.host());
+  fakes::FakeEventBus moved(engines_.host());
   moved.say_first("junk\n");
   move_bus(moved);
   EXPECT_TRUE(soon([&] { return moved.asked_from().size() >= 2; }));
@@ -109,7 +109,7 @@
 // A step during a wait that is interrupted, as by a stop and a continue: nothing else wakes the process,
 // since neither its engine nor the bus says anything.
 TEST_F(WallClock, AStepWithinAnInterruptedWaitDoesNotLengthenIt) {
-  start(with(engines_.config(address_), engines_.bus().address(), standin::free_address()));
+  start(with(engines_.config(address_), engines_.bus().address(), fakes::free_address()));
   StreamSocket client = connect();
   send(client, command(1, "insert 1 /*! silent */", 1500, "load"));
   ASSERT_TRUE(soon([&] { return engines_.runs("insert 1 /*! silent */") == 1; }));
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -78,7 +78,7 @@
 TEST(Search, FindsWhereServiceBreaks) {
   for (const double limit : {150.0, 1234.0, 5000.0}) {
     Search search({});
-    while (!search.done()) search.hear(step(search.rate(), limit));
+    while (!search.done()) search.handle(step(search.rate(), limit));
     EXPECT_LE(search.held(), limit);
     EXPECT_GT(search.broke(), limit);
     EXPECT_LE(search.broke(), search.held() * 1.3);
@@ -87,7 +87,7 @@
 
 TEST(Search, GoesDownWhereTheFirstStepBreaks) {
   Search search({});
-  while (!search.done()) search.hear(step(search.rate(), 30));
+  while (!search.done()) search.handle(step(search.rate(), 30));
   EXPECT_LE(search.held(), 30);
   EXPECT_GT(search.held(), 15);
 }
@@ -97,12 +97,12 @@
   StepOutcome o = step(100, 1e9);
   o.lag_p99 = 50;
   o.answered = 0.2;
-  EXPECT_NE(search.hear(o).find("the tool"), std::string::npos);
+  EXPECT_NE(search.handle(o).find("the tool"), std::string::npos);
   EXPECT_TRUE(search.done() && search.tool_was_limit());
   EXPECT_EQ(search.broke(), 0);
 }
 
-// ---- The rules, and a planted breach of each ----------------------------------------------------
+// ---- The rules, and a is_injected breach of each ----------------------------------------------------
 
 using Kind = Happening::Kind;
 using State = Happening::State;
--- a/tests/lab/scale_control_test.cpp
+++ b/tests/lab/scale_control_test.cpp
@@ -9,13 +9,13 @@
 #include <mutex>
 #include <set>
 
-#include "fleet/wire.h"
+#include "cluster/wire.h"
+#include "fakes/fake_deployment.h"
+#include "fakes/fault_proxy.h"
+#include "fakes/process.h"
 #include "lab/fleet_world.h"
 #include "lab/scale/hollow_fleet.h"
 #include "soon.h"
-#include "standin/between.h"
-#include "standin/fleet.h"
-#include "standin/process.h"
 
 namespace firvalve::lab::scale {
 namespace {
@@ -94,12 +94,13 @@
  public:
   virtual ~Subject() = default;
   struct Frame {
-    std::vector<record::Message> parts;
+    std::vector<consensus::Message> parts;
     size_t bytes = 0;
     std::string from;
   };
   // The size of each kind of frame with one message in it, by what decides that size.
-  using Kind = std::tuple<record::Say, std::string, uint64_t, bool>;  // its key, version, whether it goes on
+  using Kind = std::tuple<consensus::MessageType, std::string, uint64_t,
+                          bool>;  // its key, version, whether it goes on
   std::map<Kind, std::set<size_t>> sizes;
   uint64_t bus_lines = 0, bus_bytes = 0;
   std::vector<int64_t> asked_from;
@@ -126,7 +127,7 @@
 class HollowAgainstReal : public testing::Test {
  protected:
   HollowAgainstReal() {
-    const std::vector<std::string> free = standin::free_addresses(10);
+    const std::vector<std::string> free = fakes::free_addresses(10);
     at_.real.assign(free.begin(), free.begin() + 4);
     at_.name.assign(free.begin() + 4, free.begin() + 8);
     at_.clients = free[8];
@@ -138,14 +139,14 @@
   Subject play(const Start& start) {
     Subject out;
     std::mutex mutex;
-    standin::Host host;
-    auto between = std::make_unique<standin::Between>(host, 1);
+    fakes::FakeHost host;
+    auto between = std::make_unique<fakes::FaultProxy>(host, 1);
     between->on_frame = [&](size_t from, size_t, const std::string& frame) {
       const std::lock_guard lock(mutex);
       if (from == kSubject) note(out, frame);
     };
     for (size_t i = 0; i <= kSubject; ++i) between->stand_before(at_.real[i], at_.name[i]);
-    auto bus = std::make_unique<standin::Bus>(host, 1, at_.bus);
+    auto bus = std::make_unique<fakes::FakeEventBus>(host, 1, at_.bus);
     std::vector<std::unique_ptr<HollowGateway>> keepers;
     for (size_t i = 0; i < kKeepers; ++i) {
       keepers.push_back(std::make_unique<HollowGateway>(gateway_at(at_, i)));
@@ -158,7 +159,7 @@
       EXPECT_TRUE(soon([&] { return bus->traffic().lines_out > 1; }));
       EXPECT_TRUE(soon([&] {
         const std::lock_guard lock(mutex);
-        return out.sizes.count({record::Say::kAccept, "trial:a", kVersions, false}) > 0;
+        return out.sizes.count({consensus::MessageType::kAccept, "trial:a", kVersions, false}) > 0;
       }));
       out.bus_lines = bus->traffic().lines_in;
       out.bus_bytes = bus->traffic().bytes_in;
@@ -173,10 +174,10 @@
   static void note(Subject& out, const std::string& bytes) {
     const size_t head = bytes.find("\r\n\r\n") + 4;
     const char* why = "";
-    const auto frame = fleet::read_frame({bytes.data() + head, bytes.size() - head}, why);
+    const auto frame = cluster::read_frame({bytes.data() + head, bytes.size() - head}, why);
     ASSERT_TRUE(frame) << why;
     if (frame->parts.size() != 1) return;  // what goes together is chance
-    const record::Message& m = frame->parts[0];
+    const consensus::Message& m = frame->parts[0];
     if (m.fact.version <= kVersions)
       out.sizes[{m.say, m.key, m.fact.version, m.since > 0}].insert(bytes.size());
   }
@@ -185,7 +186,7 @@
 };
 
 struct RealGateway {
-  RealGateway(const Addresses& at, const standin::Fleet& engines)
+  RealGateway(const Addresses& at, const fakes::FakeDeployment& engines)
       : file(testing::TempDir() + "hollow_real.json5") {
     std::ofstream(file) << fmt::format(
         R"({{"fleet":{{"on":true,"site":"here","listen":"{}","reached_at":"{}","keepers":["{}"],)"
@@ -198,7 +199,7 @@
     process.emplace(FIRVALVE_PROGRAM, config, std::vector<std::string>{"--operator", file}, "/dev/null");
   }
   const std::string file;
-  std::optional<standin::Process> process;
+  std::optional<fakes::Process> process;
 };
 
 TEST_F(HollowAgainstReal, TheSameBytesForTheSameEvents) {
@@ -206,20 +207,20 @@
     HollowGatewayOptions options = gateway_at(at_, kSubject);
     options.duties = {"trial:a"};
     options.bus = at_.bus;
-    options.known_list = standin::topology(1, true, engine_listings(0, 2));
+    options.known_list = fakes::topology(1, true, engine_listings(0, 2));
     auto gateway = std::make_unique<HollowGateway>(options);
     gateway->start();
     return gateway;
   });
-  const standin::Fleet engines(2);
+  const fakes::FakeDeployment engines(2);
   const Subject real = play([&] { return std::make_unique<RealGateway>(at_, engines); });
 
   EXPECT_EQ(hollow.asked_from, real.asked_from);
   EXPECT_EQ(hollow.bus_lines, real.bus_lines);
   EXPECT_EQ(hollow.bus_bytes, real.bus_bytes);
-  using record::Say;
+  using consensus::MessageType;
   for (uint64_t version = 1; version <= kVersions; ++version) {
-    const Subject::Kind accept{Say::kAccept, "trial:a", version, false};
+    const Subject::Kind accept{MessageType::kAccept, "trial:a", version, false};
     ASSERT_EQ(hollow.sizes.count(accept), 1u) << version;
     ASSERT_EQ(real.sizes.count(accept), 1u) << version;
   }
--- a/tests/lab/scale_gateway_test.cpp
+++ b/tests/lab/scale_gateway_test.cpp
@@ -137,7 +137,7 @@
   ASSERT_EQ(::pipe(pipe_ends), 0);
   const pid_t starter = ::fork();
   if (starter == 0) {
-    const standin::Process started("/bin/sleep", "", {"1000"}, "", standin::Process::Ends::kWithItsStarter);
+    const fakes::Process started("/bin/sleep", "", {"1000"}, "", fakes::Process::Ends::kWithItsStarter);
     const pid_t id = started.id();
     if (::write(pipe_ends[1], &id, sizeof id) == sizeof id) ::pause();
     ::_exit(1);
--- a/tests/lab/scale_loss_test.cpp
+++ b/tests/lab/scale_loss_test.cpp
@@ -21,7 +21,8 @@
   void expect_whole() {
     EXPECT_TRUE(fleet_->is_served(fleet_->gateways_up(), fleet_->holders_up(), 0));
     EXPECT_EQ(fleet_->gateways_up().size(), 12u);
-    for (const FleetBreach& breach : fleet_->breaches()) ADD_FAILURE() << breach.rule << ": " << breach.text;
+    for (const FleetViolation& breach : fleet_->breaches())
+      ADD_FAILURE() << breach.rule << ": " << breach.text;
   }
   LossResult lose(LossKind kind) { return try_loss(*fleet_, kind, kTimes, kQuiet); }
 
--- a/tests/duty/explore_test.cpp
+++ b/tests/lease/explore_test.cpp
@@ -6,12 +6,12 @@
 
 #include <map>
 
-#include "duty/duties.h"
-#include "duty/merges.h"
-#include "record/digest.h"
+#include "consensus/digest.h"
+#include "lease/lease_manager.h"
+#include "lease/run_once_jobs.h"
 #include "searching.h"
 
-namespace firvalve::duty {
+namespace firvalve::lease {
 namespace {
 
 struct Bounds {
@@ -30,7 +30,7 @@
 
   explicit Pair(const Bounds& bounds) : bounds_(bounds) {
     for (size_t i = 0; i < 2; ++i) {
-      duties_.emplace_back(1, Terms{i == 0 ? "a" : "b", 1001 + i, kLease});
+      duties_.emplace_back(1, LeaseOptions{i == 0 ? "a" : "b", 1001 + i, kLease});
       duties_[i].looked(1);
       looked_.push_back(-1);
       pending_.emplace_back();
@@ -51,7 +51,7 @@
     bounds_ = o.bounds_;
     duties_ = o.duties_;
     merges_.clear();
-    for (size_t i = 0; i < 2; ++i) merges_.push_back(Merges(o.merges_[i], duties_[i]));
+    for (size_t i = 0; i < 2; ++i) merges_.push_back(RunOnceJobs(o.merges_[i], duties_[i]));
     looked_ = o.looked_;
     pending_ = o.pending_;
     ready_ = o.ready_;
@@ -88,19 +88,19 @@
         duties_[i].due(local(i));
         break;
       case Move::kAgree: {
-        const record::Wish w = pending_[i].front();
+        const consensus::Proposal w = pending_[i].front();
         pending_[i].erase(pending_[i].begin());
-        record::End end{record::End::Kind::kConflict, w, {}, 0};
-        record::Fact now = facts_.empty() ? record::Fact{} : facts_.back();
+        consensus::ProposalResult end{consensus::ProposalResult::Kind::kConflict, w, {}, 0};
+        consensus::Register now = facts_.empty() ? consensus::Register{} : facts_.back();
         if (now.version > 0 && now.made(w.id)) {
-          end.kind = record::End::Kind::kAgreed;
+          end.kind = consensus::ProposalResult::Kind::kAgreed;
         } else if (now.change == w.expected) {
           if (now.version > 0) now.before.insert(now.before.begin(), now.change);
           ++now.version;
           now.change = w.id;
           now.value = w.value;
           facts_.push_back(now);
-          end.kind = record::End::Kind::kAgreed;
+          end.kind = consensus::ProposalResult::Kind::kAgreed;
         }
         end.fact = now;
         ready_[i].push_back(end);
@@ -108,11 +108,11 @@
       }
       case Move::kTell:
       case Move::kTellUnknown: {
-        record::End end = ready_[i].front();
+        consensus::ProposalResult end = ready_[i].front();
         ready_[i].erase(ready_[i].begin());
         if (m.kind == Move::kTellUnknown) {
           --bounds_.lost_answers;
-          end.kind = record::End::Kind::kUnknown;
+          end.kind = consensus::ProposalResult::Kind::kUnknown;
         }
         duties_[i].ended(local(i), end);
         break;
@@ -135,12 +135,13 @@
   }
 
   std::string digest() const {
-    record::Digest d;
+    consensus::Digest d;
     d.add(ticks_).add(begun_).add(bounds_.lost_answers);
     for (size_t i = 0; i < 2; ++i) {
       d.add(duties_[i].digest()).add(looked_[i]).add(merges_[i].digest());
-      for (const record::Wish& w : pending_[i]) d.add(w.id).add(w.expected);
-      for (const record::End& e : ready_[i]) d.add(static_cast<uint8_t>(e.kind)).add(e.wish.id).add(e.fact);
+      for (const consensus::Proposal& w : pending_[i]) d.add(w.id).add(w.expected);
+      for (const consensus::ProposalResult& e : ready_[i])
+        d.add(static_cast<uint8_t>(e.kind)).add(e.wish.id).add(e.fact);
     }
     if (!facts_.empty()) d.add(facts_.back());
     if (facts_.size() > 1) d.add(facts_[facts_.size() - 2]);
@@ -163,27 +164,27 @@
       more = false;
       for (const Event& e : duties_[i].take_events()) {
         more = true;
-        if (bounds_.merge) merges_[i].hear(local(i), e);
+        if (bounds_.merge) merges_[i].handle(local(i), e);
       }
-      for (const auto& a : merges_[i].take_actions()) begun_ += a.kind == Merges::Action::Kind::kStart;
-      for (const record::Wish& w : duties_[i].take_wishes()) pending_[i].push_back(w);
+      for (const auto& a : merges_[i].take_actions()) begun_ += a.kind == RunOnceJobs::Action::Kind::kStart;
+      for (const consensus::Proposal& w : duties_[i].take_wishes()) pending_[i].push_back(w);
     }
   }
 
   Bounds bounds_;
-  std::vector<Duties> duties_;
-  std::vector<Merges> merges_;
+  std::vector<LeaseManager> duties_;
+  std::vector<RunOnceJobs> merges_;
   std::vector<int> looked_;
-  std::vector<std::vector<record::Wish>> pending_;
-  std::vector<std::vector<record::End>> ready_;
-  std::vector<record::Fact> facts_;
+  std::vector<std::vector<consensus::Proposal>> pending_;
+  std::vector<std::vector<consensus::ProposalResult>> ready_;
+  std::vector<consensus::Register> facts_;
   int ticks_ = 0, begun_ = 0;
 };
 
 const size_t kMost = states_most();
 
 lab::Explored explore(const Bounds& bounds, size_t most) { return explored<Pair>(bounds, most); }
-bool found(const Bounds& bounds, Flaw flaw) { return walks_find<Pair>(bounds, flaw, kMost / 2); }
+bool found(const Bounds& bounds, InjectedBug flaw) { return walks_find<Pair>(bounds, flaw, kMost / 2); }
 
 TEST(ExploreDuty, NeverTwoThatMayAct) {
   const lab::Explored out = explore({}, kMost);
@@ -198,13 +199,13 @@
 }
 
 TEST(ExploreDuty, EachPlantedFlawIsFound) {
-  EXPECT_TRUE(found({}, Flaw::kLeaseFromAnswer));
-  EXPECT_TRUE(found({}, Flaw::kNoWait));
+  EXPECT_TRUE(found({}, InjectedBug::kLeaseFromAnswer));
+  EXPECT_TRUE(found({}, InjectedBug::kNoWait));
   Bounds b;
   b.merge = true;
-  EXPECT_TRUE(found(b, Flaw::kIntentAfterSend));
-  EXPECT_FALSE(found(b, Flaw::kNone));
+  EXPECT_TRUE(found(b, InjectedBug::kIntentAfterSend));
+  EXPECT_FALSE(found(b, InjectedBug::kNone));
 }
 
 }  // namespace
-}  // namespace firvalve::duty
+}  // namespace firvalve::lease
--- a/tests/duty/duties_test.cpp
+++ b/tests/lease/lease_manager_test.cpp
@@ -1,32 +1,32 @@
-#include "duty/duties.h"
+#include "lease/lease_manager.h"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <map>
 
-#include "duty/fence.h"
-#include "duty/merges.h"
+#include "lease/fence.h"
+#include "lease/run_once_jobs.h"
 
-namespace firvalve::duty {
+namespace firvalve::lease {
 namespace {
 
 using Kind = Event::Kind;
 
 // A record that answers at once, as the duties see it.
 struct Facts {
-  std::map<std::string, record::Fact> facts;
-  record::End change(Ms now, const record::Wish& w) {
-    record::Fact& f = facts[w.key];
-    record::End end{record::End::Kind::kConflict, w, {}, now};
+  std::map<std::string, consensus::Register> facts;
+  consensus::ProposalResult change(Ms now, const consensus::Proposal& w) {
+    consensus::Register& f = facts[w.key];
+    consensus::ProposalResult end{consensus::ProposalResult::Kind::kConflict, w, {}, now};
     if (f.made(w.id) && f.version > 0) {
-      end.kind = record::End::Kind::kAgreed;
+      end.kind = consensus::ProposalResult::Kind::kAgreed;
     } else if (f.change == w.expected) {
       if (f.version > 0) f.before.insert(f.before.begin(), f.change);
       ++f.version;
       f.change = w.id;
       f.value = w.value;
-      end.kind = record::End::Kind::kAgreed;
+      end.kind = consensus::ProposalResult::Kind::kAgreed;
     }
     end.fact = f;
     return end;
@@ -35,7 +35,7 @@
 
 struct Gateway {
   Gateway(const std::string& name, uint64_t life, Ms lease = 1000)
-      : terms{name, life, lease}, duties(1, terms), merges(duties, life) {
+      : options{name, life, lease}, duties(1, options), merges(duties, life) {
     duties.looked(1);
   }
   // What it asks is answered by the record; what it says is kept.
@@ -44,17 +44,17 @@
     merges.due(now);
     for (bool more = true; more;) {
       more = false;
-      for (const record::Wish& w : duties.take_wishes()) {
+      for (const consensus::Proposal& w : duties.take_wishes()) {
         more = true;
         duties.ended(now, record.change(now, w));
       }
       for (Event& e : duties.take_events()) {
         more = true;
-        merges.hear(now, e);
+        merges.handle(now, e);
         events.push_back(e);
       }
     }
-    for (Merges::Action& a : merges.take_actions()) actions.push_back(a);
+    for (RunOnceJobs::Action& a : merges.take_actions()) actions.push_back(a);
   }
   void see(Facts& record, Ms now) {
     for (const auto& [key, fact] : record.facts) duties.saw(now, key, fact);
@@ -64,15 +64,15 @@
     return static_cast<int>(
         std::count_if(events.begin(), events.end(), [&](const Event& e) { return e.kind == kind; }));
   }
-  int count(Merges::Action::Kind kind) const {
+  int count(RunOnceJobs::Action::Kind kind) const {
     return static_cast<int>(
         std::count_if(actions.begin(), actions.end(), [&](const auto& a) { return a.kind == kind; }));
   }
-  Terms terms;
-  Duties duties;
-  Merges merges;
+  LeaseOptions options;
+  LeaseManager duties;
+  RunOnceJobs merges;
   std::vector<Event> events;
-  std::vector<Merges::Action> actions;
+  std::vector<RunOnceJobs::Action> actions;
 };
 
 // Gateways that are looked after every 10 ms, or as said; those that are not named stand still.
@@ -121,7 +121,7 @@
 TEST_F(DutiesTest, TheLeaseCountsFromBeforeItWasAskedFor) {
   a_.duties.want(1, "d");
   Ms now = 1;
-  std::vector<record::Wish> wishes;
+  std::vector<consensus::Proposal> wishes;
   while (wishes.empty()) a_.duties.due(now += 10), wishes = a_.duties.take_wishes();
   const Ms asked = now;
   a_.duties.ended(asked + 600, record_.change(asked, wishes[0]));
@@ -132,7 +132,7 @@
 TEST_F(DutiesTest, AClaimThatWasAgreedTooLateIsNeverActedUnder) {
   a_.duties.want(1, "d");
   Ms now = 1;
-  std::vector<record::Wish> wishes;
+  std::vector<consensus::Proposal> wishes;
   while (wishes.empty()) a_.duties.due(now += 10), wishes = a_.duties.take_wishes();
   a_.duties.ended(now + 2000, record_.change(now, wishes[0]));
   EXPECT_FALSE(a_.duties.may_act(now + 2000, "d"));
@@ -143,10 +143,10 @@
 TEST_F(DutiesTest, AnUnknownEndIsAskedAgainUnderItsId) {
   a_.duties.want(1, "d");
   Ms now = 1;
-  std::vector<record::Wish> wishes;
+  std::vector<consensus::Proposal> wishes;
   while (wishes.empty()) a_.duties.due(now += 10), wishes = a_.duties.take_wishes();
   record_.change(now, wishes[0]);  // it stands, and the answer is lost
-  a_.duties.ended(now + 400, {record::End::Kind::kUnknown, wishes[0], {}, now});
+  a_.duties.ended(now + 400, {consensus::ProposalResult::Kind::kUnknown, wishes[0], {}, now});
   const auto again = a_.duties.take_wishes();
   ASSERT_EQ(again.size(), 1u);
   EXPECT_EQ(again[0].id, wishes[0].id);
@@ -161,13 +161,14 @@
   ASSERT_TRUE(a_.duties.state(500, "d", "its end"));
   const auto wishes = a_.duties.take_wishes();
   ASSERT_EQ(wishes.size(), 1u);
-  a_.duties.ended(600, {record::End::Kind::kNoMajority, wishes[0], {}, 500});
+  a_.duties.ended(600, {consensus::ProposalResult::Kind::kNoMajority, wishes[0], {}, 500});
   run(record_, {&a_}, 600, 700);
   EXPECT_EQ(a_.count(Kind::kStated), 1);
   EXPECT_EQ(read_claim(record_.facts["d"].value)->state, "its end");
   // And where the duty is lost over it, that is told.
   ASSERT_TRUE(a_.duties.state(700, "d", "another"));
-  a_.duties.ended(800, {record::End::Kind::kNoMajority, a_.duties.take_wishes().at(0), {}, 700});
+  a_.duties.ended(800,
+                  {consensus::ProposalResult::Kind::kNoMajority, a_.duties.take_wishes().at(0), {}, 700});
   a_.duties.due(5000);
   int told = 0;
   for (const Event& e : a_.duties.take_events()) told += e.kind == Kind::kStated && !e.made;
@@ -232,10 +233,10 @@
 TEST_F(DutiesTest, OneKeeperThatLagsOrShowsWhatNeverStandsEndsNothing) {
   a_.duties.want(1, "d");
   run(record_, {&a_}, 1, 500);
-  record::Fact other = record_.facts["d"];
+  consensus::Register other = record_.facts["d"];
   ++other.version;
   other.change = 99;
-  Claim claim = *read_claim(other.value);
+  LeaseRecord claim = *read_claim(other.value);
   claim.holder = "c";
   claim.epoch = 2;
   other.value = written(claim);
@@ -284,13 +285,13 @@
   EXPECT_GE(least, 8u);
   const size_t dead = up[0]->duties.held();
   std::map<std::string, size_t> before;
-  for (Gateway* g : up) before[g->terms.self] = g->duties.held();
+  for (Gateway* g : up) before[g->options.self] = g->duties.held();
   up.erase(up.begin());
   run(record, up, 2000, 6000, 5);
   size_t gained = 0, heirs = 0;
   for (Gateway* g : up) {
-    gained += g->duties.held() - before[g->terms.self];
-    heirs += g->duties.held() > before[g->terms.self];
+    gained += g->duties.held() - before[g->options.self];
+    heirs += g->duties.held() > before[g->options.self];
     EXPECT_EQ(g->count(Kind::kLost), 0);
   }
   EXPECT_EQ(gained, dead);
@@ -309,8 +310,8 @@
 
 class MergesTest : public DutiesTest {
  protected:
-  using Act = Merges::Action::Kind;
-  void ask(Gateway& g, Merges::Call call, Ms now, uint64_t statement = 7) {
+  using Act = RunOnceJobs::Action::Kind;
+  void ask(Gateway& g, RunOnceJobs::Call call, Ms now, uint64_t statement = 7) {
     g.merges.ask(now, "night", call, statement, now + 10000);
   }
 };
@@ -321,7 +322,7 @@
   run(record_, {&a_, &b_}, 100, 1000);
   EXPECT_EQ(a_.count(Act::kStart) + b_.count(Act::kStart), 1);
   Gateway& runs = a_.count(Act::kStart) ? a_ : b_;
-  runs.merges.run_ended(1000, "night", Merges::End::kAnswered, "12 rows\n");
+  runs.merges.run_ended(1000, "night", RunOnceJobs::End::kAnswered, "12 rows\n");
   run(record_, {&a_, &b_}, 1000, 1500);
   for (Gateway* g : {&a_, &b_}) {
     EXPECT_EQ(g->count(Act::kAnswer), 1);
@@ -355,7 +356,7 @@
   // It claims, and dies before the note of the beginning is agreed.
   while (a_.count(Kind::kTaken) == 0) {
     a_.duties.due(now += 10);
-    for (const record::Wish& w : a_.duties.take_wishes()) a_.duties.ended(now, record_.change(now, w));
+    for (const consensus::Proposal& w : a_.duties.take_wishes()) a_.duties.ended(now, record_.change(now, w));
     for (Event& e : a_.duties.take_events()) a_.events.push_back(e);
   }
   ask(b_, 2, now);
@@ -369,7 +370,7 @@
   run(record_, {&a_, &b_}, 100, 1000);
   Gateway& first = a_.count(Act::kStart) ? a_ : b_;
   Gateway& second = a_.count(Act::kStart) ? b_ : a_;
-  first.merges.run_ended(1000, "night", Merges::End::kNeverRan, {}, 200);
+  first.merges.run_ended(1000, "night", RunOnceJobs::End::kNeverRan, {}, 200);
   run(record_, {&a_, &b_}, 1000, 2000);
   EXPECT_EQ(first.count(Act::kShed), 1);
   EXPECT_EQ(second.count(Act::kStart), 1);
@@ -378,7 +379,7 @@
 TEST_F(MergesTest, AnotherStatementUnderTheNameIsRefused) {
   ask(a_, 1, 100, 7);
   run(record_, {&a_}, 100, 1000);
-  a_.merges.run_ended(1000, "night", Merges::End::kAnswered, "");
+  a_.merges.run_ended(1000, "night", RunOnceJobs::End::kAnswered, "");
   ask(b_, 2, 1000, 8);
   run(record_, {&a_, &b_}, 1000, 2000);
   EXPECT_EQ(b_.count(Act::kRefuse), 1);
@@ -389,7 +390,7 @@
   run(record_, {&a_}, 100, 11000);
   EXPECT_EQ(a_.count(Act::kFail), 1);
   EXPECT_FALSE(a_.merges.idle());
-  a_.merges.run_ended(11000, "night", Merges::End::kAnswered, "late\n");
+  a_.merges.run_ended(11000, "night", RunOnceJobs::End::kAnswered, "late\n");
   run(record_, {&a_}, 11000, 12000);
   EXPECT_TRUE(a_.merges.idle());
   ask(b_, 2, 12000);
@@ -409,7 +410,7 @@
   a_.go(record_, 510);
   EXPECT_EQ(a_.count(Act::kFail), 2);
   EXPECT_TRUE(a_.merges.runs());
-  a_.merges.run_ended(600, "night", Merges::End::kAnswered, "done\n");
+  a_.merges.run_ended(600, "night", RunOnceJobs::End::kAnswered, "done\n");
   run(record_, {&a_}, 600, 700);
   EXPECT_EQ(a_.count(Act::kAnswer), 1);
   EXPECT_TRUE(a_.merges.idle());
@@ -421,23 +422,24 @@
   ask(b_, 2, 500);
   run(record_, {&b_}, 500, 3000);  // a stands still past its lease
   EXPECT_EQ(b_.count(Act::kFail), 1);
-  a_.merges.run_ended(3000, "night", Merges::End::kAnswered, "done\n");
+  a_.merges.run_ended(3000, "night", RunOnceJobs::End::kAnswered, "done\n");
   run(record_, {&a_}, 3000, 5000);
   EXPECT_EQ(a_.count(Act::kAnswer), 1);
   EXPECT_TRUE(a_.merges.idle());
-  EXPECT_EQ(read_merge(read_claim(record_.facts["merge:night"].value)->state).stage, Merge::Stage::kUnknown);
+  EXPECT_EQ(read_merge(read_claim(record_.facts["merge:night"].value)->state).stage,
+            RunOnceJob::Stage::kUnknown);
 }
 
 TEST(MergeState, BytesThatAreNoneAreNeverTakenForNotBegun) {
-  EXPECT_EQ(read_merge("").stage, Merge::Stage::kNone);
-  EXPECT_EQ(read_merge("garbage").stage, Merge::Stage::kUnknown);
-  Merge m;
-  m.stage = Merge::Stage::kBegun;
+  EXPECT_EQ(read_merge("").stage, RunOnceJob::Stage::kNone);
+  EXPECT_EQ(read_merge("garbage").stage, RunOnceJob::Stage::kUnknown);
+  RunOnceJob m;
+  m.stage = RunOnceJob::Stage::kBegun;
   m.run = 5;
   EXPECT_EQ(read_merge(written(m)), m);
   for (size_t cut = 1; cut < written(m).size(); ++cut)
-    EXPECT_NE(read_merge(written(m).substr(0, cut)).stage, Merge::Stage::kNone);
+    EXPECT_NE(read_merge(written(m).substr(0, cut)).stage, RunOnceJob::Stage::kNone);
 }
 
 }  // namespace
-}  // namespace firvalve::duty
+}  // namespace firvalve::lease
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -19,20 +19,20 @@
 
 TEST(Bursts, TheSameLineIsWrittenOnceAndCounted) {
   Bursts bursts(1000);
-  EXPECT_TRUE(bursts.hear(0, "a"));
-  for (int i = 0; i < 5; ++i) EXPECT_FALSE(bursts.hear(10, "a"));
-  EXPECT_TRUE(bursts.hear(20, "b"));
+  EXPECT_TRUE(bursts.handle(0, "a"));
+  for (int i = 0; i < 5; ++i) EXPECT_FALSE(bursts.handle(10, "a"));
+  EXPECT_TRUE(bursts.handle(20, "b"));
   EXPECT_TRUE(bursts.over(500).empty());
   EXPECT_EQ(bursts.next_due(), 1000);
   const auto over = bursts.over(1000);
   ASSERT_EQ(over.size(), 1u);
   EXPECT_EQ(over[0], std::pair(std::string("a"), uint64_t{5}));
-  EXPECT_TRUE(bursts.hear(1001, "a"));
+  EXPECT_TRUE(bursts.handle(1001, "a"));
 }
 
 TEST(Bursts, ManyKindsOfLinesAreBounded) {
   Bursts bursts(1000);
-  for (int i = 0; i < 10000; ++i) EXPECT_TRUE(bursts.hear(0, std::to_string(i)));
+  for (int i = 0; i < 10000; ++i) EXPECT_TRUE(bursts.handle(0, std::to_string(i)));
   bursts.over(1000);
   EXPECT_EQ(bursts.next_due(), 0);
 }
--- a/tests/policy/helpers.h
+++ b/tests/policy/helpers.h
@@ -38,7 +38,7 @@
   for (int i = 0; i < engines; ++i) {
     Engine e;
     e.id = static_cast<uint32_t>(10 * (i + 1));
-    e.life = Life::kReady;
+    e.life = EngineState::kReady;
     e.cores = 8;
     e.limit = 16;
     s.engines.push_back(e);
@@ -78,7 +78,7 @@
 }
 
 inline Event settled(const Command& c, Outcome outcome) {
-  Settled r;
+  AttemptFinished r;
   r.id = c.asked.id;
   r.send = c.sends - 1;
   r.outcome = outcome;
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -14,7 +14,7 @@
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  hear(s, 10000, settled(c, Outcome::kTimedOut));
+  handle(s, 10000, settled(c, Outcome::kTimedOut));
   Actions out;
   emit(s, 10000, out);
   EXPECT_EQ(count_of(out, Kind::kFail), 1);
@@ -67,7 +67,7 @@
   State s = state_with(1, {profile(Effect::kNonReplayable)});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  hear(s, 100, settled(c, outcome));
+  handle(s, 100, settled(c, outcome));
   EXPECT_EQ(may_send(s, c, s.engines[0], 100), again);
 }
 
@@ -153,10 +153,10 @@
 TEST(Drains, NothingNewToAnEngineThatDrainsOrLeft) {
   State s = state_with(2, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  Listing draining;
+  EngineInfo draining;
   draining.engine = 10;
-  draining.life = Life::kDraining;
-  hear(s, 50, Roster{true, {draining}});  // a full list: 20 is gone
+  draining.life = EngineState::kDraining;
+  handle(s, 50, EngineListUpdate{true, {draining}});  // a full list: 20 is gone
   EXPECT_FALSE(may_send(s, c, s.engines[0], 50));
   EXPECT_FALSE(may_send(s, c, s.engines[1], 50));
 }
@@ -165,9 +165,9 @@
   State s = state_with(2, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
   put_out(s, c, 1, 0);
-  Listing early;
+  EngineInfo early;
   early.engine = 5;
-  hear(s, 50, Roster{false, {early}});
+  handle(s, 50, EngineListUpdate{false, {early}});
   EXPECT_EQ(s.engines[static_cast<size_t>(c.engine)].id, 20u);
 }
 
@@ -234,7 +234,7 @@
       const auto opened = [&](int number, Ms now) {
         State s;
         s.chance.state = (static_cast<uint64_t>(chance.next()) << 32) | chance.next();
-        s.articles = {{"cores.", 12.0}};
+        s.settings = {{"cores.", 12.0}};
         for (const Ms work : works) s.profiles.emplace_back().mean_cost = work;
         s.gateways = gateways;
         s.gateway_number = number;
@@ -242,10 +242,10 @@
         s.fall_window = kWindow;
         s.fall_multiple = 3;
         s.cold_share = 0.4;
-        Listing cold;
+        EngineInfo cold;
         cold.engine = 10;
         cold.born = 1000;
-        hear(s, now, Roster{true, {cold}});
+        handle(s, now, EngineListUpdate{true, {cold}});
         return s;
       };
       std::vector<State> all;
@@ -278,10 +278,10 @@
 TEST(ColdEngine, ANewLifeClearsWhatTheLastOneDid) {
   State s = with_a_cold_engine(1);
   s.engines[0].fails = s.engines[0].tries = 9;
-  Listing again;
+  EngineInfo again;
   again.engine = 10;
   again.born = 5000;
-  hear(s, 6000, Roster{false, {again}});
+  handle(s, 6000, EngineListUpdate{false, {again}});
   judge_engines(s, 6000);
   EXPECT_FALSE(s.engines[0].doubted);
 }
@@ -302,13 +302,14 @@
     constexpr Ms kNow = 1e9;
     State s = with_a_cold_engine(1);
     s.engines[0].cold_since = -1;
-    Listing again;
+    EngineInfo again;
     again.engine = 10;
     again.born = kNow - 500 + off;
-    hear(s, kNow, Roster{false, {again}, kNow - 900});
+    handle(s, kNow, EngineListUpdate{false, {again}, kNow - 900});
     EXPECT_LT(warmth(s, s.engines[0], kNow), 0.35) << off;
     EXPECT_GE(warmth(s, s.engines[0], kNow), 0.3) << off;
-    hear(s, kNow + 5000, Roster{false, {again}, kNow + 4500});  // told again: it did not start anew
+    handle(s, kNow + 5000,
+           EngineListUpdate{false, {again}, kNow + 4500});  // told again: it did not start anew
     EXPECT_GT(warmth(s, s.engines[0], kNow + 5000), 0.6) << off;
     EXPECT_EQ(warmth(s, s.engines[0], kNow + 11000), 1) << off;
   }
@@ -319,12 +320,12 @@
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
   s.engines[0].silent = true;
-  hear(s, 9000, settled(c, Outcome::kOk));
+  handle(s, 9000, settled(c, Outcome::kOk));
   EXPECT_EQ(s.engines[0].cold_since, 9000);
 }
 
 // Rule 5: order.
-TEST(Order, OneAtATimePerKeyInTheOrderTaken) {
+TEST(AttemptRequest, OneAtATimePerKeyInTheOrderTaken) {
   Profile p = profile(Effect::kUniqued);
   p.in_order = true;
   State s = state_with(1, {p});
@@ -340,7 +341,7 @@
   EXPECT_TRUE(has_turn(s, second, 10));
 }
 
-TEST(Order, KeyRestsAfterASendThatMayStillRun) {
+TEST(AttemptRequest, KeyRestsAfterASendThatMayStillRun) {
   Profile p = profile(Effect::kUniqued);
   p.in_order = true;
   State s = state_with(1, {p});
@@ -348,7 +349,7 @@
   Command& first = add_command(s);
   first.asked.has_key = true;
   put_out(s, first, 0, 0);
-  hear(s, 100, settled(first, Outcome::kReset));
+  handle(s, 100, settled(first, Outcome::kReset));
   Command next = first;
   next.sends = 0;
   s.live.clear();
@@ -365,7 +366,7 @@
   s.engines[0].machine = "small";
   s.engines[1].machine = "big";
   EXPECT_EQ(choose(s, c, 10), 1);
-  s.engines[1].life = Life::kGone;
+  s.engines[1].life = EngineState::kGone;
   EXPECT_EQ(choose(s, c, 10), -1);
 }
 
@@ -499,7 +500,7 @@
   for (int i = 0; i < 4; ++i) {
     Command& c = add_command(s);
     put_out(s, c, 0, 0);
-    hear(s, 100, settled(c, Outcome::kOk));
+    handle(s, 100, settled(c, Outcome::kOk));
   }
   judge_engines(s, 100);
   EXPECT_FALSE(s.engines[0].doubted);
@@ -519,12 +520,12 @@
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  hear(s, 5, Note{c.asked.id, 0, NoteKind::kWaits, 1});
+  handle(s, 5, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaits, 1});
   judge_engines(s, 5000);
   EXPECT_FALSE(s.engines[0].doubted);
   c.waiting = false;
   s.want_bell = 20;
-  hear(s, 5000, Bell{});
+  handle(s, 5000, TimerFired{});
   judge_engines(s, 5000);
   EXPECT_FALSE(s.engines[0].doubted);
   judge_engines(s, 6000);
@@ -550,7 +551,7 @@
   s.slab[0].asked.tables = c.asked.tables = 3;
   EXPECT_EQ(choose(s, c, 10), 1);
   put_out(s, c, 1, 10);
-  hear(s, 500, Note{c.asked.id, 0, NoteKind::kWaits, 2});  // a load of some other gateway
+  handle(s, 500, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaits, 2});  // a load of some other gateway
   review_out(s, 500);
   EXPECT_EQ(c.want, Want::kWithdraw);
   EXPECT_TRUE(stands_still(s, c, s.engines[1]));
@@ -581,7 +582,8 @@
   State s = state_with(1, {profile(Effect::kNonReplayable)});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  for (int i = 1; i < 50; ++i) hear(s, i * 300.0, Note{c.asked.id, 0, NoteKind::kProgress, i * 0.02});
+  for (int i = 1; i < 50; ++i)
+    handle(s, i * 300.0, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kProgress, i * 0.02});
   judge_engines(s, 15000);
   EXPECT_LT(s.engines[0].limit, 16);
 }
@@ -590,7 +592,7 @@
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  hear(s, 100, settled(c, Outcome::kFull));
+  handle(s, 100, settled(c, Outcome::kFull));
   EXPECT_EQ(choose(s, c, 101), -1);
   EXPECT_EQ(choose(s, c, 1000), 0);
 }
@@ -602,14 +604,14 @@
     Ms now = 0, rest = 0;
     for (int i = 0; i < 3; ++i) {
       put_out(s, c, 0, now);
-      hear(s, now, settled(c, closed));
+      handle(s, now, settled(c, closed));
       EXPECT_EQ(choose(s, c, now + 1.5 * rest), -1) << i;
       rest = s.engines[0].closed_until - now;
       now = s.engines[0].closed_until;
       EXPECT_EQ(choose(s, c, now), 0) << i;
     }
     put_out(s, c, 0, now);
-    hear(s, now, settled(c, Outcome::kFailed));  // it has begun there: the door is open
+    handle(s, now, settled(c, Outcome::kFailed));  // it has begun there: the door is open
     EXPECT_EQ(s.engines[0].closed_doors, 0);
   }
 }
@@ -619,7 +621,7 @@
   Command& c = add_command(s);
   c.asked.memory_mb = 100;
   put_out(s, c, 0, 0);
-  hear(s, 5, Note{c.asked.id, 0, NoteKind::kWaits, 1});
+  handle(s, 5, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaits, 1});
   review_out(s, 5);
   EXPECT_EQ(c.want, Want::kWithdraw);
   Command& large = add_command(s);
@@ -635,7 +637,7 @@
   State s = state_with(1, {p});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  hear(s, 5, Note{c.asked.id, 0, NoteKind::kWaits, 1});
+  handle(s, 5, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaits, 1});
   review_out(s, 4900);
   EXPECT_EQ(c.want, Want::kOut);
   c.moves = 2;
@@ -648,13 +650,13 @@
   State s = state_with(1, {profile(Effect::kReplayable)});
   s.profiles[0].base = 1;
   s.profiles[0].correction = 3;  // learned from crowded latencies
-  Taken t;
+  Admitted t;
   t.id = id_of(1);
   t.estimate = 50;
   t.gives_up_at = 10000;
-  hear(s, 0, t);
+  handle(s, 0, t);
   put_out(s, s.slab[0], 0, 0);
-  hear(s, 100, settled(s.slab[0], Outcome::kOk));
+  handle(s, 100, settled(s.slab[0], Outcome::kOk));
   EXPECT_GT(s.engines[0].stretch, 1);
 }
 
@@ -663,9 +665,9 @@
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
   s.want_bell = 20;
-  Settled r = std::get<Settled>(settled(c, Outcome::kOk));
+  AttemptFinished r = std::get<AttemptFinished>(settled(c, Outcome::kOk));
   r.took = 2000;
-  hear(s, 2000, r);
+  handle(s, 2000, r);
   EXPECT_EQ(s.engines[0].stretch, 1);
   EXPECT_EQ(s.profiles[0].correction, 0);
 }
@@ -676,9 +678,9 @@
     Command& c = add_command(s);
     c.asked.estimate = 100;
     put_out(s, c, 0, 0);
-    Settled r = std::get<Settled>(settled(c, Outcome::kOk));
+    AttemptFinished r = std::get<AttemptFinished>(settled(c, Outcome::kOk));
     r.took = 400;
-    hear(s, 400, r);
+    handle(s, 400, r);
   }
   EXPECT_GT(s.profiles[0].base, 1.5);  // towards 4, from 1
   EXPECT_LT(s.profiles[0].base, 4);
@@ -707,7 +709,7 @@
   State s = state_with(2, {profile(Effect::kReplayable, 4)});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  hear(s, 3200, Note{c.asked.id, 0, NoteKind::kProgress, 0.8});  // far off its time alone
+  handle(s, 3200, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kProgress, 0.8});  // far off its time alone
   judge_engines(s, 3200);
   EXPECT_GT(s.engines[0].crowding, s.engines[1].crowding + 0.3);
 }
@@ -733,7 +735,7 @@
     const bool out = s.engines[0].sends_out + s.engines[1].sends_out > 0;
     ran += out ? 4 * 20 : 0;
     all += 20;
-    if (out && now - first.sent_at >= 200) hear(s, now, settled(first, Outcome::kFailed));
+    if (out && now - first.sent_at >= 200) handle(s, now, settled(first, Outcome::kFailed));
     count_debts(s, now);
     const int engine = first.out ? -1 : choose(s, first, now);
     if (engine >= 0) put_out(s, first, engine, now), first.sends = 1;
@@ -770,9 +772,9 @@
     Command& c = add_command(s);
     c.asked.memory_mb = 100;
     put_out(s, c, 0, 0);
-    Settled r = std::get<Settled>(settled(c, Outcome::kOk));
+    AttemptFinished r = std::get<AttemptFinished>(settled(c, Outcome::kOk));
     r.memory_mb = i % 10 == 0 ? 190 : 110;  // one in ten needs far more
-    hear(s, 100, r);
+    handle(s, 100, r);
     s.live.clear();
     s.slab.clear();
   }
@@ -781,24 +783,24 @@
 
 TEST(Slab, PlacesAreUsedAgain) {
   State s = state_with(1, {profile(Effect::kReplayable)});
-  Taken t;
+  Admitted t;
   t.gives_up_at = 10000;
   for (int i = 0; i < 5; ++i) {
     t.id = id_of(i);
-    hear(s, i, t);
+    handle(s, i, t);
     Actions out;
     decide(s, i, out);
-    hear(s, i, settled(s.slab[0], Outcome::kOk));
+    handle(s, i, settled(s.slab[0], Outcome::kOk));
     decide(s, i, out);
   }
   EXPECT_EQ(s.slab.size(), 1u);
 }
 
-TEST(Closing, NoCommandOutlastsItsGateway) {
+TEST(ShutdownStarted, NoCommandOutlastsItsGateway) {
   State s = state_with(1, {profile(Effect::kReplayable)});
-  s.engines[0].life = Life::kGone;
+  s.engines[0].life = EngineState::kGone;
   add_command(s);
-  hear(s, 0, Closing{500});
+  handle(s, 0, ShutdownStarted{500});
   Actions actions;
   decide(s, 495, actions);
   EXPECT_EQ(count_of(actions, Action::Kind::kShed), 1);
@@ -807,7 +809,7 @@
 TEST(Engines, TheGoneAreForgottenOnceNoCommandRefersToThem) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  for (uint32_t id = 1; id <= 6; ++id) engine_of(s, id).life = Life::kGone;
+  for (uint32_t id = 1; id <= 6; ++id) engine_of(s, id).life = EngineState::kGone;
   put_out(s, c, 6, 0);  // on the one that is ready, behind those
   c.risked_on = 2;
   forget_gone(s);
--- a/tests/proto/proto_test.cpp
+++ b/tests/proto/proto_test.cpp
@@ -169,18 +169,18 @@
 
 TEST(Queries, AllPagesMakeTheAnswer) {
   Query query;
-  EXPECT_EQ(query.hear(told(202)).next, Query::Next::kAsk);
+  EXPECT_EQ(query.handle(told(202)).next, Query::Next::kAsk);
   HttpAnswer first = told(200);
   first.pages = 2;
   first.body = "a\tb\tc\n";
-  EXPECT_EQ(query.hear(first).next, Query::Next::kAsk);
+  EXPECT_EQ(query.handle(first).next, Query::Next::kAsk);
   std::string ask;
   query.append_ask(ask, "9b1f03aa5c7e2d41", "h");
   EXPECT_TRUE(ask.starts_with("GET /v1/store/9b1f03aa5c7e2d41/1 HTTP/1.1\r\n"));
   HttpAnswer second = told(200);
   second.page = 1;
   second.body = "d\te\tf\n";
-  EXPECT_EQ(query.hear(second).outcome, Outcome::kOk);
+  EXPECT_EQ(query.handle(second).outcome, Outcome::kOk);
   EXPECT_EQ(query.take_rows(), "a\tb\tc\nd\te\tf\n");
 }
 
@@ -189,7 +189,7 @@
     Query query;
     HttpAnswer answer = told(status);
     answer.not_begun = not_begun;
-    return query.hear(answer, to_start);
+    return query.handle(answer, to_start);
   };
   EXPECT_EQ(step(503, true, true).outcome, Outcome::kFull);
   EXPECT_EQ(step(504, true, true).outcome, Outcome::kMoot);
@@ -201,16 +201,16 @@
 
 TEST(Queries, WhatIsNoWholeAnswerIsAskedForAgain) {
   for (const int status : {0, 200, 204, 404, 503, 504})
-    EXPECT_EQ(Query().hear(told(status)).next, Query::Next::kSpoilt);
+    EXPECT_EQ(Query().handle(told(status)).next, Query::Next::kSpoilt);
   for (const char* body :
        {"a\tb\tc", "a\tb\n", "a\tb\tc\td\n", "a\tb\t\x01\n", "a\tb\t\xff\n", "a\tb\t\xc3\n", "\n"}) {
     Query query;
     HttpAnswer answer = told(200);
     answer.pages = 1;
     answer.body = body;
-    EXPECT_EQ(query.hear(answer).next, Query::Next::kSpoilt) << body;
+    EXPECT_EQ(query.handle(answer).next, Query::Next::kSpoilt) << body;
     answer.body = "a\tb\t\xc3\xa9\n";
-    EXPECT_EQ(query.hear(answer).outcome, Outcome::kOk);
+    EXPECT_EQ(query.handle(answer).outcome, Outcome::kOk);
     EXPECT_EQ(query.take_rows(), answer.body);
   }
 }
@@ -220,10 +220,10 @@
     Query query;
     HttpAnswer first = told(200);
     first.pages = 3;
-    query.hear(first);
+    query.handle(first);
     HttpAnswer second = told(200);
     second.page = page;
-    EXPECT_EQ(query.hear(second).next, Query::Next::kSpoilt);
+    EXPECT_EQ(query.handle(second).next, Query::Next::kSpoilt);
   }
 }
 
@@ -232,12 +232,12 @@
   HttpAnswer answer = told(202);
   answer.note = "held";
   answer.value = "2";
-  const Query::Step step = query.hear(answer);
+  const Query::Step step = query.handle(answer);
   EXPECT_TRUE(step.noted);
-  EXPECT_EQ(step.note, NoteKind::kWaits);
+  EXPECT_EQ(step.note, AttemptStatusKind::kWaits);
   EXPECT_EQ(step.value, 2);
   answer.value = "two";
-  EXPECT_FALSE(query.hear(answer).noted);
+  EXPECT_FALSE(query.handle(answer).noted);
 }
 
 std::optional<BusEvent> line(std::string text) { return read_bus_line({text.data(), text.size()}); }
@@ -251,7 +251,7 @@
   EXPECT_EQ(event->offset, 41);
   ASSERT_EQ(event->listings.size(), 1u);
   EXPECT_EQ(event->listings[0].address, "10.1.0.9:6565");
-  EXPECT_EQ(event->listings[0].listing.life, Life::kDraining);
+  EXPECT_EQ(event->listings[0].listing.life, EngineState::kDraining);
   EXPECT_EQ(event->listings[0].listing.born, 5);
   EXPECT_EQ(line(R"({"offset":42})")->offset, 42);
   EXPECT_EQ(line("42")->offset, 42);
@@ -284,9 +284,9 @@
   answer.status = 200;
   answer.pages = 5000;
   answer.body = "a\tb\tc\n";
-  EXPECT_EQ(query.hear(answer).next, Query::Next::kSpoilt);
+  EXPECT_EQ(query.handle(answer).next, Query::Next::kSpoilt);
   answer.pages = 2;
-  EXPECT_EQ(query.hear(answer).next, Query::Next::kAsk);
+  EXPECT_EQ(query.handle(answer).next, Query::Next::kAsk);
 }
 
 // ---- The clients' end of JSON-RPC ---------------------------------------------------------------
--- a/tests/spool/spool_model_test.cpp
+++ b/tests/results/paged_result_store_model_test.cpp
@@ -5,9 +5,9 @@
 
 #include <map>
 
-#include "spool/spool.h"
+#include "results/paged_result_store.h"
 
-namespace firvalve::spool {
+namespace firvalve::results {
 namespace {
 
 class Disk : public Storage {
@@ -52,16 +52,16 @@
 
 RC_GTEST_PROP(SpoolModel, NeverWrongAndNeverGoneWithoutACause,
               (const std::vector<std::tuple<uint8_t, uint16_t, uint16_t>>& steps)) {
-  SpoolTerms terms;
-  terms.keeping.memory = 3000;
-  terms.keeping.disk = 1e9;
-  terms.keeping.lease = 1000;
-  terms.first_expected = 200;
+  PagedResultStoreOptions options;
+  options.keeping.memory = 3000;
+  options.keeping.disk = 1e9;
+  options.keeping.lease = 1000;
+  options.first_expected = 200;
   Disk disk;
   std::map<std::string, Kept> model;
   Ms now = 10000;
   uint64_t life = 1;
-  auto spool = std::make_unique<Spool>(terms, life, [](std::string_view) {});
+  auto spool = std::make_unique<PagedResultStore>(options, life, [](std::string_view) {});
   spool->use(now, disk, {});
   int number = 0;
   const auto pick = [&](uint16_t which) {
@@ -78,17 +78,17 @@
       case 2: {  // a result, some of it begun anew
         Kept kept;
         kept.key = which % 3 == 0 ? "k" : "";
-        const ShelfNo no = spool->reserve(
+        const ResultHandle no = spool->reserve(
             now, {which % 2 ? "a" : "b", kept.key, "report", "select 1", "00000000000000a1", 1});
         if (no == 0) break;
         bool lost = false;
         if (how % 5 == 0) {
-          lost = spool->page(now, no, "of a send that failed\tb\tc\n") == Shelf::Put::kOutgrown;
+          lost = spool->page(now, no, "of a send that failed\tb\tc\n") == ResultStore::Put::kOutgrown;
           if (!lost) spool->clear(now, no);
         }
         for (int p = 0; p < 1 + which % 4 && !lost; ++p) {
           kept.pages.push_back(std::to_string(++number) + std::string(how % 300, 'x') + "\tb\tc\n");
-          lost = spool->page(now, no, kept.pages.back()) == Shelf::Put::kOutgrown;
+          lost = spool->page(now, no, kept.pages.back()) == ResultStore::Put::kOutgrown;
           if (how % 2) spool->due(now);
         }
         if (lost) break;
@@ -113,15 +113,15 @@
         const size_t page = how % kept.pages.size();
         bool heard = false, found = false;
         spool->read(now, at->first, kept.key, page + 1,
-                    [&](Ms, Shelf::Read r, std::string_view rows, uint64_t pages) {
+                    [&](Ms, ResultStore::Read r, std::string_view rows, uint64_t pages) {
                       heard = true;
-                      found = r == Shelf::Read::kRows;
+                      found = r == ResultStore::Read::kRows;
                       if (found) RC_ASSERT(rows == kept.pages[page]);
                       if (found) RC_ASSERT(pages == kept.pages.size());
                     });
         spool->due(now);
         RC_ASSERT(heard);
-        const bool over = now > kept.read_at + terms.keeping.lease - 40;
+        const bool over = now > kept.read_at + options.keeping.lease - 40;
         if (kept.must && !over) RC_ASSERT(found);
         if (found) kept.read_at = now;
         if (!found) model.erase(at);
@@ -134,7 +134,9 @@
         spool->release(now, at->first, at->second.key);
         bool gone = false;
         spool->read(now, at->first, at->second.key, 1,
-                    [&](Ms, Shelf::Read r, std::string_view, uint64_t) { gone = r == Shelf::Read::kGone; });
+                    [&](Ms, ResultStore::Read r, std::string_view, uint64_t) {
+                      gone = r == ResultStore::Read::kGone;
+                    });
         RC_ASSERT(gone);
         model.erase(at);
         break;
@@ -147,25 +149,25 @@
         spool.reset();
         disk.crash(torn);
         Recovery recovery;
-        const size_t cut = recovery.hear(1, disk.segment);
+        const size_t cut = recovery.handle(1, disk.segment);
         if (cut != std::string::npos) disk.segment.resize(cut);
         size_t broken = 0;
         const auto found = recovery.found(now, broken);
-        spool = std::make_unique<Spool>(terms, ++life, [](std::string_view) {});
+        spool = std::make_unique<PagedResultStore>(options, ++life, [](std::string_view) {});
         spool->use(now, disk, found);
         // The disk is told of a lease that goes on before half of it is over; a torn tail may have held that
         // word.
         for (auto& [token, kept] : model) {
           kept.must &= kept.written <= disk.segment.size();
           kept.read_at =
-              torn > 0 ? kept.whole_at : std::max(kept.whole_at, kept.read_at - terms.keeping.lease / 2);
+              torn > 0 ? kept.whole_at : std::max(kept.whole_at, kept.read_at - options.keeping.lease / 2);
         }
         break;
       }
     }
-    RC_ASSERT(spool->keeping().memory() <= terms.keeping.memory + 1e-6);
+    RC_ASSERT(spool->keeping().memory() <= options.keeping.memory + 1e-6);
   }
 }
 
 }  // namespace
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/tests/spool/spool_test.cpp
+++ b/tests/results/paged_result_store_test.cpp
@@ -1,5 +1,5 @@
 // Pages, records, recovery and the spool over a storage that fails when told to.
-#include "spool/spool.h"
+#include "results/paged_result_store.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -10,7 +10,7 @@
 #include <fstream>
 #include <thread>
 
-namespace firvalve::spool {
+namespace firvalve::results {
 namespace {
 
 TEST(Page, PackedAndUnpackedAreTheSameAndAFlippedBitShows) {
@@ -64,10 +64,10 @@
   gone.kind = Record::Kind::kGone;
   Recovery recovery;
   EXPECT_EQ(
-      recovery.hear(1, segment_of({page_record(1, 0, "a"), page_record(1, 1, "b"), page_record(2, 0, "c"),
-                                   page_record(3, 0, "d"), whole_record(3, 1), whole_record(1, 2)})),
+      recovery.handle(1, segment_of({page_record(1, 0, "a"), page_record(1, 1, "b"), page_record(2, 0, "c"),
+                                     page_record(3, 0, "d"), whole_record(3, 1), whole_record(1, 2)})),
       std::string::npos);
-  EXPECT_EQ(recovery.hear(2, segment_of({gone, page_record(4, 0, "e"), whole_record(4, 1, 50)})),
+  EXPECT_EQ(recovery.handle(2, segment_of({gone, page_record(4, 0, "e"), whole_record(4, 1, 50)})),
             std::string::npos);
   size_t broken = 0;
   const auto found = recovery.found(100, broken);
@@ -84,7 +84,7 @@
   append_record(all, whole_record(2, 1));
   for (size_t at = 0; at < all.size(); ++at) {
     Recovery recovery;
-    const size_t cut = recovery.hear(1, std::string_view(all).substr(0, at));
+    const size_t cut = recovery.handle(1, std::string_view(all).substr(0, at));
     size_t broken = 0;
     const auto found = recovery.found(100, broken);
     EXPECT_EQ(found.size(), at >= first.size() ? 1u : 0u) << at;
@@ -101,7 +101,7 @@
     std::string flipped = all;
     flipped[at] = static_cast<char>(flipped[at] ^ 4);
     Recovery recovery;
-    recovery.hear(1, flipped);
+    recovery.handle(1, flipped);
     size_t broken = 0;
     EXPECT_LE(recovery.found(100, broken).size(), 1u) << at;
   }
@@ -139,8 +139,8 @@
 };
 
 struct SpoolTest : testing::Test {
-  SpoolTerms terms = [] {
-    SpoolTerms t;
+  PagedResultStoreOptions options = [] {
+    PagedResultStoreOptions t;
     t.keeping.memory = 20000;
     t.keeping.lease = 10000;
     t.first_expected = 1000;
@@ -148,15 +148,16 @@
   }();
   MemoryStorage storage;
   std::map<std::string, int, std::less<>> counts;
-  std::unique_ptr<Spool> spool;
+  std::unique_ptr<PagedResultStore> spool;
   Ms now = 1000;
 
   void open(bool with_disk) {
-    if (with_disk) terms.keeping.disk = 100000;
-    spool = std::make_unique<Spool>(terms, 7, [this](std::string_view what) { ++counts[std::string(what)]; });
+    if (with_disk) options.keeping.disk = 100000;
+    spool = std::make_unique<PagedResultStore>(
+        options, 7, [this](std::string_view what) { ++counts[std::string(what)]; });
     if (with_disk) spool->use(now, storage, {});
   }
-  Shelf::Wish wish(const char* owner = "x", const char* key = "") {
+  ResultStore::Reservation wish(const char* owner = "x", const char* key = "") {
     return {owner, key, "report", "select 1", "00000000000000a1", 1};
   }
   static std::string noise(size_t bytes, unsigned seed) {  // that does not shrink
@@ -167,20 +168,20 @@
     }
     return text + "\tb\tc\n";
   }
-  ShelfNo put(const std::vector<std::string>& pages, const char* owner = "x", const char* key = "") {
-    const ShelfNo no = spool->reserve(now, wish(owner, key));
+  ResultHandle put(const std::vector<std::string>& pages, const char* owner = "x", const char* key = "") {
+    const ResultHandle no = spool->reserve(now, wish(owner, key));
     EXPECT_NE(no, 0u);
-    for (const std::string& p : pages) EXPECT_EQ(spool->page(now, no, p), Shelf::Put::kTaken);
+    for (const std::string& p : pages) EXPECT_EQ(spool->page(now, no, p), ResultStore::Put::kTaken);
     spool->whole(now, no);
     spool->due(now);
     return no;
   }
   std::string read(const std::string& token, uint64_t page, const char* key = "") {
     std::string got = "never";
-    spool->read(now, token, key, page, [&](Ms, Shelf::Read what, std::string_view rows, uint64_t) {
-      got = what == Shelf::Read::kRows   ? std::string(rows)
-            : what == Shelf::Read::kGone ? "gone"
-                                         : "no such page";
+    spool->read(now, token, key, page, [&](Ms, ResultStore::Read what, std::string_view rows, uint64_t) {
+      got = what == ResultStore::Read::kRows   ? std::string(rows)
+            : what == ResultStore::Read::kGone ? "gone"
+                                               : "no such page";
     });
     spool->due(now);
     return got;
@@ -230,10 +231,10 @@
 
 TEST_F(SpoolTest, OnlyTheSameCommandsRepeatFindsAResult) {
   open(false);
-  const ShelfNo no = put({"a\tb\tc\n"}, "x", "mine");
+  const ResultHandle no = put({"a\tb\tc\n"}, "x", "mine");
   EXPECT_EQ(spool->find(now, wish("x", "mine")), no);
   EXPECT_EQ(spool->find(now, wish("x", "yours")), 0u);
-  Shelf::Wish other = wish("x", "mine");
+  ResultStore::Reservation other = wish("x", "mine");
   other.statement = "select 2";
   EXPECT_EQ(spool->find(now, other), 0u);
   other = wish("x", "mine");
@@ -272,7 +273,7 @@
 
 TEST_F(SpoolTest, WhatBeginsAnewHoldsNothingOfBefore) {
   open(true);
-  const ShelfNo no = spool->reserve(now, wish());
+  const ResultHandle no = spool->reserve(now, wish());
   spool->page(now, no, "old\tb\tc\n");
   spool->clear(now, no);
   spool->due(now);  // the disk's word on the old page comes late
@@ -295,7 +296,7 @@
   EXPECT_EQ(storage.gone, 1);
 }
 
-// ---- Files --------------------------------------------------------------------------------------
+// ---- SegmentFiles --------------------------------------------------------------------------------------
 
 struct FilesTest : testing::Test {
   std::string folder = [] {
@@ -303,8 +304,8 @@
     return std::string(::mkdtemp(name));
   }();
   ~FilesTest() override { std::filesystem::remove_all(folder); }
-  SpoolTerms terms = [] {
-    SpoolTerms t;
+  PagedResultStoreOptions options = [] {
+    PagedResultStoreOptions t;
     t.keeping.memory = 50000;
     t.first_expected = 100;
     t.keeping.disk = 10e6;
@@ -313,13 +314,13 @@
   // A life of a gateway: what it finds, and the tokens of what it keeps.
   std::vector<std::string> live(int results, Ms now, std::vector<std::string> read_back = {}) {
     std::vector<std::string> tokens;
-    Files files({folder, 4000}, now, [] {});
-    Spool spool(terms, static_cast<uint64_t>(now), [](std::string_view) {});
+    SegmentFiles files({folder, 4000}, now, [] {});
+    PagedResultStore spool(options, static_cast<uint64_t>(now), [](std::string_view) {});
     spool.use(now, files, files.found);
     for (const std::string& token : read_back) {
       std::string got = "never";
-      spool.read(now, token, "", 1, [&](Ms, Shelf::Read what, std::string_view rows, uint64_t) {
-        got = what == Shelf::Read::kRows ? rows : "gone";
+      spool.read(now, token, "", 1, [&](Ms, ResultStore::Read what, std::string_view rows, uint64_t) {
+        got = what == ResultStore::Read::kRows ? rows : "gone";
       });
       for (int i = 0; i < 10000 && got == "never"; ++i) spool.due(now), std::this_thread::yield();
       for (int i = 0; i < 2000 && got == "never"; ++i) {
@@ -329,7 +330,7 @@
       answers.push_back(got);
     }
     for (int i = 0; i < results; ++i) {
-      const ShelfNo no = spool.reserve(now, {"x", "", "report", "select 1", "00000000000000a1", 1});
+      const ResultHandle no = spool.reserve(now, {"x", "", "report", "select 1", "00000000000000a1", 1});
       spool.page(now, no, "page\t" + std::to_string(i) + "\tc\n");
       spool.whole(now, no);
       tokens.push_back(spool.answer(no).token);
@@ -356,15 +357,15 @@
   for (const Ms step : {-kHour, kHour}) {
     const std::string of_step = folder + (step > 0 ? "/ahead" : "/back");
     const auto live_once = [&](Ms wall, BootTime boot) {  // gives how many results it found
-      Files files({of_step, 4000, std::move(boot)}, wall, [] {});
-      Spool spool(terms, static_cast<uint64_t>(wall), [](std::string_view) {});
+      SegmentFiles files({of_step, 4000, std::move(boot)}, wall, [] {});
+      PagedResultStore spool(options, static_cast<uint64_t>(wall), [](std::string_view) {});
       spool.use(wall, files, files.found, files.lease_offset());
-      const ShelfNo no = spool.reserve(wall, {"x", "", "report", "select 1", "00000000000000a1", 1});
+      const ResultHandle no = spool.reserve(wall, {"x", "", "report", "select 1", "00000000000000a1", 1});
       spool.page(wall, no, "page\tb\tc\n");
       spool.whole(wall, no);
       return files.found.size();
     };
-    const Ms lease = terms.keeping.lease;
+    const Ms lease = options.keeping.lease;
     EXPECT_EQ(live_once(kWall, {"boot-1", 5000}), 0u);
     EXPECT_EQ(live_once(kWall + step + lease / 2, {"boot-1", 5000 + lease / 2}), 1u) << step;
     EXPECT_EQ(live_once(kWall + step + 2 * lease, {"boot-1", 5000 + 2 * lease}), 0u) << step;
@@ -406,9 +407,9 @@
 }
 
 TEST_F(FilesTest, ASecondGatewayIsRefusedInOneSentence) {
-  Files files({folder}, 1000, [] {});
+  SegmentFiles files({folder}, 1000, [] {});
   try {
-    Files other({folder}, 1000, [] {});
+    SegmentFiles other({folder}, 1000, [] {});
     FAIL();
   } catch (const std::runtime_error& e) {
     EXPECT_NE(std::string(e.what()).find("another gateway uses it"), std::string::npos);
@@ -417,17 +418,17 @@
 
 TEST_F(FilesTest, AFolderThatCannotBeIsToldSo) {
   std::ofstream(folder + "/file") << "x";
-  EXPECT_THROW(Files({folder + "/file/folder"}, 1000, [] {}), std::runtime_error);
-  EXPECT_THROW(Files({"/proc/firvalve"}, 1000, [] {}), std::runtime_error);
+  EXPECT_THROW(SegmentFiles({folder + "/file/folder"}, 1000, [] {}), std::runtime_error);
+  EXPECT_THROW(SegmentFiles({"/proc/firvalve"}, 1000, [] {}), std::runtime_error);
 }
 
 TEST_F(FilesTest, SegmentsThatHoldNothingAreDropped) {
-  Files files({folder, 4000}, 1000, [] {});
-  terms.keeping.lease = 100;
-  Spool spool(terms, 9, [](std::string_view) {});
+  SegmentFiles files({folder, 4000}, 1000, [] {});
+  options.keeping.lease = 100;
+  PagedResultStore spool(options, 9, [](std::string_view) {});
   spool.use(1000, files, {});
   for (int i = 0; i < 200; ++i) {
-    const ShelfNo no = spool.reserve(1000, {"x", "", "report", "select 1", "00000000000000a1", 1});
+    const ResultHandle no = spool.reserve(1000, {"x", "", "report", "select 1", "00000000000000a1", 1});
     spool.page(1000, no, "page\tb\tc\n");
     spool.whole(1000, no);
   }
@@ -447,4 +448,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/tests/spool/keeping_test.cpp
+++ b/tests/results/retention_test.cpp
@@ -1,4 +1,4 @@
-#include "spool/keeping.h"
+#include "results/retention.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -6,22 +6,22 @@
 #include <map>
 #include <optional>
 
-#include "spool/sizes.h"
+#include "results/sizes.h"
 
-namespace firvalve::spool {
+namespace firvalve::results {
 namespace {
 
 struct KeepingTest : testing::Test {
-  KeepingTerms terms = [] {
-    KeepingTerms t;
+  RetentionOptions options = [] {
+    RetentionOptions t;
     t.memory = 1000;
     t.lease = 1000;
     return t;
   }();
   std::map<ResultNo, Gone> gone;
-  std::optional<Keeping> keeping;
+  std::optional<Retention> keeping;
   void open() {
-    keeping.emplace(terms);
+    keeping.emplace(options);
     keeping->on_gone = [this](ResultNo no, Gone why) { gone[no] = why; };
   }
   ResultNo kept(const std::string& owner, double bytes, Ms now = 0) {
@@ -83,7 +83,7 @@
 }
 
 TEST_F(KeepingTest, AHundredTimesItsExpectedSizeMovesToDiskThenIsOutgrown) {
-  terms.disk = 5000;
+  options.disk = 5000;
   open();
   std::vector<ResultNo> left;
   keeping->on_leave_memory = [&](ResultNo no) { left.push_back(no); };
@@ -121,12 +121,12 @@
 // Any script: the budgets hold, what is filled stays, and nobody within its share loses anything to another.
 RC_GTEST_PROP(KeepingProperty, BudgetsAndSharesHold,
               (const std::vector<std::tuple<uint8_t, uint8_t, uint16_t>>& steps)) {
-  KeepingTerms terms;
-  terms.memory = 1000;
-  terms.disk = 2000;
-  terms.lease = 500;
-  terms.results_most = 40;
-  Keeping keeping(terms);
+  RetentionOptions options;
+  options.memory = 1000;
+  options.disk = 2000;
+  options.lease = 500;
+  options.results_most = 40;
+  Retention keeping(options);
   struct Seen {
     std::string owner;
     bool whole = false;
@@ -195,10 +195,10 @@
         keeping.due(now);
         break;
     }
-    RC_ASSERT(keeping.memory() <= terms.memory + 1e-6);
-    RC_ASSERT(keeping.disk() <= terms.disk + 1e-6);
+    RC_ASSERT(keeping.memory() <= options.memory + 1e-6);
+    RC_ASSERT(keeping.disk() <= options.disk + 1e-6);
     RC_ASSERT(keeping.results() == seen.size());
-    RC_ASSERT(keeping.results() <= terms.results_most);
+    RC_ASSERT(keeping.results() <= options.results_most);
     for (const auto& [number, s] : seen) RC_ASSERT(keeping.has(number));
   }
 }
@@ -220,4 +220,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::spool
+}  // namespace firvalve::results
--- a/tests/schema/check_test.cpp
+++ b/tests/schema/check_test.cpp
@@ -20,7 +20,7 @@
   return f;
 }
 
-// Cabins: what a lodge's screens hear of.
+// Cabins: what a lodge's screens handle of.
 Schema cabins() {
   Schema s;
   s.fields = {field(1, "cabin", Type::kText, true), field(2, "beds", Type::kInt32),
@@ -43,16 +43,16 @@
   return d;
 }
 
-Bulletin standing(std::vector<Declaration> declarations = {reader({1, 2, 3, 4})}) {
+Topic standing(std::vector<Declaration> declarations = {reader({1, 2, 3, 4})}) {
   return {{{1, State::kLive, cabins()}}, std::move(declarations)};
 }
 
 template <class ChangeIt>
-std::vector<std::string> rules(const Bulletin& bulletin, ChangeIt&& change) {
+std::vector<std::string> rules(const Topic& bulletin, ChangeIt&& change) {
   Schema s = cabins();
   change(s);
   std::vector<std::string> out;
-  for (const Breach& b : check_new(bulletin, s).breaches) out.push_back(name_of(b.rule));
+  for (const Violation& b : check_new(bulletin, s).breaches) out.push_back(name_of(b.rule));
   return out;
 }
 using Rules = std::vector<std::string>;
@@ -67,7 +67,7 @@
 TEST(Check, AFieldTakenAwayIsToldWithWhomItBreaks) {
   Schema s = cabins();
   s.fields.erase(s.fields.begin() + 1);
-  Bulletin b = standing();
+  Topic b = standing();
   b.declarations.push_back(reader({1, 2}));
   b.declarations.back().subscriber = "boat";
   b.declarations.push_back(reader({1}));
@@ -132,7 +132,7 @@
 
 TEST(Check, WhatASchemaSaysOfItselfHasToFit) {
   using S = Schema;
-  const Bulletin none;
+  const Topic none;
   EXPECT_EQ(rules(none, [](S& s) { s.fields[1].number = 1; }), Rules{"malformed"});
   EXPECT_EQ(rules(none, [](S& s) { s.fields[1].name = "cabin"; }), Rules{"malformed"});
   EXPECT_EQ(rules(none, [](S& s) { s.fields[2].choices.clear(); }), Rules{"malformed"});
@@ -146,7 +146,7 @@
 
 TEST(Check, OverSeveralVersionsAndNotOnlyTheLast) {
   // Version 2 left out the beds when nobody read them; a screen that still speaks 1 alone has come since.
-  Bulletin b = standing({reader({1, 2}, {1})});
+  Topic b = standing({reader({1, 2}, {1})});
   Schema two = cabins();
   two.fields.erase(two.fields.begin() + 1);
   b.versions.push_back({2, State::kLive, two});
@@ -163,7 +163,7 @@
 }
 
 TEST(Check, OneVersionThatASubscriberSpeaksIsEnough) {
-  Bulletin b = standing({reader({1, 5}, {1, 2})});
+  Topic b = standing({reader({1, 5}, {1, 2})});
   Schema two = cabins();
   two.fields.push_back(field(5, "view", Type::kText));
   b.versions.push_back({2, State::kLive, two});
@@ -175,7 +175,7 @@
 }
 
 TEST(Check, AVersionThatSomebodyNeedsStays) {
-  Bulletin b = standing({reader({1}, {1, 2}), reader({1}, {1})});
+  Topic b = standing({reader({1}, {1, 2}), reader({1}, {1})});
   b.declarations[1].subscriber = "old screen";
   b.versions.push_back({2, State::kLive, cabins()});
   const Verdict v = check_retire(b, 1);
@@ -190,7 +190,7 @@
   EXPECT_TRUE(check_declaration(standing({}), reader({1, 2})).good());
   EXPECT_EQ(check_declaration(standing({}), reader({1}, {7})).breaches.at(0).rule, Rule::kNoSuchVersion);
   EXPECT_EQ(check_declaration(standing({}), reader({1, 77})).breaches.at(0).rule, Rule::kNoSuchField);
-  Bulletin b = standing({});
+  Topic b = standing({});
   Schema two = cabins();
   two.fields[3].unit = "dollars";
   b.versions.push_back({2, State::kLive, two});
@@ -364,7 +364,7 @@
 }
 
 RC_GTEST_PROP(CheckProperty, MoreDeclarationsTakeNoBreachAwayAndTheirOrderDoesNotMatter, ()) {
-  Bulletin b;
+  Topic b;
   for (uint32_t v = 1; v <= 3; ++v)
     b.versions.push_back({v, State::kLive, v == 1 ? drawn_schema() : drawn_change(b.versions[0].schema)});
   for (int i = 0; i < 4; ++i) {
@@ -376,19 +376,19 @@
   }
   const Schema proposed = drawn_change(b.versions[0].schema);
   const Verdict all = check_new(b, proposed);
-  Bulletin other = b;
+  Topic other = b;
   std::reverse(other.declarations.begin(), other.declarations.end());
   RC_ASSERT(check_new(other, proposed).breaches == all.breaches);
   other = b;
   other.declarations.pop_back();
-  for (const Breach& few : check_new(other, proposed).breaches)
-    RC_ASSERT(std::any_of(all.breaches.begin(), all.breaches.end(), [&](const Breach& more) {
+  for (const Violation& few : check_new(other, proposed).breaches)
+    RC_ASSERT(std::any_of(all.breaches.begin(), all.breaches.end(), [&](const Violation& more) {
       return more.rule == few.rule && more.field == few.field;
     }));
 }
 
 RC_GTEST_PROP(SchemaText, BulletinsComeOutAsTheyWentIn, ()) {
-  Bulletin b;
+  Topic b;
   for (uint32_t v = 1; v <= 2; ++v)
     b.versions.push_back({v, static_cast<State>(*rc::gen::inRange(0, 3)), drawn_schema()});
   Declaration d = reader({1, 3}, {1, 2});
@@ -419,7 +419,7 @@
 }
 
 TEST(CheckSize, TwoHundredFieldsTwentyVersionsAThousandDeclarationsUnderTenMilliseconds) {
-  Bulletin b;
+  Topic b;
   Schema s;
   for (uint32_t n = 1; n <= 200; ++n) s.fields.push_back(field(n, "field" + std::to_string(n), Type::kInt32));
   for (uint32_t v = 1; v <= 20; ++v) b.versions.push_back({v, State::kLive, s});
--- a/tests/schema/registry_test.cpp
+++ b/tests/schema/registry_test.cpp
@@ -2,10 +2,10 @@
 
 #include <gtest/gtest.h>
 
-#include "index/planted.h"
+#include "base/injected_bug.h"
+#include "consensus/digest.h"
 #include "lab/explore.h"
-#include "record/digest.h"
-#include "schema/lapses.h"
+#include "schema/declaration_expiry.h"
 
 namespace firvalve::schema {
 namespace {
@@ -41,26 +41,26 @@
 }
 
 // The record at a distance: each wish is answered when a test says so.
-struct Fact {
-  record::Fact fact;
-  record::End answer(const record::Wish& w) {
-    record::End end{record::End::Kind::kRead, w, {}, 0};
+struct Register {
+  consensus::Register fact;
+  consensus::ProposalResult answer(const consensus::Proposal& w) {
+    consensus::ProposalResult end{consensus::ProposalResult::Kind::kRead, w, {}, 0};
     if (w.id != 0 && w.expected == fact.change) {
       ++fact.version;
       fact.change = w.id;
       fact.value = w.value;
-      end.kind = record::End::Kind::kAgreed;
+      end.kind = consensus::ProposalResult::Kind::kAgreed;
     } else if (w.id != 0) {
-      end.kind = record::End::Kind::kConflict;
+      end.kind = consensus::ProposalResult::Kind::kConflict;
     }
     end.fact = fact;
     return end;
   }
 };
 
-Registry::End settle(Registry& r, Fact& fact) {
+Registry::End settle(Registry& r, Register& fact) {
   for (;;) {
-    for (const record::Wish& w : r.take_wishes()) r.ended(1, fact.answer(w));
+    for (const consensus::Proposal& w : r.take_wishes()) r.ended(1, fact.answer(w));
     auto ends = r.take_ends();
     if (!ends.empty()) return ends.front();
   }
@@ -70,7 +70,7 @@
 
 TEST(RegistryTest, VersionsAndDeclarationsGrowInTheRecord) {
   Registry r(1);
-  Fact fact;
+  Register fact;
   r.ask(1, propose(with({"cabin", "beds"})), 1000);
   EXPECT_EQ(settle(r, fact).applied.version, 1u);
   r.ask(1, declare("screen", {1}, {1, 2}), 1000);
@@ -97,11 +97,11 @@
 
 TEST(RegistryTest, AProposalThatCrossesADeclarationIsCheckedAgain) {
   Registry publisher(1), screen(2);
-  Fact fact;
+  Register fact;
   publisher.ask(1, propose(with({"cabin", "beds"})), 1000);
   settle(publisher, fact);
   publisher.ask(1, propose(with({"cabin"})), 1000);
-  for (const record::Wish& w : publisher.take_wishes())
+  for (const consensus::Proposal& w : publisher.take_wishes())
     publisher.ended(1, fact.answer(w));  // read and checked
   screen.ask(1, declare("screen", {1}, {2}), 1000);
   EXPECT_EQ(settle(screen, fact).kind, Kind::kAgreed);
@@ -110,7 +110,7 @@
 
 TEST(RegistryTest, WhatCannotBeReadIsNotWrittenOver) {
   Registry r(1);
-  Fact fact;
+  Register fact;
   fact.fact = {3, 77, {}, "not a bulletin", false};
   r.ask(1, propose(with({"cabin"})), 1000);
   EXPECT_EQ(settle(r, fact).kind, Kind::kUnreadable);
@@ -119,7 +119,7 @@
 
 TEST(LapsesTest, ADeclarationWithoutASignForAsLongAsItSaidIsWithdrawn) {
   Registry r(1);
-  Fact fact;
+  Register fact;
   r.ask(1, propose(with({"cabin"})), 1000);
   settle(r, fact);
   Change c = declare("screen", {1}, {1});
@@ -128,7 +128,7 @@
     r.ask(1, c, 1000);
     return settle(r, fact).applied.after;
   };
-  Lapses lapses(0);
+  DeclarationExpiry lapses(0);
   lapses.saw(100, "cabins", sign());
   EXPECT_TRUE(lapses.due(1000).empty());
   lapses.saw(1000, "cabins", sign());  // it has given a sign: its time begins anew
@@ -139,7 +139,7 @@
   // A sign that comes before the withdrawal is agreed keeps it.
   Registry keeper(2);
   keeper.ask(1, due[0], 1000);
-  for (const record::Wish& w : keeper.take_wishes()) keeper.ended(1, fact.answer(w));
+  for (const consensus::Proposal& w : keeper.take_wishes()) keeper.ended(1, fact.answer(w));
   sign();
   settle(keeper, fact);
   std::string why;
@@ -155,8 +155,8 @@
 }
 
 TEST(LapsesTest, OneThatSaysNoTimeHoldsForEver) {
-  Lapses lapses(0);
-  Bulletin b;
+  DeclarationExpiry lapses(0);
+  Topic b;
   b.declarations = {{"screen", "", {1}, {1}, {}, false, 0, 1}};
   lapses.saw(1, "cabins", b);
   EXPECT_EQ(lapses.next_due(), 0);
@@ -186,7 +186,7 @@
     return out;
   }
   void apply(const Move& m) {
-    const record::Wish w = wishes_[m.who].front();
+    const consensus::Proposal w = wishes_[m.who].front();
     wishes_[m.who].clear();
     all_[m.who].ended(1, fact_.answer(w));
     wishes_[m.who] = all_[m.who].take_wishes();
@@ -199,10 +199,10 @@
            (wishes_[m.who].front().id == 0 ? " reads" : " is put before the record");
   }
   std::string digest() const {
-    record::Digest d;
+    consensus::Digest d;
     d.add(fact_.fact);
     for (const auto& wishes : wishes_)
-      for (const record::Wish& w : wishes) d.add(w.id).add(w.expected).add(w.value);
+      for (const consensus::Proposal& w : wishes) d.add(w.id).add(w.expected).add(w.value);
     return d.text();
   }
   // Every version that is published can be read by everybody who declared.
@@ -220,8 +220,8 @@
 
  private:
   std::vector<Registry> all_;
-  std::vector<std::vector<record::Wish>> wishes_;
-  Fact fact_;
+  std::vector<std::vector<consensus::Proposal>> wishes_;
+  Register fact_;
 };
 
 TEST(RegistryExplore, NoOrderOfCrossingChangesAgreesWhatBreaksADeclaration) {
@@ -232,9 +232,9 @@
 }
 
 TEST(RegistryExplore, ACheckBeforeAgreementIsFound) {
-  planted_flaw = Flaw::kCheckBeforeAgreement;
+  injected_bug = InjectedBug::kCheckBeforeAgreement;
   const lab::Explored out = lab::explore(Crossing(), 100000);
-  planted_flaw = Flaw::kNone;
+  injected_bug = InjectedBug::kNone;
   ASSERT_TRUE(out.breach);
   for (const std::string& line : out.trace) std::printf("  %s\n", line.c_str());
 }
--- a/tests/searching.h
+++ b/tests/searching.h
@@ -1,10 +1,10 @@
-// Searches over states, printed as they end: whole up to a bound, or drawn walks with a flaw planted.
+// Searches over states, printed as they end: whole up to a bound, or drawn walks with a flaw is_injected.
 #pragma once
 
 #include <cstdio>
 
+#include "base/injected_bug.h"
 #include "bound.h"
-#include "index/planted.h"
 #include "lab/explore.h"
 
 namespace firvalve {
@@ -24,10 +24,10 @@
 
 // Whether walks from the state, built with the flaw in place, break a rule.
 template <class State, class Bounds>
-bool walks_find(const Bounds& bounds, Flaw flaw, size_t walks) {
-  planted_flaw = flaw;
+bool walks_find(const Bounds& bounds, InjectedBug flaw, size_t walks) {
+  injected_bug = flaw;
   const lab::Explored out = lab::wander(State(bounds), 1, walks, 60);
-  planted_flaw = Flaw::kNone;
+  injected_bug = InjectedBug::kNone;
   print(out);
   return out.breach.has_value();
 }
--- a/tests/drill/wire_test.cpp
+++ b/tests/simulator_adapter/simulator_adapter_test.cpp
@@ -1,6 +1,6 @@
-#include "drill/wire.h"
+#include "simulator_adapter/simulator_adapter.h"
 
-#include "core/articles.h"
+#include "core/settings.h"
 #include "policy/helpers.h"
 
 namespace firvalve::drill {
@@ -18,12 +18,12 @@
 std::string batch(const std::string& events) { return R"({"wall":1000000000,"happened":[)" + events + "]}"; }
 
 TEST(Wire, EmptyBatch) {
-  Drill drill;
+  SimulatorAdapter drill;
   EXPECT_EQ(drill.answer(batch("")), R"({"decisions":[]})");
 }
 
 TEST(Wire, AcceptIsRelayedToTheListedEngine) {
-  Drill drill;
+  SimulatorAdapter drill;
   const std::string update = R"({"UPDATE":{"gateway_id":1,"ref":0,"generation":1,"how":4}})";
   const std::string reply = drill.answer(batch(kStart + "," + kList + "," + update + "," + kAccept));
   EXPECT_NE(reply.find(R"({"RELAY":{"gateway_id":1,"job":"86a18bdc5d3a91c4","engine":9}})"),
@@ -31,7 +31,7 @@
 }
 
 TEST(Wire, ListNumbersAreResolvedInOrder) {
-  Drill drill;
+  SimulatorAdapter drill;
   const std::string update = R"({"UPDATE":{"gateway_id":1,"ref":0,"generation":1,"how":4}})";
   const std::string later = R"({"MANIFEST":{"ref":0,"members":[{"engine":8,"lifecycle":1}]}})";
   const std::string reply =
@@ -40,19 +40,19 @@
 }
 
 TEST(Wire, KilledForgetsAll) {
-  Drill drill;
+  SimulatorAdapter drill;
   const std::string killed = R"({"KILLED":{"gateway_id":1}})";
   EXPECT_EQ(drill.answer(batch(kStart + "," + kAccept + "," + killed)), R"({"decisions":[]})");
 }
 
 TEST(Wire, UnknownEventsAndFieldsAndUnstartedGatewaysArePassedOver) {
-  Drill drill;
+  SimulatorAdapter drill;
   EXPECT_EQ(drill.answer(batch(R"({"NEWS":{"x":1}},{"BELL":{"gateway_id":4,"ref":1,"y":2}})")),
             R"({"decisions":[]})");
 }
 
 TEST(Wire, CommandOfAnUnknownProfileIsFailedAtOnce) {
-  Drill drill;
+  SimulatorAdapter drill;
   std::string accept = kAccept;
   accept.replace(accept.find("quick"), 5, "other");
   EXPECT_NE(drill.answer(batch(kStart + "," + accept)).find(R"("FAIL":{"gateway_id":1,"job":"86a1)"),
@@ -60,7 +60,7 @@
 }
 
 TEST(Wire, MalformedNamesEventAndField) {
-  Drill drill;
+  SimulatorAdapter drill;
   EXPECT_THROW(drill.answer(R"({"wall":1,"happ)"), Malformed);
   try {
     drill.answer(batch(R"({"BELL":{"gateway_id":"1","ref":1}})"));
@@ -74,7 +74,7 @@
   rapidjson::Document settings;
   settings.Parse(R"({"rules":{"warm_up":13000000000},"shapes":["k"],
     "specifics":{"cores_by_kind":[12]},"profiles":[{"semantics":"deduplicated","allowed_on":["k"]}]})");
-  const Articles a = articles_from(settings);
+  const Settings a = parse_settings(settings);
   EXPECT_EQ(std::get<double>(a.at("warm-up")), 13000);
   EXPECT_EQ(std::get<double>(a.at("cores.k")), 12);
   EXPECT_EQ(std::get<std::string>(a.at("profile.0.effect")), "uniqued");
