--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -106,16 +106,17 @@
   std::vector<std::string> tokens;
   for (int i = 0; i < pages; ++i) {
     if (i % 100 == 0) {
-      if (no) spool.whole(now, no), tokens.push_back(spool.answer(no).token);
-      no = spool.reserve(now, {"x", "", "report", "select 1", "00000000000000a1", 1});
+      if (no) spool.complete(time_point_of(now), no), tokens.push_back(spool.answer_of(no).token);
+      no = spool.reserve(time_point_of(now), {"x", "", "report", "select 1", "00000000000000a1", 1})
+               .value_or(0);
     }
-    while (spool.page(now, no, rows) == ResultStore::Put::kSlow) {
+    while (spool.append_page(time_point_of(now), no, rows) == ResultStore::AppendResult::kStoredSlowDown) {
       while (files->backlog() > 1000000) spool.due(now), std::this_thread::yield();
       break;
     }
     spool.due(now);
   }
-  spool.whole(now, no);
+  spool.complete(time_point_of(now), no);
   const double in = ms_since(start);
   fmt::print("{}: {} MB of rows in at {:.0f} MB/s, {:.1f} MB of spool memory\n",
              disk ? "with disk" : "memory alone", mb, 1000.0 * mb / in, spool.keeping().memory() / 1e6);
@@ -126,10 +127,11 @@
   for (const std::string& token : tokens)
     for (uint64_t page = 1; page <= 100; ++page) {
       ++wanted;
-      spool.read(now, token, "", page, [&](Ms, ResultStore::Read, std::string_view text, uint64_t) {
-        ++came;
-        got += static_cast<double>(text.size());
-      });
+      spool.read_page(time_point_of(now), token, "", page,
+                      [&](TimePoint, ResultStore::ReadStatus, std::string_view text, uint64_t) {
+                        ++came;
+                        got += static_cast<double>(text.size());
+                      });
       while (wanted - came > 32) spool.due(now), std::this_thread::yield();
     }
   while (came < wanted) spool.due(now), std::this_thread::yield();
--- a/src/cluster/cluster_service.cpp
+++ b/src/cluster/cluster_service.cpp
@@ -491,28 +491,30 @@
   });
 }
 
-void ClusterService::merge(Ms now, CallRef call, std::string_view name, CommandRequest&& asked) {
+void ClusterService::run_once_job(TimePoint now_at, CallId call, std::string_view name,
+                                  CommandRequest&& asked) {
+  const Ms now = to_ms(now_at);
   const Ms at = clock();
   Wanted& w = wanted_[call];
   w.command = asked.command;
   w.profile = asked.profile;
   w.statement = std::move(asked.statement);
-  w.tables = asked.tables;
-  w.until = now + asked.timeout;
+  w.tables = asked.table_group;
+  w.until = now + to_ms(asked.timeout);
   if (leave_until_ > 0) w.until = std::min(w.until, leave_until_);
-  w.estimate = asked.estimate;
+  w.estimate = to_ms(asked.estimated_work.value_or(Duration{}));
   w.memory_mb = asked.memory_mb;
   const uint64_t hash = XXH3_64bits(w.statement.data(), w.statement.size()) | 1;
   counters_.add("merges asked for");
-  node_->merges().ask(at, std::string(name), call, hash, at + (w.until - now));
+  node_->merges().ask(at, std::string(name), to_number(call), hash, at + (w.until - now));
 }
 
-void ClusterService::gone(Ms, CallRef call) {
-  if (wanted_.erase(call) > 0) node_->merges().gone(clock(), call);
+void ClusterService::client_gone(TimePoint, CallId call) {
+  if (wanted_.erase(call) > 0) node_->merges().gone(clock(), to_number(call));
 }
 
-void ClusterService::bulletin(Ms, std::string_view method, std::string_view name, const std::string& params,
-                              Ms timeout, Done done) {
+void ClusterService::handle_topic_request(TimePoint, std::string_view method, std::string_view name,
+                                          const std::string& params, Duration timeout, ReplyCallback done) {
   using Kind = schema::Change::Kind;
   static constexpr std::pair<std::string_view, Kind> kMethods[] = {
       {"bulletin", Kind::kRead}, {"propose", Kind::kPropose}, {"deprecate", Kind::kDeprecate},
@@ -527,18 +529,17 @@
   change->bulletin = name;
   const Ms at = clock();
   counters_.add("bulletins asked about", method);
-  changes_[node_->registry().ask(at, std::move(*change), at + std::clamp(timeout, 1.0, kBulletinMost))] =
-      std::move(done);
+  changes_[node_->registry().ask(at, std::move(*change),
+                                 at + std::clamp(to_ms(timeout), 1.0, kBulletinMost))] = std::move(done);
 }
 
 void ClusterService::tell_changes() {
-  for (auto& [done, why] : std::exchange(refused_, {}))
-    done({ClusterReply::Kind::kBadParams, std::move(why)});
+  for (auto& [done, why] : std::exchange(refused_, {})) done({Reply::Kind::kInvalidParams, std::move(why)});
   using End = schema::Registry::End;
   for (const End& end : node_->take_changes()) {
     const auto at = changes_.find(end.change);
     if (at == changes_.end()) continue;
-    const Done done = std::move(at->second);
+    const ReplyCallback done = std::move(at->second);
     changes_.erase(at);
     switch (end.kind) {
       case End::Kind::kAgreed:
@@ -547,7 +548,7 @@
                {{"component", "schema"},
                 {"bulletin", end.bulletin},
                 {"version", std::to_string(end.applied.version)}});
-        done({ClusterReply::Kind::kDone,
+        done({Reply::Kind::kDone,
               end.asked == schema::Change::Kind::kRead ? schema::written(end.applied.after)
               : end.applied.version > 0 ? fmt::format(R"({{"version":{}}})", end.applied.version)
                                         : R"({"agreed":true})"});
@@ -558,16 +559,16 @@
               {"bulletin", end.bulletin},
               {"rule", schema::name_of(end.applied.verdict.breaches.front().rule)},
               {"breaches", std::to_string(end.applied.verdict.breaches.size())}});
-        done({ClusterReply::Kind::kRefused, schema::written(end.applied.verdict)});
+        done({Reply::Kind::kRejected, schema::written(end.applied.verdict)});
         break;
       case End::Kind::kNoMajority:
-        done({ClusterReply::Kind::kNoMajority, {}});
+        done({Reply::Kind::kNoQuorum, {}});
         break;
       case End::Kind::kUnknown:
-        done({ClusterReply::Kind::kUnknown, {}});
+        done({Reply::Kind::kOutcomeUnknown, {}});
         break;
       case End::Kind::kUnreadable:
-        done({ClusterReply::Kind::kBadParams, "what stands there is no bulletin that this program reads"});
+        done({Reply::Kind::kInvalidParams, "what stands there is no bulletin that this program reads"});
         break;
     }
   }
@@ -581,7 +582,8 @@
     more = false;
     for (lease::RunOnceJobs::Action& a : node_->merges().take_actions()) {
       more = true;
-      const auto at = wanted_.find(a.call);
+      const CallId call{a.call};
+      const auto at = wanted_.find(call);
       if (a.kind == Kind::kStart) {
         if (at == wanted_.end() || !core_) {
           node_->merges().run_ended(clock(), a.name, End::kNeverRan, {});
@@ -592,14 +594,14 @@
         asked.command = w.command;
         asked.profile = w.profile;
         asked.statement = w.statement;
-        asked.tables = w.tables;
-        asked.timeout = std::max(1.0, w.until - now);
-        asked.estimate = w.estimate;
+        asked.table_group = w.tables;
+        asked.timeout = duration_of(std::max(1.0, w.until - now));
+        if (w.estimate != 0) asked.estimated_work = duration_of(w.estimate);
         asked.memory_mb = w.memory_mb;
-        const CallRef run = ++last_run_;
+        const CallId run = last_run_ = next_after(last_run_);
         runs_[run] = a.name;
         say_(log::Level::kInfo, "merge.begun", {{"component", "duty"}, {"merge", a.name}});
-        if (core_->admit(now, run, std::move(asked)) != AdmissionResult::kTaken) {
+        if (core_->admit(time_point_of(now), run, std::move(asked)) != AdmissionResult::kAdmitted) {
           runs_.erase(run);
           node_->merges().run_ended(clock(), a.name, End::kNeverRan, {});
         }
@@ -608,16 +610,16 @@
       if (at == wanted_.end()) continue;
       wanted_.erase(at);
       if (a.kind == Kind::kAnswer)
-        clients_.answer(a.call, a.text);
+        clients_.answer(call, a.text);
       else if (a.kind == Kind::kShed)
-        clients_.shed(a.call, a.advice);
+        clients_.shed(call, a.advice > 0 ? std::optional(duration_of(a.advice)) : std::nullopt);
       else
-        clients_.fail(a.call, a.text);
+        clients_.fail(call, a.text);
     }
   }
 }
 
-void ClusterService::answer(CallRef call, std::string_view rows) {
+void ClusterService::answer(CallId call, std::string_view rows) {
   const auto at = runs_.find(call);
   if (at == runs_.end()) return clients_.answer(call, rows);
   const std::string name = at->second;
@@ -625,15 +627,16 @@
   node_->merges().run_ended(clock(), name, lease::RunOnceJobs::End::kAnswered, std::string(rows));
 }
 
-void ClusterService::shed(CallRef call, Ms advice) {
+void ClusterService::shed(CallId call, std::optional<Duration> retry_after) {
   const auto at = runs_.find(call);
-  if (at == runs_.end()) return clients_.shed(call, advice);
+  if (at == runs_.end()) return clients_.shed(call, retry_after);
   const std::string name = at->second;
   runs_.erase(at);
-  node_->merges().run_ended(clock(), name, lease::RunOnceJobs::End::kNeverRan, {}, advice);
+  node_->merges().run_ended(clock(), name, lease::RunOnceJobs::End::kNeverRan, {},
+                            to_ms(retry_after.value_or(Duration{})));
 }
 
-void ClusterService::fail(CallRef call, std::string_view why) {
+void ClusterService::fail(CallId call, std::string_view why) {
   const auto at = runs_.find(call);
   if (at == runs_.end()) return clients_.fail(call, why);
   const std::string name = at->second;
--- a/src/cluster/cluster_service.h
+++ b/src/cluster/cluster_service.h
@@ -66,16 +66,16 @@
   const LinkCounts& link_counts() const { return link_counts_; }
 
   // Answers of the core, for merges or else for the clients.
-  void answer(CallRef call, std::string_view rows) override;
-  void shed(CallRef call, Ms advice) override;
-  void fail(CallRef call, std::string_view why) override;
-  void answer_paged(CallRef call, ResultHandle no) override { clients_.answer_paged(call, no); }
+  void answer(CallId call, std::string_view rows) override;
+  void shed(CallId call, std::optional<Duration> retry_after) override;
+  void fail(CallId call, std::string_view why) override;
+  void answer_paged(CallId call, ResultHandle result) override { clients_.answer_paged(call, result); }
 
   // RunOnceJobs, as clients ask for them.
-  void merge(Ms now, CallRef call, std::string_view name, CommandRequest&& asked) override;
-  void gone(Ms now, CallRef call) override;
-  void bulletin(Ms now, std::string_view method, std::string_view name, const std::string& params, Ms timeout,
-                Done done) override;
+  void run_once_job(TimePoint now, CallId call, std::string_view job_name, CommandRequest&& asked) override;
+  void client_gone(TimePoint now, CallId call) override;
+  void handle_topic_request(TimePoint now, std::string_view method, std::string_view name,
+                            const std::string& params, Duration timeout, ReplyCallback done) override;
 
  private:
   class OutboundPeer;
@@ -115,11 +115,11 @@
   Poco::Net::ServerSocket listener_;
   bool accepting_ = false;
   consensus::PeerId last_peer_ = 0;
-  std::map<CallRef, Wanted> wanted_;
-  std::map<CallRef, std::string> runs_;                // calls of the core that are a merge's, with its name
-  std::vector<std::pair<Done, std::string>> refused_;  // changes that cannot be read, and why
-  std::map<uint64_t, Done> changes_;                   // of bulletins, as the registry numbers them
-  CallRef last_run_ = CallRef{1} << 62;
+  std::map<CallId, Wanted> wanted_;
+  std::map<CallId, std::string> runs_;  // calls of the core that are a merge's, with its name
+  std::vector<std::pair<ReplyCallback, std::string>> refused_;  // changes that cannot be read, and why
+  std::map<uint64_t, ReplyCallback> changes_;                   // of bulletins, as the registry numbers them
+  CallId last_run_{uint64_t{1} << 62};
   Ms expected_ = 0;      // the next turn was to be by then
   Ms writes_again_ = 0;  // the folder failed: nothing is written before
   Ms accepts_again_ = 0;
--- a/src/core/cluster_requests.h
+++ b/src/core/cluster_requests.h
@@ -1,35 +1,43 @@
-// What clients may ask of the fleet as a whole, as the front that is asked sees it. Behind it stand the
-// duties and the record.
+// Requests of clients that concern the whole cluster of gateways rather than one engine, as the client server
+// passes them on: run-once jobs and changes of topics. Implemented by cluster::ClusterService.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <string>
 #include <string_view>
 
-#include "core/core.h"
+#include "base/time.h"
+#include "core/command_request.h"
+#include "core/ids.h"
 
 namespace firvalve {
 
+// All calls come from the reactor's thread.
 class ClusterRequests {
  public:
   virtual ~ClusterRequests() = default;
 
-  // A load that runs once under a name over the whole fleet. The call's end comes through the front, as any
-  // command's.
-  virtual void merge(Ms now, CallRef call, std::string_view name, CommandRequest&& asked) = 0;
-  virtual void gone(Ms now, CallRef call) = 0;  // its client waits no longer; of no merge: nothing happens
-
-  // A change of a bulletin's versions or declarations, or a reading of them. `done` is called once, later,
-  // unless the process ends first.
-  struct ClusterReply {
-    enum class Kind : uint8_t { kDone, kRefused, kBadParams, kNoMajority, kUnknown } kind = Kind::kUnknown;
-    std::string text;  // kDone: the result; kRefused: the breaches, both JSON; kBadParams: why
+  // Runs a command once over the whole cluster under the idempotency key `job_name`. The call gets its final
+  // response through the ResponseSink, like any command's.
+  virtual void run_once_job(TimePoint now, CallId call, std::string_view job_name,
+                            CommandRequest&& request) = 0;
+  // The call's client no longer waits. Calls that are not of a run-once job are ignored.
+  virtual void client_gone(TimePoint now, CallId call) = 0;
+
+  struct Reply {
+    enum class Kind : uint8_t { kDone, kRejected, kInvalidParams, kNoQuorum, kOutcomeUnknown };
+    Kind kind = Kind::kOutcomeUnknown;
+    // JSON of the result (kDone) or of the compatibility violations (kRejected); the reason (kInvalidParams).
+    std::string text;
   };
-  using Done = std::function<void(const ClusterReply&)>;
-  virtual void bulletin(Ms now, std::string_view method, std::string_view name, const std::string& params,
-                        Ms timeout, Done done) = 0;
+  using ReplyCallback = std::function<void(const Reply&)>;
+  // Reads or changes a topic's versions or declarations. `method` and `params` are the client's own. The
+  // callback is called once, after this call has returned, unless the process ends first.
+  virtual void handle_topic_request(TimePoint now, std::string_view method, std::string_view topic,
+                                    const std::string& params, Duration timeout, ReplyCallback callback) = 0;
 };
 
-constexpr size_t kFleetNameMost = 128;  // bytes of a load's or a bulletin's name
+constexpr size_t kMaxClusterNameBytes = 128;  // of a run-once job's or a topic's name
 
 }  // namespace firvalve
--- a/src/core/command_event.h
+++ b/src/core/command_event.h
@@ -1,10 +1,12 @@
-// What happens to commands and their attempts, told in the order in which it happens: for the log of single
-// commands. Nothing is decided from it.
+// What happens to commands and their attempts, in the order in which it happens: for the log of single
+// commands. No decision depends on it.
 #pragma once
 
 #include <functional>
+#include <optional>
 #include <string_view>
 
+#include "base/time.h"
 #include "policy/rules.h"
 
 namespace firvalve {
@@ -15,7 +17,7 @@
     kAdmitted,
     kAttemptStarted,
     kAttemptCancelled,
-    kAttemptEnded,
+    kAttemptFinished,
     kAnswered,
     kShed,
     kFailed,
@@ -23,13 +25,13 @@
   };
   Kind kind = Kind::kAdmitted;
   std::string_view command, profile;
-  std::string_view engine = {};    // of an attempt, by its listed name
-  int attempt = 0;                 // from 1; 0: none was made
-  Reason reason = Reason::kNone;   // of kAttemptCancelled, kShed, kFailed
-  Outcome outcome = Outcome::kOk;  // of kAttemptEnded
-  Ms took = 0;                     // of kAttemptEnded: since its start
+  std::string_view engine = {};           // of an attempt, by its listed name
+  int attempts = 0;                       // started so far; the last of them is the one meant
+  Reason reason = Reason::kNone;          // of kAttemptCancelled, kShed, kFailed
+  Outcome outcome = Outcome::kOk;         // of kAttemptFinished
+  std::optional<Duration> duration = {};  // of kAttemptFinished: since its start
 };
-using CommandObserver = std::function<void(Ms now, const CommandEvent& event)>;
+using CommandObserver = std::function<void(TimePoint now, const CommandEvent& event)>;
 
 std::string_view name_of(CommandEvent::Kind kind);
 std::string_view name_of(Outcome outcome);
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -19,45 +19,34 @@
 
 }  // namespace
 
-void Metrics::add(std::string_view what, std::string_view kind) {
-  std::string name(what);
-  if (!kind.empty()) name.append(" ").append(kind);
-  ++counts[name];
-}
-
-std::string Metrics::text() const {
-  std::string out = "counters";
-  for (const auto& [name, count] : counts) out += fmt::format("; {}: {}", name, count);
-  return out;
-}
-
-Core::Core(const Settings& settings, uint64_t seed, ResponseSink& front, EngineTransport& back,
-           Metrics& counters, LogSink say)
+Core::Core(const Settings& settings, uint64_t seed, ResponseSink& responses, EngineTransport& engines,
+           Metrics& metrics, PolicyLogSink log)
     : state_(open(settings, seed)),
       profiles_(names_of(settings, "profile")),
-      front_(front),
-      back_(back),
-      counters_(counters),
-      say_(std::move(say)),
+      responses_(responses),
+      engines_(engines),
+      metrics_(metrics),
+      log_(std::move(log)),
       tick_(number(settings, "tick")),
       may_cancel_(number(settings, "may cancel") > 0) {
-  double cores = 0, memory_mb = 0;
+  double max_cores = 0, max_memory_mb = 0;
   for (const auto& [name, value] : settings) {
-    if (name.starts_with("cores.")) cores = std::max(cores, number(settings, name));
-    if (name.starts_with("memory.")) memory_mb = std::max(memory_mb, number(settings, name));
+    if (name.starts_with("cores.")) max_cores = std::max(max_cores, number(settings, name));
+    if (name.starts_with("memory.")) max_memory_mb = std::max(max_memory_mb, number(settings, name));
+  }
+  // Where the settings do not say what there is, any figure may be a client's.
+  if (const std::optional<Duration> longest = longest_client_timeout(settings)) {
+    max_timeout_ = 2 * *longest;
+    if (max_cores > 0) max_estimate_ = kEstimateTolerance * *longest * max_cores;
   }
-  // Where the settings do not tell what there is, any figure may be a client's.
-  const Ms longest = longest_timeout(settings);
-  if (longest > 0) most_timeout_ = 2 * longest;
-  if (longest * cores > 0) most_estimate_ = kRough * longest * cores;
-  if (memory_mb > 0) most_memory_mb_ = kRough * memory_mb;
+  if (max_memory_mb > 0) max_memory_mb_ = kEstimateTolerance * max_memory_mb;
 }
 
-Ms longest_timeout(const Settings& settings) {
-  Ms longest = 0;
+std::optional<Duration> longest_client_timeout(const Settings& settings) {
+  Duration longest{};
   for (size_t i = 0; i < names_of(settings, "profile").size(); ++i)
-    longest = std::max(longest, number(settings, fmt::format("profile.{}.client timeout", i)));
-  return longest;
+    longest = std::max(longest, duration_of(number(settings, fmt::format("profile.{}.client timeout", i))));
+  return longest > Duration{} ? std::optional(longest) : std::nullopt;
 }
 
 std::string_view Core::engine_name(uint32_t engine) const {
@@ -65,195 +54,212 @@
   return at == listed_.end() ? std::string_view() : at->second;
 }
 
-void Core::tell_observer(Ms now, CommandEvent::Kind kind, const Id& id, const Held& h, Reason reason,
-                         Outcome outcome, Ms took) const {
+const std::string& Core::profile_name(const PendingCommand& command) const {
+  return profiles_[static_cast<size_t>(command.profile)];
+}
+
+void Core::notify_observer(TimePoint now, CommandEvent::Kind kind, const Id& id,
+                           const PendingCommand& command, Reason reason, Outcome outcome,
+                           std::optional<Duration> duration) const {
   if (!observer_) return;
-  observer_(now, {kind, view(id), profiles_[static_cast<size_t>(h.profile)], engine_name(h.engine), h.sends,
-                  reason, outcome, took});
+  observer_(now, {kind, view(id), profile_name(command), engine_name(command.engine), command.attempts,
+                  reason, outcome, duration});
 }
 
-void Core::handle_now(Ms now, const Event& event) {
+void Core::handle_event(TimePoint now, const Event& event) {
   now_ = now;
-  handle(state_, now, event);
-  heard_ = true;
+  handle(state_, to_ms(now), event);
+  has_new_events_ = true;
 }
 
-AdmissionResult Core::admit(Ms now, CallRef call, CommandRequest&& asked) {
-  const auto profile = std::find(profiles_.begin(), profiles_.end(), asked.profile);
+AdmissionResult Core::admit(TimePoint now, CallId call, CommandRequest&& request) {
+  const auto profile = std::find(profiles_.begin(), profiles_.end(), request.profile);
   if (profile == profiles_.end()) return AdmissionResult::kUnknownProfile;
-  // Guards the module's means against figures that no client of this deployment can have. It may cost one
+  const Duration estimate = request.estimated_work.value_or(Duration{});
+  // Guards the policy's means against figures that no client of this deployment can have. It may reject one
   // whose settings are long out of date.
-  if (asked.timeout > most_timeout_ || asked.estimate > most_estimate_ || asked.memory_mb > most_memory_mb_)
+  if (request.timeout > max_timeout_ || estimate > max_estimate_ || request.memory_mb > max_memory_mb_)
     return AdmissionResult::kOutOfRange;
-  const int number_of_profile = static_cast<int>(profile - profiles_.begin());
-  if (!asked.first.empty() && join(now, call, asked, number_of_profile)) return AdmissionResult::kTaken;
-  const bool paged = asked.paged && shelf_;
-  if (paged && !asked.first.empty()) {
-    const ResultStore::Reservation wish{asked.owner,     asked.key,   asked.profile,
-                                        asked.statement, asked.first, asked.tables};
-    if ((found_ = shelf_->find(now, wish)) != 0) return AdmissionResult::kFound;
+  const int profile_number = static_cast<int>(profile - profiles_.begin());
+  const bool is_retry = !request.retry_of.empty();
+  if (is_retry && join_pending(now, call, request, profile_number)) return AdmissionResult::kAdmitted;
+  const bool paged = request.paged && result_store_;
+  if (paged && is_retry) {
+    found_result_ = result_store_->find(now, {request.owner, request.result_key, request.profile,
+                                              request.statement, request.retry_of, request.table_group});
+    if (found_result_) return AdmissionResult::kResultFound;
   }
-  if (held_bytes_ + asked.statement.size() > most_held_) return AdmissionResult::kNoRoom;
-  const CommandId id = command_id(asked.command);
-  const auto [at, added] = held_.try_emplace(id.text);
-  if (!added) return AdmissionResult::kNotNew;
-  Held& h = at->second;
-  h.call = call;
-  h.statement = std::move(asked.statement);
-  held_bytes_ += h.statement.size();
-  h.profile = number_of_profile;
-  h.chain = asked.first.empty() ? id.text : command_id(asked.first).text;
-  if (h.chain != id.text) chains_[h.chain] = id.text;
-  h.gives_up_at = sooner(now + asked.timeout, closes_at_);
+  if (statement_bytes_ + request.statement.size() > max_statement_bytes_) return AdmissionResult::kNoCapacity;
+  const CommandId id = command_id(request.command);
+  const auto [at, is_new] = pending_.try_emplace(id.text);
+  if (!is_new) return AdmissionResult::kDuplicateId;
+  PendingCommand& command = at->second;
+  command.call = call;
+  command.statement = std::move(request.statement);
+  statement_bytes_ += command.statement.size();
+  command.profile = profile_number;
+  command.retry_chain = is_retry ? command_id(request.retry_of).text : id.text;
+  if (command.retry_chain != id.text) retry_chains_[command.retry_chain] = id.text;
+  command.deadline = now + request.timeout;
+  if (ends_at_) command.deadline = std::min(command.deadline, *ends_at_);
   calls_[call] = {id.text};
-  counters_.add("taken", *profile);
-  Admitted t;
-  t.id = id;
-  t.profile = h.profile;
-  t.gives_up_at = h.gives_up_at;
-  t.estimate = asked.estimate;
-  t.memory_mb = asked.memory_mb;
-  t.tables = asked.tables;
-  t.repeat = !asked.first.empty();
-  tell_observer(now, CommandEvent::Kind::kAdmitted, id.text, h);
-  handle_now(now, t);
+  metrics_.add("taken", *profile);
+  Admitted admitted;
+  admitted.id = id;
+  admitted.profile = command.profile;
+  admitted.gives_up_at = to_ms(command.deadline);
+  admitted.estimate = to_ms(estimate);
+  admitted.memory_mb = request.memory_mb;
+  admitted.tables = request.table_group;
+  admitted.repeat = is_retry;
+  notify_observer(now, CommandEvent::Kind::kAdmitted, id.text, command);
+  handle_event(now, admitted);
   if (paged) {
-    h.paged = true;
-    h.owner = asked.owner;
-    h.key = asked.key;
-    h.tables = asked.tables;
-    if (!seek_place(now, at)) {
-      placeless_.push_back(id.text);
-      handle_now(now, ResultReservation{id, false});
+    command.paged = true;
+    command.owner = request.owner;
+    command.result_key = request.result_key;
+    command.table_group = request.table_group;
+    if (!try_reserve_result(now, command)) {
+      awaiting_reservation_.push_back(id.text);
+      handle_event(now, ResultReservation{id, false});
     }
   }
-  return AdmissionResult::kTaken;
+  return AdmissionResult::kAdmitted;
 }
 
-ResultStore::Reservation Core::wish_of(const Held& h) const {
-  return {h.owner, h.key, profiles_[static_cast<size_t>(h.profile)], h.statement, view(h.chain), h.tables};
+ResultStore::Reservation Core::reservation_of(const PendingCommand& command) const {
+  return {command.owner,     command.result_key,        profile_name(command),
+          command.statement, view(command.retry_chain), command.table_group};
 }
 
-bool Core::seek_place(Ms now, HeldMap::iterator at) {
-  at->second.place = shelf_->reserve(now, wish_of(at->second));
-  return at->second.place != 0;
+bool Core::try_reserve_result(TimePoint now, PendingCommand& command) {
+  command.result = result_store_->reserve(now, reservation_of(command));
+  return command.result.has_value();
 }
 
-// In the order taken. One whose owner has no room leaves the turn to those behind it.
-void Core::room(Ms now) {
-  std::erase_if(placeless_, [&](const Id& id) {
-    const auto at = held_.find(id);
-    if (at == held_.end() || at->second.call == 0) return true;
-    if (!seek_place(now, at)) return false;
-    handle_now(now, ResultReservation{CommandId{id}, true});
+// In the order admitted. One whose owner has no space does not block those behind it.
+void Core::result_space_available(TimePoint now) {
+  std::erase_if(awaiting_reservation_, [&](const Id& id) {
+    const auto at = pending_.find(id);
+    if (at == pending_.end() || !at->second.call) return true;
+    if (!try_reserve_result(now, at->second)) return false;
+    handle_event(now, ResultReservation{CommandId{id}, true});
     return true;
   });
 }
 
-ResultStore::Put Core::page(Ms now, uint64_t send, std::string_view rows) {
-  const auto at = sends_.find(send);
-  if (at == sends_.end()) return ResultStore::Put::kOutgrown;
-  const auto h = held_.find(at->second);
-  if (h->second.place == 0) return ResultStore::Put::kOutgrown;
-  const ResultStore::Put put = shelf_->page(now, h->second.place, rows);
-  if (put == ResultStore::Put::kOutgrown) {
-    h->second.place = 0;
-    give_up(now, h, "the result has outgrown the spool");
+ResultStore::AppendResult Core::append_page(TimePoint now, AttemptId attempt, std::string_view rows) {
+  const auto id = attempts_.find(attempt);
+  if (id == attempts_.end()) return ResultStore::AppendResult::kOutOfSpace;
+  const auto at = pending_.find(id->second);
+  if (!at->second.result) return ResultStore::AppendResult::kOutOfSpace;
+  const ResultStore::AppendResult appended = result_store_->append_page(now, *at->second.result, rows);
+  if (appended == ResultStore::AppendResult::kOutOfSpace) {
+    at->second.result.reset();
+    fail_command(now, at, "the result has outgrown the spool");
   }
-  return put;
+  return appended;
 }
 
-// Its clients handle so, and the module gives up what is out.
-void Core::give_up(Ms now, HeldMap::iterator at, std::string_view why) {
-  counters_.add("failed", profiles_[static_cast<size_t>(at->second.profile)]);
-  tell(at->second, [&](CallRef call) { front_.fail(call, why); });
-  tell_observer(now, CommandEvent::Kind::kFailed, at->first, at->second);
+// Its clients get that response, and the policy cancels the attempt that is out.
+void Core::fail_command(TimePoint now, PendingMap::iterator at, std::string_view reason) {
+  metrics_.add("failed", profile_name(at->second));
+  for_each_call(at->second, [&](CallId call) { responses_.fail(call, reason); });
+  notify_observer(now, CommandEvent::Kind::kFailed, at->first, at->second);
   const CommandId id{at->first};
   finish(at);
-  handle_now(now, ClientGone{id});
+  handle_event(now, ClientGone{id});
 }
 
-// Guards against a second run of what is still in hand, when a client lost sight of it and says it again: it
+// Guards against a second run of what is still in hand, when a client lost sight of it and sends it again: it
 // runs once and each call gets the answer. Only the same statement of the same profile is the same command;
 // whoever can name both and the id could have read the answer anyway.
-bool Core::join(Ms now, CallRef call, const CommandRequest& asked, int profile) {
-  const Id chain = command_id(asked.first).text;
-  const auto repeat = chains_.find(chain);
-  const auto at = held_.find(repeat != chains_.end() ? repeat->second : chain);
-  if (at == held_.end() || at->second.call == 0) return false;
-  if (at->second.profile != profile || at->second.statement != asked.statement) return false;
-  if (at->second.paged != (asked.paged && shelf_) || at->second.key != asked.key) return false;
-  at->second.joined.push_back(call);
+bool Core::join_pending(TimePoint now, CallId call, const CommandRequest& request, int profile) {
+  const Id chain = command_id(request.retry_of).text;
+  const auto latest = retry_chains_.find(chain);
+  const auto at = pending_.find(latest != retry_chains_.end() ? latest->second : chain);
+  if (at == pending_.end() || !at->second.call) return false;
+  PendingCommand& command = at->second;
+  if (command.profile != profile || command.statement != request.statement) return false;
+  if (command.paged != (request.paged && result_store_) || command.result_key != request.result_key)
+    return false;
+  command.joined_retries.push_back(call);
   calls_[call] = {at->first};
-  counters_.add("joined", profiles_[static_cast<size_t>(profile)]);
-  review_clients(now, at->first);
+  metrics_.add("joined", profile_name(command));
+  update_half_closed(now, at->first);
   return true;
 }
 
-CallRef Core::call_of(std::string_view command) const {
-  const auto at = held_.find(command_id(command).text);
-  return at == held_.end() ? 0 : at->second.call;
+std::optional<CallId> Core::find_call(std::string_view command) const {
+  const auto at = pending_.find(command_id(command).text);
+  return at == pending_.end() ? std::nullopt : at->second.call;
 }
 
-void Core::client_gone(Ms now, CallRef call) {
+void Core::client_gone(TimePoint now, CallId call) {
   const auto at = calls_.find(call);
   if (at == calls_.end()) return;
   const CommandId id{at->second.id};
-  Held& h = held_.at(id.text);
-  counters_.add("given up by client", profiles_[static_cast<size_t>(h.profile)]);
-  if (!h.joined.empty()) {  // the others still wait for it
-    if (h.call == call)
-      h.call = h.joined.back(), h.joined.pop_back();
-    else
-      std::erase(h.joined, call);
+  PendingCommand& command = pending_.at(id.text);
+  metrics_.add("given up by client", profile_name(command));
+  if (!command.joined_retries.empty()) {  // the others still wait for it
+    if (command.call == call) {
+      command.call = command.joined_retries.back();
+      command.joined_retries.pop_back();
+    } else {
+      std::erase(command.joined_retries, call);
+    }
     calls_.erase(at);
-    return review_clients(now, id.text);
+    return update_half_closed(now, id.text);
   }
-  tell_observer(now, CommandEvent::Kind::kClientGone, id.text, h);
-  finish(held_.find(id.text));
-  handle_now(now, ClientGone{id});
+  notify_observer(now, CommandEvent::Kind::kClientGone, id.text, command);
+  finish(pending_.find(id.text));
+  handle_event(now, ClientGone{id});
 }
 
-void Core::half_closed(Ms now, CallRef call) {
+void Core::client_half_closed(TimePoint now, CallId call) {
   const auto at = calls_.find(call);
   if (at == calls_.end()) return;
   at->second.half_closed = true;
-  review_clients(now, at->second.id);
-}
-
-void Core::review_clients(Ms now, const Id& id) {
-  Held& h = held_.at(id);
-  bool all = true;
-  tell(h, [&](CallRef call) { all &= calls_.at(call).half_closed; });
-  if (all == h.half_closed) return;
-  h.half_closed = all;
-  handle_now(now, ClientHalfClosed{CommandId{id}, all});
-}
-
-bool Core::may_begin(Ms now, uint64_t send) const {
-  const auto at = sends_.find(send);
-  if (at == sends_.end()) return false;
-  const Held& h = held_.at(at->second);
-  return h.call != 0 && now < h.gives_up_at && firvalve::may_begin(state_, CommandId{at->second}, now);
-}
-
-void Core::finish(HeldMap::iterator at) {
-  tell(at->second, [&](CallRef call) { calls_.erase(call); });
-  at->second.call = 0;
-  at->second.joined.clear();
-  if (at->second.place != 0)
-    shelf_->drop(now_, std::exchange(at->second.place, 0));
-  else if (at->second.paged)
-    std::erase(placeless_, at->first);
-  if (const auto chain = chains_.find(at->second.chain); chain != chains_.end() && chain->second == at->first)
-    chains_.erase(chain);
-  if (at->second.send == 0) erase(at);
-}
-
-void Core::erase(HeldMap::iterator at) {
-  held_bytes_ -= at->second.statement.size();
+  update_half_closed(now, at->second.id);
+}
+
+// The policy learns whether any client is sure to be there still.
+void Core::update_half_closed(TimePoint now, const Id& id) {
+  PendingCommand& command = pending_.at(id);
+  bool all_half_closed = true;
+  for_each_call(command, [&](CallId call) { all_half_closed &= calls_.at(call).half_closed; });
+  if (all_half_closed == command.half_closed) return;
+  command.half_closed = all_half_closed;
+  handle_event(now, ClientHalfClosed{CommandId{id}, all_half_closed});
+}
+
+bool Core::may_start_attempt(TimePoint now, AttemptId attempt) const {
+  const auto id = attempts_.find(attempt);
+  if (id == attempts_.end()) return false;
+  const PendingCommand& command = pending_.at(id->second);
+  return command.call && now < command.deadline &&
+         firvalve::may_begin(state_, CommandId{id->second}, to_ms(now));
+}
+
+void Core::finish(PendingMap::iterator at) {
+  PendingCommand& command = at->second;
+  for_each_call(command, [&](CallId call) { calls_.erase(call); });
+  command.call.reset();
+  command.joined_retries.clear();
+  if (command.result)
+    result_store_->discard(now_, *std::exchange(command.result, std::nullopt));
+  else if (command.paged)
+    std::erase(awaiting_reservation_, at->first);
+  const auto chain = retry_chains_.find(command.retry_chain);
+  if (chain != retry_chains_.end() && chain->second == at->first) retry_chains_.erase(chain);
+  if (!command.attempt) release(at);
+}
+
+// Its memory is freed at once, its id is free again after the next decisions.
+void Core::release(PendingMap::iterator at) {
+  statement_bytes_ -= at->second.statement.size();
   std::string().swap(at->second.statement);
-  done_.push_back(at->first);
+  finished_.push_back(at->first);
 }
 
 // Gateways must agree on the order of engines, so the number comes from the name alone: its eight hex digits,
@@ -279,169 +285,182 @@
   numbers_.erase(known);
 }
 
-void Core::roster(Ms now, bool full, std::vector<NamedEngineInfo> listings, Ms current_at) {
-  EngineListUpdate r;
-  r.full = full;
-  r.current_at = current_at;
-  std::map<uint32_t, std::string> kept;
-  for (NamedEngineInfo& l : listings) {
-    l.listing.engine = number_of(l.name);
-    r.listings.push_back(l.listing);
-    back_.list(now, l.listing.engine, l.address, l.listing.life);
-    if (l.listing.life != EngineState::kGone) kept[l.listing.engine] = l.name;
-    if (l.listing.life != EngineState::kGone) continue;
-    listed_.erase(l.listing.engine);
-    forget_number(l.name);
+void Core::update_engine_list(TimePoint now, bool full, std::vector<NamedEngineInfo> engines,
+                              std::optional<TimePoint> current_at) {
+  EngineListUpdate update;
+  update.full = full;
+  update.current_at = to_ms(current_at.value_or(TimePoint{}));
+  std::map<uint32_t, std::string> present;
+  for (NamedEngineInfo& engine : engines) {
+    engine.info.engine = number_of(engine.name);
+    update.listings.push_back(engine.info);
+    engines_.update_engine(now, engine.info.engine, engine.address, engine.info.life);
+    if (engine.info.life != EngineState::kGone) {
+      present[engine.info.engine] = engine.name;
+      continue;
+    }
+    listed_.erase(engine.info.engine);
+    forget_number(engine.name);
   }
   if (full) {
     for (const auto& [engine, name] : listed_) {
-      if (kept.count(engine)) continue;
-      back_.list(now, engine, {}, EngineState::kGone);
+      if (present.count(engine)) continue;
+      engines_.update_engine(now, engine, {}, EngineState::kGone);
       forget_number(name);
     }
     listed_.clear();
   }
-  listed_.insert(kept.begin(), kept.end());
-  handle_now(now, r);
-}
-
-void Core::noted(Ms now, uint64_t send, AttemptStatusKind kind, double value) {
-  const auto at = sends_.find(send);
-  if (at == sends_.end()) return;
-  counters_.add("noted");
-  handle_now(now, AttemptStatus{CommandId{at->second}, held_.at(at->second).sends - 1, kind, value});
-}
-
-void Core::ended(Ms now, uint64_t send, Outcome outcome, std::string rows) {
-  const auto at = sends_.find(send);
-  if (at == sends_.end()) return;
-  const Id id = at->second;
-  sends_.erase(at);
-  const auto h = held_.find(id);
-  counters_.add("sends ended", name_of(outcome));
-  AttemptFinished s;
-  s.id = CommandId{id};
-  s.send = h->second.sends - 1;
-  s.outcome = outcome;
-  s.took = now - h->second.sent_at;
-  h->second.send = 0;
-  tell_observer(now, CommandEvent::Kind::kAttemptEnded, id, h->second, Reason::kNone, outcome, s.took);
-  if (outcome == Outcome::kOk && h->second.call != 0) {
-    counters_.add("answered", profiles_[static_cast<size_t>(h->second.profile)]);
-    if (h->second.paged) {
-      shelf_->whole(now, h->second.place);
-      tell(h->second, [&](CallRef call) { front_.answer_paged(call, h->second.place); });
-      h->second.place = 0;  // the shelf's own from here on
+  listed_.insert(present.begin(), present.end());
+  handle_event(now, update);
+}
+
+void Core::attempt_status_received(TimePoint now, AttemptId attempt, AttemptStatusKind kind, double value) {
+  const auto id = attempts_.find(attempt);
+  if (id == attempts_.end()) return;
+  metrics_.add("noted");
+  handle_event(now, AttemptStatus{CommandId{id->second}, pending_.at(id->second).attempts - 1, kind, value});
+}
+
+void Core::attempt_finished(TimePoint now, AttemptId attempt, Outcome outcome, std::string rows) {
+  const auto found = attempts_.find(attempt);
+  if (found == attempts_.end()) return;
+  const Id id = found->second;
+  attempts_.erase(found);
+  const auto at = pending_.find(id);
+  PendingCommand& command = at->second;
+  metrics_.add("sends ended", name_of(outcome));
+  const Duration duration = now - command.started_at;
+  AttemptFinished event;
+  event.id = CommandId{id};
+  event.send = command.attempts - 1;
+  event.outcome = outcome;
+  event.took = to_ms(duration);
+  command.attempt.reset();
+  notify_observer(now, CommandEvent::Kind::kAttemptFinished, id, command, Reason::kNone, outcome, duration);
+  if (outcome == Outcome::kOk && command.call) {
+    metrics_.add("answered", profile_name(command));
+    if (command.paged) {
+      const ResultHandle result = command.result.value();
+      result_store_->complete(now, result);
+      for_each_call(command, [&](CallId call) { responses_.answer_paged(call, result); });
+      command.result.reset();  // the store's own from here on
     } else {
-      tell(h->second, [&](CallRef call) { front_.answer(call, rows); });
+      for_each_call(command, [&](CallId call) { responses_.answer(call, rows); });
     }
-    tell_observer(now, CommandEvent::Kind::kAnswered, id, h->second);
-    finish(h);
-    s.finished = true;
-  } else if (h->second.call == 0) {
-    s.finished = true;
-    erase(h);
-  } else if (h->second.place != 0) {
-    shelf_->clear(now, h->second.place);  // nothing of it has been given out: another send may make it anew
+    notify_observer(now, CommandEvent::Kind::kAnswered, id, command);
+    finish(at);
+    event.finished = true;
+  } else if (!command.call) {
+    event.finished = true;
+    release(at);
+  } else if (command.result) {
+    // Nothing of it has been given out: another attempt may make it anew.
+    result_store_->clear_pages(now, *command.result);
   }
-  handle_now(now, s);
+  handle_event(now, event);
 }
 
-void Core::closing(Ms now, Ms at) {
-  closes_at_ = at;
-  for (auto& [id, h] : held_) h.gives_up_at = std::min(h.gives_up_at, at);
-  look_at_ = sooner(look_at_, at);
-  handle_now(now, ShutdownStarted{at});
+void Core::begin_shutdown(TimePoint now, TimePoint ends_at) {
+  ends_at_ = ends_at;
+  for (auto& [id, command] : pending_) command.deadline = std::min(command.deadline, ends_at);
+  deadline_check_at_ = earlier_of<TimePoint>(deadline_check_at_, ends_at);
+  handle_event(now, ShutdownStarted{to_ms(ends_at)});
 }
 
 // An attempt ends at its client's deadline at the latest, whatever its engine says.
-void Core::end_overdue(Ms now) {
-  if (look_at_ == 0 || now < look_at_) return;
-  look_at_ = 0;
-  for (auto& [id, h] : held_) {
-    if (h.send == 0 || h.overdue) continue;
-    if (now >= h.gives_up_at) {
-      h.overdue = true;
-      tell_observer(now, CommandEvent::Kind::kAttemptCancelled, id, h, Reason::kDeadlineOver);
-      back_.withdraw(now, h.send, Outcome::kTimedOut);
+void Core::cancel_past_deadline(TimePoint now) {
+  if (!deadline_check_at_ || now < *deadline_check_at_) return;
+  deadline_check_at_.reset();
+  for (auto& [id, command] : pending_) {
+    if (!command.attempt || command.past_deadline) continue;
+    if (now >= command.deadline) {
+      command.past_deadline = true;
+      notify_observer(now, CommandEvent::Kind::kAttemptCancelled, id, command, Reason::kDeadlineOver);
+      engines_.cancel_attempt(now, *command.attempt, Outcome::kTimedOut);
     } else {
-      look_at_ = sooner(look_at_, h.gives_up_at);
+      deadline_check_at_ = earlier_of<TimePoint>(deadline_check_at_, command.deadline);
     }
   }
 }
 
-void Core::turn(Ms now) {
-  end_overdue(now);
-  for (; !bells_.empty() && bells_.begin()->first <= now; bells_.erase(bells_.begin()))
-    handle_now(now, TimerFired{bells_.begin()->second});
-  if (!heard_ || now < decided_at_ + tick_) return;
-  heard_ = false;
+void Core::fire_timers(TimePoint now) {
+  for (; !timers_.empty() && timers_.begin()->first <= now; timers_.erase(timers_.begin()))
+    handle_event(now, TimerFired{timers_.begin()->second});
+}
+
+void Core::decide(TimePoint now) {
+  cancel_past_deadline(now);
+  fire_timers(now);
+  if (!has_new_events_ || now < decided_at_ + tick_) return;
+  has_new_events_ = false;
   decided_at_ = now;
   actions_.clear();
-  decide(state_, now, actions_);
-  for (const Action& a : actions_) carry_out(now, a);
-  for (const Id& id : done_) held_.erase(id);
-  done_.clear();
+  firvalve::decide(state_, to_ms(now), actions_);
+  for (const Action& action : actions_) carry_out(now, action);
+  for (const Id& id : finished_) pending_.erase(id);
+  finished_.clear();
 }
 
-void Core::carry_out(Ms now, const Action& a) {
-  if (a.kind == Action::Kind::kBell) {
-    bells_.emplace(now + a.wait, static_cast<uint64_t>(a.number));
+void Core::carry_out(TimePoint now, const Action& action) {
+  if (action.kind == Action::Kind::kBell) {
+    timers_.emplace(now + duration_of(action.wait), static_cast<uint64_t>(action.number));
     return;
   }
-  if (a.kind == Action::Kind::kLog) {
-    return say_(a.text, std::string(engine_name(a.engine)));
-  }
-  const auto at = held_.find(a.id.text);
-  if (at == held_.end()) return;
-  Held& h = at->second;
-  const std::string& profile = profiles_[static_cast<size_t>(h.profile)];
-  switch (a.kind) {
+  if (action.kind == Action::Kind::kLog) return log_({action.text, engine_name(action.engine)});
+  const auto at = pending_.find(action.id.text);
+  if (at == pending_.end()) return;
+  PendingCommand& command = at->second;
+  const std::string& profile = profile_name(command);
+  switch (action.kind) {
     case Action::Kind::kSend: {
-      counters_.add(h.sends > 0 ? "sent again" : "sent", profile);
-      h.send = ++last_send_;
-      h.sends += 1;
-      h.sent_at = now;
-      h.overdue = false;
-      h.engine = a.engine;
-      tell_observer(now, CommandEvent::Kind::kAttemptStarted, at->first, h);
-      sends_[h.send] = at->first;
-      look_at_ = sooner(look_at_, h.gives_up_at);
-      back_.start(now, {h.send, a.engine, view(at->first), profile, h.statement, h.gives_up_at, h.priority,
-                        h.paged, may_cancel_});
+      metrics_.add(command.attempts > 0 ? "sent again" : "sent", profile);
+      last_attempt_ = next_after(last_attempt_);
+      command.attempt = last_attempt_;
+      command.attempts += 1;
+      command.started_at = now;
+      command.past_deadline = false;
+      command.engine = action.engine;
+      notify_observer(now, CommandEvent::Kind::kAttemptStarted, at->first, command);
+      attempts_[last_attempt_] = at->first;
+      deadline_check_at_ = earlier_of<TimePoint>(deadline_check_at_, command.deadline);
+      engines_.start_attempt(now, {last_attempt_, action.engine, view(at->first), profile, command.statement,
+                                   command.deadline, command.priority, command.paged, may_cancel_});
       break;
     }
     case Action::Kind::kWithdraw:
-      if (h.send == 0 || a.number != h.sends - 1) break;
-      counters_.add("withdrawn", profile);
-      counters_.add("attempts cancelled:", name_of(a.reason));
-      tell_observer(now, CommandEvent::Kind::kAttemptCancelled, at->first, h, a.reason);
-      back_.withdraw(now, h.send, Outcome::kCancelled);
+      if (!command.attempt || action.number != command.attempts - 1) break;
+      metrics_.add("withdrawn", profile);
+      metrics_.add("attempts cancelled:", name_of(action.reason));
+      notify_observer(now, CommandEvent::Kind::kAttemptCancelled, at->first, command, action.reason);
+      engines_.cancel_attempt(now, *command.attempt, Outcome::kCancelled);
       break;
     case Action::Kind::kRank:
-      h.priority = a.number;
-      if (h.send != 0) back_.rank(now, h.send, a.number);
+      command.priority = action.number;
+      if (command.attempt) engines_.set_priority(now, *command.attempt, action.number);
       break;
     case Action::Kind::kShed:
-    case Action::Kind::kFail:
-      counters_.add(a.kind == Action::Kind::kShed ? "shed" : "failed", profile);
-      counters_.add("commands ended unserved:", name_of(a.reason));
-      tell_observer(now,
-                    a.kind == Action::Kind::kShed ? CommandEvent::Kind::kShed : CommandEvent::Kind::kFailed,
-                    at->first, h, a.reason);
-      tell(h, [&](CallRef call) {
-        a.kind == Action::Kind::kShed ? front_.shed(call, a.wait) : front_.fail(call, "failed");
+    case Action::Kind::kFail: {
+      const bool is_shed = action.kind == Action::Kind::kShed;
+      metrics_.add(is_shed ? "shed" : "failed", profile);
+      metrics_.add("commands ended unserved:", name_of(action.reason));
+      notify_observer(now, is_shed ? CommandEvent::Kind::kShed : CommandEvent::Kind::kFailed, at->first,
+                      command, action.reason);
+      const auto retry_after = action.wait > 0 ? std::optional(duration_of(action.wait)) : std::nullopt;
+      for_each_call(command, [&](CallId call) {
+        is_shed ? responses_.shed(call, retry_after) : responses_.fail(call, "failed");
       });
-      if (h.call != 0) finish(at);
+      if (command.call) finish(at);
       break;
+    }
     default:
       break;
   }
 }
 
-Ms Core::next_due() const {
-  Ms due = sooner(look_at_, bells_.empty() ? 0 : bells_.begin()->first);
-  if (heard_) due = sooner(due, decided_at_ + tick_);
+std::optional<TimePoint> Core::next_due() const {
+  std::optional<TimePoint> due = deadline_check_at_;
+  if (!timers_.empty()) due = earlier_of<TimePoint>(due, timers_.begin()->first);
+  if (has_new_events_) due = earlier_of<TimePoint>(due, decided_at_ + tick_);
   return due;
 }
 
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -194,23 +194,23 @@
   }
 }
 
-void tell_command_event(log::Log& logger, Ms now, const CommandEvent& event) {
+void tell_command_event(log::Log& logger, TimePoint now, const CommandEvent& event) {
   logger.write(
-      now, Level::kDebug, name_of(event.kind),
+      to_ms(now), Level::kDebug, name_of(event.kind),
       {{"component", "command"},
        {"command", std::string(event.command)},
        {"profile", std::string(event.profile)},
        {"engine", std::string(event.engine)},
-       {"attempt", std::to_string(event.attempt)},
-       {"outcome", event.kind == CommandEvent::Kind::kAttemptEnded ? std::string(name_of(event.outcome))
-                                                                   : std::string()},
+       {"attempt", std::to_string(event.attempts)},
+       {"outcome", event.kind == CommandEvent::Kind::kAttemptFinished ? std::string(name_of(event.outcome))
+                                                                      : std::string()},
        {"why", std::string(name_of(event.reason))},
-       {"took_ms", fmt::format("{:.1f}", event.took)}});
+       {"took_ms", fmt::format("{:.1f}", to_ms(event.duration.value_or(Duration{})))}});
 }
 
 // Single commands, attempts and connections are told at the level `debug` alone: they are many.
 void observe(Core& core, net::ClientServer& clients, net::EngineConnections& engines, log::Log& logger) {
-  core.observe([&logger](Ms now, const CommandEvent& event) {
+  core.set_observer([&logger](TimePoint now, const CommandEvent& event) {
     if (logger.level() == Level::kDebug) tell_command_event(logger, now, event);
   });
   const auto told_as = [&logger](const char* component) {
@@ -253,7 +253,7 @@
   net::Loop loop;
   loop.limit(told.sockets - kDescriptorsKept, static_cast<size_t>(kBufferPart * bytes));
   Metrics counters;
-  const Ms longest = longest_timeout(settings);
+  const Ms longest = to_ms(longest_client_timeout(settings).value_or(Duration{}));
   const Ms connect = told_or(settings, "connect time-out", 250),
            idle = told_or(settings, "idle close", 15000);
   net::ClientServer clients(loop, counters);
@@ -267,10 +267,11 @@
     peers = std::make_unique<cluster::ClusterService>(loop, counters, fleet_options(wishes.fleet, bytes),
                                                       clients, say);
   Core core(settings, told.seed, peers ? static_cast<ResponseSink&>(*peers) : clients, engines, counters,
-            [&](const std::string& text, const std::string& engine) {
-              say(Level::kWarning, text, {{"component", "module"}, {"engine", engine}});
+            [&](const PolicyMessage& message) {
+              say(Level::kWarning, message.text,
+                  {{"component", "module"}, {"engine", std::string(message.engine)}});
             });
-  core.limit(static_cast<size_t>(kStatementPart * bytes));
+  core.set_max_statement_bytes(static_cast<size_t>(kStatementPart * bytes));
   engines.serve(core);
   if (peers) {
     peers->serve(core);
@@ -279,9 +280,9 @@
   ResultStoreWiring shelving(wishes.spool, loop, counters, logger);
   if (wishes.spool.on) {
     engines.limit_page(static_cast<size_t>(wishes.spool.page_kb * 1000));
-    core.shelve(*shelving.spool);
+    core.set_result_store(*shelving.spool);
     clients.read_pages(*shelving.spool);
-    shelving.spool->on_room = [&core](Ms now) { core.room(now); };
+    shelving.spool->on_room = [&core](Ms now) { core.result_space_available(time_point_of(now)); };
   }
   observe(core, clients, engines, logger);
   net::EndpointWatcher bus(loop, counters, told.bus, connect, kFirstPart * number(settings, "drain grace"),
@@ -322,7 +323,7 @@
     if (ended_at > 0) return;
     ended_at = loop.now();
     const Ms answered_by = ended_at + proto::answers_end(longest);
-    core.closing(ended_at, answered_by);
+    core.begin_shutdown(time_point_of(ended_at), time_point_of(answered_by));
     if (peers) peers->leave(ended_at, answered_by);
     say(Level::kInfo, "ending: everything taken is answered first", {{"component", "gateway"}});
   });
@@ -346,18 +347,18 @@
     if (shelving.spool) shelving.spool->due(now);
     clients.due(now);
     if (peers) peers->due(now);
-    core.turn(now);
-    const bool settled = ended_at > 0 && now >= ended_at + proto::kComingOn && core.unanswered() == 0 &&
-                         clients.unsent() == 0 && (!shelving.spool || shelving.spool->settled()) &&
-                         (!peers || peers->left(now));
+    core.decide(time_point_of(now));
+    const bool settled = ended_at > 0 && now >= ended_at + proto::kComingOn &&
+                         core.unanswered_call_count() == 0 && clients.unsent() == 0 &&
+                         (!shelving.spool || shelving.spool->settled()) && (!peers || peers->left(now));
     if (settled && clients.leave(now)) loop.stop();
     if (ended_at > 0 && now >= ended_at + proto::leaving_end(longest)) loop.stop();
     if (ended_at > 0) return now + kEndLook;
     const Ms fleet_due = peers ? peers->next_due(now) : 0;
     const Ms spooled = shelving.spool ? shelving.spool->next_due() : 0;
-    return sooner(
-        sooner(sooner(spooled, fleet_due), logger.next_due()),
-        sooner(sooner(bus.next_due(), clients.next_due()), sooner(engines.next_due(), core.next_due())));
+    return sooner(sooner(sooner(spooled, fleet_due), logger.next_due()),
+                  sooner(sooner(bus.next_due(), clients.next_due()),
+                         sooner(engines.next_due(), to_ms(core.next_due().value_or(TimePoint{})))));
   };
   loop.run();
   say(Level::kInfo, "counters", {{"component", "gateway"}, {"counts", counters.text()}});
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -68,10 +68,10 @@
 
 class NoClients : public ResponseSink {
  public:
-  void answer(CallRef, std::string_view) override {}
-  void shed(CallRef, Ms) override {}
-  void fail(CallRef, std::string_view) override {}
-  void answer_paged(CallRef, ResultHandle) override {}
+  void answer(CallId, std::string_view) override {}
+  void shed(CallId, std::optional<Duration>) override {}
+  void fail(CallId, std::string_view) override {}
+  void answer_paged(CallId, ResultHandle) override {}
 };
 
 // As the program draws it: no two incarnations may share it.
@@ -97,7 +97,7 @@
         engines(loop, counters, {kConnectMost, kIdleClose}),
         fleet(make_fleet(options)),
         core(settings, options.seed, fleet ? static_cast<ResponseSink&>(*fleet) : no_clients, engines,
-             counters, [](const std::string&, const std::string&) {}) {
+             counters, [](const PolicyMessage&) {}) {
     loop.limit(kDescriptorsMost, kBufferBytesMost);
     engines.serve(core);
     if (fleet) fleet->serve(core);
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -67,7 +67,7 @@
   };
   struct Attempt {
     uint32_t gateway = 0, engine = 0, engine_id = 0;
-    uint64_t of_gateway = 0;  // the gateway's number of it
+    AttemptId of_gateway{};  // the gateway's number of it
     double work = 0;
     int threads = 1;
     uint64_t command = 0;
@@ -127,7 +127,7 @@
                                                  options_.gateways)(chance_);
   }
   void note(Happening h);
-  void finish(uint32_t gateway, CallRef call, Happening::Kind kind);
+  void finish(uint32_t gateway, CallId call, Happening::Kind kind);
   double busy() const;
   std::string zone_of(uint32_t engine) const;
   NamedEngineInfo listing_of(uint32_t engine, uint32_t id) const;
@@ -170,28 +170,31 @@
         number(number),
         idle(world.uses_connections() ? world.engines_.size() : 0),
         core(settings, seed, *this, *this, counters,
-             [this](const std::string& text, const std::string& engine) { handle(text, engine); }) {}
+             [this](const PolicyMessage& message) { handle(message); }) {}
 
-  void handle(const std::string& text, const std::string& engine) {
-    text.ends_with("trusted again") ? ejected.erase(engine) : ejected.insert(engine).second;
+  void handle(const PolicyMessage& message) {
+    const std::string engine(message.engine);
+    message.text.ends_with("trusted again") ? ejected.erase(engine) : ejected.insert(engine).second;
   }
-  void answer(CallRef call, std::string_view) override {
+  void answer(CallId call, std::string_view) override {
     world.finish(number, call, Happening::Kind::kAnswered);
   }
-  void shed(CallRef call, Ms) override { world.finish(number, call, Happening::Kind::kRefused); }
-  void fail(CallRef call, std::string_view) override { world.finish(number, call, Happening::Kind::kFailed); }
-  void answer_paged(CallRef, ResultHandle) override {}
+  void shed(CallId call, std::optional<Duration>) override {
+    world.finish(number, call, Happening::Kind::kRefused);
+  }
+  void fail(CallId call, std::string_view) override { world.finish(number, call, Happening::Kind::kFailed); }
+  void answer_paged(CallId, ResultHandle) override {}
 
-  void start(Ms, const AttemptRequest& order) override {
+  void start_attempt(TimePoint, const AttemptRequest& order) override {
     const uint64_t attempt = ++world.last_attempt_;
     Attempt& a = world.attempts_[attempt];
     a.gateway = number;
-    a.of_gateway = order.send;
+    a.of_gateway = order.attempt;
     a.command = std::stoull(std::string(order.command), nullptr, 16);
     a.engine_id = order.engine;
     const auto at = place.find(order.engine);
     a.engine = at == place.end() ? kNowhere : at->second;
-    by_send[order.send] = attempt;
+    by_send[order.attempt] = attempt;
     const Command& command = world.commands_.at(a.command);
     a.work = command.work;
     a.threads = world.options_.profiles[static_cast<size_t>(command.profile)].threads;
@@ -208,7 +211,7 @@
     if (world.uses_connections()) return world.connect_for(attempt, false);
     world.travel(Event::Kind::kStart, a.engine, attempt, world.network_delay());
   }
-  void withdraw(Ms, uint64_t of_gateway, Outcome as) override {
+  void cancel_attempt(TimePoint, AttemptId of_gateway, Outcome as) override {
     const auto at = by_send.find(of_gateway);
     if (at == by_send.end()) return;
     const uint64_t attempt = at->second;
@@ -223,19 +226,19 @@
     if (cancels && world.uses_connections()) return world.connect_for(attempt, true);
     world.travel(Event::Kind::kStop, 0, attempt, world.network_delay());
   }
-  void rank(Ms, uint64_t, int) override {}
-  void list(Ms, uint32_t, std::string_view, EngineState) override {}
+  void set_priority(TimePoint, AttemptId, int) override {}
+  void update_engine(TimePoint, uint32_t, std::string_view, EngineState) override {}
 
   World& world;
   const uint32_t number;
   Metrics counters;
-  std::unordered_map<uint64_t, uint64_t> by_send;  // its numbers to the run's
-  std::unordered_map<uint32_t, uint32_t> place;    // engines' ids to their places
-  std::unordered_map<CallRef, uint64_t> calls;     // to commands
-  std::vector<IdleConnections> idle;               // by place
-  std::set<std::string> ejected;                   // engines that it holds for silent or failing
+  std::unordered_map<AttemptId, uint64_t> by_send;  // its numbers to the run's
+  std::unordered_map<uint32_t, uint32_t> place;     // engines' ids to their places
+  std::unordered_map<CallId, uint64_t> calls;       // to commands
+  std::vector<IdleConnections> idle;                // by place
+  std::set<std::string> ejected;                    // engines that it holds for silent or failing
   Ms turn_at = 0;
-  CallRef last_call = 0;
+  CallId last_call{};
   Core core;
 };
 
@@ -278,7 +281,7 @@
       h.engine = engines_[i].id - 1;
       note(h);
     }
-    gateways_[g]->core.roster(now_, true, std::move(all));
+    gateways_[g]->core.update_engine_list(time_point_of(now_), true, std::move(all));
     travel(Event::Kind::kArrive, g, 0, next_arrival());
   }
   for (size_t i = 0; i < options_.troubles.size(); ++i) {
@@ -297,8 +300,8 @@
   NamedEngineInfo l;
   l.name = fmt::format("s-{:08x}", id);
   l.address = "127.0.0.1:1";
-  l.listing.zone = zone_of(engine);
-  l.listing.machine = "std";
+  l.info.zone = zone_of(engine);
+  l.info.machine = "std";
   return l;
 }
 
@@ -398,16 +401,16 @@
   h.profile = static_cast<int16_t>(command.profile);
   h.until = now_ + profile.timeout;
   note(h);
-  const CallRef call = ++gateway.last_call;
+  const CallId call = gateway.last_call = next_after(gateway.last_call);
   gateway.calls[call] = number;
   CommandRequest asked;
   asked.command = id;
   asked.profile = profile.name;
   asked.statement = "s";
-  asked.timeout = profile.timeout;
-  asked.estimate = profile.estimated ? std::min(command.work * guess, profile.timeout) : 0;
+  asked.timeout = duration_of(profile.timeout);
+  if (profile.estimated) asked.estimated_work = duration_of(std::min(command.work * guess, profile.timeout));
   asked.memory_mb = 10;
-  if (gateway.core.admit(now_, call, std::move(asked)) != AdmissionResult::kTaken)
+  if (gateway.core.admit(time_point_of(now_), call, std::move(asked)) != AdmissionResult::kAdmitted)
     finish(g, call, Happening::Kind::kFailed);
 }
 
@@ -433,7 +436,7 @@
          std::uniform_real_distribution<double>(backoff / 2, backoff)(chance_));
 }
 
-void World::finish(uint32_t g, CallRef call, Happening::Kind kind) {
+void World::finish(uint32_t g, CallId call, Happening::Kind kind) {
   Gateway& gateway = *gateways_[g];
   const auto at = gateway.calls.find(call);
   if (at == gateway.calls.end()) return;
@@ -508,8 +511,9 @@
   if (e.model.is_silent() || progress.state == EngineModel::State::kAbsent) return;
   Core& core = gateways_[a.gateway]->core;
   if (progress.state == EngineModel::State::kQueued)
-    return core.noted(now_, a.of_gateway, AttemptStatusKind::kWaits, 0);
-  core.noted(now_, a.of_gateway, AttemptStatusKind::kProgress, 1 - progress.work_left / a.work);
+    return core.attempt_status_received(time_point_of(now_), a.of_gateway, AttemptStatusKind::kWaits, 0);
+  core.attempt_status_received(time_point_of(now_), a.of_gateway, AttemptStatusKind::kProgress,
+                               1 - progress.work_left / a.work);
 }
 
 void World::done(uint32_t engine, uint64_t version) {
@@ -577,7 +581,7 @@
   Gateway& gateway = *gateways_[a.gateway];
   gateway.by_send.erase(a.of_gateway);
   attempts_.erase(attempt);
-  gateway.core.ended(now_, a.of_gateway, outcome);
+  gateway.core.attempt_finished(time_point_of(now_), a.of_gateway, outcome);
 }
 
 // ---- Connections --------------------------------------------------------------------------------
@@ -624,7 +628,7 @@
   }
   Attempt& a = found->second;
   a.connect = 0;
-  if (!gateways_[c.gateway]->core.may_begin(now_, a.of_gateway)) {
+  if (!gateways_[c.gateway]->core.may_start_attempt(time_point_of(now_), a.of_gateway)) {
     rest_connection(c.gateway, c.engine, c.engine_id);
     return end_later(c.attempt, Outcome::kMoot, 0);
   }
@@ -698,7 +702,7 @@
 void World::list(uint32_t g, uint32_t engine, uint32_t id, bool listed) {
   Gateway& gateway = *gateways_[g];
   NamedEngineInfo l = listing_of(engine, id);
-  l.listing.life = listed ? EngineState::kReady : EngineState::kGone;
+  l.info.life = listed ? EngineState::kReady : EngineState::kGone;
   if (listed)
     gateway.place[id] = engine;
   else
@@ -709,7 +713,7 @@
   h.engine = id - 1;
   h.state = listed ? Happening::State::kServing : Happening::State::kDeleted;
   note(h);
-  gateway.core.roster(now_, false, {l});
+  gateway.core.update_engine_list(time_point_of(now_), false, {l});
 }
 
 void World::trouble(size_t number, bool begins) {
@@ -758,8 +762,8 @@
 
 void World::turn(uint32_t g) {
   Gateway& gateway = *gateways_[g];
-  gateway.core.turn(now_);
-  const Ms due = gateway.core.next_due();
+  gateway.core.decide(time_point_of(now_));
+  const Ms due = to_ms(gateway.core.next_due().value_or(TimePoint{}));
   if (due <= 0) return;
   const Ms at = std::max(due, now_ + 0.001);
   if (gateway.turn_at > now_ && gateway.turn_at <= at) return;
@@ -832,7 +836,7 @@
     }
     second.threads_per_core = threads / (options_.engine.cores * static_cast<double>(engines_.size()));
     for (const auto& gateway : gateways_) {
-      second.in_hand += gateway->core.unanswered();
+      second.in_hand += gateway->core.unanswered_call_count();
       second.ejected += gateway->ejected.size();
     }
   }
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -29,7 +29,7 @@
     if (owner.shelf_) peer_ = socket.peerAddress().host().toString();
   }
 
-  std::map<int64_t, CallRef> open_calls;
+  std::map<int64_t, CallId> open_calls;
   bool peer_done = false;
 
   // One that has said something which was not read yet is not idle: a close now would reset it.
@@ -128,7 +128,7 @@
   bool half_open() override {
     peer_done = true;
     const Ms now = loop_.now();
-    for (const auto& [id, call] : open_calls) owner_.core_->half_closed(now, call);
+    for (const auto& [id, call] : open_calls) owner_.core_->client_half_closed(time_point_of(now), call);
     return !open_calls.empty() || unsent() > 0;
   }
   void on_end(End end) override { finish(lingers() ? ConnectionEnd::kInGoodOrder : end_of(end)); }
@@ -144,7 +144,7 @@
   void take_command(proto::RpcCall& call, std::string& out);
   void release_result(const proto::RpcCall& call, std::string& out);
   void read_page(const proto::RpcCall& call, std::string& out);
-  void opened(CallRef ref, int64_t id, std::string_view key = {}) {
+  void opened(CallId ref, int64_t id, std::string_view key = {}) {
     open_calls[id] = ref;
     owner_.open_[ref] = {this, id, std::string(key)};
   }
@@ -210,12 +210,14 @@
 // Only what came over this connection: nobody takes back another's command.
 void ClientServer::ClientConnection::revoke(const proto::RpcCall& call) {
   const auto at = open_calls.find(call.revoked);
-  const CallRef ref = at != open_calls.end() ? at->second : owner_.core_->call_of(call.command);
-  const auto open = owner_.open_.find(ref);
+  const std::optional<CallId> ref =
+      at != open_calls.end() ? at->second : owner_.core_->find_call(call.command);
+  if (!ref) return;
+  const auto open = owner_.open_.find(*ref);
   if (open == owner_.open_.end() || open->second.connection != this) return;
   int64_t id = 0;
-  owner_.close_call(ref, id);
-  owner_.gone(loop_.now(), ref);
+  owner_.close_call(*ref, id);
+  owner_.gone(loop_.now(), *ref);
 }
 
 bool ClientServer::ClientConnection::names_fleet_call(const proto::RpcCall& call, std::string& out) {
@@ -223,7 +225,7 @@
     refuse(call, out, proto::kRpcNoMethod, "no such method");
     return false;
   }
-  if (call.name.empty() || call.name.size() > kFleetNameMost) {
+  if (call.name.empty() || call.name.size() > kMaxClusterNameBytes) {
     refuse(call, out, proto::kRpcBadParams, "name is not 1 to 128 bytes");
     return false;
   }
@@ -232,11 +234,11 @@
 
 void ClientServer::ClientConnection::ask_bulletin(const proto::RpcCall& call, std::string& out) {
   if (!names_fleet_call(call, out) || !may_open(call, out)) return;
-  const CallRef ref = ++owner_.last_call_;
+  const CallId ref = owner_.last_call_ = next_after(owner_.last_call_);
   opened(ref, call.id);
-  owner_.fleet_->bulletin(
-      loop_.now(), call.profile, call.name, call.statement, call.timeout,
-      [&owner = owner_, ref](const ClusterRequests::ClusterReply& told) { owner.reply(ref, told); });
+  owner_.fleet_->handle_topic_request(
+      time_point_of(loop_.now()), call.profile, call.name, call.statement, duration_of(call.timeout),
+      [&owner = owner_, ref](const ClusterRequests::Reply& told) { owner.reply(ref, told); });
 }
 
 void ClientServer::ClientConnection::take_command(proto::RpcCall& call, std::string& out) {
@@ -244,48 +246,48 @@
   CommandRequest asked;
   asked.command = call.command;
   asked.profile = call.profile;
-  asked.tables = proto::table_group(call.statement);
+  asked.table_group = proto::table_group(call.statement);
   asked.statement = std::move(call.statement);
   if (owner_.marks_ && !call.first.empty()) {
     if (!proto::is_command_id(call.first))
       return refuse(call, out, proto::kRpcBadParams, "first is not 16 hex digits");
-    asked.first = call.first;
+    asked.retry_of = call.first;
   }
   if (owner_.shelf_ && call.paged) {
     asked.paged = true;
-    asked.key = call.key;
+    asked.result_key = call.key;
     asked.owner = call.key.empty() ? std::string_view(peer_) : call.key;
   }
-  asked.timeout = call.timeout;
-  asked.estimate = call.estimate;
+  asked.timeout = duration_of(call.timeout);
+  if (call.estimate != 0) asked.estimated_work = duration_of(call.estimate);
   asked.memory_mb = call.memory_mb;
-  const CallRef ref = ++owner_.last_call_;
+  const CallId ref = owner_.last_call_ = next_after(owner_.last_call_);
   if (call.kind == proto::RpcCall::Kind::kMerge) {
     opened(ref, call.id);
-    owner_.fleet_->merge(loop_.now(), ref, call.name, std::move(asked));
+    owner_.fleet_->run_once_job(time_point_of(loop_.now()), ref, call.name, std::move(asked));
     return;
   }
-  switch (owner_.core_->admit(loop_.now(), ref, std::move(asked))) {
-    case AdmissionResult::kTaken:
+  switch (owner_.core_->admit(time_point_of(loop_.now()), ref, std::move(asked))) {
+    case AdmissionResult::kAdmitted:
       return opened(ref, call.id, call.key);
-    case AdmissionResult::kFound:
+    case AdmissionResult::kResultFound:
       opened(ref, call.id, call.key);
-      return owner_.answer_paged(ref, owner_.core_->found());
+      return owner_.answer_paged(ref, owner_.core_->found_result().value());
     case AdmissionResult::kUnknownProfile:
       return refuse(call, out, proto::kRpcNoMethod, "no such method");
     case AdmissionResult::kOutOfRange:
       return refuse(call, out, proto::kRpcBadParams, "a figure is out of range");
-    case AdmissionResult::kNoRoom:
+    case AdmissionResult::kNoCapacity:
       owner_.counters_.add("calls not taken for want of memory");
       return proto::append_error(out, call.id, true, proto::kRpcFailed, "failed");
-    case AdmissionResult::kNotNew:
+    case AdmissionResult::kDuplicateId:
       return refuse(call, out, proto::kRpcBadParams, "req is in hand already");
   }
 }
 
 void ClientServer::ClientConnection::release_result(const proto::RpcCall& call, std::string& out) {
   if (!owner_.shelf_) return refuse(call, out, proto::kRpcNoMethod, "no such method");
-  if (owner_.shelf_->release(loop_.now(), call.token, call.key))
+  if (owner_.shelf_->release(time_point_of(loop_.now()), call.token, call.key))
     proto::append_released(out, call.id);
   else
     proto::append_error(out, call.id, true, proto::kRpcGone, "gone");
@@ -294,21 +296,21 @@
 void ClientServer::ClientConnection::read_page(const proto::RpcCall& call, std::string& out) {
   if (!owner_.shelf_) return refuse(call, out, proto::kRpcNoMethod, "no such method");
   if (!may_open(call, out)) return;
-  const CallRef ref = ++owner_.last_call_;
+  const CallId ref = owner_.last_call_ = next_after(owner_.last_call_);
   opened(ref, call.id);
   owner_.counters_.add("pages asked for");
-  const auto reply = [&owner = owner_, ref, page = call.page](Ms, ResultStore::Read what,
+  const auto reply = [&owner = owner_, ref, page = call.page](TimePoint, ResultStore::ReadStatus what,
                                                               std::string_view rows, uint64_t pages) {
     owner.reply(ref, [&](std::string& text, int64_t id) {
-      if (what == ResultStore::Read::kRows)
+      if (what == ResultStore::ReadStatus::kRows)
         proto::append_page(text, id, page, pages, rows);
-      else if (what == ResultStore::Read::kGone)
+      else if (what == ResultStore::ReadStatus::kGone)
         proto::append_error(text, id, true, proto::kRpcGone, "gone");
       else
         proto::append_error(text, id, true, proto::kRpcNoSuchPage, "no such page");
     });
   };
-  owner_.shelf_->read(loop_.now(), call.token, call.key, call.page, reply);
+  owner_.shelf_->read_page(time_point_of(loop_.now()), call.token, call.key, call.page, reply);
 }
 
 ClientServer::ClientServer(Loop& loop, Metrics& counters) : loop_(loop), counters_(counters) {}
@@ -384,12 +386,12 @@
   }
 }
 
-void ClientServer::gone(Ms now, CallRef call) {
-  core_->client_gone(now, call);
-  if (fleet_) fleet_->gone(now, call);
+void ClientServer::gone(Ms now, CallId call) {
+  core_->client_gone(time_point_of(now), call);
+  if (fleet_) fleet_->client_gone(time_point_of(now), call);
 }
 
-ClientServer::ClientConnection* ClientServer::close_call(CallRef call, int64_t& id) {
+ClientServer::ClientConnection* ClientServer::close_call(CallId call, int64_t& id) {
   const auto at = open_.find(call);
   if (at == open_.end()) return nullptr;
   ClientConnection* const connection = at->second.connection;
@@ -399,7 +401,7 @@
   return connection;
 }
 
-void ClientServer::reply(CallRef call, const std::function<void(std::string&, int64_t)>& append) {
+void ClientServer::reply(CallId call, const std::function<void(std::string&, int64_t)>& append) {
   int64_t id = 0;
   ClientConnection* const connection = close_call(call, id);
   if (!connection) return;
@@ -409,52 +411,54 @@
   if (connection->open()) connection->answered();
 }
 
-void ClientServer::reply(CallRef call, const ClusterRequests::ClusterReply& told) {
+void ClientServer::reply(CallId call, const ClusterRequests::Reply& told) {
   reply(call, [&](std::string& out, int64_t id) {
-    using Kind = ClusterRequests::ClusterReply::Kind;
+    using Kind = ClusterRequests::Reply::Kind;
     switch (told.kind) {
       case Kind::kDone:
         return proto::append_json_result(out, id, told.text);
-      case Kind::kRefused:
+      case Kind::kRejected:
         return proto::append_refused_change(out, id, told.text);
-      case Kind::kBadParams:
+      case Kind::kInvalidParams:
         return proto::append_error(out, id, true, proto::kRpcBadParams, told.text);
-      case Kind::kNoMajority:
+      case Kind::kNoQuorum:
         return proto::append_error(out, id, true, proto::kRpcNoMajority,
                                    "no majority of keepers: nothing was changed");
-      case Kind::kUnknown:
+      case Kind::kOutcomeUnknown:
         return proto::append_error(out, id, true, proto::kRpcMayBeMade, "it may have been made: ask again");
     }
   });
 }
 
-void ClientServer::answer(CallRef call, std::string_view rows) {
+void ClientServer::answer(CallId call, std::string_view rows) {
   reply(call, [&](std::string& out, int64_t id) { proto::append_result(out, id, rows); });
 }
 
-void ClientServer::shed(CallRef call, Ms advice) {
+void ClientServer::shed(CallId call, std::optional<Duration> retry_after) {
+  const Ms advice = to_ms(retry_after.value_or(Duration{}));
   reply(call, [&](std::string& out, int64_t id) { proto::append_shed(out, id, advice); });
 }
 
-void ClientServer::fail(CallRef call, std::string_view why) {
+void ClientServer::fail(CallId call, std::string_view why) {
   reply(call,
         [&](std::string& out, int64_t id) { proto::append_error(out, id, true, proto::kRpcFailed, why); });
 }
 
-void ClientServer::answer_paged(CallRef call, ResultHandle no) {
+void ClientServer::answer_paged(CallId call, ResultHandle result) {
   const auto at = open_.find(call);
   if (at == open_.end()) return;
-  const PagedAnswer paged = shelf_->answer(no);
+  const PagedAnswer paged = shelf_->answer_of(result);
   const std::string key = at->second.key;
   // Its first page may have to come from the disk.
-  shelf_->read(loop_.now(), paged.token, key, 1,
-               [this, call, paged](Ms, ResultStore::Read what, std::string_view rows, uint64_t) {
-                 reply(call, [&](std::string& out, int64_t id) {
-                   what == ResultStore::Read::kGone
-                       ? proto::append_error(out, id, true, proto::kRpcFailed, "the result was lost")
-                       : proto::append_paged(out, id, paged.token, paged.pages, paged.rows, rows);
-                 });
-               });
+  shelf_->read_page(
+      time_point_of(loop_.now()), paged.token, key, 1,
+      [this, call, paged](TimePoint, ResultStore::ReadStatus what, std::string_view rows, uint64_t) {
+        reply(call, [&](std::string& out, int64_t id) {
+          what == ResultStore::ReadStatus::kGone
+              ? proto::append_error(out, id, true, proto::kRpcFailed, "the result was lost")
+              : proto::append_paged(out, id, paged.token, paged.pages, paged.rows, rows);
+        });
+      });
 }
 
 }  // namespace firvalve::net
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -31,10 +31,10 @@
   void observe(ConnectionObserver observer) { observer_ = std::move(observer); }
   void read_marks(bool on) { marks_ = on; }  // of repeats; the operator's wish
   void listen(const std::string& address, Core& core);
-  void answer(CallRef call, std::string_view rows) override;
-  void shed(CallRef call, Ms advice) override;
-  void fail(CallRef call, std::string_view why) override;
-  void answer_paged(CallRef call, ResultHandle no) override;
+  void answer(CallId call, std::string_view rows) override;
+  void shed(CallId call, std::optional<Duration> retry_after) override;
+  void fail(CallId call, std::string_view why) override;
+  void answer_paged(CallId call, ResultHandle result) override;
 
  private:
   class ClientConnection;
@@ -47,10 +47,10 @@
   void accept_on(bool on);
   void on_accept(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { accept(); }
   void accept();
-  void reply(CallRef call, const std::function<void(std::string&, int64_t)>& append);
-  void reply(CallRef call, const ClusterRequests::ClusterReply& told);
-  ClientConnection* close_call(CallRef call, int64_t& id);  // null: no such call
-  void gone(Ms now, CallRef call);                          // its client waits no longer
+  void reply(CallId call, const std::function<void(std::string&, int64_t)>& append);
+  void reply(CallId call, const ClusterRequests::Reply& told);
+  ClientConnection* close_call(CallId call, int64_t& id);  // null: no such call
+  void gone(Ms now, CallId call);                          // its client waits no longer
 
   Loop& loop_;
   Metrics& counters_;
@@ -62,8 +62,8 @@
   bool accepting_ = false, marks_ = false, left_ = false;
   Ms look_at_ = 0, leaving_since_ = 0;
   std::map<ClientConnection*, std::unique_ptr<ClientConnection>> connections_;
-  std::map<CallRef, Open> open_;
-  CallRef last_call_ = 0;
+  std::map<CallId, Open> open_;
+  CallId last_call_{};
 };
 
 }  // namespace firvalve::net
--- a/src/net/endpoint_watcher.cpp
+++ b/src/net/endpoint_watcher.cpp
@@ -69,7 +69,8 @@
   std::vector<NamedEngineInfo> listings;
   for (proto::BusListing& l : event.listings)
     listings.push_back({std::move(l.name), std::move(l.address), std::move(l.listing)});
-  core.roster(now, event.full, std::move(listings), current_at);
+  core.update_engine_list(time_point_of(now), event.full, std::move(listings),
+                          current_at > 0 ? std::optional(time_point_of(current_at)) : std::nullopt);
 }
 
 void EndpointWatcher::handle(Ms now, std::span<char> line) {
--- a/src/net/engine_connections.cpp
+++ b/src/net/engine_connections.cpp
@@ -69,7 +69,8 @@
 
 // An engine that has gone keeps its address, until that is another's, and its connections for what still runs
 // there: it takes no new ones.
-void EngineConnections::list(Ms, uint32_t engine, std::string_view address, EngineState life) {
+void EngineConnections::update_engine(TimePoint, uint32_t engine, std::string_view address,
+                                      EngineState life) {
   const bool gone = life == EngineState::kGone;
   if (Pool& had = pools_[engine]; gone ? had.sends == 0 : had.address != address) drop_idle(engine);
   Pool& pool = pools_[engine];
@@ -166,17 +167,18 @@
     if (send.refused_since > 0 && send.order.engine == link.engine) look_at_ = now;
 }
 
-void EngineConnections::start(Ms now, const AttemptRequest& order) {
-  Send& send = sends_[order.send];
+void EngineConnections::start_attempt(TimePoint at, const AttemptRequest& order) {
+  const Ms now = to_ms(at);
+  const uint64_t id = to_number(order.attempt);
+  Send& send = sends_[id];
   send.query = order.paged ? proto::Query(SIZE_MAX, kPagedMost) : proto::Query();
   send.order = order;
   pools_[order.engine].sends += 1;
   EngineConnection* const link = link_to(order.engine, now);
   // For want of a descriptor nothing has begun, and the engine is not to blame.
   if (!link)
-    return end(order.send,
-               pools_.at(order.engine).address.empty() ? Outcome::kConnectFailed : Outcome::kMoot);
-  give(*link, order.send, send, now);
+    return end(id, pools_.at(order.engine).address.empty() ? Outcome::kConnectFailed : Outcome::kMoot);
+  give(*link, id, send, now);
 }
 
 void EngineConnections::give(EngineConnection& link, uint64_t id, Send& send, Ms now) {
@@ -200,7 +202,7 @@
   link.starts = !send.told;
   if (send.told) {
     send.query.append_ask(call, send.order.command, host);
-  } else if (!core_->may_begin(now, link.send)) {
+  } else if (!core_->may_start_attempt(time_point_of(now), AttemptId{link.send})) {
     // Guards against a start that was decided on while its connection was still to come: meanwhile the engine
     // may have begun to drain, the client have gone, the window for repeats have run out.
     send.on = nullptr;
@@ -208,7 +210,8 @@
     return rest(link, now);
   } else {
     const AttemptRequest& o = send.order;
-    proto::append_start(call, {o.command, o.profile, o.statement, host, o.until - now, o.priority});
+    proto::append_start(
+        call, {o.command, o.profile, o.statement, host, to_ms(o.deadline) - now, o.priority.value_or(-1)});
     send.begun = true;
   }
   send.asked_at = now;
@@ -274,11 +277,12 @@
     send.told = true;
     send.refused_since = 0;
     const proto::Query::Step step = send.query.handle(answer, link.starts);
-    if (step.noted) core_->noted(now, id, step.note, step.value);
+    if (step.noted) core_->attempt_status_received(time_point_of(now), AttemptId{id}, step.note, step.value);
     bool slow = false;
     if (send.order.paged && send.query.has_rows()) {
-      const ResultStore::Put put = core_->page(now, id, send.query.take_rows());
-      if (put == ResultStore::Put::kOutgrown) {
+      const ResultStore::AppendResult put =
+          core_->append_page(time_point_of(now), AttemptId{id}, send.query.take_rows());
+      if (put == ResultStore::AppendResult::kOutOfSpace) {
         // The query ends here; the core has told its clients, and the module withdraws a send that is no
         // more.
         send.on = nullptr;
@@ -286,7 +290,7 @@
         end(id, Outcome::kCancelled);
         return keeps ? rest(link, now) : drop(link, not_kept);
       }
-      slow = put == ResultStore::Put::kSlow;
+      slow = put == ResultStore::AppendResult::kStoredSlowDown;
     }
     if (step.next == proto::Query::Next::kAsk && slow) {
       send.spoilt_since = 0;
@@ -343,7 +347,9 @@
   refused ? ask_past_refusal(id, now) : ask_again(id, now);
 }
 
-void EngineConnections::withdraw(Ms now, uint64_t id, Outcome as) {
+void EngineConnections::cancel_attempt(TimePoint at_time, AttemptId attempt, Outcome as) {
+  const Ms now = to_ms(at_time);
+  const uint64_t id = to_number(attempt);
   const auto at = sends_.find(id);
   if (at == sends_.end() || (at->second.ends_at > 0 && as == Outcome::kCancelled)) return;
   Send& send = at->second;
@@ -376,7 +382,9 @@
   ask(id, now);
 }
 
-void EngineConnections::rank(Ms now, uint64_t id, int priority) {
+void EngineConnections::set_priority(TimePoint at_time, AttemptId attempt, int priority) {
+  const Ms now = to_ms(at_time);
+  const uint64_t id = to_number(attempt);
   const auto at = sends_.find(id);
   if (at == sends_.end()) return;
   at->second.order.priority = priority;
@@ -456,7 +464,8 @@
 void EngineConnections::due(Ms now) {
   if (look_at_ > 0 && now >= look_at_) look(now);
   telling_.swap(endings_);
-  for (Ending& e : telling_) core_->ended(now, e.send, e.outcome, std::move(e.rows));
+  for (Ending& e : telling_)
+    core_->attempt_finished(time_point_of(now), AttemptId{e.send}, e.outcome, std::move(e.rows));
   telling_.clear();
 }
 
--- a/src/net/engine_connections.h
+++ b/src/net/engine_connections.h
@@ -25,10 +25,10 @@
 
   void serve(Core& core) { core_ = &core; }
   void observe(ConnectionObserver observer) { observer_ = std::move(observer); }
-  void start(Ms now, const AttemptRequest& order) override;
-  void withdraw(Ms now, uint64_t send, Outcome as) override;
-  void rank(Ms now, uint64_t send, int priority) override;
-  void list(Ms now, uint32_t engine, std::string_view address, EngineState life) override;
+  void start_attempt(TimePoint now, const AttemptRequest& request) override;
+  void cancel_attempt(TimePoint now, AttemptId attempt, Outcome outcome) override;
+  void set_priority(TimePoint now, AttemptId attempt, int priority) override;
+  void update_engine(TimePoint now, uint32_t engine, std::string_view address, EngineState state) override;
 
   void due(Ms now);  // ends what has run out of time, and tells the core of what has ended
   Ms next_due() const { return endings_.empty() ? look_at_ : 1; }  // 0: nothing is due; 1: at once
--- a/src/results/paged_result_store.cpp
+++ b/src/results/paged_result_store.cpp
@@ -36,8 +36,8 @@
 
 // What a repeat must match: the chain's first id, and all of the command.
 uint64_t PagedResultStore::chain_hash(const Reservation& w) const {
-  std::string all(w.chain);
-  for (const std::string_view part : {w.profile, w.key, w.statement}) all.append("\n").append(part);
+  std::string all(w.retry_chain);
+  for (const std::string_view part : {w.profile, w.result_key, w.statement}) all.append("\n").append(part);
   return hash(all) | 1;
 }
 
@@ -76,54 +76,59 @@
   drop_segments();
 }
 
-ResultNo PagedResultStore::reserve(Ms now, const Reservation& w) {
+std::optional<ResultHandle> PagedResultStore::reserve(TimePoint now_at, const Reservation& w) {
+  const Ms now = to_ms(now_at);
   now_ = now;
   const std::string profile(w.profile);
-  const ResultNo no = keeping_.reserve(now, std::string(w.owner), sizes_.expected(profile, w.tables));
+  const ResultNo no = keeping_.reserve(now, std::string(w.owner), sizes_.expected(profile, w.table_group));
   if (no == 0) {
     count_("places not had");
-    return 0;
+    return std::nullopt;
   }
   Result& r = results_[no];
   r.owner = w.owner;
   r.profile = profile;
-  r.tables = w.tables;
-  r.key = key_hash(w.key);
+  r.tables = w.table_group;
+  r.key = key_hash(w.result_key);
   r.chain = chain_hash(w);
   return no;
 }
 
-ResultNo PagedResultStore::find(Ms now, const Reservation& w) {
+std::optional<ResultHandle> PagedResultStore::find(TimePoint now_at, const Reservation& w) {
+  const Ms now = to_ms(now_at);
   now_ = now;
   const auto [begin, end] = chains_.equal_range(chain_hash(w));
   for (auto at = begin; at != end; ++at) {
     const Result& r = results_.at(at->second);
-    if (!r.whole || r.key != key_hash(w.key) || !keeping_.read(now, at->second)) continue;
+    if (!r.whole || r.key != key_hash(w.result_key) || !keeping_.read(now, at->second)) continue;
     count_("results found by a repeat");
     return at->second;
   }
-  return 0;
+  return std::nullopt;
 }
 
-ResultStore::Put PagedResultStore::page(Ms now, ResultHandle no, std::string_view rows) {
+ResultStore::AppendResult PagedResultStore::append_page(TimePoint now_at, ResultHandle no,
+                                                        std::string_view rows) {
+  const Ms now = to_ms(now_at);
   now_ = now;
   const auto at = results_.find(no);
-  if (at == results_.end() || at->second.whole) return Put::kOutgrown;
+  if (at == results_.end() || at->second.whole) return AppendResult::kOutOfSpace;
   if (at->second.raw + static_cast<double>(rows.size()) > options_.keeping.result_most) {
     keeping_.forget(no, Gone::kOutgrown);
-    return Put::kOutgrown;
+    return AppendResult::kOutOfSpace;
   }
   Page p;
   p.stored = pack(rows);
   p.size = static_cast<double>(p.stored.bytes.size()) + kPageOverhead;
-  if (!keeping_.grow(now, no, p.size)) return Put::kOutgrown;
+  if (!keeping_.grow(now, no, p.size)) return AppendResult::kOutOfSpace;
   Result& r = at->second;
   r.rows += static_cast<uint64_t>(std::count(rows.begin(), rows.end(), '\n'));
   r.raw += static_cast<double>(rows.size());
   r.pages.push_back(std::move(p));
   write(now, no, r.pages.size() - 1);
-  return storage_ && static_cast<double>(storage_->backlog()) > options_.backlog_most ? Put::kSlow
-                                                                                      : Put::kTaken;
+  return storage_ && static_cast<double>(storage_->backlog()) > options_.backlog_most
+             ? AppendResult::kStoredSlowDown
+             : AppendResult::kStored;
 }
 
 void PagedResultStore::write(Ms now, ResultNo no, size_t page) {
@@ -152,7 +157,8 @@
   }
 }
 
-void PagedResultStore::clear(Ms now, ResultHandle no) {
+void PagedResultStore::clear_pages(TimePoint now_at, ResultHandle no) {
+  const Ms now = to_ms(now_at);
   now_ = now;
   const auto at = results_.find(no);
   if (at == results_.end() || at->second.whole) return;
@@ -164,12 +170,14 @@
   keeping_.clear(no);
 }
 
-void PagedResultStore::drop(Ms now, ResultHandle no) {
+void PagedResultStore::discard(TimePoint now_at, ResultHandle no) {
+  const Ms now = to_ms(now_at);
   now_ = now;
   keeping_.forget(no, Gone::kGivenUp);
 }
 
-void PagedResultStore::whole(Ms now, ResultHandle no) {
+void PagedResultStore::complete(TimePoint now_at, ResultHandle no) {
+  const Ms now = to_ms(now_at);
   now_ = now;
   const auto at = results_.find(no);
   if (at == results_.end()) return;
@@ -208,7 +216,7 @@
   storage_->append(0, std::move(record));
 }
 
-PagedAnswer PagedResultStore::answer(ResultHandle no) const {
+PagedAnswer PagedResultStore::answer_of(ResultHandle no) const {
   const auto at = results_.find(no);
   if (at == results_.end()) return {};
   return {hex_of(at->second.token), at->second.pages.size(), at->second.rows};
@@ -226,12 +234,14 @@
   return 0;
 }
 
-void PagedResultStore::read(Ms now, std::string_view token, std::string_view key, uint64_t page, Rows done) {
+void PagedResultStore::read_page(TimePoint now_at, std::string_view token, std::string_view key,
+                                 uint64_t page, ReadCallback done) {
+  const Ms now = to_ms(now_at);
   now_ = now;
   const ResultNo no = by_token(token, key);
-  if (no == 0 || !keeping_.read(now, no)) return done(now, Read::kGone, {}, 0);
+  if (no == 0 || !keeping_.read(now, no)) return done(now_at, ReadStatus::kGone, {}, 0);
   Result& r = results_.at(no);
-  if (page < 1 || page > r.pages.size()) return done(now, Read::kNoSuchPage, {}, r.pages.size());
+  if (page < 1 || page > r.pages.size()) return done(now_at, ReadStatus::kNoSuchPage, {}, r.pages.size());
   // The storage is told of a lease that goes on, before half of what it knows is over.
   if (r.told_until > 0 && r.told_until < now + options_.keeping.lease / 2) tell_whole(now, no);
   const Page& p = r.pages[page - 1];
@@ -243,12 +253,13 @@
   if (!rows) {
     count_("pages broken");
     keeping_.forget(no, Gone::kEvicted);
-    return done(now, Read::kGone, {}, 0);
+    return done(now_at, ReadStatus::kGone, {}, 0);
   }
-  done(now, Read::kRows, *rows, r.pages.size());
+  done(now_at, ReadStatus::kRows, *rows, r.pages.size());
 }
 
-bool PagedResultStore::release(Ms now, std::string_view token, std::string_view key) {
+bool PagedResultStore::release(TimePoint now_at, std::string_view token, std::string_view key) {
+  const Ms now = to_ms(now_at);
   now_ = now;
   const ResultNo no = by_token(token, key);
   if (no == 0) return false;
@@ -328,7 +339,7 @@
           rows = unpack(page);
         }
         if (rows) {
-          reading.done(now, Read::kRows, *rows, at->second.pages.size());
+          reading.done(time_point_of(now), ReadStatus::kRows, *rows, at->second.pages.size());
           continue;
         }
         // A page that is broken is never served, and so the rest is of no use either.
@@ -336,7 +347,7 @@
           count_("pages broken");
           keeping_.forget(reading.no, Gone::kEvicted);
         }
-        reading.done(now, Read::kGone, {}, 0);
+        reading.done(time_point_of(now), ReadStatus::kGone, {}, 0);
       }
     }
     drop_segments();
--- a/src/results/paged_result_store.h
+++ b/src/results/paged_result_store.h
@@ -34,15 +34,16 @@
   void use(Ms now, Storage& storage, const std::vector<Found>& found, Ms lease_offset = 0);
   std::function<void(Ms now)> on_room;  // a place may be had again
 
-  ResultHandle reserve(Ms now, const Reservation& wish) override;
-  ResultHandle find(Ms now, const Reservation& wish) override;
-  Put page(Ms now, ResultHandle no, std::string_view rows) override;
-  void clear(Ms now, ResultHandle no) override;
-  void drop(Ms now, ResultHandle no) override;
-  void whole(Ms now, ResultHandle no) override;
-  PagedAnswer answer(ResultHandle no) const override;
-  void read(Ms now, std::string_view token, std::string_view key, uint64_t page, Rows done) override;
-  bool release(Ms now, std::string_view token, std::string_view key) override;
+  std::optional<ResultHandle> reserve(TimePoint now, const Reservation& wish) override;
+  std::optional<ResultHandle> find(TimePoint now, const Reservation& wish) override;
+  AppendResult append_page(TimePoint now, ResultHandle no, std::string_view rows) override;
+  void clear_pages(TimePoint now, ResultHandle no) override;
+  void discard(TimePoint now, ResultHandle no) override;
+  void complete(TimePoint now, ResultHandle no) override;
+  PagedAnswer answer_of(ResultHandle no) const override;
+  void read_page(TimePoint now, std::string_view token, std::string_view key, uint64_t page,
+                 ReadCallback done) override;
+  bool release(TimePoint now, std::string_view token, std::string_view key) override;
 
   void due(Ms now);  // what the storage has done, and leases that are over
   Ms next_due() const { return room_ ? 1 : keeping_.next_due(); }
@@ -77,7 +78,7 @@
   struct Reading {
     ResultNo no = 0;
     size_t page = 0;
-    Rows done;
+    ReadCallback done;
   };
 
   uint64_t key_hash(std::string_view key) const;
--- a/tests/results/paged_result_store_model_test.cpp
+++ b/tests/results/paged_result_store_model_test.cpp
@@ -78,28 +78,32 @@
       case 2: {  // a result, some of it begun anew
         Kept kept;
         kept.key = which % 3 == 0 ? "k" : "";
-        const ResultHandle no = spool->reserve(
-            now, {which % 2 ? "a" : "b", kept.key, "report", "select 1", "00000000000000a1", 1});
+        const ResultHandle no = spool
+                                    ->reserve(time_point_of(now), {which % 2 ? "a" : "b", kept.key, "report",
+                                                                   "select 1", "00000000000000a1", 1})
+                                    .value_or(0);
         if (no == 0) break;
         bool lost = false;
         if (how % 5 == 0) {
-          lost = spool->page(now, no, "of a send that failed\tb\tc\n") == ResultStore::Put::kOutgrown;
-          if (!lost) spool->clear(now, no);
+          lost = spool->append_page(time_point_of(now), no, "of a send that failed\tb\tc\n") ==
+                 ResultStore::AppendResult::kOutOfSpace;
+          if (!lost) spool->clear_pages(time_point_of(now), no);
         }
         for (int p = 0; p < 1 + which % 4 && !lost; ++p) {
           kept.pages.push_back(std::to_string(++number) + std::string(how % 300, 'x') + "\tb\tc\n");
-          lost = spool->page(now, no, kept.pages.back()) == ResultStore::Put::kOutgrown;
+          lost = spool->append_page(time_point_of(now), no, kept.pages.back()) ==
+                 ResultStore::AppendResult::kOutOfSpace;
           if (how % 2) spool->due(now);
         }
         if (lost) break;
         if (how % 11 == 0) {
-          spool->drop(now, no);
+          spool->discard(time_point_of(now), no);
           break;
         }
-        spool->whole(now, no);
+        spool->complete(time_point_of(now), no);
         kept.whole_at = kept.read_at = now;
         kept.written = disk.segment.size();
-        const PagedAnswer a = spool->answer(no);
+        const PagedAnswer a = spool->answer_of(no);
         RC_ASSERT(a.pages == kept.pages.size());
         RC_ASSERT(a.rows == kept.pages.size());
         RC_ASSERT(model.emplace(a.token, kept).second);
@@ -112,13 +116,13 @@
         Kept& kept = at->second;
         const size_t page = how % kept.pages.size();
         bool heard = false, found = false;
-        spool->read(now, at->first, kept.key, page + 1,
-                    [&](Ms, ResultStore::Read r, std::string_view rows, uint64_t pages) {
-                      heard = true;
-                      found = r == ResultStore::Read::kRows;
-                      if (found) RC_ASSERT(rows == kept.pages[page]);
-                      if (found) RC_ASSERT(pages == kept.pages.size());
-                    });
+        spool->read_page(time_point_of(now), at->first, kept.key, page + 1,
+                         [&](TimePoint, ResultStore::ReadStatus r, std::string_view rows, uint64_t pages) {
+                           heard = true;
+                           found = r == ResultStore::ReadStatus::kRows;
+                           if (found) RC_ASSERT(rows == kept.pages[page]);
+                           if (found) RC_ASSERT(pages == kept.pages.size());
+                         });
         spool->due(now);
         RC_ASSERT(heard);
         const bool over = now > kept.read_at + options.keeping.lease - 40;
@@ -130,13 +134,13 @@
       case 5: {
         if (model.empty()) break;
         const auto at = pick(which);
-        if (!at->second.key.empty()) RC_ASSERT(!spool->release(now, at->first, "another"));
-        spool->release(now, at->first, at->second.key);
+        if (!at->second.key.empty()) RC_ASSERT(!spool->release(time_point_of(now), at->first, "another"));
+        spool->release(time_point_of(now), at->first, at->second.key);
         bool gone = false;
-        spool->read(now, at->first, at->second.key, 1,
-                    [&](Ms, ResultStore::Read r, std::string_view, uint64_t) {
-                      gone = r == ResultStore::Read::kGone;
-                    });
+        spool->read_page(time_point_of(now), at->first, at->second.key, 1,
+                         [&](TimePoint, ResultStore::ReadStatus r, std::string_view, uint64_t) {
+                           gone = r == ResultStore::ReadStatus::kGone;
+                         });
         RC_ASSERT(gone);
         model.erase(at);
         break;
--- a/tests/results/paged_result_store_test.cpp
+++ b/tests/results/paged_result_store_test.cpp
@@ -169,20 +169,22 @@
     return text + "\tb\tc\n";
   }
   ResultHandle put(const std::vector<std::string>& pages, const char* owner = "x", const char* key = "") {
-    const ResultHandle no = spool->reserve(now, wish(owner, key));
+    const ResultHandle no = spool->reserve(time_point_of(now), wish(owner, key)).value_or(0);
     EXPECT_NE(no, 0u);
-    for (const std::string& p : pages) EXPECT_EQ(spool->page(now, no, p), ResultStore::Put::kTaken);
-    spool->whole(now, no);
+    for (const std::string& p : pages)
+      EXPECT_EQ(spool->append_page(time_point_of(now), no, p), ResultStore::AppendResult::kStored);
+    spool->complete(time_point_of(now), no);
     spool->due(now);
     return no;
   }
   std::string read(const std::string& token, uint64_t page, const char* key = "") {
     std::string got = "never";
-    spool->read(now, token, key, page, [&](Ms, ResultStore::Read what, std::string_view rows, uint64_t) {
-      got = what == ResultStore::Read::kRows   ? std::string(rows)
-            : what == ResultStore::Read::kGone ? "gone"
-                                               : "no such page";
-    });
+    spool->read_page(time_point_of(now), token, key, page,
+                     [&](TimePoint, ResultStore::ReadStatus what, std::string_view rows, uint64_t) {
+                       got = what == ResultStore::ReadStatus::kRows   ? std::string(rows)
+                             : what == ResultStore::ReadStatus::kGone ? "gone"
+                                                                      : "no such page";
+                     });
     spool->due(now);
     return got;
   }
@@ -190,7 +192,7 @@
 
 TEST_F(SpoolTest, PagesComeBackByTokenAndNumber) {
   open(false);
-  const PagedAnswer a = spool->answer(put({"a\tb\tc\n", "d\te\tf\ng\th\ti\n"}));
+  const PagedAnswer a = spool->answer_of(put({"a\tb\tc\n", "d\te\tf\ng\th\ti\n"}));
   EXPECT_EQ(a.pages, 2u);
   EXPECT_EQ(a.rows, 3u);
   EXPECT_EQ(read(a.token, 1), "a\tb\tc\n");
@@ -203,25 +205,25 @@
 
 TEST_F(SpoolTest, ATokenIsUselessUnderAnotherKey) {
   open(false);
-  const PagedAnswer a = spool->answer(put({"a\tb\tc\n"}, "x", "mine"));
+  const PagedAnswer a = spool->answer_of(put({"a\tb\tc\n"}, "x", "mine"));
   EXPECT_EQ(read(a.token, 1, "yours"), "gone");
   EXPECT_EQ(read(a.token, 1), "gone");
-  EXPECT_FALSE(spool->release(now, a.token, "yours"));
+  EXPECT_FALSE(spool->release(time_point_of(now), a.token, "yours"));
   EXPECT_EQ(read(a.token, 1, "mine"), "a\tb\tc\n");
 }
 
 TEST_F(SpoolTest, ReleasedByOneItIsGoneForTheOther) {
   open(false);
-  const PagedAnswer a = spool->answer(put({"a\tb\tc\n", "a\tb\tc\n"}));
+  const PagedAnswer a = spool->answer_of(put({"a\tb\tc\n", "a\tb\tc\n"}));
   EXPECT_EQ(read(a.token, 1), "a\tb\tc\n");
-  EXPECT_TRUE(spool->release(now, a.token, ""));
+  EXPECT_TRUE(spool->release(time_point_of(now), a.token, ""));
   EXPECT_EQ(read(a.token, 2), "gone");
-  EXPECT_FALSE(spool->release(now, a.token, ""));
+  EXPECT_FALSE(spool->release(time_point_of(now), a.token, ""));
 }
 
 TEST_F(SpoolTest, ASecondBehindItsLeaseItIsGone) {
   open(false);
-  const PagedAnswer a = spool->answer(put({"a\tb\tc\n"}));
+  const PagedAnswer a = spool->answer_of(put({"a\tb\tc\n"}));
   now += 9000;
   EXPECT_NE(read(a.token, 1), "gone");
   now += 11000;
@@ -232,20 +234,20 @@
 TEST_F(SpoolTest, OnlyTheSameCommandsRepeatFindsAResult) {
   open(false);
   const ResultHandle no = put({"a\tb\tc\n"}, "x", "mine");
-  EXPECT_EQ(spool->find(now, wish("x", "mine")), no);
-  EXPECT_EQ(spool->find(now, wish("x", "yours")), 0u);
+  EXPECT_EQ(spool->find(time_point_of(now), wish("x", "mine")), no);
+  EXPECT_EQ(spool->find(time_point_of(now), wish("x", "yours")), std::nullopt);
   ResultStore::Reservation other = wish("x", "mine");
   other.statement = "select 2";
-  EXPECT_EQ(spool->find(now, other), 0u);
+  EXPECT_EQ(spool->find(time_point_of(now), other), std::nullopt);
   other = wish("x", "mine");
-  other.chain = "00000000000000a2";
-  EXPECT_EQ(spool->find(now, other), 0u);
+  other.retry_chain = "00000000000000a2";
+  EXPECT_EQ(spool->find(time_point_of(now), other), std::nullopt);
 }
 
 TEST_F(SpoolTest, WhatLeavesMemoryIsReadFromDisk) {
   open(true);
   std::vector<PagedAnswer> all;
-  for (unsigned i = 0; i < 10; ++i) all.push_back(spool->answer(put({noise(4000, i)})));
+  for (unsigned i = 0; i < 10; ++i) all.push_back(spool->answer_of(put({noise(4000, i)})));
   EXPECT_GT(counts["results moved to disk alone"], 0);
   EXPECT_EQ(counts["results evicted"], 0);
   for (unsigned i = 0; i < 10; ++i) EXPECT_EQ(read(all[i].token, 1), noise(4000, i)) << i;
@@ -254,7 +256,7 @@
 TEST_F(SpoolTest, ABrokenPageIsNeverServed) {
   open(true);
   std::vector<PagedAnswer> all;
-  for (unsigned i = 0; i < 10; ++i) all.push_back(spool->answer(put({noise(4000, i)})));
+  for (unsigned i = 0; i < 10; ++i) all.push_back(spool->answer_of(put({noise(4000, i)})));
   storage.spoil = true;
   EXPECT_EQ(read(all[0].token, 1), "gone");
   storage.spoil = false;
@@ -265,7 +267,7 @@
 TEST_F(SpoolTest, WithAFullDiskWhatIsThereStaysInMemory) {
   open(true);
   storage.full = true;
-  const PagedAnswer a = spool->answer(put({"a\tb\tc\n"}));
+  const PagedAnswer a = spool->answer_of(put({"a\tb\tc\n"}));
   EXPECT_EQ(counts["pages not written"], 1);
   EXPECT_EQ(read(a.token, 1), "a\tb\tc\n");
   EXPECT_EQ(spool->keeping().disk(), 0);
@@ -273,26 +275,26 @@
 
 TEST_F(SpoolTest, WhatBeginsAnewHoldsNothingOfBefore) {
   open(true);
-  const ResultHandle no = spool->reserve(now, wish());
-  spool->page(now, no, "old\tb\tc\n");
-  spool->clear(now, no);
+  const ResultHandle no = spool->reserve(time_point_of(now), wish()).value_or(0);
+  spool->append_page(time_point_of(now), no, "old\tb\tc\n");
+  spool->clear_pages(time_point_of(now), no);
   spool->due(now);  // the disk's word on the old page comes late
-  spool->page(now, no, "new\tb\tc\n");
-  spool->whole(now, no);
+  spool->append_page(time_point_of(now), no, "new\tb\tc\n");
+  spool->complete(time_point_of(now), no);
   spool->due(now);
-  const PagedAnswer a = spool->answer(no);
+  const PagedAnswer a = spool->answer_of(no);
   EXPECT_EQ(a.pages, 1u);
   EXPECT_EQ(read(a.token, 1), "new\tb\tc\n");
 }
 
 TEST_F(SpoolTest, ALeaseThatGoesOnIsToldToTheStorageAndAReleaseToo) {
   open(true);
-  const PagedAnswer a = spool->answer(put({"a\tb\tc\n"}));
+  const PagedAnswer a = spool->answer_of(put({"a\tb\tc\n"}));
   EXPECT_EQ(storage.whole, 1);
   now += 6000;
   read(a.token, 1);
   EXPECT_EQ(storage.whole, 2);
-  spool->release(now, a.token, "");
+  spool->release(time_point_of(now), a.token, "");
   EXPECT_EQ(storage.gone, 1);
 }
 
@@ -319,9 +321,10 @@
     spool.use(now, files, files.found);
     for (const std::string& token : read_back) {
       std::string got = "never";
-      spool.read(now, token, "", 1, [&](Ms, ResultStore::Read what, std::string_view rows, uint64_t) {
-        got = what == ResultStore::Read::kRows ? rows : "gone";
-      });
+      spool.read_page(time_point_of(now), token, "", 1,
+                      [&](TimePoint, ResultStore::ReadStatus what, std::string_view rows, uint64_t) {
+                        got = what == ResultStore::ReadStatus::kRows ? rows : "gone";
+                      });
       for (int i = 0; i < 10000 && got == "never"; ++i) spool.due(now), std::this_thread::yield();
       for (int i = 0; i < 2000 && got == "never"; ++i) {
         spool.due(now);
@@ -330,10 +333,12 @@
       answers.push_back(got);
     }
     for (int i = 0; i < results; ++i) {
-      const ResultHandle no = spool.reserve(now, {"x", "", "report", "select 1", "00000000000000a1", 1});
-      spool.page(now, no, "page\t" + std::to_string(i) + "\tc\n");
-      spool.whole(now, no);
-      tokens.push_back(spool.answer(no).token);
+      const ResultHandle no =
+          spool.reserve(time_point_of(now), {"x", "", "report", "select 1", "00000000000000a1", 1})
+              .value_or(0);
+      spool.append_page(time_point_of(now), no, "page\t" + std::to_string(i) + "\tc\n");
+      spool.complete(time_point_of(now), no);
+      tokens.push_back(spool.answer_of(no).token);
     }
     return tokens;
   }
@@ -360,9 +365,11 @@
       SegmentFiles files({of_step, 4000, std::move(boot)}, wall, [] {});
       PagedResultStore spool(options, static_cast<uint64_t>(wall), [](std::string_view) {});
       spool.use(wall, files, files.found, files.lease_offset());
-      const ResultHandle no = spool.reserve(wall, {"x", "", "report", "select 1", "00000000000000a1", 1});
-      spool.page(wall, no, "page\tb\tc\n");
-      spool.whole(wall, no);
+      const ResultHandle no =
+          spool.reserve(time_point_of(wall), {"x", "", "report", "select 1", "00000000000000a1", 1})
+              .value_or(0);
+      spool.append_page(time_point_of(wall), no, "page\tb\tc\n");
+      spool.complete(time_point_of(wall), no);
       return files.found.size();
     };
     const Ms lease = options.keeping.lease;
@@ -428,9 +435,11 @@
   PagedResultStore spool(options, 9, [](std::string_view) {});
   spool.use(1000, files, {});
   for (int i = 0; i < 200; ++i) {
-    const ResultHandle no = spool.reserve(1000, {"x", "", "report", "select 1", "00000000000000a1", 1});
-    spool.page(1000, no, "page\tb\tc\n");
-    spool.whole(1000, no);
+    const ResultHandle no =
+        spool.reserve(time_point_of(1000), {"x", "", "report", "select 1", "00000000000000a1", 1})
+            .value_or(0);
+    spool.append_page(time_point_of(1000), no, "page\tb\tc\n");
+    spool.complete(time_point_of(1000), no);
   }
   const auto count = [&] {
     return std::distance(std::filesystem::directory_iterator(folder), std::filesystem::directory_iterator());
