--- a/src/core/command_event.cpp
+++ b/src/core/command_event.cpp
@@ -3,9 +3,9 @@
 namespace firvalve {
 
 std::string_view name_of(CommandEvent::Kind kind) {
-  static constexpr std::string_view kNames[] = {"admitted",      "attempt started", "attempt cancelled",
-                                                "attempt ended", "answered",        "shed",
-                                                "failed",        "client gone"};
+  static constexpr std::string_view kNames[] = {"command.admitted", "attempt.started",    "attempt.cancelled",
+                                                "attempt.finished", "command.answered",   "command.shed",
+                                                "command.failed",   "command.client_gone"};
   return kNames[static_cast<size_t>(kind)];
 }
 
--- a/src/core/command_event.h
+++ b/src/core/command_event.h
@@ -24,7 +24,7 @@
     kClientGone
   };
   Kind kind = Kind::kAdmitted;
-  std::string_view command, profile;
+  std::string_view command = {}, profile = {};
   std::string_view engine = {};           // of an attempt, by its listed name
   int attempts = 0;                       // started so far; the last of them is the one meant
   Reason reason = Reason::kNone;          // of kAttemptCancelled, kShed, kFailed
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -3,35 +3,30 @@
 // in with every call. One thread: the reactor's.
 #pragma once
 
-#include <array>
 #include <cstdint>
 #include <functional>
 #include <map>
 #include <optional>
-#include <set>
 #include <string>
 #include <string_view>
 #include <vector>
 
 #include "base/time.h"
+#include "core/admission_limits.h"
 #include "core/command_event.h"
 #include "core/command_request.h"
+#include "core/engine_directory.h"
 #include "core/engine_transport.h"
 #include "core/ids.h"
 #include "core/metrics.h"
+#include "core/paged_results.h"
+#include "core/pending_commands.h"
 #include "core/response_sink.h"
 #include "core/result_store.h"
 #include "policy/rules.h"
 
 namespace firvalve {
 
-// Estimates of clients are rough. One above this many times what the largest engine can do within the longest
-// client timeout is rejected.
-constexpr double kEstimateTolerance = 10;
-// The limit where the settings do not say what engines and timeouts there are.
-constexpr Duration kUnboundedTime{1e12};
-constexpr double kUnboundedMemoryMb = 1e12;
-
 // The sooner of two moments, where 0 is none. For callers that do not use optional time points yet.
 inline Ms sooner(Ms a, Ms b) { return a == 0 || (b > 0 && b < a) ? b : a; }
 
@@ -44,9 +39,6 @@
   kResultFound,  // a retry whose result is stored: Core::found_result(), nothing runs
 };
 
-// The longest client timeout of any profile. Nothing: the settings name none.
-std::optional<Duration> longest_client_timeout(const Settings& settings);
-
 struct NamedEngineInfo {
   std::string name, address;
   EngineInfo info;
@@ -65,10 +57,10 @@
        Metrics& metrics, PolicyLogSink log);
 
   // Bytes of the statements of all commands in hand; commands beyond them are not admitted.
-  void set_max_statement_bytes(size_t bytes) { max_statement_bytes_ = bytes; }
+  void set_max_statement_bytes(size_t bytes) { commands_.set_max_statement_bytes(bytes); }
   void set_observer(CommandObserver observer) { observer_ = std::move(observer); }
   // Without a store no result is paged. It must outlive the core.
-  void set_result_store(ResultStore& store) { result_store_ = &store; }
+  void set_result_store(ResultStore& store) { results_.set_store(store); }
 
   // ---- Clients
   AdmissionResult admit(TimePoint now, CallId call, CommandRequest&& request);
@@ -104,93 +96,57 @@
   void decide(TimePoint now);
   std::optional<TimePoint> next_due() const;  // decide() must be called then at the latest
   // Commands in hand, with those answered that still have an attempt out.
-  size_t active_command_count() const { return pending_.size() - finished_.size(); }
-  size_t unanswered_call_count() const { return calls_.size(); }
+  size_t active_command_count() const { return commands_.command_count(); }
+  size_t unanswered_call_count() const { return commands_.call_count(); }
 
  private:
-  using Id = std::array<char, 16>;
-  // A command from its admission until it has its answer, no attempt of it is out, and the policy has decided
-  // since. Until then its id is a duplicate: a client that sends the same id again at once would make the
-  // policy take the one command for the other and count an attempt as out for good.
-  struct PendingCommand {
-    std::optional<CallId> call;          // none: no client waits for it any more
-    std::vector<CallId> joined_retries;  // further calls that wait for it: retries of the same command
-    Id retry_chain{};                    // the first id of its retry chain: its own, or that of the first
-    std::string statement;
-    int profile = 0, attempts = 0;
-    std::optional<int> priority;         // as the policy last set it
-    uint32_t engine = 0;                 // of the last attempt
-    std::optional<AttemptId> attempt;    // out now
-    TimePoint deadline{}, started_at{};  // the client's; the last attempt's start
-    bool past_deadline = false;          // the attempt out was cancelled for its deadline
-    bool half_closed = false;            // all clients that wait for it are
-    // Of a paged one: its reserved result (none: it waits for a reservation) and what to reserve it with.
-    bool paged = false;
-    std::optional<ResultHandle> result;
-    std::string owner, result_key;
-    int64_t table_group = -1;
-  };
-  using PendingMap = std::map<Id, PendingCommand>;
-
+  // ---- Admission
+  bool join_pending(TimePoint now, CallId call, const CommandRequest& request, int profile);
+  void tell_policy_admitted(TimePoint now, const PendingCommand& command, const CommandRequest& request);
+  // ---- The end of a command
+  void answer(TimePoint now, PendingCommand& command, std::string_view rows);
+  void end_unserved(TimePoint now, PendingCommand& command, const Action& action);
+  void fail_out_of_space(TimePoint now, PendingCommand& command);
+  void finish(PendingCommand& command);
+  void update_half_closed(TimePoint now, PendingCommand& command);
+  // ---- Decisions
   void handle_event(TimePoint now, const Event& event);
   void cancel_past_deadline(TimePoint now);
   void fire_timers(TimePoint now);
   void carry_out(TimePoint now, const Action& action);
-  void notify_observer(TimePoint now, CommandEvent::Kind kind, const Id& id, const PendingCommand& command,
-                       Reason reason = Reason::kNone, Outcome outcome = Outcome::kOk,
-                       std::optional<Duration> duration = std::nullopt) const;
-  std::string_view engine_name(uint32_t engine) const;  // empty: it is no longer listed
+  void start_attempt(TimePoint now, PendingCommand& command, uint32_t engine);
+  void cancel_attempt(TimePoint now, PendingCommand& command, const Action& action);
+  void set_priority(TimePoint now, PendingCommand& command, int priority);
+
   const std::string& profile_name(const PendingCommand& command) const;
-  void release(PendingMap::iterator at);
-  void finish(PendingMap::iterator at);  // answered: it stays for as long as an attempt is out
-  bool try_reserve_result(TimePoint now, PendingCommand& command);
-  ResultStore::Reservation reservation_of(const PendingCommand& command) const;
-  void fail_command(TimePoint now, PendingMap::iterator at, std::string_view reason);
-  void update_half_closed(TimePoint now, const Id& id);
-  bool join_pending(TimePoint now, CallId call, const CommandRequest& request, int profile);
-  template <class Respond>
-  void for_each_call(const PendingCommand& command, Respond&& respond) const {
-    if (command.call) respond(*command.call);
-    for (const CallId call : command.joined_retries) respond(call);
-  }
-  uint32_t number_of(const std::string& name);
-  void forget_number(const std::string& name);
+  // What happened to a command. The other fields of the event are the command's.
+  void notify_observer(TimePoint now, const PendingCommand& command, CommandEvent event) const;
 
+  // The policy.
   State state_;
-  std::vector<std::string> profiles_;
+  Actions actions_;
+  std::map<TimePoint, uint64_t> timers_;  // with the policy's reference of each
+  bool has_new_events_ = true;            // since the last decisions; the policy is asked once at start
+  TimePoint decided_at_{};                // the last decisions; the clock's start: there were none yet
+  TimePoint last_event_at_{};
+  const Duration tick_;
+  // What the settings say.
+  const std::vector<std::string> profiles_;
+  const AdmissionLimits limits_;
+  const bool may_cancel_;
+  // What is in hand.
+  PendingCommands commands_;
+  PagedResults results_;
+  EngineDirectory directory_;
+  std::optional<ResultHandle> found_result_;
+  std::optional<TimePoint> shutdown_ends_at_;
+  std::optional<TimePoint> deadline_check_at_;  // no attempt out reaches its deadline before; none is out
+  // What surrounds it.
   ResponseSink& responses_;
   EngineTransport& engines_;
   Metrics& metrics_;
   PolicyLogSink log_;
   CommandObserver observer_;
-  PendingMap pending_;
-  struct Call {
-    Id id{};
-    bool half_closed = false;
-  };
-  std::map<CallId, Call> calls_;
-  std::map<Id, Id> retry_chains_;  // of retries, while a client waits: by the first id, the one in hand
-  std::map<AttemptId, Id> attempts_;
-  ResultStore* result_store_ = nullptr;
-  std::optional<ResultHandle> found_result_;
-  std::vector<Id> awaiting_reservation_;  // paged ones without a reservation, in the order admitted
-  std::vector<Id> finished_;              // erased after the next decisions
-  std::map<std::string, uint32_t> numbers_;
-  std::set<uint32_t> numbers_in_use_;       // of numbers_
-  std::map<uint32_t, std::string> listed_;  // names by number, of engines not gone
-  std::map<TimePoint, uint64_t> timers_;    // the policy's, with its reference
-  Actions actions_;
-  AttemptId last_attempt_{};
-  const Duration tick_;
-  const bool may_cancel_;
-  Duration max_timeout_ = kUnboundedTime, max_estimate_ = kUnboundedTime;
-  double max_memory_mb_ = kUnboundedMemoryMb;
-  size_t max_statement_bytes_ = SIZE_MAX, statement_bytes_ = 0;
-  TimePoint now_{};                             // of the last event
-  TimePoint decided_at_{};                      // the clock's start until the first decisions
-  std::optional<TimePoint> ends_at_;            // this gateway's own end, once it is known
-  std::optional<TimePoint> deadline_check_at_;  // no attempt out reaches its deadline before; none is out
-  bool has_new_events_ = true;                  // the policy is asked once at start
 };
 
 }  // namespace firvalve
--- /dev/null
+++ b/src/core/engine_directory.cpp
@@ -0,0 +1,45 @@
+#include "core/engine_directory.h"
+
+namespace firvalve {
+namespace {
+
+// FNV-1a, 32 bits.
+constexpr uint32_t kHashStart = 2166136261u, kHashFactor = 16777619u;
+
+uint32_t preferred_number(const std::string& name) {
+  const std::string digits = name.substr(name.rfind('-') + 1);
+  if (digits.size() == 8 && digits.find_first_not_of("0123456789abcdef") == std::string::npos)
+    return static_cast<uint32_t>(std::stoul(digits, nullptr, 16));
+  uint32_t hash = kHashStart;
+  for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * kHashFactor;
+  return hash;
+}
+
+}  // namespace
+
+uint32_t EngineDirectory::number_of(const std::string& name) {
+  const auto known = numbers_.find(name);
+  if (known != numbers_.end()) return known->second;
+  uint32_t number = preferred_number(name);
+  while (!numbers_in_use_.insert(number).second) ++number;
+  return numbers_[name] = number;
+}
+
+void EngineDirectory::remove(uint32_t engine, const std::string& name) {
+  names_.erase(engine);
+  forget_number(name);
+}
+
+void EngineDirectory::forget_number(const std::string& name) {
+  const auto known = numbers_.find(name);
+  if (known == numbers_.end()) return;
+  numbers_in_use_.erase(known->second);
+  numbers_.erase(known);
+}
+
+std::string_view EngineDirectory::name_of(uint32_t engine) const {
+  const auto at = names_.find(engine);
+  return at == names_.end() ? std::string_view() : at->second;
+}
+
+}  // namespace firvalve
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -1,6 +1,10 @@
 #include "core/settings.h"
 
 #include <algorithm>
+#include <string_view>
+#include <utility>
+
+#include "policy/setting_keys.h"
 
 namespace firvalve {
 
@@ -8,73 +12,101 @@
 
 namespace {
 
-enum class Unit { kPlain, kTime };
+constexpr double kNanosecondsPerMs = 1e6;
+
+enum class Unit { kNone, kNanoseconds };
+
+struct SettingName {
+  const char* key;   // ours
+  const char* path;  // the operators', members with dots between them
+  Unit unit = Unit::kNone;
+};
+
+constexpr SettingName kGatewaySettings[] = {
+    {setting::kZone, "zone"},
+    {setting::kGatewayCount, "peers_total"},
+    {setting::kGatewayNumber, "index"},
+    {setting::kOverShareWeight, "over_share_worth"},
+    {setting::kMayCancel, "ceilings.cancel"},
+    {setting::kMayProbe, "ceilings.probes"},
+    {setting::kMayMessagePeers, "ceilings.peers"},
+    {setting::kMayAdviseRetry, "ceilings.retry_after"},
+    {setting::kMayHedge, "ceilings.second_copies"},
+    {setting::kMaxRetryAfter, "ceilings.max_retry_after", Unit::kNanoseconds},
+    {setting::kMaxAttempts, "ceilings.try_limit"},
+    {setting::kMaxCommands, "ceilings.open_cap"},
+    {setting::kConnectTimeout, "ceilings.dial_timeout", Unit::kNanoseconds},
+    {setting::kTick, "tick", Unit::kNanoseconds},
+    {setting::kIdleClose, "ceilings.conn_idle", Unit::kNanoseconds},
+    {setting::kRetriesAreMarked, "client_habits.marks_retry"},
+    {setting::kGoalWhole, "goal.whole"},
+    {setting::kGoalWorstProfile, "goal.worst_class"},
+    {setting::kGoalWorstCustomer, "goal.worst_tenant"},
+    {setting::kGoalWorstWindow, "goal.worst_window"},
+    {setting::kPriceCrossZone, "fees.cross_zone"},
+    {setting::kPriceLate, "fees.late_fail"},
+    {setting::kPriceWaste, "fees.waste"},
+    {setting::kPriceProbe, "fees.probe"},
+    {setting::kPricePeerMessage, "fees.peer"},
+    {setting::kLoadReport, "report.how"},
+    {setting::kAnswerGrace, "rules.grace_to_answer", Unit::kNanoseconds},
+    {setting::kDrainGrace, "rules.stop_sending_within", Unit::kNanoseconds},
+    {setting::kSlowStartShare, "rules.cold_from"},
+    {setting::kWarmUp, "rules.warm_up", Unit::kNanoseconds},
+    {setting::kOverloadFactor, "rules.overload_factor"},
+    {setting::kOverloadWindow, "rules.overload_for", Unit::kNanoseconds},
+    {setting::kKeyQuietTime, "rules.key_quiet", Unit::kNanoseconds},
+    {setting::kFreeRetries, "rules.extra_free"},
+    {setting::kRetryShare, "rules.extra_ratio"},
+    {setting::kRetryWindow, "rules.look_back", Unit::kNanoseconds},
+    {setting::kAnswersTellCost, "specifics.bills"},
+    {setting::kHonoursMemoryGrants, "specifics.grants_count"},
+    {setting::kMaxGrantShare, "specifics.most_grant"},
+    {setting::kStatusPeriod, "specifics.note_period", Unit::kNanoseconds},
+    {setting::kHonoursPriorities, "specifics.takes_priority"},
+    {setting::kOnShortage, "specifics.on_shortage"},
+};
+
+constexpr SettingName kProfileSettings[] = {
+    {setting::profile::kName, "name"},
+    {setting::profile::kBenefit, "credit"},
+    {setting::profile::kLateShare, "late_share"},
+    {setting::profile::kLatencyTarget, "slo", Unit::kNanoseconds},
+    {setting::profile::kTargetStretch, "aim_stretch"},
+    {setting::profile::kClientTimeout, "deadline", Unit::kNanoseconds},
+    {setting::profile::kRepeatWindow, "window", Unit::kNanoseconds},
+    {setting::profile::kDedupScope, "dedup_scope"},
+    {setting::profile::kInOrder, "keep_order"},
+    {setting::profile::kZones, "azs_allowed"},
+    {setting::profile::kMachines, "allowed_on"},
+};
 
-struct Rename {
-  const char* ours;
-  const char* wire;  // a path through the settings
-  Unit unit = Unit::kPlain;
+constexpr SettingName kCustomerSettings[] = {
+    {setting::customer::kName, "name"},
+    {setting::customer::kQuota, "quota_per_s"},
+    {setting::customer::kShare, "share"},
 };
 
-const Rename kNames[] = {
-    {"zone", "zone"},
-    {"gateways", "peers_total"},
-    {"gateway number", "index"},
-    {"over-share worth", "over_share_worth"},
-    {"may cancel", "ceilings.cancel"},
-    {"may probe", "ceilings.probes"},
-    {"may message", "ceilings.peers"},
-    {"may advise", "ceilings.retry_after"},
-    {"may send twice at once", "ceilings.second_copies"},
-    {"longest advice", "ceilings.max_retry_after", Unit::kTime},
-    {"sends at most", "ceilings.try_limit"},
-    {"commands at most", "ceilings.open_cap"},
-    {"connect time-out", "ceilings.dial_timeout", Unit::kTime},
-    {"tick", "tick", Unit::kTime},
-    {"idle close", "ceilings.conn_idle", Unit::kTime},
-    {"repeats marked", "client_habits.marks_retry"},
-    {"goal whole", "goal.whole"},
-    {"goal worst profile", "goal.worst_class"},
-    {"goal worst customer", "goal.worst_tenant"},
-    {"goal worst stretch", "goal.worst_window"},
-    {"price crossing", "fees.cross_zone"},
-    {"price late", "fees.late_fail"},
-    {"price waste", "fees.waste"},
-    {"price probe", "fees.probe"},
-    {"price message", "fees.peer"},
-    {"reports", "report.how"},
-    {"answer grace", "rules.grace_to_answer", Unit::kTime},
-    {"drain grace", "rules.stop_sending_within", Unit::kTime},
-    {"cold share", "rules.cold_from"},
-    {"warm-up", "rules.warm_up", Unit::kTime},
-    {"fall multiple", "rules.overload_factor"},
-    {"fall window", "rules.overload_for", Unit::kTime},
-    {"key rest", "rules.key_quiet", Unit::kTime},
-    {"further sends free", "rules.extra_free"},
-    {"further sends share", "rules.extra_ratio"},
-    {"further sends window", "rules.look_back", Unit::kTime},
-    {"answers tell cost", "specifics.bills"},
-    {"grants heeded", "specifics.grants_count"},
-    {"grant share at most", "specifics.most_grant"},
-    {"note period", "specifics.note_period", Unit::kTime},
-    {"priorities heeded", "specifics.takes_priority"},
-    {"on shortage", "specifics.on_shortage"},
+// Lists of the settings whose entries belong to the profiles, in their order.
+constexpr SettingName kSettingsByProfile[] = {
+    {setting::profile::kThreads, "specifics.class_threads"},
+    {setting::profile::kIsLoad, "specifics.holds_tables"},
+    {setting::profile::kWaits, "specifics.class_waits"},
 };
-const Rename kProfileNames[] = {
-    {"name", "name"},
-    {"benefit", "credit"},
-    {"late share", "late_share"},
-    {"latency target", "slo", Unit::kTime},
-    {"target stretch", "aim_stretch"},
-    {"client timeout", "deadline", Unit::kTime},
-    {"repeat window", "window", Unit::kTime},
-    {"group", "dedup_scope"},
-    {"in order", "keep_order"},
+
+// The same for the kinds of machines.
+constexpr SettingName kSettingsByMachine[] = {
+    {setting::kCoresPrefix, "specifics.cores_by_kind"},
+    {setting::kMemoryPrefix, "specifics.memory_by_kind_mb"},
 };
-const Rename kCustomerNames[] = {{"name", "name"}, {"quota", "quota_per_s"}, {"share", "share"}};
 
-const Value* walk(const Value& from, const std::string& path) {
-  const Value* at = &from;
+constexpr std::string_view kOtherEffect = "non-replayable";
+constexpr std::pair<std::string_view, std::string_view> kEffects[] = {{"idempotent", "replayable"},
+                                                                      {"deduplicated", "uniqued"}};
+
+// Null: there is no such member, or something on the way to it is no object.
+const Value* find_path(const Value& root, const std::string& path) {
+  const Value* at = &root;
   for (size_t begin = 0; begin <= path.size();) {
     const size_t dot = std::min(path.find('.', begin), path.size());
     if (!at->IsObject()) return nullptr;
@@ -86,71 +118,91 @@
   return at;
 }
 
-// Puts a value under our name; numbers and flags as numbers, lists numbered from 0.
-void put(Settings& settings, const std::string& name, const Value& v, Unit unit) {
-  if (v.IsBool()) {
-    settings[name] = v.GetBool() ? 1.0 : 0.0;
-  } else if (v.IsNumber()) {
-    settings[name] = unit == Unit::kTime ? v.GetDouble() / 1e6 : v.GetDouble();
-  } else if (v.IsString()) {
-    settings[name] = std::string(v.GetString(), v.GetStringLength());
-  } else if (v.IsArray()) {
-    for (rapidjson::SizeType i = 0; i < v.Size(); ++i)
-      put(settings, name + "." + std::to_string(i), v[i], unit);
+// The entries of a list; none where there is no list.
+rapidjson::SizeType list_size(const Value* list) { return list && list->IsArray() ? list->Size() : 0; }
+
+// Numbers and flags become numbers, lists are numbered from 0. Values of other types are passed over.
+void store(Settings& settings, const std::string& key, const Value& value, Unit unit) {
+  if (value.IsBool()) {
+    settings[key] = value.GetBool() ? 1.0 : 0.0;
+  } else if (value.IsNumber()) {
+    settings[key] = unit == Unit::kNanoseconds ? value.GetDouble() / kNanosecondsPerMs : value.GetDouble();
+  } else if (value.IsString()) {
+    settings[key] = std::string(value.GetString(), value.GetStringLength());
+  } else if (value.IsArray()) {
+    for (rapidjson::SizeType i = 0; i < value.Size(); ++i)
+      store(settings, key + "." + std::to_string(i), value[i], unit);
   }
 }
 
-void put_item(Settings& settings, const std::string& name, const Value& json, const char* list, int item) {
-  const Value* v = walk(json, list);
-  if (v && v->IsArray() && static_cast<int>(v->Size()) > item) put(settings, name, (*v)[item], Unit::kPlain);
+template <size_t kCount>
+void store_members(Settings& settings, const std::string& prefix, const Value& json,
+                   const SettingName (&names)[kCount]) {
+  for (const SettingName& name : names)
+    if (const Value* value = find_path(json, name.path))
+      store(settings, prefix + name.key, *value, name.unit);
 }
 
-}  // namespace
+void store_entry(Settings& settings, const std::string& key, const Value* list, rapidjson::SizeType entry) {
+  if (entry < list_size(list)) store(settings, key, (*list)[entry], Unit::kNone);
+}
 
-Settings parse_settings(const Value& json) {
-  Settings all;
-  for (const Rename& r : kNames)
-    if (const Value* v = walk(json, r.wire)) put(all, r.ours, *v, r.unit);
-  if (const Value* kinds = walk(json, "shapes"); kinds && kinds->IsArray()) {
-    for (int i = 0; i < static_cast<int>(kinds->Size()); ++i) {
-      if (!(*kinds)[i].IsString()) continue;
-      put_item(all, std::string("cores.") + (*kinds)[i].GetString(), json, "specifics.cores_by_kind", i);
-      put_item(all, std::string("memory.") + (*kinds)[i].GetString(), json, "specifics.memory_by_kind_mb", i);
-    }
+void store_machines(Settings& settings, const Value& json) {
+  const Value* machines = find_path(json, "shapes");
+  for (rapidjson::SizeType i = 0; i < list_size(machines); ++i) {
+    const Value& machine = (*machines)[i];
+    if (!machine.IsString()) continue;
+    for (const SettingName& name : kSettingsByMachine)
+      store_entry(settings, std::string(name.key) + machine.GetString(), find_path(json, name.path), i);
   }
-  if (const Value* profiles = walk(json, "profiles"); profiles && profiles->IsArray()) {
-    for (int i = 0; i < static_cast<int>(profiles->Size()); ++i) {
-      const Value& p = (*profiles)[i];
-      const std::string at = "profile." + std::to_string(i) + ".";
-      for (const Rename& r : kProfileNames)
-        if (const Value* v = walk(p, r.wire)) put(all, at + r.ours, *v, r.unit);
-      if (const Value* v = walk(p, "azs_allowed")) put(all, at + "zone", *v, Unit::kPlain);
-      if (const Value* v = walk(p, "allowed_on")) put(all, at + "machine", *v, Unit::kPlain);
-      if (const Value* v = walk(p, "semantics"); v && v->IsString()) {
-        const std::string effect = v->GetString();
-        all[at + "effect"] = std::string(effect == "idempotent"     ? "replayable"
-                                         : effect == "deduplicated" ? "uniqued"
-                                                                    : "non-replayable");
-      }
-      put_item(all, at + "threads", json, "specifics.class_threads", i);
-      put_item(all, at + "load", json, "specifics.holds_tables", i);
-      put_item(all, at + "waits", json, "specifics.class_waits", i);
-    }
-  }
-  if (const Value* customers = walk(json, "tenants"); customers && customers->IsArray()) {
-    for (int i = 0; i < static_cast<int>(customers->Size()); ++i)
-      for (const Rename& r : kCustomerNames)
-        if (const Value* v = walk((*customers)[i], r.wire))
-          put(all, "customer." + std::to_string(i) + "." + r.ours, *v, r.unit);
+}
+
+void store_effect(Settings& settings, const std::string& prefix, const Value& profile) {
+  const Value* semantics = find_path(profile, "semantics");
+  if (!semantics || !semantics->IsString()) return;
+  std::string_view effect = kOtherEffect;
+  for (const auto& [theirs, ours] : kEffects)
+    if (theirs == semantics->GetString()) effect = ours;
+  settings[prefix + setting::profile::kEffect] = std::string(effect);
+}
+
+std::string prefix_of(const char* list, size_t entry) {
+  return std::string(list) + "." + std::to_string(entry) + ".";
+}
+
+void store_profiles(Settings& settings, const Value& json) {
+  const Value* profiles = find_path(json, "profiles");
+  for (rapidjson::SizeType i = 0; i < list_size(profiles); ++i) {
+    const std::string prefix = prefix_of(setting::kProfiles, i);
+    store_members(settings, prefix, (*profiles)[i], kProfileSettings);
+    store_effect(settings, prefix, (*profiles)[i]);
+    for (const SettingName& name : kSettingsByProfile)
+      store_entry(settings, prefix + name.key, find_path(json, name.path), i);
   }
-  return all;
 }
 
-std::vector<std::string> names_of(const Settings& a, const std::string& list) {
+void store_customers(Settings& settings, const Value& json) {
+  const Value* customers = find_path(json, "tenants");
+  for (rapidjson::SizeType i = 0; i < list_size(customers); ++i)
+    store_members(settings, prefix_of(setting::kCustomers, i), (*customers)[i], kCustomerSettings);
+}
+
+}  // namespace
+
+Settings parse_settings(const Value& json) {
+  Settings settings;
+  store_members(settings, "", json, kGatewaySettings);
+  store_machines(settings, json);
+  store_profiles(settings, json);
+  store_customers(settings, json);
+  return settings;
+}
+
+std::vector<std::string> names_of(const Settings& settings, const std::string& list) {
   std::vector<std::string> names;
   for (;;) {
-    const auto at = a.find(list + "." + std::to_string(names.size()) + ".name");
-    if (at == a.end() || !std::holds_alternative<std::string>(at->second)) return names;
+    const auto at = settings.find(prefix_of(list.c_str(), names.size()) + setting::profile::kName);
+    if (at == settings.end() || !std::holds_alternative<std::string>(at->second)) return names;
     names.push_back(std::get<std::string>(at->second));
   }
 }
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -1,5 +1,5 @@
-// The reader of what a gateway is told at start, shared by the gateway and the drill: nested JSON of the
-// operators' names to a flat map of ours, in our units.
+// The settings of a gateway at start, as the deploy file and the simulator's START event hold them: nested
+// JSON under the operators' names, read into a flat map under ours (policy/setting_keys.h) and in our units.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -11,7 +11,11 @@
 
 namespace firvalve {
 
+// Nothing is required of the settings here: members that are unknown, absent or of another type than any
+// setting has are passed over.
 Settings parse_settings(const rapidjson::Value& json);
+
+// The names of the profiles (setting::kProfiles) or customers (setting::kCustomers), in their order.
 std::vector<std::string> names_of(const Settings& settings, const std::string& list);
 
 }  // namespace firvalve
--- /dev/null
+++ b/src/policy/setting_keys.h
@@ -0,0 +1,93 @@
+// The keys of Settings. Only the code knows these words: in the deploy file and on the wire of the simulator
+// the same settings have the operators' names (core/settings.cpp has both).
+//
+// Times are in milliseconds, flags are numbers above 0. A list is numbered from 0: "key.0", "key.1" and so
+// on; the keys of a profile and a customer stand behind its place in the list, as in "profile.0.name".
+#pragma once
+
+namespace firvalve::setting {
+
+// ---- Of the gateway
+
+inline constexpr char kZone[] = "zone";
+inline constexpr char kGatewayCount[] = "gateways";
+inline constexpr char kGatewayNumber[] = "gateway number";
+inline constexpr char kOverShareWeight[] = "over-share worth";
+inline constexpr char kMayCancel[] = "may cancel";
+inline constexpr char kMayProbe[] = "may probe";
+inline constexpr char kMayMessagePeers[] = "may message";
+inline constexpr char kMayAdviseRetry[] = "may advise";
+inline constexpr char kMayHedge[] = "may send twice at once";
+inline constexpr char kMaxRetryAfter[] = "longest advice";
+inline constexpr char kMaxAttempts[] = "sends at most";
+inline constexpr char kMaxCommands[] = "commands at most";
+inline constexpr char kConnectTimeout[] = "connect time-out";
+inline constexpr char kTick[] = "tick";
+inline constexpr char kIdleClose[] = "idle close";
+inline constexpr char kRetriesAreMarked[] = "repeats marked";
+inline constexpr char kGoalWhole[] = "goal whole";
+inline constexpr char kGoalWorstProfile[] = "goal worst profile";
+inline constexpr char kGoalWorstCustomer[] = "goal worst customer";
+inline constexpr char kGoalWorstWindow[] = "goal worst stretch";
+inline constexpr char kPriceCrossZone[] = "price crossing";
+inline constexpr char kPriceLate[] = "price late";
+inline constexpr char kPriceWaste[] = "price waste";
+inline constexpr char kPriceProbe[] = "price probe";
+inline constexpr char kPricePeerMessage[] = "price message";
+inline constexpr char kLoadReport[] = "reports";
+inline constexpr char kAnswerGrace[] = "answer grace";
+inline constexpr char kDrainGrace[] = "drain grace";
+inline constexpr char kSlowStartShare[] = "cold share";
+inline constexpr char kWarmUp[] = "warm-up";
+inline constexpr char kOverloadFactor[] = "fall multiple";
+inline constexpr char kOverloadWindow[] = "fall window";
+inline constexpr char kKeyQuietTime[] = "key rest";
+inline constexpr char kFreeRetries[] = "further sends free";
+inline constexpr char kRetryShare[] = "further sends share";
+inline constexpr char kRetryWindow[] = "further sends window";
+inline constexpr char kAnswersTellCost[] = "answers tell cost";
+inline constexpr char kHonoursMemoryGrants[] = "grants heeded";
+inline constexpr char kMaxGrantShare[] = "grant share at most";
+inline constexpr char kStatusPeriod[] = "note period";
+inline constexpr char kHonoursPriorities[] = "priorities heeded";
+inline constexpr char kOnShortage[] = "on shortage";
+
+// ---- Of a kind of machine: behind them stands its name
+
+inline constexpr char kCoresPrefix[] = "cores.";
+inline constexpr char kMemoryPrefix[] = "memory.";  // MB
+
+// ---- Lists
+
+inline constexpr char kProfiles[] = "profile";
+inline constexpr char kCustomers[] = "customer";
+
+namespace profile {
+
+inline constexpr char kName[] = "name";
+inline constexpr char kBenefit[] = "benefit";
+inline constexpr char kLateShare[] = "late share";
+inline constexpr char kLatencyTarget[] = "latency target";
+inline constexpr char kTargetStretch[] = "target stretch";
+inline constexpr char kClientTimeout[] = "client timeout";
+inline constexpr char kRepeatWindow[] = "repeat window";
+inline constexpr char kDedupScope[] = "group";
+inline constexpr char kInOrder[] = "in order";
+inline constexpr char kZones[] = "zone";
+inline constexpr char kMachines[] = "machine";
+inline constexpr char kEffect[] = "effect";
+inline constexpr char kThreads[] = "threads";
+inline constexpr char kIsLoad[] = "load";
+inline constexpr char kWaits[] = "waits";
+
+}  // namespace profile
+
+namespace customer {
+
+inline constexpr char kName[] = "name";
+inline constexpr char kQuota[] = "quota";
+inline constexpr char kShare[] = "share";
+
+}  // namespace customer
+
+}  // namespace firvalve::setting
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -127,9 +127,10 @@
   core.decide(time_point_of(5000));
   core.attempt_finished(time_point_of(5000), AttemptId{1}, Outcome::kTimedOut);
   core.decide(time_point_of(5005));
-  EXPECT_EQ(told, (std::vector<std::string>{"admitted//none", "attempt started/s-1/none",
-                                            "attempt cancelled/s-1/deadline over", "attempt ended/s-1/none",
-                                            "failed/s-1/deadline over"}));
+  EXPECT_EQ(told,
+            (std::vector<std::string>{"command.admitted//none", "attempt.started/s-1/none",
+                                      "attempt.cancelled/s-1/deadline over", "attempt.finished/s-1/none",
+                                      "command.failed/s-1/deadline over"}));
   EXPECT_EQ(metrics.counts["commands ended unserved: deadline over"], 1u);
 }
 
