--- /dev/null
+++ b/src/simulator_adapter/event_reader.cpp
@@ -0,0 +1,126 @@
+#include "simulator_adapter/event_reader.h"
+
+#include <string_view>
+#include <utility>
+
+namespace firvalve::simulator {
+
+using rapidjson::Value;
+
+namespace {
+
+// Codes of the wire.
+constexpr int64_t kLifecycleReady = 1, kLifecycleDraining = 2;
+constexpr int64_t kUpdateFailed = 2, kUpdateWholeList = 3, kUpdateFirstList = 4;
+// The bill of an answer: milliseconds x 4096 + memory in steps of 4 MB.
+constexpr int64_t kBillSteps = 4096;
+constexpr double kMbPerBillStep = 4;
+
+Outcome read_outcome(const EventFields& fields) {
+  static constexpr std::pair<std::string_view, Outcome> kOutcomes[] = {
+      {"Ok", Outcome::kOk},
+      {"Failed", Outcome::kFailed},
+      {"QueueFull", Outcome::kFull},
+      {"TimedOut", Outcome::kTimedOut},
+      {"ConnectError", Outcome::kConnectFailed},
+      {"ResetByPeer", Outcome::kReset},
+      {"Canceled", Outcome::kCancelled},
+      {"Ignored", Outcome::kMoot},
+  };
+  const std::string disposition = fields.text("disposition");
+  for (const auto& [theirs, ours] : kOutcomes)
+    if (disposition == theirs) return ours;
+  fields.throw_not("disposition", "a known outcome");
+}
+
+EngineState engine_state_of(int64_t lifecycle) {
+  if (lifecycle == kLifecycleReady) return EngineState::kReady;
+  return lifecycle == kLifecycleDraining ? EngineState::kDraining : EngineState::kGone;
+}
+
+EngineInfo read_engine(const Value& member) {
+  static const std::string kMember = "MANIFEST members";
+  const EventFields fields(kMember, member);
+  EngineInfo engine;
+  engine.engine = static_cast<uint32_t>(fields.integer("engine"));
+  engine.zone = fields.find("zone") ? fields.text("zone") : "";
+  engine.machine = fields.find("generation_hw") ? fields.text("generation_hw") : "";
+  engine.cell = static_cast<int>(fields.integer("block", 0));
+  engine.life = engine_state_of(fields.integer("lifecycle"));
+  engine.born = ms_of_nanoseconds(fields.integer("born", 0));
+  return engine;
+}
+
+}  // namespace
+
+std::vector<EngineInfo> read_engine_list(const EventFields& fields) {
+  const Value& members = fields.required("members");
+  if (!members.IsArray()) fields.throw_not("members", "a list");
+  std::vector<EngineInfo> engines;
+  for (const Value& member : members.GetArray()) engines.push_back(read_engine(member));
+  return engines;
+}
+
+std::optional<EngineListUpdate> read_engine_list_update(const EventFields& fields) {
+  const int64_t how = fields.integer("how");
+  if (how == kUpdateFailed) return std::nullopt;
+  EngineListUpdate update;
+  update.full = how == kUpdateWholeList || how == kUpdateFirstList;
+  return update;
+}
+
+AcceptedCommand read_accepted_command(const EventFields& fields) {
+  AcceptedCommand command;
+  Admitted& admitted = command.admitted;
+  admitted.id = fields.command_id();
+  command.profile = fields.text("class");
+  if (const Value* billing = fields.find("billing"); billing && billing->IsString())
+    command.customer = fields.text("billing");
+  admitted.has_key = fields.find("target") != nullptr;
+  admitted.key = static_cast<uint64_t>(fields.integer("target", 0));
+  admitted.gives_up_at = ms_of_nanoseconds(fields.integer("valid_until"));
+  admitted.estimate = ms_of_nanoseconds(fields.integer("plan_cost", 0));
+  admitted.memory_mb = fields.number("est_memory_mb", 0);
+  if (fields.find("table_group")) admitted.tables = static_cast<int64_t>(fields.number("table_group", 0));
+  admitted.repeat = fields.flag("resent");
+  return command;
+}
+
+std::optional<AttemptStatus> read_attempt_status(const EventFields& fields) {
+  AttemptStatus status;
+  status.id = fields.command_id();
+  status.send = static_cast<int>(fields.integer("round_no"));
+  const int64_t kind = fields.integer("kind");
+  if (kind < 1 || kind > 3) return std::nullopt;
+  status.kind = static_cast<AttemptStatusKind>(kind);
+  status.value = fields.number("x", 0);
+  return status;
+}
+
+AttemptFinished read_attempt_finished(const EventFields& fields) {
+  AttemptFinished finished;
+  finished.id = fields.command_id();
+  finished.send = static_cast<int>(fields.integer("round_no"));
+  finished.outcome = read_outcome(fields);
+  finished.took = ms_of_nanoseconds(fields.integer("time_taken"));
+  finished.finished = fields.flag("last");
+  const int64_t bill = fields.integer("bill", 0);
+  finished.work = static_cast<double>(bill / kBillSteps);
+  finished.memory_mb = static_cast<double>(bill % kBillSteps) * kMbPerBillStep;
+  return finished;
+}
+
+ProbeResult read_probe_result(const EventFields& fields) {
+  ProbeResult result;
+  result.engine = static_cast<uint32_t>(fields.integer("engine"));
+  result.outcome = read_outcome(fields);
+  return result;
+}
+
+ClientGone read_client_gone(const EventFields& fields) { return {fields.command_id()}; }
+
+TimerFired read_timer_fired(const EventFields& fields) {
+  return {static_cast<uint64_t>(fields.integer("ref"))};
+}
+
+}  // namespace firvalve::simulator
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,16 +1,19 @@
+// Reads batches of events from standard input, one a line, and writes a line of decisions for each. Ends with
+// 1 at a line that cannot be read.
+#include <cstdint>
 #include <iostream>
 
 #include "simulator_adapter/simulator_adapter.h"
 
 int main() {
   std::ios::sync_with_stdio(false);
-  firvalve::drill::SimulatorAdapter drill;
+  firvalve::simulator::SimulatorAdapter adapter;
   std::string line;
-  for (int64_t number = 1; std::getline(std::cin, line); ++number) {
+  for (int64_t line_number = 1; std::getline(std::cin, line); ++line_number) {
     try {
-      std::cout << drill.answer(std::move(line)) << '\n' << std::flush;
-    } catch (const firvalve::drill::Malformed& e) {
-      std::cerr << "firvalve-simulator-adapter: line " << number << ": " << e.what() << '\n';
+      std::cout << adapter.handle_batch(std::move(line)) << '\n' << std::flush;
+    } catch (const firvalve::simulator::MalformedInput& error) {
+      std::cerr << "firvalve-simulator-adapter: line " << line_number << ": " << error.what() << '\n';
       return 1;
     }
   }
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -2,322 +2,181 @@
 
 #include <rapidjson/document.h>
 #include <rapidjson/error/en.h>
-#include <rapidjson/stringbuffer.h>
-#include <rapidjson/writer.h>
 
 #include <algorithm>
-#include <cmath>
-#include <cstring>
 #include <iostream>
+#include <string_view>
+#include <utility>
 
 #include "core/settings.h"
+#include "policy/setting_keys.h"
+#include "simulator_adapter/event_reader.h"
 
-namespace firvalve::drill {
+namespace firvalve::simulator {
 
 using rapidjson::Value;
 
-// An event's fields, read by name; what is absent or of the wrong type is told by event and field.
-class Fields {
- public:
-  Fields(const std::string& event, const Value& value) : event_(event), value_(value) {
-    if (!value.IsObject()) throw Malformed("event " + event + ": not an object");
-  }
-
-  int64_t whole(const char* name) const { return whole_in(required(name), name); }
-  int64_t whole(const char* name, int64_t otherwise) const {
-    const Value* v = find(name);
-    return v ? whole_in(*v, name) : otherwise;
-  }
-  double number(const char* name, double otherwise) const {
-    const Value* v = find(name);
-    if (v && !v->IsNumber()) wrong(name, "a number");
-    return v ? v->GetDouble() : otherwise;
-  }
-  bool flag(const char* name) const {
-    const Value* v = find(name);
-    if (v && !v->IsBool()) wrong(name, "true or false");
-    return v && v->GetBool();
-  }
-  std::string text(const char* name) const {
-    const Value& v = required(name);
-    if (!v.IsString()) wrong(name, "a string");
-    return {v.GetString(), v.GetStringLength()};
-  }
-  CommandId command() const {
-    const std::string id = text("job");
-    CommandId c;
-    if (id.size() != c.text.size()) wrong("job", "16 characters");
-    std::copy(id.begin(), id.end(), c.text.begin());
-    return c;
-  }
-  const Value& required(const char* name) const {
-    const Value* v = find(name);
-    if (!v) wrong(name, "there");
-    return *v;
-  }
-  const Value* find(const char* name) const {
-    const auto at = value_.FindMember(name);
-    return at == value_.MemberEnd() || at->value.IsNull() ? nullptr : &at->value;
-  }
-  [[noreturn]] void wrong(const char* name, const std::string& wanted) const {
-    throw Malformed("event " + event_ + ": field " + name + " is not " + wanted);
-  }
-
- private:
-  int64_t whole_in(const Value& v, const char* name) const {
-    if (v.IsInt64()) return v.GetInt64();
-    if (v.IsUint64()) return static_cast<int64_t>(v.GetUint64());
-    wrong(name, "a whole number");
-  }
-
-  const std::string& event_;
-  const Value& value_;
-};
-
 namespace {
 
-Ms to_ms(int64_t ns) { return static_cast<double>(ns) / 1e6; }
-int64_t to_ns(Ms ms) { return std::llround(ms * 1e6); }
+int64_t gateway_id_of(const EventFields& fields) { return fields.integer("gateway_id"); }
 
+// The place of a name, or -1.
 int place_of(const std::vector<std::string>& names, const std::string& name) {
   const auto at = std::find(names.begin(), names.end(), name);
   return at == names.end() ? -1 : static_cast<int>(at - names.begin());
 }
 
-Outcome outcome_of(const Fields& f) {
-  static const std::pair<const char*, Outcome> kOutcomes[] = {
-      {"Ok", Outcome::kOk},
-      {"Failed", Outcome::kFailed},
-      {"QueueFull", Outcome::kFull},
-      {"TimedOut", Outcome::kTimedOut},
-      {"ConnectError", Outcome::kConnectFailed},
-      {"ResetByPeer", Outcome::kReset},
-      {"Canceled", Outcome::kCancelled},
-      {"Ignored", Outcome::kMoot},
-  };
-  const std::string name = f.text("disposition");
-  for (const auto& [wire, ours] : kOutcomes)
-    if (name == wire) return ours;
-  f.wrong("disposition", "a known outcome");
-}
+}  // namespace
 
-std::vector<EngineInfo> listings_of(const Fields& f) {
-  const Value& members = f.required("members");
-  if (!members.IsArray()) f.wrong("members", "a list");
-  std::vector<EngineInfo> all;
-  for (const Value& member : members.GetArray()) {
-    static const std::string kMember = "MANIFEST members";
-    const Fields m(kMember, member);
-    EngineInfo l;
-    l.engine = static_cast<uint32_t>(m.whole("engine"));
-    l.zone = m.find("zone") ? m.text("zone") : "";
-    l.machine = m.find("generation_hw") ? m.text("generation_hw") : "";
-    l.cell = static_cast<int>(m.whole("block", 0));
-    const int64_t life = m.whole("lifecycle");
-    l.life = life == 1 ? EngineState::kReady : life == 2 ? EngineState::kDraining : EngineState::kGone;
-    l.born = to_ms(m.whole("born", 0));
-    all.push_back(l);
+// ---- Batches --------------------------------------------------------------------------------------
+
+const std::string& SimulatorAdapter::handle_batch(std::string line) {
+  rapidjson::Document batch;
+  batch.ParseInsitu(line.data());
+  if (batch.HasParseError())
+    throw MalformedInput(std::string("not JSON: ") + rapidjson::GetParseError_En(batch.GetParseError()));
+  static const std::string kBatch = "batch";
+  const EventFields batch_fields(kBatch, batch);
+  const Ms now = ms_of_nanoseconds(batch_fields.integer("wall"));
+  const Value& events = batch_fields.required("happened");
+  if (!events.IsArray()) batch_fields.throw_not("happened", "a list");
+  writer_.begin();
+  decision_order_.clear();
+  for (const Value& event : events.GetArray()) {
+    if (!event.IsObject() || event.MemberCount() != 1)
+      batch_fields.throw_not("happened", "a list of events with one name each");
+    const auto& member = *event.MemberBegin();
+    const std::string name(member.name.GetString(), member.name.GetStringLength());
+    const EventFields fields(name, member.value);
+    const Handler handler = handler_of(name);
+    if (!handler) continue;
+    try {
+      (this->*handler)(now, fields);
+    } catch (const MalformedInput&) {
+      throw;
+    } catch (const std::exception& error) {
+      writer_.write_panic(gateway_id_of(fields), error.what());
+    }
   }
-  return all;
+  for (const int64_t id : decision_order_) write_decisions(now, id, gateways_.at(id));
+  return writer_.end();
 }
 
-void append_text(std::string& out, const std::string& text) {
-  rapidjson::StringBuffer buffer;
-  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
-  writer.String(text.c_str(), static_cast<rapidjson::SizeType>(text.size()));
-  out.append(buffer.GetString(), buffer.GetSize());
+void SimulatorAdapter::write_decisions(Ms now, int64_t gateway_id, Gateway& gateway) {
+  gateway.has_new_events = false;
+  actions_.clear();
+  try {
+    decide(gateway.state, now, actions_);
+  } catch (const std::exception& error) {
+    return writer_.write_panic(gateway_id, error.what());
+  }
+  for (const Action& action : actions_) writer_.write(gateway_id, action);
 }
 
-}  // namespace
+// ---- Events ---------------------------------------------------------------------------------------
+
+SimulatorAdapter::Handler SimulatorAdapter::handler_of(const std::string& event) {
+  static constexpr std::pair<std::string_view, Handler> kHandlers[] = {
+      {"MANIFEST", &SimulatorAdapter::handle_manifest},
+      {"START", &SimulatorAdapter::handle_start},
+      {"KILLED", &SimulatorAdapter::handle_killed},
+      {"UPDATE", &SimulatorAdapter::handle_update},
+      {"ACCEPT", &SimulatorAdapter::handle_accept},
+      {"CHANGE", &SimulatorAdapter::handle_change},
+      {"SETTLED", &SimulatorAdapter::handle_settled},
+      {"GONE", &SimulatorAdapter::handle_gone},
+      {"PROBE_RESULT", &SimulatorAdapter::handle_probe_result},
+      {"BELL", &SimulatorAdapter::handle_bell},
+  };
+  for (const auto& [name, handler] : kHandlers)
+    if (event == name) return handler;
+  return nullptr;
+}
 
-SimulatorAdapter::Gateway* SimulatorAdapter::held(int64_t id) {
-  const auto at = gateways_.find(id);
+SimulatorAdapter::Gateway* SimulatorAdapter::find_gateway(int64_t gateway_id) {
+  const auto at = gateways_.find(gateway_id);
   if (at == gateways_.end()) return nullptr;
-  if (!at->second.heard) {
-    at->second.heard = true;
-    order_.push_back(id);
+  if (!at->second.has_new_events) {
+    at->second.has_new_events = true;
+    decision_order_.push_back(gateway_id);
   }
   return &at->second;
 }
 
-void SimulatorAdapter::take(const std::string& name, const Fields& f, Ms now) {
-  if (name == "MANIFEST") {
-    lists_[f.whole("ref")] = listings_of(f);
-    return;
-  }
-  static const char* const kKnown[] = {"START",   "KILLED", "UPDATE",       "ACCEPT", "CHANGE",
-                                       "SETTLED", "GONE",   "PROBE_RESULT", "BELL"};
-  if (std::none_of(std::begin(kKnown), std::end(kKnown), [&](const char* k) { return name == k; })) return;
-  const int64_t id = f.whole("gateway_id");
-  if (name == "START") {
-    const Value& json = f.required("settings");
-    if (!json.IsObject()) f.wrong("settings", "an object");
-    const int64_t salt = f.whole("salt");
-    const Settings settings = parse_settings(json);
-    gateways_.erase(id);
-    Gateway& g = gateways_[id];
-    g.state = open(settings, static_cast<uint64_t>(salt));
-    g.profiles = names_of(settings, "profile");
-    g.customers = names_of(settings, "customer");
-    std::erase(order_, id);
-    held(id);
-    return;
-  }
-  if (name == "KILLED") {
-    gateways_.erase(id);
-    std::erase(order_, id);
-    return;
-  }
-  // The fields are read first, so that a malformed event is told also where no such gateway is held.
-  Event event;
-  std::string profile, customer;
-  if (name == "UPDATE") {
-    EngineListUpdate r;
-    const int64_t how = f.whole("how");
-    if (how == 2) return;  // a call failed: the old list holds
-    const auto list = lists_.find(f.whole("ref"));
-    if (list == lists_.end()) f.wrong("ref", "the number of a list");
-    r.full = how == 3 || how == 4;
-    r.listings = list->second;
-    event = std::move(r);
-  } else if (name == "ACCEPT") {
-    Admitted t;
-    t.id = f.command();
-    profile = f.text("class");
-    if (f.find("billing") && f.find("billing")->IsString()) customer = f.text("billing");
-    t.has_key = f.find("target") != nullptr;
-    t.key = static_cast<uint64_t>(f.whole("target", 0));
-    t.gives_up_at = to_ms(f.whole("valid_until"));
-    t.estimate = to_ms(f.whole("plan_cost", 0));
-    t.memory_mb = f.number("est_memory_mb", 0);
-    t.tables = f.find("table_group") ? static_cast<int64_t>(f.number("table_group", 0)) : -1;
-    t.repeat = f.flag("resent");
-    event = t;
-  } else if (name == "CHANGE") {
-    AttemptStatus n;
-    n.id = f.command();
-    n.send = static_cast<int>(f.whole("round_no"));
-    const int64_t kind = f.whole("kind");
-    if (kind < 1 || kind > 3) return;
-    n.kind = static_cast<AttemptStatusKind>(kind);
-    n.value = f.number("x", 0);
-    event = n;
-  } else if (name == "SETTLED") {
-    AttemptFinished r;
-    r.id = f.command();
-    r.send = static_cast<int>(f.whole("round_no"));
-    r.outcome = outcome_of(f);
-    r.took = to_ms(f.whole("time_taken"));
-    r.finished = f.flag("last");
-    const int64_t bill = f.whole("bill", 0);  // milliseconds x 4096 + memory in steps of 4 MB
-    r.work = static_cast<double>(bill / 4096);
-    r.memory_mb = static_cast<double>(bill % 4096) * 4;
-    event = r;
-  } else if (name == "PROBE_RESULT") {
-    event = ProbeResult{static_cast<uint32_t>(f.whole("engine")), outcome_of(f)};
-  } else if (name == "GONE") {
-    event = ClientGone{f.command()};
-  } else {
-    event = TimerFired{static_cast<uint64_t>(f.whole("ref"))};
-  }
-  Gateway* g = held(id);
-  if (!g) return;
-  if (auto* t = std::get_if<Admitted>(&event)) {
-    t->profile = place_of(g->profiles, profile);
-    t->tenant = place_of(g->customers, customer);
-    if (t->profile < 0)
-      std::cerr << "firvalve-simulator-adapter: event ACCEPT: no profile is named " << profile << '\n';
-  }
-  handle(g->state, now, event);
+void SimulatorAdapter::deliver(Ms now, int64_t gateway_id, const Event& event) {
+  if (Gateway* const gateway = find_gateway(gateway_id)) handle(gateway->state, now, event);
 }
 
-void SimulatorAdapter::write(int64_t id, const Action& a) {
-  const auto begin = [&](const char* name) {
-    if (reply_.back() != '[') reply_ += ',';
-    reply_.append("{\"").append(name).append("\":{\"gateway_id\":").append(std::to_string(id));
-  };
-  const auto command = [&] {
-    reply_.append(",\"job\":");
-    append_text(reply_, std::string(a.id.text.begin(), a.id.text.end()));
-  };
-  const auto whole = [&](const char* name, int64_t value) {
-    reply_.append(",\"").append(name).append("\":").append(std::to_string(value));
-  };
-  switch (a.kind) {
-    case Action::Kind::kSend:
-      begin("RELAY"), command(), whole("engine", a.engine);
-      break;
-    case Action::Kind::kWithdraw:
-      begin("RETRACT"), command(), whole("round_no", a.number);
-      break;
-    case Action::Kind::kShed:
-      begin("DENY"), command();
-      if (a.wait > 0) whole("stay_away", to_ns(a.wait));
-      break;
-    case Action::Kind::kFail:
-      begin("FAIL"), command();
-      break;
-    case Action::Kind::kRank:
-      begin("GRANT_AND_RANK"), command(), whole("importance", a.number);
-      reply_.append(",\"allot_mb\":").append(std::to_string(a.memory_mb));
-      break;
-    case Action::Kind::kBell:
-      begin("SET_ALARM"), whole("wait", to_ns(a.wait)), whole("ref", a.number);
-      break;
-    case Action::Kind::kLog:
-      begin("SAY_LOG"), reply_.append(",\"line\":"), append_text(reply_, a.text);
-      break;
-  }
-  reply_ += "}}";
+void SimulatorAdapter::handle_manifest(Ms, const EventFields& fields) {
+  engine_lists_[fields.integer("ref")] = read_engine_list(fields);
 }
 
-void SimulatorAdapter::panic(int64_t id, const std::string& why) {
-  if (reply_.back() != '[') reply_ += ',';
-  reply_.append("{\"PANIC\":{\"gateway_id\":").append(std::to_string(id)).append(",\"line\":");
-  append_text(reply_, why);
-  reply_ += "}}";
+void SimulatorAdapter::handle_start(Ms, const EventFields& fields) {
+  const int64_t id = gateway_id_of(fields);
+  const Value& json = fields.required("settings");
+  if (!json.IsObject()) fields.throw_not("settings", "an object");
+  const int64_t salt = fields.integer("salt");
+  const Settings settings = parse_settings(json);
+  gateways_.erase(id);
+  Gateway& gateway = gateways_[id];
+  gateway.state = open(settings, static_cast<uint64_t>(salt));
+  gateway.profiles = names_of(settings, setting::kProfiles);
+  gateway.customers = names_of(settings, setting::kCustomers);
+  std::erase(decision_order_, id);
+  find_gateway(id);
 }
 
-void SimulatorAdapter::reply_for(int64_t id, Gateway& g, Ms now) {
-  g.heard = false;
-  actions_.clear();
-  try {
-    decide(g.state, now, actions_);
-  } catch (const std::exception& e) {
-    return panic(id, e.what());
-  }
-  for (const Action& a : actions_) write(id, a);
+void SimulatorAdapter::handle_killed(Ms, const EventFields& fields) {
+  const int64_t id = gateway_id_of(fields);
+  gateways_.erase(id);
+  std::erase(decision_order_, id);
 }
 
-const std::string& SimulatorAdapter::answer(std::string line) {
-  rapidjson::Document batch;
-  batch.ParseInsitu(line.data());
-  if (batch.HasParseError())
-    throw Malformed(std::string("not JSON: ") + rapidjson::GetParseError_En(batch.GetParseError()));
-  static const std::string kBatch = "batch";
-  const Fields whole(kBatch, batch);
-  const Ms now = to_ms(whole.whole("wall"));
-  const Value& happened = whole.required("happened");
-  if (!happened.IsArray()) whole.wrong("happened", "a list");
-  reply_ = "{\"decisions\":[";
-  order_.clear();
-  for (const Value& one : happened.GetArray()) {
-    if (!one.IsObject() || one.MemberCount() != 1)
-      whole.wrong("happened", "a list of events with one name each");
-    const auto& member = *one.MemberBegin();
-    const std::string name(member.name.GetString(), member.name.GetStringLength());
-    const Fields fields(name, member.value);
-    try {
-      take(name, fields, now);
-    } catch (const Malformed&) {
-      throw;
-    } catch (const std::exception& e) {
-      panic(fields.whole("gateway_id"), e.what());
-    }
-  }
-  for (const int64_t id : order_) reply_for(id, gateways_.at(id), now);
-  reply_ += "]}";
-  return reply_;
+void SimulatorAdapter::handle_update(Ms now, const EventFields& fields) {
+  const int64_t id = gateway_id_of(fields);
+  std::optional<EngineListUpdate> update = read_engine_list_update(fields);
+  if (!update) return;
+  const auto list = engine_lists_.find(fields.integer("ref"));
+  if (list == engine_lists_.end()) fields.throw_not("ref", "the number of a list");
+  update->listings = list->second;
+  deliver(now, id, *std::move(update));
+}
+
+void SimulatorAdapter::handle_accept(Ms now, const EventFields& fields) {
+  const int64_t id = gateway_id_of(fields);
+  AcceptedCommand command = read_accepted_command(fields);
+  Gateway* const gateway = find_gateway(id);
+  if (!gateway) return;
+  command.admitted.profile = place_of(gateway->profiles, command.profile);
+  command.admitted.tenant = place_of(gateway->customers, command.customer);
+  if (command.admitted.profile < 0)
+    std::cerr << "firvalve-simulator-adapter: event ACCEPT: no profile is named " << command.profile << '\n';
+  handle(gateway->state, now, command.admitted);
+}
+
+void SimulatorAdapter::handle_change(Ms now, const EventFields& fields) {
+  const int64_t id = gateway_id_of(fields);
+  if (const std::optional<AttemptStatus> status = read_attempt_status(fields)) deliver(now, id, *status);
+}
+
+void SimulatorAdapter::handle_settled(Ms now, const EventFields& fields) {
+  const int64_t id = gateway_id_of(fields);
+  deliver(now, id, read_attempt_finished(fields));
+}
+
+void SimulatorAdapter::handle_gone(Ms now, const EventFields& fields) {
+  const int64_t id = gateway_id_of(fields);
+  deliver(now, id, read_client_gone(fields));
+}
+
+void SimulatorAdapter::handle_probe_result(Ms now, const EventFields& fields) {
+  const int64_t id = gateway_id_of(fields);
+  deliver(now, id, read_probe_result(fields));
+}
+
+void SimulatorAdapter::handle_bell(Ms now, const EventFields& fields) {
+  const int64_t id = gateway_id_of(fields);
+  deliver(now, id, read_timer_fired(fields));
 }
 
-}  // namespace firvalve::drill
+}  // namespace firvalve::simulator
--- a/src/simulator_adapter/simulator_adapter.h
+++ b/src/simulator_adapter/simulator_adapter.h
@@ -1,47 +1,57 @@
-// The bench's wire, one line in and one line out, for any number of gateways that share nothing.
+// The policy behind the operators' simulator: batches of events in, decisions out, one line of JSON each, for
+// any number of gateways that share nothing. The words of the wire are the operators' own.
 #pragma once
 
 #include <cstdint>
 #include <map>
-#include <memory>
-#include <stdexcept>
 #include <string>
 #include <vector>
 
 #include "policy/rules.h"
+#include "simulator_adapter/decision_writer.h"
+#include "simulator_adapter/event_fields.h"
 
-namespace firvalve::drill {
-
-// Input that cannot be read: names the event and the field.
-struct Malformed : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
-class Fields;
+namespace firvalve::simulator {
 
 class SimulatorAdapter {
  public:
-  // Reads a batch and returns the reply, without a line's end. Throws Malformed.
-  const std::string& answer(std::string line);
+  // Handles the events of one line in their order, then asks each gateway that had any for its decisions, in
+  // the order of their first events. Events and fields that are unknown and events of gateways that are not
+  // running are passed over. Returns the reply without a line's end. Throws MalformedInput.
+  const std::string& handle_batch(std::string line);
 
  private:
   struct Gateway {
     State state;
-    std::vector<std::string> profiles, customers;
-    bool heard = false;
+    std::vector<std::string> profiles, customers;  // names, in the order of the settings
+    bool has_new_events = false;                   // in this batch
   };
-
-  void take(const std::string& name, const Fields& fields, Ms now);
-  Gateway* held(int64_t id);
-  void reply_for(int64_t id, Gateway& gateway, Ms now);
-  void write(int64_t id, const Action& action);
-  void panic(int64_t id, const std::string& why);
+  using Handler = void (SimulatorAdapter::*)(Ms now, const EventFields& fields);
+
+  static Handler handler_of(const std::string& event);
+  // One for each event of the wire. Fields are read before the gateway is looked up, so that a malformed
+  // event is reported also where its gateway is not running.
+  void handle_manifest(Ms now, const EventFields& fields);
+  void handle_start(Ms now, const EventFields& fields);
+  void handle_killed(Ms now, const EventFields& fields);
+  void handle_update(Ms now, const EventFields& fields);
+  void handle_accept(Ms now, const EventFields& fields);
+  void handle_change(Ms now, const EventFields& fields);
+  void handle_settled(Ms now, const EventFields& fields);
+  void handle_gone(Ms now, const EventFields& fields);
+  void handle_probe_result(Ms now, const EventFields& fields);
+  void handle_bell(Ms now, const EventFields& fields);
+
+  // Null: it is not running. It will be asked for its decisions.
+  Gateway* find_gateway(int64_t gateway_id);
+  void deliver(Ms now, int64_t gateway_id, const Event& event);
+  void write_decisions(Ms now, int64_t gateway_id, Gateway& gateway);
 
   std::map<int64_t, Gateway> gateways_;
-  std::vector<int64_t> order_;  // of first being heard in this batch
-  std::map<int64_t, std::vector<EngineInfo>> lists_;
+  std::vector<int64_t> decision_order_;                      // ids of gateways with new events
+  std::map<int64_t, std::vector<EngineInfo>> engine_lists_;  // by the number that updates refer to
   Actions actions_;
-  std::string reply_;
+  DecisionWriter writer_;
 };
 
-}  // namespace firvalve::drill
+}  // namespace firvalve::simulator
--- a/tests/simulator_adapter/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter/simulator_adapter_test.cpp
@@ -3,7 +3,7 @@
 #include "core/settings.h"
 #include "policy/helpers.h"
 
-namespace firvalve::drill {
+namespace firvalve::simulator {
 namespace {
 
 const std::string kStart =
@@ -18,54 +18,54 @@
 std::string batch(const std::string& events) { return R"({"wall":1000000000,"happened":[)" + events + "]}"; }
 
 TEST(Wire, EmptyBatch) {
-  SimulatorAdapter drill;
-  EXPECT_EQ(drill.answer(batch("")), R"({"decisions":[]})");
+  SimulatorAdapter adapter;
+  EXPECT_EQ(adapter.handle_batch(batch("")), R"({"decisions":[]})");
 }
 
 TEST(Wire, AcceptIsRelayedToTheListedEngine) {
-  SimulatorAdapter drill;
+  SimulatorAdapter adapter;
   const std::string update = R"({"UPDATE":{"gateway_id":1,"ref":0,"generation":1,"how":4}})";
-  const std::string reply = drill.answer(batch(kStart + "," + kList + "," + update + "," + kAccept));
+  const std::string reply = adapter.handle_batch(batch(kStart + "," + kList + "," + update + "," + kAccept));
   EXPECT_NE(reply.find(R"({"RELAY":{"gateway_id":1,"job":"86a18bdc5d3a91c4","engine":9}})"),
             std::string::npos);
 }
 
 TEST(Wire, ListNumbersAreResolvedInOrder) {
-  SimulatorAdapter drill;
+  SimulatorAdapter adapter;
   const std::string update = R"({"UPDATE":{"gateway_id":1,"ref":0,"generation":1,"how":4}})";
   const std::string later = R"({"MANIFEST":{"ref":0,"members":[{"engine":8,"lifecycle":1}]}})";
   const std::string reply =
-      drill.answer(batch(kStart + "," + kList + "," + update + "," + later + "," + kAccept));
+      adapter.handle_batch(batch(kStart + "," + kList + "," + update + "," + later + "," + kAccept));
   EXPECT_NE(reply.find(R"("engine":9)"), std::string::npos);
 }
 
 TEST(Wire, KilledForgetsAll) {
-  SimulatorAdapter drill;
+  SimulatorAdapter adapter;
   const std::string killed = R"({"KILLED":{"gateway_id":1}})";
-  EXPECT_EQ(drill.answer(batch(kStart + "," + kAccept + "," + killed)), R"({"decisions":[]})");
+  EXPECT_EQ(adapter.handle_batch(batch(kStart + "," + kAccept + "," + killed)), R"({"decisions":[]})");
 }
 
 TEST(Wire, UnknownEventsAndFieldsAndUnstartedGatewaysArePassedOver) {
-  SimulatorAdapter drill;
-  EXPECT_EQ(drill.answer(batch(R"({"NEWS":{"x":1}},{"BELL":{"gateway_id":4,"ref":1,"y":2}})")),
+  SimulatorAdapter adapter;
+  EXPECT_EQ(adapter.handle_batch(batch(R"({"NEWS":{"x":1}},{"BELL":{"gateway_id":4,"ref":1,"y":2}})")),
             R"({"decisions":[]})");
 }
 
 TEST(Wire, CommandOfAnUnknownProfileIsFailedAtOnce) {
-  SimulatorAdapter drill;
+  SimulatorAdapter adapter;
   std::string accept = kAccept;
   accept.replace(accept.find("quick"), 5, "other");
-  EXPECT_NE(drill.answer(batch(kStart + "," + accept)).find(R"("FAIL":{"gateway_id":1,"job":"86a1)"),
+  EXPECT_NE(adapter.handle_batch(batch(kStart + "," + accept)).find(R"("FAIL":{"gateway_id":1,"job":"86a1)"),
             std::string::npos);
 }
 
 TEST(Wire, MalformedNamesEventAndField) {
-  SimulatorAdapter drill;
-  EXPECT_THROW(drill.answer(R"({"wall":1,"happ)"), Malformed);
+  SimulatorAdapter adapter;
+  EXPECT_THROW(adapter.handle_batch(R"({"wall":1,"happ)"), MalformedInput);
   try {
-    drill.answer(batch(R"({"BELL":{"gateway_id":"1","ref":1}})"));
+    adapter.handle_batch(batch(R"({"BELL":{"gateway_id":"1","ref":1}})"));
     FAIL();
-  } catch (const Malformed& e) {
+  } catch (const MalformedInput& e) {
     EXPECT_STREQ(e.what(), "event BELL: field gateway_id is not a whole number");
   }
 }
@@ -82,4 +82,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::drill
+}  // namespace firvalve::simulator
