--- a/src/core/command_event.h
+++ b/src/core/command_event.h
@@ -5,7 +5,8 @@
 #include <functional>
 #include <string_view>
 
-#include "policy/rules.h"
+#include "base/units.h"
+#include "policy/actions.h"
 
 namespace firvalve {
 
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -74,7 +74,7 @@
 
 void Core::handle_now(Ms now, const Event& event) {
   now_ = now;
-  handle(state_, now, event);
+  handle(state_, time_point_of(now), event);
   heard_ = true;
 }
 
@@ -110,11 +110,10 @@
   Admitted t;
   t.id = id;
   t.profile = h.profile;
-  t.gives_up_at = h.gives_up_at;
-  t.estimate = asked.estimate;
-  t.memory_mb = asked.memory_mb;
-  t.tables = asked.tables;
-  t.repeat = !asked.first.empty();
+  t.deadline = time_point_of(h.gives_up_at);
+  if (asked.estimate > 0) t.estimated_work = duration_of(asked.estimate);
+  t.estimated_memory_mb = asked.memory_mb;
+  if (asked.tables >= 0) t.table_group = asked.tables;
   tell_observer(now, CommandEvent::Kind::kAdmitted, id.text, h);
   handle_now(now, t);
   if (paged) {
@@ -234,7 +233,8 @@
   const auto at = sends_.find(send);
   if (at == sends_.end()) return false;
   const Held& h = held_.at(at->second);
-  return h.call != 0 && now < h.gives_up_at && firvalve::may_begin(state_, CommandId{at->second}, now);
+  return h.call != 0 && now < h.gives_up_at &&
+         may_start_attempt(state_, CommandId{at->second}, time_point_of(now));
 }
 
 void Core::finish(HeldMap::iterator at) {
@@ -281,22 +281,23 @@
 
 void Core::roster(Ms now, bool full, std::vector<NamedEngineInfo> listings, Ms current_at) {
   EngineListUpdate r;
-  r.full = full;
-  r.current_at = current_at;
+  r.is_complete = full;
+  if (current_at > 0) r.current_at = time_point_of(current_at);
   std::map<uint32_t, std::string> kept;
   for (NamedEngineInfo& l : listings) {
-    l.listing.engine = number_of(l.name);
-    r.listings.push_back(l.listing);
-    back_.list(now, l.listing.engine, l.address, l.listing.life);
-    if (l.listing.life != EngineState::kGone) kept[l.listing.engine] = l.name;
-    if (l.listing.life != EngineState::kGone) continue;
-    listed_.erase(l.listing.engine);
+    const uint32_t number = number_of(l.name);
+    l.listing.engine = EngineId{number};
+    r.engines.push_back(l.listing);
+    back_.list(now, number, l.address, l.listing.state);
+    if (l.listing.state != EngineState::kRemoved) kept[number] = l.name;
+    if (l.listing.state != EngineState::kRemoved) continue;
+    listed_.erase(number);
     forget_number(l.name);
   }
   if (full) {
     for (const auto& [engine, name] : listed_) {
       if (kept.count(engine)) continue;
-      back_.list(now, engine, {}, EngineState::kGone);
+      back_.list(now, engine, {}, EngineState::kRemoved);
       forget_number(name);
     }
     listed_.clear();
@@ -321,11 +322,12 @@
   counters_.add("sends ended", name_of(outcome));
   AttemptFinished s;
   s.id = CommandId{id};
-  s.send = h->second.sends - 1;
+  s.attempt = h->second.sends - 1;
   s.outcome = outcome;
-  s.took = now - h->second.sent_at;
+  s.elapsed = duration_of(now - h->second.sent_at);
   h->second.send = 0;
-  tell_observer(now, CommandEvent::Kind::kAttemptEnded, id, h->second, Reason::kNone, outcome, s.took);
+  tell_observer(now, CommandEvent::Kind::kAttemptEnded, id, h->second, Reason::kNone, outcome,
+                to_ms(s.elapsed));
   if (outcome == Outcome::kOk && h->second.call != 0) {
     counters_.add("answered", profiles_[static_cast<size_t>(h->second.profile)]);
     if (h->second.paged) {
@@ -337,9 +339,9 @@
     }
     tell_observer(now, CommandEvent::Kind::kAnswered, id, h->second);
     finish(h);
-    s.finished = true;
+    s.is_command_finished = true;
   } else if (h->second.call == 0) {
-    s.finished = true;
+    s.is_command_finished = true;
     erase(h);
   } else if (h->second.place != 0) {
     shelf_->clear(now, h->second.place);  // nothing of it has been given out: another send may make it anew
@@ -351,7 +353,7 @@
   closes_at_ = at;
   for (auto& [id, h] : held_) h.gives_up_at = std::min(h.gives_up_at, at);
   look_at_ = sooner(look_at_, at);
-  handle_now(now, ShutdownStarted{at});
+  handle_now(now, ShutdownStarted{time_point_of(at)});
 }
 
 // An attempt ends at its client's deadline at the latest, whatever its engine says.
@@ -362,7 +364,7 @@
     if (h.send == 0 || h.overdue) continue;
     if (now >= h.gives_up_at) {
       h.overdue = true;
-      tell_observer(now, CommandEvent::Kind::kAttemptCancelled, id, h, Reason::kDeadlineOver);
+      tell_observer(now, CommandEvent::Kind::kAttemptCancelled, id, h, Reason::kDeadlineExceeded);
       back_.withdraw(now, h.send, Outcome::kTimedOut);
     } else {
       look_at_ = sooner(look_at_, h.gives_up_at);
@@ -372,65 +374,66 @@
 
 void Core::turn(Ms now) {
   end_overdue(now);
-  for (; !bells_.empty() && bells_.begin()->first <= now; bells_.erase(bells_.begin()))
-    handle_now(now, TimerFired{bells_.begin()->second});
+  for (; !bells_.empty() && *bells_.begin() <= now; bells_.erase(bells_.begin()))
+    handle_now(now, TimerFired{});
   if (!heard_ || now < decided_at_ + tick_) return;
   heard_ = false;
   decided_at_ = now;
   actions_.clear();
-  decide(state_, now, actions_);
+  decide(state_, time_point_of(now), actions_);
   for (const Action& a : actions_) carry_out(now, a);
   for (const Id& id : done_) held_.erase(id);
   done_.clear();
 }
 
 void Core::carry_out(Ms now, const Action& a) {
-  if (a.kind == Action::Kind::kBell) {
-    bells_.emplace(now + a.wait, static_cast<uint64_t>(a.number));
+  if (a.kind == Action::Kind::kSetTimer) {
+    bells_.insert(now + to_ms(a.timer_delay));
     return;
   }
-  if (a.kind == Action::Kind::kLog) {
-    return say_(a.text, std::string(engine_name(a.engine)));
+  if (a.kind == Action::Kind::kLogEngineHealth) {
+    return say_(engine_health_text(a.engine, a.health), std::string(engine_name(to_number(a.engine))));
   }
-  const auto at = held_.find(a.id.text);
+  const auto at = held_.find(a.command.text);
   if (at == held_.end()) return;
   Held& h = at->second;
   const std::string& profile = profiles_[static_cast<size_t>(h.profile)];
   switch (a.kind) {
-    case Action::Kind::kSend: {
+    case Action::Kind::kStartAttempt: {
       counters_.add(h.sends > 0 ? "sent again" : "sent", profile);
       h.send = ++last_send_;
       h.sends += 1;
       h.sent_at = now;
       h.overdue = false;
-      h.engine = a.engine;
+      h.engine = to_number(a.engine);
       tell_observer(now, CommandEvent::Kind::kAttemptStarted, at->first, h);
       sends_[h.send] = at->first;
       look_at_ = sooner(look_at_, h.gives_up_at);
-      back_.start(now, {h.send, a.engine, view(at->first), profile, h.statement, h.gives_up_at, h.priority,
+      back_.start(now, {h.send, h.engine, view(at->first), profile, h.statement, h.gives_up_at, h.priority,
                         h.paged, may_cancel_});
       break;
     }
-    case Action::Kind::kWithdraw:
-      if (h.send == 0 || a.number != h.sends - 1) break;
+    case Action::Kind::kCancelAttempt:
+      if (h.send == 0 || a.attempt != h.sends - 1) break;
       counters_.add("withdrawn", profile);
       counters_.add("attempts cancelled:", name_of(a.reason));
       tell_observer(now, CommandEvent::Kind::kAttemptCancelled, at->first, h, a.reason);
       back_.withdraw(now, h.send, Outcome::kCancelled);
       break;
-    case Action::Kind::kRank:
-      h.priority = a.number;
-      if (h.send != 0) back_.rank(now, h.send, a.number);
+    case Action::Kind::kSetSchedulingHints:
+      h.priority = a.priority;
+      if (h.send != 0) back_.rank(now, h.send, a.priority);
       break;
-    case Action::Kind::kShed:
-    case Action::Kind::kFail:
-      counters_.add(a.kind == Action::Kind::kShed ? "shed" : "failed", profile);
+    case Action::Kind::kShedCommand:
+    case Action::Kind::kFailCommand:
+      counters_.add(a.kind == Action::Kind::kShedCommand ? "shed" : "failed", profile);
       counters_.add("commands ended unserved:", name_of(a.reason));
-      tell_observer(now,
-                    a.kind == Action::Kind::kShed ? CommandEvent::Kind::kShed : CommandEvent::Kind::kFailed,
-                    at->first, h, a.reason);
+      tell_observer(
+          now, a.kind == Action::Kind::kShedCommand ? CommandEvent::Kind::kShed : CommandEvent::Kind::kFailed,
+          at->first, h, a.reason);
       tell(h, [&](CallRef call) {
-        a.kind == Action::Kind::kShed ? front_.shed(call, a.wait) : front_.fail(call, "failed");
+        a.kind == Action::Kind::kShedCommand ? front_.shed(call, to_ms(a.retry_after.value_or(Duration())))
+                                             : front_.fail(call, "failed");
       });
       if (h.call != 0) finish(at);
       break;
@@ -440,7 +443,7 @@
 }
 
 Ms Core::next_due() const {
-  Ms due = sooner(look_at_, bells_.empty() ? 0 : bells_.begin()->first);
+  Ms due = sooner(look_at_, bells_.empty() ? 0 : *bells_.begin());
   if (heard_) due = sooner(due, decided_at_ + tick_);
   return due;
 }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -13,7 +13,7 @@
 
 #include "core/command_event.h"
 #include "core/result_store.h"
-#include "policy/rules.h"
+#include "policy/policy.h"
 
 namespace firvalve {
 
@@ -194,7 +194,7 @@
   std::map<std::string, uint32_t> numbers_;
   std::set<uint32_t> numbers_in_use_;       // of numbers_
   std::map<uint32_t, std::string> listed_;  // names by number, of engines not gone
-  std::map<Ms, uint64_t> bells_;
+  std::set<Ms> bells_;
   Actions actions_;
   uint64_t last_send_ = 0;
   const Ms tick_;
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "policy/rules.h"
+#include "policy/settings.h"
 
 namespace firvalve {
 
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -173,7 +173,7 @@
              [this](const std::string& text, const std::string& engine) { handle(text, engine); }) {}
 
   void handle(const std::string& text, const std::string& engine) {
-    text.ends_with("trusted again") ? ejected.erase(engine) : ejected.insert(engine).second;
+    text.ends_with("reinstated") ? ejected.erase(engine) : ejected.insert(engine).second;
   }
   void answer(CallRef call, std::string_view) override {
     world.finish(number, call, Happening::Kind::kAnswered);
@@ -215,7 +215,7 @@
     const bool cancels = as == Outcome::kCancelled;
     if (const uint64_t connect = world.attempts_.at(attempt).connect; connect != 0) {
       world.abandon_connect(connect);
-      return world.end_later(attempt, cancels ? Outcome::kMoot : as, 0);
+      return world.end_later(attempt, cancels ? Outcome::kCancelledBeforeStart : as, 0);
     }
     // Without an answer to its cancellation it ends when an unasked query would have.
     world.end_later(attempt, as, cancels ? kCancelUnanswered : 0);
@@ -298,7 +298,7 @@
   l.name = fmt::format("s-{:08x}", id);
   l.address = "127.0.0.1:1";
   l.listing.zone = zone_of(engine);
-  l.listing.machine = "std";
+  l.listing.machine_type = "std";
   return l;
 }
 
@@ -474,7 +474,7 @@
   // Another program at the address, or none, refuses it.
   if (!e.is(a.engine_id)) return end_later(attempt, Outcome::kConnectFailed, network_delay());
   if (e.model.admit(now_, attempt, a.work, a.threads) == EngineModel::Admission::kFull)
-    return end_later(attempt, Outcome::kFull, network_delay());
+    return end_later(attempt, Outcome::kQueueFull, network_delay());
   a.at_engine = true;
   if (options_.note_period > 0) travel(Event::Kind::kNote, a.gateway, attempt, options_.note_period);
   plan(a.engine);
@@ -508,7 +508,7 @@
   if (e.model.is_silent() || progress.state == EngineModel::State::kAbsent) return;
   Core& core = gateways_[a.gateway]->core;
   if (progress.state == EngineModel::State::kQueued)
-    return core.noted(now_, a.of_gateway, AttemptStatusKind::kWaits, 0);
+    return core.noted(now_, a.of_gateway, AttemptStatusKind::kWaiting, 0);
   core.noted(now_, a.of_gateway, AttemptStatusKind::kProgress, 1 - progress.work_left / a.work);
 }
 
@@ -560,7 +560,7 @@
   }
   leave_connection(a, outcome);
   WorldSecond& second = this_second();
-  second.full += outcome == Outcome::kFull;
+  second.full += outcome == Outcome::kQueueFull;
   second.timed_out += outcome == Outcome::kTimedOut;
   second.cancelled += outcome == Outcome::kCancelled;
   second.answered += outcome == Outcome::kOk;
@@ -570,7 +570,7 @@
   h.command = a.command;
   h.send = attempt;
   h.how = outcome == Outcome::kOk ? Happening::How::kDone
-          : outcome == Outcome::kConnectFailed || outcome == Outcome::kFull || outcome == Outcome::kMoot
+          : outcome == Outcome::kConnectFailed || outcome == Outcome::kQueueFull || outcome == Outcome::kCancelledBeforeStart
               ? Happening::How::kNeverRan
               : Happening::How::kMayHaveRun;
   note(h);
@@ -626,7 +626,7 @@
   a.connect = 0;
   if (!gateways_[c.gateway]->core.may_begin(now_, a.of_gateway)) {
     rest_connection(c.gateway, c.engine, c.engine_id);
-    return end_later(c.attempt, Outcome::kMoot, 0);
+    return end_later(c.attempt, Outcome::kCancelledBeforeStart, 0);
   }
   a.has_connection = true;
   travel(Event::Kind::kStart, c.engine, c.attempt, network_delay());
@@ -670,7 +670,7 @@
   if (a.connect != 0) abandon_connect(a.connect);
   if (!std::exchange(a.has_connection, false)) return;
   const bool is_answered =
-      outcome == Outcome::kOk || outcome == Outcome::kFull || outcome == Outcome::kCancelled;
+      outcome == Outcome::kOk || outcome == Outcome::kQueueFull || outcome == Outcome::kCancelled;
   if (is_answered && !engines_[a.engine].model.is_silent())
     return rest_connection(a.gateway, a.engine, a.engine_id);
   drop_connection(a.engine, a.engine_id);
@@ -698,7 +698,7 @@
 void World::list(uint32_t g, uint32_t engine, uint32_t id, bool listed) {
   Gateway& gateway = *gateways_[g];
   NamedEngineInfo l = listing_of(engine, id);
-  l.listing.life = listed ? EngineState::kReady : EngineState::kGone;
+  l.listing.state = listed ? EngineState::kReady : EngineState::kRemoved;
   if (listed)
     gateway.place[id] = engine;
   else
--- a/src/net/endpoint_watcher.cpp
+++ b/src/net/endpoint_watcher.cpp
@@ -43,9 +43,9 @@
 EndpointChange change_of(const proto::BusEvent& event, std::string_view address) {
   EndpointChange change{EndpointChange::Kind::kListTaken, address, {}, event.offset};
   for (const proto::BusListing& l : event.listings) {
-    change.serving += l.listing.life == EngineState::kReady;
-    change.draining += l.listing.life == EngineState::kDraining;
-    change.gone += l.listing.life == EngineState::kGone;
+    change.serving += l.listing.state == EngineState::kReady;
+    change.draining += l.listing.state == EngineState::kDraining;
+    change.gone += l.listing.state == EngineState::kRemoved;
   }
   return change;
 }
--- a/src/net/engine_connections.cpp
+++ b/src/net/engine_connections.cpp
@@ -70,7 +70,7 @@
 // An engine that has gone keeps its address, until that is another's, and its connections for what still runs
 // there: it takes no new ones.
 void EngineConnections::list(Ms, uint32_t engine, std::string_view address, EngineState life) {
-  const bool gone = life == EngineState::kGone;
+  const bool gone = life == EngineState::kRemoved;
   if (Pool& had = pools_[engine]; gone ? had.sends == 0 : had.address != address) drop_idle(engine);
   Pool& pool = pools_[engine];
   pool.gone = gone;
@@ -175,7 +175,7 @@
   // For want of a descriptor nothing has begun, and the engine is not to blame.
   if (!link)
     return end(order.send,
-               pools_.at(order.engine).address.empty() ? Outcome::kConnectFailed : Outcome::kMoot);
+               pools_.at(order.engine).address.empty() ? Outcome::kConnectFailed : Outcome::kCancelledBeforeStart);
   give(*link, order.send, send, now);
 }
 
@@ -204,7 +204,7 @@
     // Guards against a start that was decided on while its connection was still to come: meanwhile the engine
     // may have begun to drain, the client have gone, the window for repeats have run out.
     send.on = nullptr;
-    end(link.send, Outcome::kMoot);
+    end(link.send, Outcome::kCancelledBeforeStart);
     return rest(link, now);
   } else {
     const AttemptRequest& o = send.order;
@@ -305,14 +305,14 @@
       // All of it is here: the engine need hold it no longer. A plain result ends by itself, as it did.
       if (step.outcome == Outcome::kOk && send.order.paged) errand(id, {}, now);
       const bool blameless = step.outcome == Outcome::kFailed && send.spoilt_since > 0;
-      end(id, blameless ? Outcome::kSpoilt : step.outcome, send.query.take_rows());
+      end(id, blameless ? Outcome::kIndeterminate : step.outcome, send.query.take_rows());
     } else if (step.next == proto::Query::Next::kAsk) {
       ask(id, now);
     } else {
       counters_.add("engine answers spoilt");
       drop(link, ConnectionEnd::kUnreadable);
       if (send.spoilt_since > 0 && now - send.spoilt_since > proto::kUnaskedMost)
-        return give_up(id, Outcome::kSpoilt, now);
+        return give_up(id, Outcome::kIndeterminate, now);
       return ask_again(id, now);
     }
   } else if (task == Task::kErrand && link.ends_send) {
@@ -356,7 +356,7 @@
     begin(link, now);
     if (!send.told || !link.up() || as != Outcome::kCancelled) drop(link, ConnectionEnd::kAttemptOver);
   }
-  if (!begun) return end(id, as == Outcome::kCancelled ? Outcome::kMoot : as);
+  if (!begun) return end(id, as == Outcome::kCancelled ? Outcome::kCancelledBeforeStart : as);
   if (as == Outcome::kCancelled) return give_up(id, as, now);
   // Guards engines against commands that nobody waits for: one that runs when its client's time is over runs
   // on and keeps its place, and many gateways' together fill every engine. ClusterReply once, and nothing
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "net/wake_timer.h"
-#include "policy/rules.h"
+#include "base/units.h"
 
 namespace firvalve::net {
 
--- /dev/null
+++ b/src/policy/actions.cpp
@@ -0,0 +1,34 @@
+#include "policy/actions.h"
+
+namespace firvalve {
+
+std::string_view name_of(Reason reason) {
+  static constexpr std::string_view kNames[] = {"none",
+                                                "engine unresponsive",
+                                                "blocked",
+                                                "no progress",
+                                                "bad plan",
+                                                "client gone",
+                                                "deadline too close",
+                                                "deadline exceeded",
+                                                "attempts exhausted",
+                                                "unsafe to retry",
+                                                "pool overloaded",
+                                                "unknown profile"};
+  return kNames[static_cast<size_t>(reason)];
+}
+
+std::string engine_health_text(EngineId engine, EngineHealth health) {
+  const std::string name = "engine " + std::to_string(to_number(engine));
+  switch (health) {
+    case EngineHealth::kReinstated:
+      return name + ": reinstated";
+    case EngineHealth::kUnresponsive:
+      return name + ": ejected: unresponsive";
+    case EngineHealth::kFailingOrSlow:
+      return name + ": ejected: failing or slow";
+  }
+  return name;
+}
+
+}  // namespace firvalve
--- a/src/policy/rules.cpp
+++ b/src/policy/rules.cpp
@@ -2,7 +2,8 @@
 //
 // Invoked by its host: open() at start, handle() for each event, decide() once after the events of one
 // moment; decide() sets what is wanted (out, held, ended, timed) and emit() alone turns the difference into
-// actions. The interface is rules.h. The design it follows, and each departure from it, is in docs/design.md.
+// actions. The interface is policy.h. The design it follows, and each departure from it, is in
+// docs/design.md.
 //
 // Beside the design, six mechanisms:
 //   1. level    a learned limit on the threads that this gateway runs at once, on each engine and on all
@@ -11,13 +12,13 @@
 //   4. warm-up  an engine that started, or came back from silence, gets a budget of work
 //   5. bad plan a send that runs far longer than predicted, or stands still, is withdrawn and sent again
 //   6. terms    priority and memory by prediction, where engines heed them
-#include "policy/rules.h"
-
 #include <algorithm>
 #include <cmath>
 #include <initializer_list>
 #include <utility>
 
+#include "policy/policy.h"
+
 namespace firvalve {
 namespace {
 
@@ -76,14 +77,12 @@
 constexpr double kReturnPart = 0.5;  // of that window is left to a client that is told it may come again
 constexpr Ms kLeftGrace = 50;        // after its client's half-close: at 100 a closed one counts as gone
 // Bad plan
-constexpr double kBadPlan = 4;         // times the predicted time: past the scatter of estimates
-constexpr double kBlind = 4;           // times the predicted and the usual time without a word of progress
-constexpr Ms kBadPlanLeast = 300;      // running time below which nothing is withdrawn
-constexpr int kWithdrawMost = 2;       // withdrawals before the estimate is blamed instead
-constexpr double kMoveRest = 0.25;     // of its time alone, times the moves so far: in all about its length
-constexpr double kWaitsForMemory = 1;  // the note's word for standing in the engine's line for memory
-constexpr double kWaitsForLoad = 2;    // the note's word for standing still while a load holds the tables
-constexpr Ms kTablesHeld = 3000;       // that such news is kept: a load's usual length
+constexpr double kBadPlan = 4;      // times the predicted time: past the scatter of estimates
+constexpr double kBlind = 4;        // times the predicted and the usual time without a word of progress
+constexpr Ms kBadPlanLeast = 300;   // running time below which nothing is withdrawn
+constexpr int kWithdrawMost = 2;    // withdrawals before the estimate is blamed instead
+constexpr double kMoveRest = 0.25;  // of its time alone, times the moves so far: in all about its length
+constexpr Ms kTablesHeld = 3000;    // that such news is kept: a load's usual length
 // Warm-up
 constexpr double kColdPart = 0.5;     // of the allowed work to a cold engine: the rest is for chance
 constexpr double kColdSmall = 0.05;   // of that work: commands up to this come in numbers that even out
@@ -161,22 +160,24 @@
 
 void learn(State& s, Ms now, const Command& c, const AttemptFinished& r) {
   Profile& p = profile_of(s, c);
-  p.told = r.work > 0;
+  const Ms told_work = r.work ? to_ms(*r.work) : 0, took = to_ms(r.elapsed);
+  const double told_memory_mb = r.memory_mb.value_or(0);
+  p.told = told_work > 0;
   const bool late = now == s.awake_at;
   if (late && !p.told) return;
-  const Ms work = r.work > 0 ? r.work : r.took * p.threads;
+  const Ms work = told_work > 0 ? told_work : took * p.threads;
   blend(p.mean_work, work, kLearn);
   const double most = c.asked.estimate > 0 ? kRatioMost : kRatioMost * kRatioMost;
   const double ratio = is_corrected(p, c) ? std::clamp(work / uncorrected(p, c), 1 / most, most) : 0;
   if (ratio > 0) blend(p.correction, ratio, kLearn);
   // A high quantile, not a mean: what falls short spills, and that costs far more than memory lying idle.
-  if (r.memory_mb > 0 && c.asked.memory_mb > 0)
-    p.grant *= r.memory_mb > p.grant * c.asked.memory_mb ? 1 + kGrantLearn * kGrantCover
-                                                         : 1 - kGrantLearn * (1 - kGrantCover);
+  if (told_memory_mb > 0 && c.asked.memory_mb > 0)
+    p.grant *= told_memory_mb > p.grant * c.asked.memory_mb ? 1 + kGrantLearn * kGrantCover
+                                                            : 1 - kGrantLearn * (1 - kGrantCover);
   // Guards against calling a crowd normal: where the answer tells no cost, latency stands in for it, and its
   // mean rises with the crowding that it should show. The quickest stretch of outcomes is the yardstick.
   if (late) return;
-  const double slowness = p.told ? r.took * p.threads / r.work : ratio;
+  const double slowness = p.told ? took * p.threads / told_work : ratio;
   if (slowness > 0) {
     p.window_sum += std::log(slowness);
     p.window_count += 1;
@@ -190,13 +191,13 @@
   }
   Engine& e = s.engines[c.engine];
   EngineGroup& kin = s.kin[e.kin];
-  const Ms by_itself = p.told ? r.work / p.threads * std::max(1.0, p.base) : c.alone;
+  const Ms by_itself = p.told ? told_work / p.threads * std::max(1.0, p.base) : c.alone;
   // Two means: short commands of high priority glide past a crowd that holds up all others, and where no
   // priority is heeded they are the first to feel one. Work that is only guessed adds noise to the weight.
   // Notes come from the commands that last: their quicker kin must count, too, or a level once cut stays cut.
   if (!c.waited) {
-    const double stretch = std::min(r.took / std::max(by_itself, 1.0), kStretchMost);
-    const double of_work = kStretchLearn * r.work / std::max(1.0, s.all_work * (1 - kWorkFade));
+    const double stretch = std::min(took / std::max(by_itself, 1.0), kStretchMost);
+    const double of_work = kStretchLearn * told_work / std::max(1.0, s.all_work * (1 - kWorkFade));
     const double weight = p.told ? std::min(of_work, kStretchJump) : p.threads > 1 ? kStretchLearn : 0;
     blend_stretch(p, kin.stretch, stretch, kStretchLearn);
     blend_stretch(p, kin.work_stretch, stretch, weight);
@@ -231,10 +232,10 @@
 Reason why_spent(const State& s, const Command& c, Ms now) {
   const Profile& p = profile_of(s, c);
   if (has_left(c, now)) return Reason::kClientGone;
-  if (c.sends >= s.most_sends) return Reason::kNoAttemptLeft;
+  if (c.sends >= s.most_sends) return Reason::kAttemptsExhausted;
   const bool unsafe = c.may_have_run && (p.effect == Effect::kNonReplayable ||
                                          (p.effect == Effect::kUniqued && !in_window(p, c.risked_at, now)));
-  return unsafe ? Reason::kUnsafeToRepeat : Reason::kNone;
+  return unsafe ? Reason::kUnsafeToRetry : Reason::kNone;
 }
 
 bool is_spent(const State& s, const Command& c, Ms now) { return why_spent(s, c, now) != Reason::kNone; }
@@ -248,29 +249,30 @@
 // ---- Events -------------------------------------------------------------------------------------
 
 void hear_roster(State& s, Ms now, const EngineListUpdate& r) {
-  if (r.full) {
-    std::vector<uint32_t> listed;
-    for (const EngineInfo& l : r.listings) listed.push_back(l.engine);
+  if (r.is_complete) {
+    std::vector<EngineId> listed;
+    for (const EngineInfo& l : r.engines) listed.push_back(l.engine);
     std::sort(listed.begin(), listed.end());
     for (Engine& e : s.engines)
-      if (!std::binary_search(listed.begin(), listed.end(), e.id)) e.life = EngineState::kGone;
+      if (!std::binary_search(listed.begin(), listed.end(), e.id)) e.life = EngineState::kRemoved;
   }
-  for (const EngineInfo& l : r.listings) {
+  for (const EngineInfo& l : r.engines) {
     Engine* e = &engine_of(s, l.engine);
     e->zone = l.zone;
     e->zone_number = number_of(s.zones, l.zone);
-    e->machine = l.machine;
-    e->kind = number_of(s.machines, l.machine);
+    e->machine = l.machine_type;
+    e->kind = number_of(s.machines, l.machine_type);
     s.kin.resize(2 * s.machines.size());
     e->cell = l.cell;
-    e->cores = number(s.settings, "cores." + l.machine, 1);
+    e->cores = number(s.settings, "cores." + l.machine_type, 1);
     if (e->limit == 0) e->limit = kLevelStart * e->cores / s.gateways;
     // Guards rule 4: a start within the warm-up makes a cold engine, whether it is new or came back.
-    const bool joins = e->life == EngineState::kGone && l.life == EngineState::kReady && now > 0;
-    e->life = l.life;
-    const bool starts = l.born > 0 && l.born != e->born;
-    const Ms start = start_of(l.born, r.current_at, now);
-    e->born = l.born;
+    const bool joins = e->life == EngineState::kRemoved && l.state == EngineState::kReady && now > 0;
+    e->life = l.state;
+    const Ms born = l.started_at ? to_ms(*l.started_at) : 0;
+    const bool starts = born > 0 && born != e->born;
+    const Ms start = start_of(born, r.current_at ? to_ms(*r.current_at) : 0, now);
+    e->born = born;
     if (starts && now - start < s.warm_up && e->cold_since < start) {
       start_cold(s, *e, start);
       // A new life: what the one before did tells nothing of it.
@@ -283,9 +285,17 @@
 }
 
 void hear_taken(State& s, Ms now, const Admitted& t) {
-  if (t.profile < 0 || t.profile >= static_cast<int>(s.profiles.size())) return s.unknown.push_back(t.id);
+  if (!t.profile || *t.profile < 0 || *t.profile >= static_cast<int>(s.profiles.size()))
+    return s.unknown.push_back(t.id);
   Command& c = new_place(s);
-  c.asked = t;
+  c.asked = {t.id,
+             *t.profile,
+             t.ordering_key.has_value(),
+             t.ordering_key.value_or(0),
+             to_ms(t.deadline),
+             to_ms(t.estimated_work.value_or(Duration())),
+             t.estimated_memory_mb,
+             t.table_group.value_or(-1)};
   c.taken_at = c.held_since = now;
   s.taken.add(now);
   predict(s, c);
@@ -293,10 +303,10 @@
 
 void hear_note(State& s, Ms now, const AttemptStatus& n) {
   Command* c = command_of(s, n.id);
-  if (!c || !c->out || n.send != c->sends - 1) return;
+  if (!c || !c->out || n.attempt != c->sends - 1) return;
   Engine& e = s.engines[c->engine];
   e.sign_at = c->noted_at = now;
-  c->waiting = n.kind == AttemptStatusKind::kWaits;
+  c->waiting = n.kind == AttemptStatusKind::kWaiting;
   double seen = 0;  // a sample of the stretch
   if (n.kind == AttemptStatusKind::kProgress) {
     c->share_done = n.value;
@@ -304,14 +314,14 @@
     // off the engine's own is more likely a bad plan.
     const bool tells = n.value > 0 && !c->waited && now != s.awake_at;
     if (tells) seen = std::min(kStretchMost, (now - c->sent_at) / (n.value * std::max(1.0, c->alone)));
-  } else if (c->waiting && n.value == kWaitsForMemory) {
+  } else if (c->waiting && n.value == kWaitingForMemory) {
     // Guards against standing in a line for memory behind others' heavy commands while other engines have
     // some: it has done nothing yet and goes elsewhere at no loss. What needs less may still fit here.
     c->stuck = true;
     e.closed_until = now + kFullRest;
     e.closed_from_mb = c->asked.memory_mb;
     seen = kStretchNoMemory;
-  } else if (c->waiting && n.value == kWaitsForLoad && !stands_still(s, *c, e)) {
+  } else if (c->waiting && n.value == kWaitingForLoad && !stands_still(s, *c, e)) {
     s.held_tables.push_back({e.id, c->asked.tables, now + kTablesHeld});
     c->stuck = true;
   }
@@ -332,7 +342,7 @@
 
 void hear_settled(State& s, Ms now, const AttemptFinished& r) {
   Command* found = command_of(s, r.id);
-  if (!found || !found->out || r.send != found->sends - 1) return;
+  if (!found || !found->out || r.attempt != found->sends - 1) return;
   Command& c = *found;
   Engine& e = s.engines[c.engine];
   const Profile& p = profile_of(s, c);
@@ -352,7 +362,7 @@
   }
   if (e.in_pool && c.heavy) {
     s.pool_sends += 1;
-    if (r.outcome == Outcome::kFull || r.outcome == Outcome::kTimedOut) s.pool_bad += 1;
+    if (r.outcome == Outcome::kQueueFull || r.outcome == Outcome::kTimedOut) s.pool_bad += 1;
   }
   if (r.outcome == Outcome::kOk) {
     // Guards rule 4: an engine silent for long may have started anew before the list says so.
@@ -366,19 +376,19 @@
     }
     learn(s, now, c, r);
   }
-  if (r.outcome == Outcome::kOk || r.outcome == Outcome::kFailed || r.outcome == Outcome::kFull)
+  if (r.outcome == Outcome::kOk || r.outcome == Outcome::kFailed || r.outcome == Outcome::kQueueFull)
     e.sign_at = now;
   // Guards against spending every further send on closed doors: what turns sends away at once has no work in
   // flight and would be drawn first each time. It rests longer with each in a row.
-  if (r.outcome == Outcome::kFull) e.limit *= kLevelCut;
-  if (r.outcome == Outcome::kFull || r.outcome == Outcome::kConnectFailed) {
+  if (r.outcome == Outcome::kQueueFull) e.limit *= kLevelCut;
+  if (r.outcome == Outcome::kQueueFull || r.outcome == Outcome::kConnectFailed) {
     e.closed_from_mb = 0;
     e.closed_until = now + doubled(kFullRest, e.closed_doors);
-  } else if (r.outcome != Outcome::kMoot) {
+  } else if (r.outcome != Outcome::kCancelledBeforeStart) {
     e.closed_doors = 0;
   }
-  const bool never_ran =
-      r.outcome == Outcome::kFull || r.outcome == Outcome::kConnectFailed || r.outcome == Outcome::kMoot;
+  const bool never_ran = r.outcome == Outcome::kQueueFull || r.outcome == Outcome::kConnectFailed ||
+                         r.outcome == Outcome::kCancelledBeforeStart;
   if (!never_ran && !c.may_have_run) {
     c.may_have_run = true;
     c.risked_on = c.engine;
@@ -388,14 +398,14 @@
   if (p.in_order && c.asked.has_key && s.key_rest > 0 &&
       (r.outcome == Outcome::kTimedOut || r.outcome == Outcome::kReset || r.outcome == Outcome::kCancelled))
     s.key_rests.push_back({c.asked.key, now + s.key_rest});
-  c.ended |= r.finished;
+  c.ended |= r.is_command_finished;
   if (c.ended) return;
   c.want = Want::kHold;
   c.held_since = now;
   c.withdrawn = false;
   if (r.outcome == Outcome::kTimedOut || now >= c.asked.gives_up_at - kEndSlack) {
     c.want = Want::kFail;
-    c.reason = Reason::kDeadlineOver;
+    c.reason = Reason::kDeadlineExceeded;
   }
 }
 
@@ -440,7 +450,8 @@
   return s;
 }
 
-void handle(State& s, Ms now, const Event& event) {
+void handle(State& s, TimePoint at, const Event& event) {
+  const Ms now = to_ms(at);
   // Guards against a stall of this gateway itself: what it finds then came at some time before, so neither
   // times taken nor paces of that moment tell of the engines.
   if (s.want_bell > 0 && now > s.want_bell + kStall) s.awake_at = now;
@@ -449,14 +460,14 @@
   if (const auto* t = std::get_if<Admitted>(&event)) return hear_taken(s, now, *t);
   if (const auto* n = std::get_if<AttemptStatus>(&event)) return hear_note(s, now, *n);
   if (const auto* r = std::get_if<AttemptFinished>(&event)) return hear_settled(s, now, *r);
-  if (const auto* x = std::get_if<ShutdownStarted>(&event)) s.closes_at = x->at;
+  if (const auto* x = std::get_if<ShutdownStarted>(&event)) s.closes_at = to_ms(x->ends_at);
   if (const auto* g = std::get_if<ClientGone>(&event))
     if (Command* c = command_of(s, g->id)) c->ended = true;
   // Guards against sends for a client that has closed: what is out may end and be answered, nothing follows.
   if (const auto* h = std::get_if<ClientHalfClosed>(&event))
-    if (Command* c = command_of(s, h->id)) c->left_at = h->is ? now : 0;
+    if (Command* c = command_of(s, h->id)) c->left_at = h->is_half_closed ? now : 0;
   if (const auto* p = std::get_if<ResultReservation>(&event))
-    if (Command* c = command_of(s, p->id)) c->placeless = !p->had;
+    if (Command* c = command_of(s, p->id)) c->placeless = !p->is_granted;
   if (std::get_if<TimerFired>(&event) && now >= s.bell_at) s.bell_at = 0;
 }
 
@@ -593,7 +604,8 @@
   return !c.ended && !c.out && c.sends < s.most_sends && may_run_on(s, c, e, now);
 }
 
-bool may_begin(const State& s, const CommandId& id, Ms now) {
+bool may_start_attempt(const State& s, const CommandId& id, TimePoint at) {
+  const Ms now = to_ms(at);
   const Command* const c = command_of(s, id);
   return c && c->out && !c->ended && !c->withdrawn && may_run_on(s, *c, s.engines[c->engine], now);
 }
@@ -645,7 +657,7 @@
     if (p.mean_cost <= all) largest = std::max(largest, p.mean_cost);
   const double turns = std::floor(all / largest);  // within the window
   const double turn = std::floor((now - e.cold_since) * turns / s.fall_window);
-  const bool mine = std::fmod(turn + e.id, s.gateways) == s.gateway_number;
+  const bool mine = std::fmod(turn + to_number(e.id), s.gateways) == s.gateway_number;
   const Ms begun = e.cold_since + turn * s.fall_window / turns;
   return mine && begun > last && begun >= s.opened_at ? ColdRoom::kMyTurn : ColdRoom::kShut;
 }
@@ -761,7 +773,7 @@
     if (c.stuck || (e.silent && overdue(s, c, e, now))) {
       if (!budget_left(s, now)) continue;
       c.want = Want::kWithdraw;
-      c.reason = c.stuck ? Reason::kStandsStill : Reason::kEngineSilent;
+      c.reason = c.stuck ? Reason::kBlocked : Reason::kEngineUnresponsive;
       // Guards against spending all sends within moments on engines full alike: each move waits longer.
       if (c.stuck) c.rest_until = now + kMoveRest * c.alone * c.moves++;
       continue;
@@ -809,7 +821,7 @@
                           c.asked.gives_up_at - kEndSlack;
     const Reason spent = why_spent(s, c, now);
     if (hopeless || spent != Reason::kNone) {
-      end(s, c, now, spent != Reason::kNone ? spent : Reason::kTooLittleTime);
+      end(s, c, now, spent != Reason::kNone ? spent : Reason::kDeadlineTooClose);
       continue;
     }
     // Guards an engine against holding a result that nobody has room for: without a place it only waits.
@@ -840,7 +852,8 @@
   }
 }
 
-void decide(State& s, Ms now, Actions& out) {
+void decide(State& s, TimePoint at, Actions& out) {
+  const Ms now = to_ms(at);
   std::erase_if(s.held_tables, [&](const HeldTables& h) { return now >= h.until; });
   std::erase_if(s.key_rests, [&](const KeyRest& k) { return now >= k.until; });
   // Guards against leaving commands without an answer: no client's patience outlasts this gateway.
@@ -861,28 +874,28 @@
   const auto act = [&](Action::Kind kind, const CommandId& id) -> Action& {
     Action& a = out.emplace_back();
     a.kind = kind;
-    a.id = id;
+    a.command = id;
     return a;
   };
-  for (const CommandId& id : s.unknown) act(Action::Kind::kFail, id).reason = Reason::kUnknownProfile;
+  for (const CommandId& id : s.unknown) act(Action::Kind::kFailCommand, id).reason = Reason::kUnknownProfile;
   s.unknown.clear();
   for (const int place : s.live) {
     Command& c = s.slab[place];
     if (c.ended) {
       // Work that serves nobody any more is called off: the client left while it ran.
       if (!c.out || c.withdrawn || !s.may_cancel) continue;
-      Action& a = act(Action::Kind::kWithdraw, c.asked.id);
-      a.number = c.sends - 1;
+      Action& a = act(Action::Kind::kCancelAttempt, c.asked.id);
+      a.attempt = c.sends - 1;
       a.reason = Reason::kClientGone;
       c.withdrawn = true;
     } else if (c.want == Want::kOut && !c.out) {
       const bool rank = s.ranks && c.want_rank != c.rank, grant = s.grants && c.want_grant_mb != c.grant_mb;
       if (rank || grant) {
-        Action& a = act(Action::Kind::kRank, c.asked.id);
-        a.number = c.rank = c.want_rank;
-        a.memory_mb = c.grant_mb = c.want_grant_mb;
+        Action& a = act(Action::Kind::kSetSchedulingHints, c.asked.id);
+        a.priority = c.rank = c.want_rank;
+        a.memory_grant_mb = c.grant_mb = c.want_grant_mb;
       }
-      act(Action::Kind::kSend, c.asked.id).engine = s.engines[c.want_engine].id;
+      act(Action::Kind::kStartAttempt, c.asked.id).engine = s.engines[c.want_engine].id;
       c.sends += 1;
       c.engine = c.want_engine;
       c.out = true;
@@ -890,14 +903,14 @@
       c.share_done = 0;
       c.sent_at = c.noted_at = now;
     } else if (c.want == Want::kWithdraw && c.out && !c.withdrawn) {
-      Action& a = act(Action::Kind::kWithdraw, c.asked.id);
-      a.number = c.sends - 1;
+      Action& a = act(Action::Kind::kCancelAttempt, c.asked.id);
+      a.attempt = c.sends - 1;
       a.reason = c.reason;
       c.withdrawn = true;
     } else if (c.want == Want::kShed || c.want == Want::kFail) {
       const bool shed = c.want == Want::kShed;
-      Action& a = act(shed ? Action::Kind::kShed : Action::Kind::kFail, c.asked.id);
-      a.wait = shed ? s.shed_advice : 0;
+      Action& a = act(shed ? Action::Kind::kShedCommand : Action::Kind::kFailCommand, c.asked.id);
+      if (shed && s.shed_advice > 0) a.retry_after = duration_of(s.shed_advice);
       a.reason = c.reason;
       c.ended = true;
     }
@@ -910,14 +923,16 @@
   });
   for (Engine& e : s.engines) {
     if (e.doubted != e.told) {
-      const char* const word = !e.doubted ? ": trusted again" : e.silent ? ": silent" : ": failing or slow";
-      out.emplace_back().text = "engine " + std::to_string(e.id) + word;
-      out.back().engine = e.id;
+      Action& a = act(Action::Kind::kLogEngineHealth, {});
+      a.engine = e.id;
+      a.health = !e.doubted ? EngineHealth::kReinstated
+                 : e.silent ? EngineHealth::kUnresponsive
+                            : EngineHealth::kFailingOrSlow;
       e.told = e.doubted;
     }
   }
   if (s.want_bell > 0 && s.bell_at == 0) {
-    act(Action::Kind::kBell, {}).wait = s.want_bell - now;
+    act(Action::Kind::kSetTimer, {}).timer_delay = duration_of(s.want_bell - now);
     s.bell_at = s.want_bell;
   }
 }
--- a/src/policy/state.cpp
+++ b/src/policy/state.cpp
@@ -1,46 +1,11 @@
 // The containers of the state and the reading of settings. Nothing is decided here.
+#include "policy/state.h"
+
 #include <algorithm>
 #include <utility>
 
-#include "policy/rules.h"
-
 namespace firvalve {
 
-std::string_view name_of(Reason reason) {
-  static constexpr std::string_view kNames[] = {"none",
-                                                "engine silent",
-                                                "stands still",
-                                                "no progress",
-                                                "bad plan",
-                                                "client gone",
-                                                "too little time",
-                                                "deadline over",
-                                                "no attempt left",
-                                                "unsafe to repeat",
-                                                "pool overloaded",
-                                                "unknown profile"};
-  return kNames[static_cast<size_t>(reason)];
-}
-
-double number(const Settings& a, const std::string& name, double otherwise) {
-  const auto at = a.find(name);
-  const double* value = at == a.end() ? nullptr : std::get_if<double>(&at->second);
-  return value ? *value : otherwise;
-}
-
-std::string word(const Settings& a, const std::string& name) {
-  const auto at = a.find(name);
-  const std::string* value = at == a.end() ? nullptr : std::get_if<std::string>(&at->second);
-  return value ? *value : std::string();
-}
-
-std::vector<std::string> words(const Settings& a, const std::string& name) {
-  std::vector<std::string> all;
-  for (int i = 0; a.count(name + "." + std::to_string(i)); ++i)
-    all.push_back(word(a, name + "." + std::to_string(i)));
-  return all;
-}
-
 Profile profile_from(const Settings& a, int i) {
   const std::string at = "profile." + std::to_string(i) + ".";
   Profile p;
@@ -49,7 +14,7 @@
   p.latency_target = number(a, at + "latency target");
   p.target_stretch = number(a, at + "target stretch");
   p.repeat_window = number(a, at + "repeat window");
-  const std::string effect = word(a, at + "effect"), group = word(a, at + "group");
+  const std::string effect = text(a, at + "effect"), group = text(a, at + "group");
   p.effect = effect == "replayable" ? Effect::kReplayable
              : effect == "uniqued"  ? Effect::kUniqued
                                     : Effect::kNonReplayable;
@@ -58,8 +23,8 @@
   p.is_load = number(a, at + "load") > 0;
   p.waits = number(a, at + "waits") > 0;
   p.threads = std::max(1, static_cast<int>(number(a, at + "threads", 1)));
-  p.zones = words(a, at + "zone");
-  p.machines = words(a, at + "machine");
+  p.zones = texts(a, at + "zone");
+  p.machines = texts(a, at + "machine");
   return p;
 }
 
@@ -70,9 +35,9 @@
   return static_cast<int>(place);
 }
 
-Engine& engine_of(State& s, uint32_t id) {
+Engine& engine_of(State& s, EngineId id) {
   auto e = std::lower_bound(s.engines.begin(), s.engines.end(), id,
-                            [](const Engine& x, uint32_t i) { return x.id < i; });
+                            [](const Engine& x, EngineId i) { return x.id < i; });
   if (e != s.engines.end() && e->id == id) return *e;
   const int place = static_cast<int>(e - s.engines.begin());
   for (const int i : s.live) {
@@ -86,7 +51,7 @@
 }
 
 void forget_gone(State& s) {
-  const auto gone = [](const Engine& e) { return e.life == EngineState::kGone; };
+  const auto gone = [](const Engine& e) { return e.life == EngineState::kRemoved; };
   const auto all_gone = static_cast<size_t>(std::count_if(s.engines.begin(), s.engines.end(), gone));
   if (2 * all_gone <= s.engines.size()) return;
   for (size_t i = s.engines.size(); i-- > 0;) {
--- a/src/policy/rules.h
+++ b/src/policy/state.h
@@ -1,5 +1,5 @@
-// The interface of the decision module and the state it works on: events in, actions out.
-// What is decided, and every value that shapes a decision, is in rules.cpp.
+// The state that the policy works on. What is decided, and every value that shapes a decision, is in
+// rules.cpp.
 #pragma once
 
 #include <array>
@@ -12,121 +12,14 @@
 #include <vector>
 
 #include "base/units.h"
+#include "policy/actions.h"
+#include "policy/events.h"
+#include "policy/settings.h"
 
 namespace firvalve {
 
-struct CommandId {
-  std::array<char, 16> text{};
-  bool operator==(const CommandId&) const = default;
-};
-
-// What a gateway is told at start: a plain map of names to values.
-using SettingValue = std::variant<double, std::string>;
-using Settings = std::map<std::string, SettingValue>;
-
 enum class Effect { kReplayable, kUniqued, kNonReplayable };
 enum class Group { kAll, kZone, kCell };
-// Spoilt: it may have run, and what came in between tells nothing of its engine.
-enum class Outcome { kOk, kFailed, kFull, kTimedOut, kConnectFailed, kReset, kCancelled, kMoot, kSpoilt };
-enum class EngineState { kGone, kReady, kDraining };
-enum class AttemptStatusKind { kProgress = 1, kSpills = 2, kWaits = 3 };
-// Why an attempt is cancelled, or a command is shed or fails: for the log and the counters.
-enum class Reason {
-  kNone,
-  kEngineSilent,    // its engine owes a sign of life
-  kStandsStill,     // it waits for memory or behind a load, and has not begun
-  kNoProgress,      // no word of progress for several times its usual time
-  kBadPlan,         // at its pace it would run several times its predicted time
-  kClientGone,      // nobody waits for it any more
-  kTooLittleTime,   // it could not end before its client's deadline
-  kDeadlineOver,    // its client's deadline came while it ran
-  kNoAttemptLeft,   // all attempts that the settings allow were made
-  kUnsafeToRepeat,  // it may have run, and must not run again
-  kPoolOverloaded,  // a heavy command was held as long as such are while the pool is overloaded
-  kUnknownProfile,
-};
-std::string_view name_of(Reason reason);
-
-// ---- Events -------------------------------------------------------------------------------------
-
-struct EngineInfo {
-  uint32_t engine = 0;
-  std::string zone, machine;
-  int cell = 0;
-  EngineState life = EngineState::kReady;
-  Ms born = 0;  // its start, by the clock of the list's writer; 0: long ago
-};
-struct EngineListUpdate {
-  bool full = false;  // the whole list: what it omits is gone
-  std::vector<EngineInfo> listings;
-  Ms current_at = 0;  // the list was known to be current then, before this change; 0: it never was
-};
-struct Admitted {
-  CommandId id;
-  int profile = 0, tenant = -1;
-  bool has_key = false, repeat = false;
-  uint64_t key = 0;
-  Ms gives_up_at = 0;
-  Ms estimate = 0;  // work of all threads; 0: none given
-  double memory_mb = 0;
-  int64_t tables = -1;
-};
-struct AttemptStatus {
-  CommandId id;
-  int send = 0;
-  AttemptStatusKind kind = AttemptStatusKind::kProgress;
-  double value = 0;
-};
-struct AttemptFinished {
-  CommandId id;
-  int send = 0;
-  Outcome outcome = Outcome::kOk;
-  Ms took = 0;
-  bool finished = false;
-  Ms work = 0;  // what the answer says it cost; 0: not told
-  double memory_mb = 0;
-};
-struct ProbeResult {
-  uint32_t engine = 0;
-  Outcome outcome = Outcome::kOk;
-};
-struct ClientGone {
-  CommandId id;
-};
-// Its client has ended its stream (a half-close): it may still read, or have closed altogether, which looks
-// the same. Not so: somebody waits for it again.
-struct ClientHalfClosed {
-  CommandId id;
-  bool is = true;
-};
-struct TimerFired {
-  uint64_t ref = 0;
-};
-struct ShutdownStarted {
-  Ms at = 0;  // this gateway ends then: whatever it holds must have its answer
-};
-// Whether the rows of a command have a place to go to; without a word they have.
-struct ResultReservation {
-  CommandId id;
-  bool had = true;
-};
-using Event = std::variant<EngineListUpdate, Admitted, AttemptStatus, AttemptFinished, ProbeResult,
-                           ClientGone, ClientHalfClosed, TimerFired, ShutdownStarted, ResultReservation>;
-
-// ---- Actions ------------------------------------------------------------------------------------
-
-struct Action {
-  enum class Kind { kSend, kWithdraw, kShed, kFail, kRank, kBell, kLog };
-  Kind kind = Kind::kLog;
-  CommandId id;
-  uint32_t engine = 0;
-  int number = 0;                 // the send to withdraw, the priority, the bell's ref
-  Ms wait = 0;                    // until the bell; the advice with a shed
-  double memory_mb = 0;           // the grant, 0: the engine's own choice
-  Reason reason = Reason::kNone;  // of kWithdraw, kShed and kFail
-  std::string text;
-};
-using Actions = std::vector<Action>;
 
 // ---- State --------------------------------------------------------------------------------------
 
@@ -157,11 +50,11 @@
 };
 
 struct Engine {
-  uint32_t id = 0;
+  EngineId id{};
   std::string zone, machine;
   int zone_number = 0;  // its zone's place in the state's zones
   int cell = 0;
-  EngineState life = EngineState::kGone;
+  EngineState life = EngineState::kRemoved;
   Ms born = 0;  // its start as last told
   double cores = 0;
   bool in_pool = false;
@@ -207,8 +100,20 @@
 
 enum class Want { kHold, kOut, kWithdraw, kShed, kFail };
 
+// What was admitted, with plain times.
+struct AskedCommand {
+  CommandId id;
+  int profile = 0;
+  bool has_key = false;
+  uint64_t key = 0;
+  Ms gives_up_at = 0;
+  Ms estimate = 0;  // work of all threads; 0: none given
+  double memory_mb = 0;
+  int64_t tables = -1;
+};
+
 struct Command {
-  Admitted asked;
+  AskedCommand asked;
   Ms taken_at = 0;
   Ms cost = 0;   // predicted
   Ms alone = 0;  // predicted time on an engine by itself
@@ -254,7 +159,7 @@
 };
 
 struct HeldTables {
-  uint32_t engine = 0;
+  EngineId engine{};
   int64_t tables = -1;
   Ms until = 0;
 };
@@ -301,23 +206,15 @@
 
 // ---- Helpers of the state, in state.cpp: no decision there ---------------------------------------
 
-double number(const Settings& a, const std::string& name, double otherwise = 0);
-std::string word(const Settings& a, const std::string& name);
-std::vector<std::string> words(const Settings& a, const std::string& name);  // a list numbered from 0
 Profile profile_from(const Settings& a, int number);
 int number_of(std::vector<std::string>& names, const std::string& name);  // its place; a new one is added
-Engine& engine_of(State& s, uint32_t id);                                 // a new one takes its place by id
+Engine& engine_of(State& s, EngineId id);                                 // a new one takes its place by id
 void forget_gone(State& s);  // once they are more than the others: those that no command in hand refers to
 Command* command_of(State& s, const CommandId& id);  // null: not in hand
 const Command* command_of(const State& s, const CommandId& id);
 Command& new_place(State& s);  // in the slab, the last of those in hand
 
-// ---- The module ---------------------------------------------------------------------------------
-
-State open(const Settings& settings, uint64_t salt);
-void handle(State& s, Ms now, const Event& event);  // takes an event into the state
-void decide(State& s, Ms now, Actions& out);        // once after the events of one moment
-void emit(State& s, Ms now, Actions& out);          // the difference of wanted and present state
+void emit(State& s, Ms now, Actions& out);  // the difference of wanted and present state
 
 // The parts of decide, apart for the tests.
 void judge_engines(State& s, Ms now);
@@ -326,9 +223,6 @@
 void review_out(State& s, Ms now);
 void review_line(State& s, Ms now);
 bool may_send(const State& s, const Command& c, const Engine& e, Ms now);
-// CommandRequest right before the start of the send that is out is written: connections come up late, and
-// meanwhile its engine may have begun to drain, its client have gone, its window have run out.
-bool may_begin(const State& s, const CommandId& id, Ms now);
 bool stands_still(const State& s, const Command& c, const Engine& e);
 bool has_turn(const State& s, const Command& c, Ms now);
 bool budget_left(State& s, Ms now);
--- a/src/proto/bus/bus.cpp
+++ b/src/proto/bus/bus.cpp
@@ -18,20 +18,21 @@
   out.address = text_of(v, "addr");
   EngineInfo& l = out.listing;
   l.zone = text_of(v, "zone");
-  l.machine = text_of(v, "kind");
+  l.machine_type = text_of(v, "kind");
   const std::string state = text_of(v, "state");
   if (out.name.empty()) return false;
   if (state == "SERVING") {
-    l.life = EngineState::kReady;
+    l.state = EngineState::kReady;
   } else if (state == "DRAINING") {
-    l.life = EngineState::kDraining;
+    l.state = EngineState::kDraining;
   } else if (state == "DELETED") {
-    l.life = EngineState::kGone;
+    l.state = EngineState::kRemoved;
   } else {
     return false;
   }
   if (const Value* cell = member(v, "cell"); cell && cell->IsInt()) l.cell = cell->GetInt();
-  if (const Value* born = member(v, "started_ms"); born && born->IsNumber()) l.born = born->GetDouble();
+  if (const Value* born = member(v, "started_ms"); born && born->IsNumber() && born->GetDouble() > 0)
+    l.started_at = time_point_of(born->GetDouble());
   return true;
 }
 
--- a/src/proto/bus/bus.h
+++ b/src/proto/bus/bus.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "policy/rules.h"
+#include "policy/events.h"
 #include "proto/inbox.h"
 
 namespace firvalve::proto {
--- a/src/proto/store/query.cpp
+++ b/src/proto/store/query.cpp
@@ -14,8 +14,8 @@
 bool read_note(const HttpAnswer& answer, Query::Step& step) {
   static constexpr std::pair<std::string_view, AttemptStatusKind> kNotes[] = {
       {"share", AttemptStatusKind::kProgress},
-      {"short", AttemptStatusKind::kSpills},
-      {"held", AttemptStatusKind::kWaits}};
+      {"short", AttemptStatusKind::kSpilling},
+      {"held", AttemptStatusKind::kWaiting}};
   const auto* end = answer.value.data() + answer.value.size();
   const auto [at, error] = std::from_chars(answer.value.data(), end, step.value);
   if (error != std::errc() || at != end || !std::isfinite(step.value)) return false;
@@ -93,8 +93,8 @@
     step.noted = read_note(answer, step);
     return step;
   }
-  if (answer.not_begun && to_start && answer.status == 503) return ended(Outcome::kFull);
-  if (answer.not_begun && to_start && answer.status == 504) return ended(Outcome::kMoot);
+  if (answer.not_begun && to_start && answer.status == 503) return ended(Outcome::kQueueFull);
+  if (answer.not_begun && to_start && answer.status == 504) return ended(Outcome::kCancelledBeforeStart);
   if (answer.status == 500) return ended(Outcome::kFailed);
   // Guards against passing on what noise, cuts and wrong lengths have made of a good answer; the query has
   // run, and its engine gives the same again. Where the engine itself makes such pages, that costs the time
--- a/src/proto/store/query.h
+++ b/src/proto/store/query.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <utility>
 
-#include "policy/rules.h"
+#include "policy/events.h"
 #include "proto/store/http.h"
 
 namespace firvalve::proto {
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -9,6 +9,7 @@
 #include <cmath>
 #include <cstring>
 #include <iostream>
+#include <optional>
 
 #include "core/settings.h"
 
@@ -76,24 +77,27 @@
 
 namespace {
 
-Ms to_ms(int64_t ns) { return static_cast<double>(ns) / 1e6; }
-int64_t to_ns(Ms ms) { return std::llround(ms * 1e6); }
+Ms ms_of(int64_t ns) { return static_cast<double>(ns) / 1e6; }
+int64_t to_ns(Duration duration) { return std::llround(to_ms(duration) * 1e6); }
 
-int place_of(const std::vector<std::string>& names, const std::string& name) {
+EngineId engine_id(const Fields& f) { return EngineId{static_cast<uint32_t>(f.whole("engine"))}; }
+
+std::optional<int> place_of(const std::vector<std::string>& names, const std::string& name) {
   const auto at = std::find(names.begin(), names.end(), name);
-  return at == names.end() ? -1 : static_cast<int>(at - names.begin());
+  if (at == names.end()) return std::nullopt;
+  return static_cast<int>(at - names.begin());
 }
 
 Outcome outcome_of(const Fields& f) {
   static const std::pair<const char*, Outcome> kOutcomes[] = {
       {"Ok", Outcome::kOk},
       {"Failed", Outcome::kFailed},
-      {"QueueFull", Outcome::kFull},
+      {"QueueFull", Outcome::kQueueFull},
       {"TimedOut", Outcome::kTimedOut},
       {"ConnectError", Outcome::kConnectFailed},
       {"ResetByPeer", Outcome::kReset},
       {"Canceled", Outcome::kCancelled},
-      {"Ignored", Outcome::kMoot},
+      {"Ignored", Outcome::kCancelledBeforeStart},
   };
   const std::string name = f.text("disposition");
   for (const auto& [wire, ours] : kOutcomes)
@@ -109,13 +113,14 @@
     static const std::string kMember = "MANIFEST members";
     const Fields m(kMember, member);
     EngineInfo l;
-    l.engine = static_cast<uint32_t>(m.whole("engine"));
+    l.engine = engine_id(m);
     l.zone = m.find("zone") ? m.text("zone") : "";
-    l.machine = m.find("generation_hw") ? m.text("generation_hw") : "";
+    l.machine_type = m.find("generation_hw") ? m.text("generation_hw") : "";
     l.cell = static_cast<int>(m.whole("block", 0));
-    const int64_t life = m.whole("lifecycle");
-    l.life = life == 1 ? EngineState::kReady : life == 2 ? EngineState::kDraining : EngineState::kGone;
-    l.born = to_ms(m.whole("born", 0));
+    const int64_t state = m.whole("lifecycle");
+    l.state = state == 1 ? EngineState::kReady : state == 2 ? EngineState::kDraining : EngineState::kRemoved;
+    if (const int64_t started_at = m.whole("born", 0); started_at > 0)
+      l.started_at = time_point_of(ms_of(started_at));
     all.push_back(l);
   }
   return all;
@@ -158,7 +163,6 @@
     Gateway& g = gateways_[id];
     g.state = open(settings, static_cast<uint64_t>(salt));
     g.profiles = names_of(settings, "profile");
-    g.customers = names_of(settings, "customer");
     std::erase(order_, id);
     held(id);
     return;
@@ -170,33 +174,31 @@
   }
   // The fields are read first, so that a malformed event is told also where no such gateway is held.
   Event event;
-  std::string profile, customer;
+  std::string profile;
   if (name == "UPDATE") {
     EngineListUpdate r;
     const int64_t how = f.whole("how");
     if (how == 2) return;  // a call failed: the old list holds
     const auto list = lists_.find(f.whole("ref"));
     if (list == lists_.end()) f.wrong("ref", "the number of a list");
-    r.full = how == 3 || how == 4;
-    r.listings = list->second;
+    r.is_complete = how == 3 || how == 4;
+    r.engines = list->second;
     event = std::move(r);
   } else if (name == "ACCEPT") {
     Admitted t;
     t.id = f.command();
     profile = f.text("class");
-    if (f.find("billing") && f.find("billing")->IsString()) customer = f.text("billing");
-    t.has_key = f.find("target") != nullptr;
-    t.key = static_cast<uint64_t>(f.whole("target", 0));
-    t.gives_up_at = to_ms(f.whole("valid_until"));
-    t.estimate = to_ms(f.whole("plan_cost", 0));
-    t.memory_mb = f.number("est_memory_mb", 0);
-    t.tables = f.find("table_group") ? static_cast<int64_t>(f.number("table_group", 0)) : -1;
-    t.repeat = f.flag("resent");
+    if (f.find("target")) t.ordering_key = static_cast<uint64_t>(f.whole("target"));
+    t.deadline = time_point_of(ms_of(f.whole("valid_until")));
+    if (const int64_t work = f.whole("plan_cost", 0); work > 0) t.estimated_work = duration_of(ms_of(work));
+    t.estimated_memory_mb = f.number("est_memory_mb", 0);
+    if (f.find("table_group")) t.table_group = static_cast<int64_t>(f.number("table_group", 0));
+    f.flag("resent");  // read for the sake of malformed ones: nothing is decided from it
     event = t;
   } else if (name == "CHANGE") {
     AttemptStatus n;
     n.id = f.command();
-    n.send = static_cast<int>(f.whole("round_no"));
+    n.attempt = static_cast<int>(f.whole("round_no"));
     const int64_t kind = f.whole("kind");
     if (kind < 1 || kind > 3) return;
     n.kind = static_cast<AttemptStatusKind>(kind);
@@ -205,30 +207,30 @@
   } else if (name == "SETTLED") {
     AttemptFinished r;
     r.id = f.command();
-    r.send = static_cast<int>(f.whole("round_no"));
+    r.attempt = static_cast<int>(f.whole("round_no"));
     r.outcome = outcome_of(f);
-    r.took = to_ms(f.whole("time_taken"));
-    r.finished = f.flag("last");
+    r.elapsed = duration_of(ms_of(f.whole("time_taken")));
+    r.is_command_finished = f.flag("last");
     const int64_t bill = f.whole("bill", 0);  // milliseconds x 4096 + memory in steps of 4 MB
-    r.work = static_cast<double>(bill / 4096);
-    r.memory_mb = static_cast<double>(bill % 4096) * 4;
+    if (bill / 4096 > 0) r.work = duration_of(static_cast<double>(bill / 4096));
+    if (bill % 4096 > 0) r.memory_mb = static_cast<double>(bill % 4096) * 4;
     event = r;
   } else if (name == "PROBE_RESULT") {
-    event = ProbeResult{static_cast<uint32_t>(f.whole("engine")), outcome_of(f)};
+    event = ProbeResult{engine_id(f), outcome_of(f)};
   } else if (name == "GONE") {
     event = ClientGone{f.command()};
   } else {
-    event = TimerFired{static_cast<uint64_t>(f.whole("ref"))};
+    f.whole("ref");  // of the one timer that is set at a time
+    event = TimerFired{};
   }
   Gateway* g = held(id);
   if (!g) return;
   if (auto* t = std::get_if<Admitted>(&event)) {
     t->profile = place_of(g->profiles, profile);
-    t->tenant = place_of(g->customers, customer);
-    if (t->profile < 0)
+    if (!t->profile)
       std::cerr << "firvalve-simulator-adapter: event ACCEPT: no profile is named " << profile << '\n';
   }
-  handle(g->state, now, event);
+  handle(g->state, time_point_of(now), event);
 }
 
 void SimulatorAdapter::write(int64_t id, const Action& a) {
@@ -238,34 +240,35 @@
   };
   const auto command = [&] {
     reply_.append(",\"job\":");
-    append_text(reply_, std::string(a.id.text.begin(), a.id.text.end()));
+    append_text(reply_, std::string(a.command.text.begin(), a.command.text.end()));
   };
   const auto whole = [&](const char* name, int64_t value) {
     reply_.append(",\"").append(name).append("\":").append(std::to_string(value));
   };
   switch (a.kind) {
-    case Action::Kind::kSend:
-      begin("RELAY"), command(), whole("engine", a.engine);
+    case Action::Kind::kStartAttempt:
+      begin("RELAY"), command(), whole("engine", to_number(a.engine));
       break;
-    case Action::Kind::kWithdraw:
-      begin("RETRACT"), command(), whole("round_no", a.number);
+    case Action::Kind::kCancelAttempt:
+      begin("RETRACT"), command(), whole("round_no", a.attempt);
       break;
-    case Action::Kind::kShed:
+    case Action::Kind::kShedCommand:
       begin("DENY"), command();
-      if (a.wait > 0) whole("stay_away", to_ns(a.wait));
+      if (a.retry_after) whole("stay_away", to_ns(*a.retry_after));
       break;
-    case Action::Kind::kFail:
+    case Action::Kind::kFailCommand:
       begin("FAIL"), command();
       break;
-    case Action::Kind::kRank:
-      begin("GRANT_AND_RANK"), command(), whole("importance", a.number);
-      reply_.append(",\"allot_mb\":").append(std::to_string(a.memory_mb));
+    case Action::Kind::kSetSchedulingHints:
+      begin("GRANT_AND_RANK"), command(), whole("importance", a.priority);
+      reply_.append(",\"allot_mb\":").append(std::to_string(a.memory_grant_mb));
       break;
-    case Action::Kind::kBell:
-      begin("SET_ALARM"), whole("wait", to_ns(a.wait)), whole("ref", a.number);
+    case Action::Kind::kSetTimer:
+      begin("SET_ALARM"), whole("wait", to_ns(a.timer_delay)), whole("ref", 0);
       break;
-    case Action::Kind::kLog:
-      begin("SAY_LOG"), reply_.append(",\"line\":"), append_text(reply_, a.text);
+    case Action::Kind::kLogEngineHealth:
+      begin("SAY_LOG"), reply_.append(",\"line\":"),
+          append_text(reply_, engine_health_text(a.engine, a.health));
       break;
   }
   reply_ += "}}";
@@ -282,7 +285,7 @@
   g.heard = false;
   actions_.clear();
   try {
-    decide(g.state, now, actions_);
+    decide(g.state, time_point_of(now), actions_);
   } catch (const std::exception& e) {
     return panic(id, e.what());
   }
@@ -296,7 +299,7 @@
     throw Malformed(std::string("not JSON: ") + rapidjson::GetParseError_En(batch.GetParseError()));
   static const std::string kBatch = "batch";
   const Fields whole(kBatch, batch);
-  const Ms now = to_ms(whole.whole("wall"));
+  const Ms now = ms_of(whole.whole("wall"));
   const Value& happened = whole.required("happened");
   if (!happened.IsArray()) whole.wrong("happened", "a list");
   reply_ = "{\"decisions\":[";
--- a/src/simulator_adapter/simulator_adapter.h
+++ b/src/simulator_adapter/simulator_adapter.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "policy/rules.h"
+#include "policy/policy.h"
 
 namespace firvalve::drill {
 
@@ -27,7 +27,7 @@
  private:
   struct Gateway {
     State state;
-    std::vector<std::string> profiles, customers;
+    std::vector<std::string> profiles;
     bool heard = false;
   };
 
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -41,8 +41,8 @@
 
   void list(const std::string& name, EngineState life = EngineState::kReady) {
     NamedEngineInfo l{name, "127.0.0.1:1", {}};
-    l.listing.machine = "std";
-    l.listing.life = life;
+    l.listing.machine_type = "std";
+    l.listing.state = life;
     core.roster(1000, false, {l});
   }
   AdmissionResult take(CallRef call, const char* id = "9b1f03aa5c7e2d41", const char* profile = "quick") {
@@ -123,9 +123,9 @@
   core.ended(5000, 1, Outcome::kTimedOut);
   core.turn(5005);
   EXPECT_EQ(told, (std::vector<std::string>{"admitted//none", "attempt started/s-1/none",
-                                            "attempt cancelled/s-1/deadline over", "attempt ended/s-1/none",
-                                            "failed/s-1/deadline over"}));
-  EXPECT_EQ(counters.counts["commands ended unserved: deadline over"], 1u);
+                                            "attempt cancelled/s-1/deadline exceeded", "attempt ended/s-1/none",
+                                            "failed/s-1/deadline exceeded"}));
+  EXPECT_EQ(counters.counts["commands ended unserved: deadline exceeded"], 1u);
 }
 
 // A half-close: for a moment it is as any other, then nothing follows and it is told so.
--- a/tests/policy/helpers.h
+++ b/tests/policy/helpers.h
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "policy/rules.h"
+#include "policy/policy.h"
 
 namespace firvalve {
 
@@ -37,7 +37,7 @@
   s.kin.resize(2);
   for (int i = 0; i < engines; ++i) {
     Engine e;
-    e.id = static_cast<uint32_t>(10 * (i + 1));
+    e.id = EngineId{static_cast<uint32_t>(10 * (i + 1))};
     e.life = EngineState::kReady;
     e.cores = 8;
     e.limit = 16;
@@ -80,13 +80,15 @@
 inline Event settled(const Command& c, Outcome outcome) {
   AttemptFinished r;
   r.id = c.asked.id;
-  r.send = c.sends - 1;
+  r.attempt = c.sends - 1;
   r.outcome = outcome;
-  r.took = 100;
-  r.finished = outcome == Outcome::kOk;
+  r.elapsed = duration_of(100);
+  r.is_command_finished = outcome == Outcome::kOk;
   return r;
 }
 
+inline void handle_at(State& s, Ms now, const Event& event) { handle(s, time_point_of(now), event); }
+
 inline int count_of(const Actions& actions, Action::Kind kind) {
   return static_cast<int>(
       std::count_if(actions.begin(), actions.end(), [&](const Action& a) { return a.kind == kind; }));
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -1,8 +1,7 @@
-#include "policy/rules.h"
-
 #include <cmath>
 
 #include "policy/helpers.h"
+#include "policy/policy.h"
 
 namespace firvalve {
 namespace {
@@ -14,10 +13,10 @@
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  handle(s, 10000, settled(c, Outcome::kTimedOut));
+  handle_at(s, 10000, settled(c, Outcome::kTimedOut));
   Actions out;
   emit(s, 10000, out);
-  EXPECT_EQ(count_of(out, Kind::kFail), 1);
+  EXPECT_EQ(count_of(out, Kind::kFailCommand), 1);
   EXPECT_TRUE(s.live.empty());
 }
 
@@ -55,7 +54,7 @@
   Actions out;
   emit(s, 10, out);
   emit(s, 11, out);
-  EXPECT_EQ(count_of(out, Kind::kWithdraw), 1);
+  EXPECT_EQ(count_of(out, Kind::kCancelAttempt), 1);
   EXPECT_EQ(s.live.size(), 1u);  // its key and place are kept until it has settled
 }
 
@@ -67,16 +66,16 @@
   State s = state_with(1, {profile(Effect::kNonReplayable)});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  handle(s, 100, settled(c, outcome));
+  handle_at(s, 100, settled(c, outcome));
   EXPECT_EQ(may_send(s, c, s.engines[0], 100), again);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table, AfterOutcome,
-    testing::Values(std::tuple(Outcome::kFailed, false), std::tuple(Outcome::kFull, true),
+    testing::Values(std::tuple(Outcome::kFailed, false), std::tuple(Outcome::kQueueFull, true),
                     std::tuple(Outcome::kTimedOut, false), std::tuple(Outcome::kConnectFailed, true),
                     std::tuple(Outcome::kReset, false), std::tuple(Outcome::kCancelled, false),
-                    std::tuple(Outcome::kMoot, true)));
+                    std::tuple(Outcome::kCancelledBeforeStart, true)));
 
 TEST(Effects, NonReplayableThatMayHaveRunFailsAndIsNotShed) {
   State s = state_with(1, {profile(Effect::kNonReplayable)});
@@ -134,8 +133,8 @@
   c.want = Want::kOut;
   c.out = true;
   c.engine = c.want_engine = 0;
-  EXPECT_TRUE(may_begin(s, c.asked.id, 800));
-  EXPECT_FALSE(may_begin(s, c.asked.id, 1000));  // its connection came up too late
+  EXPECT_TRUE(may_start_attempt(s, c.asked.id, time_point_of(800)));
+  EXPECT_FALSE(may_start_attempt(s, c.asked.id, time_point_of(1000)));  // its connection came up too late
 }
 
 TEST(Effects, NeverTwoSendsAtOnceNorPastTheLimit) {
@@ -154,9 +153,9 @@
   State s = state_with(2, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
   EngineInfo draining;
-  draining.engine = 10;
-  draining.life = EngineState::kDraining;
-  handle(s, 50, EngineListUpdate{true, {draining}});  // a full list: 20 is gone
+  draining.engine = EngineId{10};
+  draining.state = EngineState::kDraining;
+  handle_at(s, 50, EngineListUpdate{true, {draining}});  // a full list: 20 is gone
   EXPECT_FALSE(may_send(s, c, s.engines[0], 50));
   EXPECT_FALSE(may_send(s, c, s.engines[1], 50));
 }
@@ -166,9 +165,9 @@
   Command& c = add_command(s);
   put_out(s, c, 1, 0);
   EngineInfo early;
-  early.engine = 5;
-  handle(s, 50, EngineListUpdate{false, {early}});
-  EXPECT_EQ(s.engines[static_cast<size_t>(c.engine)].id, 20u);
+  early.engine = EngineId{5};
+  handle_at(s, 50, EngineListUpdate{false, {early}});
+  EXPECT_EQ(s.engines[static_cast<size_t>(c.engine)].id, EngineId{20});
 }
 
 // Rule 4: cold engines.
@@ -243,9 +242,9 @@
         s.fall_multiple = 3;
         s.cold_share = 0.4;
         EngineInfo cold;
-        cold.engine = 10;
-        cold.born = 1000;
-        handle(s, now, EngineListUpdate{true, {cold}});
+        cold.engine = EngineId{10};
+        cold.started_at = time_point_of(1000);
+        handle_at(s, now, EngineListUpdate{true, {cold}});
         return s;
       };
       std::vector<State> all;
@@ -279,9 +278,9 @@
   State s = with_a_cold_engine(1);
   s.engines[0].fails = s.engines[0].tries = 9;
   EngineInfo again;
-  again.engine = 10;
-  again.born = 5000;
-  handle(s, 6000, EngineListUpdate{false, {again}});
+  again.engine = EngineId{10};
+  again.started_at = time_point_of(5000);
+  handle_at(s, 6000, EngineListUpdate{false, {again}});
   judge_engines(s, 6000);
   EXPECT_FALSE(s.engines[0].doubted);
 }
@@ -303,13 +302,14 @@
     State s = with_a_cold_engine(1);
     s.engines[0].cold_since = -1;
     EngineInfo again;
-    again.engine = 10;
-    again.born = kNow - 500 + off;
-    handle(s, kNow, EngineListUpdate{false, {again}, kNow - 900});
+    again.engine = EngineId{10};
+    again.started_at = time_point_of(kNow - 500 + off);
+    handle_at(s, kNow, EngineListUpdate{false, {again}, time_point_of(kNow - 900)});
     EXPECT_LT(warmth(s, s.engines[0], kNow), 0.35) << off;
     EXPECT_GE(warmth(s, s.engines[0], kNow), 0.3) << off;
-    handle(s, kNow + 5000,
-           EngineListUpdate{false, {again}, kNow + 4500});  // told again: it did not start anew
+    handle_at(
+        s, kNow + 5000,
+        EngineListUpdate{false, {again}, time_point_of(kNow + 4500)});  // told again: it did not start anew
     EXPECT_GT(warmth(s, s.engines[0], kNow + 5000), 0.6) << off;
     EXPECT_EQ(warmth(s, s.engines[0], kNow + 11000), 1) << off;
   }
@@ -320,7 +320,7 @@
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
   s.engines[0].silent = true;
-  handle(s, 9000, settled(c, Outcome::kOk));
+  handle_at(s, 9000, settled(c, Outcome::kOk));
   EXPECT_EQ(s.engines[0].cold_since, 9000);
 }
 
@@ -349,7 +349,7 @@
   Command& first = add_command(s);
   first.asked.has_key = true;
   put_out(s, first, 0, 0);
-  handle(s, 100, settled(first, Outcome::kReset));
+  handle_at(s, 100, settled(first, Outcome::kReset));
   Command next = first;
   next.sends = 0;
   s.live.clear();
@@ -366,7 +366,7 @@
   s.engines[0].machine = "small";
   s.engines[1].machine = "big";
   EXPECT_EQ(choose(s, c, 10), 1);
-  s.engines[1].life = EngineState::kGone;
+  s.engines[1].life = EngineState::kRemoved;
   EXPECT_EQ(choose(s, c, 10), -1);
 }
 
@@ -394,7 +394,7 @@
   review_line(s, 10);
   Actions out;
   emit(s, 10, out);
-  EXPECT_EQ(count_of(out, Kind::kSend), 1);
+  EXPECT_EQ(count_of(out, Kind::kStartAttempt), 1);
 }
 
 // The design.
@@ -500,7 +500,7 @@
   for (int i = 0; i < 4; ++i) {
     Command& c = add_command(s);
     put_out(s, c, 0, 0);
-    handle(s, 100, settled(c, Outcome::kOk));
+    handle_at(s, 100, settled(c, Outcome::kOk));
   }
   judge_engines(s, 100);
   EXPECT_FALSE(s.engines[0].doubted);
@@ -520,12 +520,12 @@
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  handle(s, 5, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaits, 1});
+  handle_at(s, 5, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaiting, 1});
   judge_engines(s, 5000);
   EXPECT_FALSE(s.engines[0].doubted);
   c.waiting = false;
   s.want_bell = 20;
-  handle(s, 5000, TimerFired{});
+  handle_at(s, 5000, TimerFired{});
   judge_engines(s, 5000);
   EXPECT_FALSE(s.engines[0].doubted);
   judge_engines(s, 6000);
@@ -551,7 +551,8 @@
   s.slab[0].asked.tables = c.asked.tables = 3;
   EXPECT_EQ(choose(s, c, 10), 1);
   put_out(s, c, 1, 10);
-  handle(s, 500, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaits, 2});  // a load of some other gateway
+  handle_at(s, 500,
+            AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaiting, 2});  // a load of some other gateway
   review_out(s, 500);
   EXPECT_EQ(c.want, Want::kWithdraw);
   EXPECT_TRUE(stands_still(s, c, s.engines[1]));
@@ -583,7 +584,7 @@
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
   for (int i = 1; i < 50; ++i)
-    handle(s, i * 300.0, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kProgress, i * 0.02});
+    handle_at(s, i * 300.0, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kProgress, i * 0.02});
   judge_engines(s, 15000);
   EXPECT_LT(s.engines[0].limit, 16);
 }
@@ -592,26 +593,26 @@
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  handle(s, 100, settled(c, Outcome::kFull));
+  handle_at(s, 100, settled(c, Outcome::kQueueFull));
   EXPECT_EQ(choose(s, c, 101), -1);
   EXPECT_EQ(choose(s, c, 1000), 0);
 }
 
 TEST(Level, ClosedDoorsRestLongerWithEachInARow) {
-  for (const Outcome closed : {Outcome::kFull, Outcome::kConnectFailed}) {
+  for (const Outcome closed : {Outcome::kQueueFull, Outcome::kConnectFailed}) {
     State s = state_with(1, {profile(Effect::kReplayable)});
     Command& c = add_command(s);
     Ms now = 0, rest = 0;
     for (int i = 0; i < 3; ++i) {
       put_out(s, c, 0, now);
-      handle(s, now, settled(c, closed));
+      handle_at(s, now, settled(c, closed));
       EXPECT_EQ(choose(s, c, now + 1.5 * rest), -1) << i;
       rest = s.engines[0].closed_until - now;
       now = s.engines[0].closed_until;
       EXPECT_EQ(choose(s, c, now), 0) << i;
     }
     put_out(s, c, 0, now);
-    handle(s, now, settled(c, Outcome::kFailed));  // it has begun there: the door is open
+    handle_at(s, now, settled(c, Outcome::kFailed));  // it has begun there: the door is open
     EXPECT_EQ(s.engines[0].closed_doors, 0);
   }
 }
@@ -621,7 +622,7 @@
   Command& c = add_command(s);
   c.asked.memory_mb = 100;
   put_out(s, c, 0, 0);
-  handle(s, 5, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaits, 1});
+  handle_at(s, 5, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaiting, 1});
   review_out(s, 5);
   EXPECT_EQ(c.want, Want::kWithdraw);
   Command& large = add_command(s);
@@ -637,7 +638,7 @@
   State s = state_with(1, {p});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  handle(s, 5, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaits, 1});
+  handle_at(s, 5, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaiting, 1});
   review_out(s, 4900);
   EXPECT_EQ(c.want, Want::kOut);
   c.moves = 2;
@@ -652,11 +653,12 @@
   s.profiles[0].correction = 3;  // learned from crowded latencies
   Admitted t;
   t.id = id_of(1);
-  t.estimate = 50;
-  t.gives_up_at = 10000;
-  handle(s, 0, t);
+  t.profile = 0;
+  t.estimated_work = duration_of(50);
+  t.deadline = time_point_of(10000);
+  handle_at(s, 0, t);
   put_out(s, s.slab[0], 0, 0);
-  handle(s, 100, settled(s.slab[0], Outcome::kOk));
+  handle_at(s, 100, settled(s.slab[0], Outcome::kOk));
   EXPECT_GT(s.engines[0].stretch, 1);
 }
 
@@ -666,8 +668,8 @@
   put_out(s, c, 0, 0);
   s.want_bell = 20;
   AttemptFinished r = std::get<AttemptFinished>(settled(c, Outcome::kOk));
-  r.took = 2000;
-  handle(s, 2000, r);
+  r.elapsed = duration_of(2000);
+  handle_at(s, 2000, r);
   EXPECT_EQ(s.engines[0].stretch, 1);
   EXPECT_EQ(s.profiles[0].correction, 0);
 }
@@ -679,8 +681,8 @@
     c.asked.estimate = 100;
     put_out(s, c, 0, 0);
     AttemptFinished r = std::get<AttemptFinished>(settled(c, Outcome::kOk));
-    r.took = 400;
-    handle(s, 400, r);
+    r.elapsed = duration_of(400);
+    handle_at(s, 400, r);
   }
   EXPECT_GT(s.profiles[0].base, 1.5);  // towards 4, from 1
   EXPECT_LT(s.profiles[0].base, 4);
@@ -709,7 +711,8 @@
   State s = state_with(2, {profile(Effect::kReplayable, 4)});
   Command& c = add_command(s);
   put_out(s, c, 0, 0);
-  handle(s, 3200, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kProgress, 0.8});  // far off its time alone
+  handle_at(s, 3200,
+            AttemptStatus{c.asked.id, 0, AttemptStatusKind::kProgress, 0.8});  // far off its time alone
   judge_engines(s, 3200);
   EXPECT_GT(s.engines[0].crowding, s.engines[1].crowding + 0.3);
 }
@@ -735,7 +738,7 @@
     const bool out = s.engines[0].sends_out + s.engines[1].sends_out > 0;
     ran += out ? 4 * 20 : 0;
     all += 20;
-    if (out && now - first.sent_at >= 200) handle(s, now, settled(first, Outcome::kFailed));
+    if (out && now - first.sent_at >= 200) handle_at(s, now, settled(first, Outcome::kFailed));
     count_debts(s, now);
     const int engine = first.out ? -1 : choose(s, first, now);
     if (engine >= 0) put_out(s, first, engine, now), first.sends = 1;
@@ -774,7 +777,7 @@
     put_out(s, c, 0, 0);
     AttemptFinished r = std::get<AttemptFinished>(settled(c, Outcome::kOk));
     r.memory_mb = i % 10 == 0 ? 190 : 110;  // one in ten needs far more
-    handle(s, 100, r);
+    handle_at(s, 100, r);
     s.live.clear();
     s.slab.clear();
   }
@@ -784,38 +787,39 @@
 TEST(Slab, PlacesAreUsedAgain) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Admitted t;
-  t.gives_up_at = 10000;
+  t.profile = 0;
+  t.deadline = time_point_of(10000);
   for (int i = 0; i < 5; ++i) {
     t.id = id_of(i);
-    handle(s, i, t);
+    handle_at(s, i, t);
     Actions out;
-    decide(s, i, out);
-    handle(s, i, settled(s.slab[0], Outcome::kOk));
-    decide(s, i, out);
+    decide(s, time_point_of(i), out);
+    handle_at(s, i, settled(s.slab[0], Outcome::kOk));
+    decide(s, time_point_of(i), out);
   }
   EXPECT_EQ(s.slab.size(), 1u);
 }
 
 TEST(ShutdownStarted, NoCommandOutlastsItsGateway) {
   State s = state_with(1, {profile(Effect::kReplayable)});
-  s.engines[0].life = EngineState::kGone;
+  s.engines[0].life = EngineState::kRemoved;
   add_command(s);
-  handle(s, 0, ShutdownStarted{500});
+  handle_at(s, 0, ShutdownStarted{time_point_of(500)});
   Actions actions;
-  decide(s, 495, actions);
-  EXPECT_EQ(count_of(actions, Action::Kind::kShed), 1);
+  decide(s, time_point_of(495), actions);
+  EXPECT_EQ(count_of(actions, Action::Kind::kShedCommand), 1);
 }
 
 TEST(Engines, TheGoneAreForgottenOnceNoCommandRefersToThem) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  for (uint32_t id = 1; id <= 6; ++id) engine_of(s, id).life = EngineState::kGone;
+  for (uint32_t id = 1; id <= 6; ++id) engine_of(s, EngineId{id}).life = EngineState::kRemoved;
   put_out(s, c, 6, 0);  // on the one that is ready, behind those
   c.risked_on = 2;
   forget_gone(s);
   ASSERT_EQ(s.engines.size(), 2u);
-  EXPECT_EQ(s.engines[static_cast<size_t>(c.engine)].id, 10u);
-  EXPECT_EQ(s.engines[static_cast<size_t>(c.risked_on)].id, 3u);
+  EXPECT_EQ(s.engines[static_cast<size_t>(c.engine)].id, EngineId{10});
+  EXPECT_EQ(s.engines[static_cast<size_t>(c.risked_on)].id, EngineId{3});
 }
 
 TEST(Line, WhatMayRunAnywhereLeavesRoomToWhatIsBound) {
--- a/tests/proto/proto_test.cpp
+++ b/tests/proto/proto_test.cpp
@@ -191,8 +191,8 @@
     answer.not_begun = not_begun;
     return query.handle(answer, to_start);
   };
-  EXPECT_EQ(step(503, true, true).outcome, Outcome::kFull);
-  EXPECT_EQ(step(504, true, true).outcome, Outcome::kMoot);
+  EXPECT_EQ(step(503, true, true).outcome, Outcome::kQueueFull);
+  EXPECT_EQ(step(504, true, true).outcome, Outcome::kCancelledBeforeStart);
   EXPECT_EQ(step(500, false, true).outcome, Outcome::kFailed);
   // Of a later call it says nothing: the query may run on.
   EXPECT_EQ(step(503, true, false).next, Query::Next::kSpoilt);
@@ -234,7 +234,7 @@
   answer.value = "2";
   const Query::Step step = query.handle(answer);
   EXPECT_TRUE(step.noted);
-  EXPECT_EQ(step.note, AttemptStatusKind::kWaits);
+  EXPECT_EQ(step.note, AttemptStatusKind::kWaiting);
   EXPECT_EQ(step.value, 2);
   answer.value = "two";
   EXPECT_FALSE(query.handle(answer).noted);
@@ -251,8 +251,8 @@
   EXPECT_EQ(event->offset, 41);
   ASSERT_EQ(event->listings.size(), 1u);
   EXPECT_EQ(event->listings[0].address, "10.1.0.9:6565");
-  EXPECT_EQ(event->listings[0].listing.life, EngineState::kDraining);
-  EXPECT_EQ(event->listings[0].listing.born, 5);
+  EXPECT_EQ(event->listings[0].listing.state, EngineState::kDraining);
+  EXPECT_EQ(event->listings[0].listing.started_at, time_point_of(5));
   EXPECT_EQ(line(R"({"offset":42})")->offset, 42);
   EXPECT_EQ(line("42")->offset, 42);
 }
