--- a/src/core/admission_limits.h
+++ b/src/core/admission_limits.h
@@ -6,7 +6,7 @@
 
 #include "base/time.h"
 #include "core/command_request.h"
-#include "policy/rules.h"
+#include "policy/settings.h"
 
 namespace firvalve {
 
--- a/src/core/command_event.cpp
+++ b/src/core/command_event.cpp
@@ -10,8 +10,15 @@
 }
 
 std::string_view name_of(Outcome outcome) {
-  static constexpr std::string_view kNames[] = {"ok",    "failed",    "full", "timed out", "connect failed",
-                                                "reset", "cancelled", "moot", "spoilt"};
+  static constexpr std::string_view kNames[] = {"ok",
+                                                "failed",
+                                                "queue full",
+                                                "timed out",
+                                                "connect failed",
+                                                "reset",
+                                                "cancelled",
+                                                "cancelled before start",
+                                                "indeterminate"};
   return kNames[static_cast<size_t>(outcome)];
 }
 
--- a/src/core/command_event.h
+++ b/src/core/command_event.h
@@ -7,7 +7,7 @@
 #include <string_view>
 
 #include "base/time.h"
-#include "policy/rules.h"
+#include "policy/actions.h"
 
 namespace firvalve {
 
--- a/src/core/command_id.h
+++ b/src/core/command_id.h
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <string_view>
 
-#include "policy/rules.h"
+#include "policy/events.h"
 
 namespace firvalve {
 
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -9,7 +9,7 @@
 namespace firvalve {
 
 Core::Core(const Settings& settings, uint64_t seed, ResponseSink& responses, EngineTransport& engines,
-           Metrics& metrics, PolicyLogSink log)
+           Metrics& metrics, EngineHealthObserver on_engine_health)
     : state_(open(settings, seed)),
       tick_(number(settings, setting::kTick)),
       profiles_(names_of(settings, setting::kProfiles)),
@@ -18,7 +18,7 @@
       responses_(responses),
       engines_(engines),
       metrics_(metrics),
-      log_(std::move(log)) {}
+      on_engine_health_(std::move(on_engine_health)) {}
 
 const std::string& Core::profile_name(const PendingCommand& command) const {
   return profiles_[static_cast<size_t>(command.profile)];
@@ -35,7 +35,7 @@
 
 void Core::handle_event(TimePoint now, const Event& event) {
   last_event_at_ = now;
-  handle(state_, to_ms(now), event);
+  handle(state_, now, event);
   has_new_events_ = true;
 }
 
@@ -73,11 +73,10 @@
   Admitted admitted;
   admitted.id = command.id;
   admitted.profile = command.profile;
-  admitted.gives_up_at = to_ms(command.deadline);
-  admitted.estimate = to_ms(request.estimated_work.value_or(Duration{}));
-  admitted.memory_mb = request.memory_mb;
-  admitted.tables = request.table_group;
-  admitted.repeat = !request.retry_of.empty();
+  admitted.deadline = command.deadline;
+  if (request.estimated_work > Duration{}) admitted.estimated_work = request.estimated_work;
+  admitted.estimated_memory_mb = request.memory_mb;
+  if (request.table_group >= 0) admitted.table_group = request.table_group;
   handle_event(now, admitted);
 }
 
@@ -135,21 +134,21 @@
 void Core::update_engine_list(TimePoint now, bool full, std::vector<NamedEngineInfo> engines,
                               std::optional<TimePoint> current_at) {
   EngineListUpdate update;
-  update.full = full;
-  update.current_at = to_ms(current_at.value_or(TimePoint{}));
-  std::map<uint32_t, std::string> present;
+  update.is_complete = full;
+  update.current_at = current_at;
+  std::map<EngineId, std::string> present;
   for (NamedEngineInfo& engine : engines) {
     engine.info.engine = directory_.number_of(engine.name);
-    update.listings.push_back(engine.info);
-    engines_.update_engine(now, engine.info.engine, engine.address, engine.info.life);
-    if (engine.info.life == EngineState::kGone)
+    update.engines.push_back(engine.info);
+    engines_.update_engine(now, to_number(engine.info.engine), engine.address, engine.info.state);
+    if (engine.info.state == EngineState::kRemoved)
       directory_.remove(engine.info.engine, engine.name);
     else
       present[engine.info.engine] = engine.name;
   }
   if (full)
-    directory_.replace_all(std::move(present), [&](uint32_t engine) {
-      engines_.update_engine(now, engine, {}, EngineState::kGone);
+    directory_.replace_all(std::move(present), [&](EngineId engine) {
+      engines_.update_engine(now, to_number(engine), {}, EngineState::kRemoved);
     });
   else
     directory_.add(present);
@@ -159,7 +158,7 @@
 bool Core::may_start_attempt(TimePoint now, AttemptId attempt) const {
   const PendingCommand* const command = commands_.find_by_attempt(attempt);
   return command && !command->is_finished() && now < command->deadline &&
-         may_begin(state_, command->id, to_ms(now));
+         firvalve::may_start_attempt(state_, command->id, now);
 }
 
 void Core::attempt_status_received(TimePoint now, AttemptId attempt, AttemptStatusKind kind, double value) {
@@ -186,14 +185,14 @@
                   {.kind = CommandEvent::Kind::kAttemptFinished, .outcome = outcome, .duration = duration});
   AttemptFinished event;
   event.id = command->id;
-  event.send = command->attempt_count - 1;
+  event.attempt = command->attempt_count - 1;
   event.outcome = outcome;
-  event.took = to_ms(duration);
+  event.elapsed = duration;
   if (command->is_finished()) {
-    event.finished = true;
+    event.is_command_finished = true;
     commands_.release(*command);
   } else if (outcome == Outcome::kOk) {
-    event.finished = true;
+    event.is_command_finished = true;
     answer(now, *command, rows);
   } else {
     results_.clear_pages(now, *command);  // no page has been given out: another attempt may start over
@@ -218,15 +217,15 @@
 
 // As the policy has decided: it has been told of all there is to know.
 void Core::end_unserved(TimePoint now, PendingCommand& command, const Action& action) {
-  const bool is_shed = action.kind == Action::Kind::kShed;
+  const bool is_shed = action.kind == Action::Kind::kShedCommand;
   metrics_.add(is_shed ? "shed" : "failed", profile_name(command));
   metrics_.add("commands ended unserved:", name_of(action.reason));
   notify_observer(
       now, command,
       {.kind = is_shed ? CommandEvent::Kind::kShed : CommandEvent::Kind::kFailed, .reason = action.reason});
-  const auto retry_after = action.wait > 0 ? std::optional(duration_of(action.wait)) : std::nullopt;
-  command.for_each_call(
-      [&](CallId call) { is_shed ? responses_.shed(call, retry_after) : responses_.fail(call, "failed"); });
+  command.for_each_call([&](CallId call) {
+    is_shed ? responses_.shed(call, action.retry_after) : responses_.fail(call, "failed");
+  });
   if (!command.is_finished()) finish(command);
 }
 
@@ -259,7 +258,7 @@
   commands_.for_each(
       [&](PendingCommand& command) { command.deadline = std::min(command.deadline, ends_at); });
   deadline_check_at_ = earlier_of<TimePoint>(deadline_check_at_, ends_at);
-  handle_event(now, ShutdownStarted{to_ms(ends_at)});
+  handle_event(now, ShutdownStarted{ends_at});
 }
 
 // ---- Decisions ------------------------------------------------------------------------------------
@@ -271,14 +270,14 @@
   has_new_events_ = false;
   decided_at_ = now;
   actions_.clear();
-  firvalve::decide(state_, to_ms(now), actions_);
+  firvalve::decide(state_, now, actions_);
   for (const Action& action : actions_) carry_out(now, action);
   commands_.erase_released();
 }
 
 std::optional<TimePoint> Core::next_due() const {
   std::optional<TimePoint> due = deadline_check_at_;
-  if (!timers_.empty()) due = earlier_of<TimePoint>(due, timers_.begin()->first);
+  if (!timers_.empty()) due = earlier_of<TimePoint>(due, *timers_.begin());
   if (has_new_events_) due = earlier_of<TimePoint>(due, decided_at_ + tick_);
   return due;
 }
@@ -295,53 +294,54 @@
     }
     command.past_deadline = true;
     notify_observer(now, command,
-                    {.kind = CommandEvent::Kind::kAttemptCancelled, .reason = Reason::kDeadlineOver});
+                    {.kind = CommandEvent::Kind::kAttemptCancelled, .reason = Reason::kDeadlineExceeded});
     engines_.cancel_attempt(now, *command.attempt, Outcome::kTimedOut);
   });
 }
 
 void Core::fire_timers(TimePoint now) {
-  for (; !timers_.empty() && timers_.begin()->first <= now; timers_.erase(timers_.begin()))
-    handle_event(now, TimerFired{timers_.begin()->second});
+  for (; !timers_.empty() && *timers_.begin() <= now; timers_.erase(timers_.begin()))
+    handle_event(now, TimerFired{});
 }
 
 void Core::carry_out(TimePoint now, const Action& action) {
   using Kind = Action::Kind;
-  if (action.kind == Kind::kBell) {
-    timers_.emplace(now + duration_of(action.wait), static_cast<uint64_t>(action.number));
+  if (action.kind == Kind::kSetTimer) {
+    timers_.insert(now + action.timer_delay);
     return;
   }
-  if (action.kind == Kind::kLog) return log_({action.text, directory_.name_of(action.engine)});
-  PendingCommand* const command = commands_.find(action.id);
+  if (action.kind == Kind::kLogEngineHealth)
+    return on_engine_health_({directory_.name_of(action.engine), action.health});
+  PendingCommand* const command = commands_.find(action.command);
   if (!command) return;
   switch (action.kind) {
-    case Kind::kSend:
+    case Kind::kStartAttempt:
       return start_attempt(now, *command, action.engine);
-    case Kind::kWithdraw:
+    case Kind::kCancelAttempt:
       return cancel_attempt(now, *command, action);
-    case Kind::kRank:
-      return set_priority(now, *command, action.number);
-    case Kind::kShed:
-    case Kind::kFail:
+    case Kind::kSetSchedulingHints:
+      return set_priority(now, *command, action.priority);
+    case Kind::kShedCommand:
+    case Kind::kFailCommand:
       return end_unserved(now, *command, action);
-    case Kind::kBell:
-    case Kind::kLog:
+    case Kind::kSetTimer:
+    case Kind::kLogEngineHealth:
       return;  // of no command
   }
 }
 
-void Core::start_attempt(TimePoint now, PendingCommand& command, uint32_t engine) {
+void Core::start_attempt(TimePoint now, PendingCommand& command, EngineId engine) {
   const std::string& profile = profile_name(command);
   metrics_.add(command.attempt_count > 0 ? "retries started" : "first attempts started", profile);
   const AttemptId attempt = commands_.start_attempt(now, command, engine);
   notify_observer(now, command, {.kind = CommandEvent::Kind::kAttemptStarted});
   deadline_check_at_ = earlier_of<TimePoint>(deadline_check_at_, command.deadline);
-  engines_.start_attempt(now, {attempt, engine, view_of(command.id), profile, command.statement,
+  engines_.start_attempt(now, {attempt, to_number(engine), view_of(command.id), profile, command.statement,
                                command.deadline, command.priority, command.paged, may_cancel_});
 }
 
 void Core::cancel_attempt(TimePoint now, PendingCommand& command, const Action& action) {
-  if (!command.attempt || action.number != command.attempt_count - 1) return;
+  if (!command.attempt || action.attempt != command.attempt_count - 1) return;
   metrics_.add("attempts cancelled", profile_name(command));
   metrics_.add("attempts cancelled:", name_of(action.reason));
   notify_observer(now, command, {.kind = CommandEvent::Kind::kAttemptCancelled, .reason = action.reason});
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -7,6 +7,7 @@
 #include <functional>
 #include <map>
 #include <optional>
+#include <set>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -16,6 +17,7 @@
 #include "core/command_event.h"
 #include "core/command_request.h"
 #include "core/engine_directory.h"
+#include "core/engine_health.h"
 #include "core/engine_transport.h"
 #include "core/ids.h"
 #include "core/metrics.h"
@@ -23,7 +25,7 @@
 #include "core/pending_commands.h"
 #include "core/response_sink.h"
 #include "core/result_store.h"
-#include "policy/rules.h"
+#include "policy/policy.h"
 
 namespace firvalve {
 
@@ -44,17 +46,10 @@
   EngineInfo info;
 };
 
-// A message of the policy about an engine, by its listed name (empty: about none). The views are good for the
-// call alone.
-struct PolicyMessage {
-  std::string_view text, engine;
-};
-using PolicyLogSink = std::function<void(const PolicyMessage& message)>;
-
 class Core {
  public:
   Core(const Settings& settings, uint64_t seed, ResponseSink& responses, EngineTransport& engines,
-       Metrics& metrics, PolicyLogSink log);
+       Metrics& metrics, EngineHealthObserver on_engine_health);
 
   // Bytes of the statements of all commands in hand; commands beyond them are not admitted.
   void set_max_statement_bytes(size_t bytes) { commands_.set_max_statement_bytes(bytes); }
@@ -114,7 +109,7 @@
   void cancel_past_deadline(TimePoint now);
   void fire_timers(TimePoint now);
   void carry_out(TimePoint now, const Action& action);
-  void start_attempt(TimePoint now, PendingCommand& command, uint32_t engine);
+  void start_attempt(TimePoint now, PendingCommand& command, EngineId engine);
   void cancel_attempt(TimePoint now, PendingCommand& command, const Action& action);
   void set_priority(TimePoint now, PendingCommand& command, int priority);
 
@@ -125,9 +120,9 @@
   // The policy.
   State state_;
   Actions actions_;
-  std::map<TimePoint, uint64_t> timers_;  // with the policy's reference of each
-  bool has_new_events_ = true;            // since the last decisions; the policy is asked once at start
-  TimePoint decided_at_{};                // the last decisions; the clock's start: there were none yet
+  std::set<TimePoint> timers_;  // that the policy has set
+  bool has_new_events_ = true;  // since the last decisions; the policy is asked once at start
+  TimePoint decided_at_{};      // the last decisions; the clock's start: there were none yet
   TimePoint last_event_at_{};
   const Duration tick_;
   // What the settings say.
@@ -145,7 +140,7 @@
   ResponseSink& responses_;
   EngineTransport& engines_;
   Metrics& metrics_;
-  PolicyLogSink log_;
+  EngineHealthObserver on_engine_health_;
   CommandObserver observer_;
 };
 
--- a/src/core/engine_directory.cpp
+++ b/src/core/engine_directory.cpp
@@ -17,15 +17,15 @@
 
 }  // namespace
 
-uint32_t EngineDirectory::number_of(const std::string& name) {
+EngineId EngineDirectory::number_of(const std::string& name) {
   const auto known = numbers_.find(name);
   if (known != numbers_.end()) return known->second;
   uint32_t number = preferred_number(name);
-  while (!numbers_in_use_.insert(number).second) ++number;
-  return numbers_[name] = number;
+  while (!numbers_in_use_.insert(EngineId{number}).second) ++number;
+  return numbers_[name] = EngineId{number};
 }
 
-void EngineDirectory::remove(uint32_t engine, const std::string& name) {
+void EngineDirectory::remove(EngineId engine, const std::string& name) {
   names_.erase(engine);
   forget_number(name);
 }
@@ -37,7 +37,7 @@
   numbers_.erase(known);
 }
 
-std::string_view EngineDirectory::name_of(uint32_t engine) const {
+std::string_view EngineDirectory::name_of(EngineId engine) const {
   const auto at = names_.find(engine);
   return at == names_.end() ? std::string_view() : at->second;
 }
--- a/src/core/engine_transport.h
+++ b/src/core/engine_transport.h
@@ -7,7 +7,7 @@
 
 #include "base/time.h"
 #include "core/ids.h"
-#include "policy/rules.h"
+#include "policy/events.h"
 
 namespace firvalve {
 
--- a/src/core/pending_commands.cpp
+++ b/src/core/pending_commands.cpp
@@ -55,7 +55,7 @@
   calls_.erase(call);
 }
 
-AttemptId PendingCommands::start_attempt(TimePoint now, PendingCommand& command, uint32_t engine) {
+AttemptId PendingCommands::start_attempt(TimePoint now, PendingCommand& command, EngineId engine) {
   last_attempt_ = next_after(last_attempt_);
   command.attempt = last_attempt_;
   command.attempt_count += 1;
--- a/src/core/pending_commands.h
+++ b/src/core/pending_commands.h
@@ -35,7 +35,7 @@
   // Attempts: one at a time.
   int attempt_count = 0;
   std::optional<AttemptId> attempt;  // the one that is out
-  uint32_t engine = 0;               // of the last attempt
+  EngineId engine{};                 // of the last attempt
   TimePoint attempt_started_at{};    // the last one
   bool past_deadline = false;        // the attempt that is out was cancelled for its deadline
   // Of a paged command: its reserved result (none: it waits for a reservation), and what to reserve it with.
@@ -76,7 +76,7 @@
   bool is_half_closed(CallId call) const { return calls_.at(call).half_closed; }
 
   // ---- Attempts
-  AttemptId start_attempt(TimePoint now, PendingCommand& command, uint32_t engine);
+  AttemptId start_attempt(TimePoint now, PendingCommand& command, EngineId engine);
   PendingCommand* find_by_attempt(AttemptId attempt);
   const PendingCommand* find_by_attempt(AttemptId attempt) const;
   // The attempt is over. Gives its command; null: there is no such attempt.
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -267,9 +267,12 @@
     peers = std::make_unique<cluster::ClusterService>(loop, counters, fleet_options(wishes.fleet, bytes),
                                                       clients, say);
   Core core(settings, told.seed, peers ? static_cast<ResponseSink&>(*peers) : clients, engines, counters,
-            [&](const PolicyMessage& message) {
-              say(Level::kWarning, message.text,
-                  {{"component", "module"}, {"engine", std::string(message.engine)}});
+            [&](const EngineHealthChange& change) {
+              const bool is_ejected = change.health != EngineHealth::kReinstated;
+              say(Level::kWarning, is_ejected ? "engine.ejected" : "engine.reinstated",
+                  {{"component", "policy"},
+                   {"engine", std::string(change.engine)},
+                   {"why", is_ejected ? std::string(name_of(change.health)) : std::string()}});
             });
   core.set_max_statement_bytes(static_cast<size_t>(kStatementPart * bytes));
   engines.serve(core);
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -97,7 +97,7 @@
         engines(loop, counters, {kConnectMost, kIdleClose}),
         fleet(make_fleet(options)),
         core(settings, options.seed, fleet ? static_cast<ResponseSink&>(*fleet) : no_clients, engines,
-             counters, [](const PolicyMessage&) {}) {
+             counters, [](const EngineHealthChange&) {}) {
     loop.limit(kDescriptorsMost, kBufferBytesMost);
     engines.serve(core);
     if (fleet) fleet->serve(core);
--- a/src/simulator_adapter/decision_writer.cpp
+++ b/src/simulator_adapter/decision_writer.cpp
@@ -10,7 +10,9 @@
 namespace firvalve::simulator {
 namespace {
 
-int64_t nanoseconds_of(Ms ms) { return std::llround(ms * kNanosecondsPerMs); }
+int64_t nanoseconds_of(Duration duration) { return std::llround(duration.count() * kNanosecondsPerMs); }
+
+constexpr int64_t kTimerReference = 0;  // a gateway has one timer at a time
 
 }  // namespace
 
@@ -23,39 +25,39 @@
 
 void DecisionWriter::write(int64_t gateway_id, const Action& action) {
   switch (action.kind) {
-    case Action::Kind::kSend:
+    case Action::Kind::kStartAttempt:
       begin_decision("RELAY", gateway_id);
-      write_command(action.id);
-      write_integer("engine", action.engine);
+      write_command(action.command);
+      write_integer("engine", to_number(action.engine));
       break;
-    case Action::Kind::kWithdraw:
+    case Action::Kind::kCancelAttempt:
       begin_decision("RETRACT", gateway_id);
-      write_command(action.id);
-      write_integer("round_no", action.number);
+      write_command(action.command);
+      write_integer("round_no", action.attempt);
       break;
-    case Action::Kind::kShed:
+    case Action::Kind::kShedCommand:
       begin_decision("DENY", gateway_id);
-      write_command(action.id);
-      if (action.wait > 0) write_integer("stay_away", nanoseconds_of(action.wait));
+      write_command(action.command);
+      if (action.retry_after) write_integer("stay_away", nanoseconds_of(*action.retry_after));
       break;
-    case Action::Kind::kFail:
+    case Action::Kind::kFailCommand:
       begin_decision("FAIL", gateway_id);
-      write_command(action.id);
+      write_command(action.command);
       break;
-    case Action::Kind::kRank:
+    case Action::Kind::kSetSchedulingHints:
       begin_decision("GRANT_AND_RANK", gateway_id);
-      write_command(action.id);
-      write_integer("importance", action.number);
-      reply_.append(",\"allot_mb\":").append(std::to_string(action.memory_mb));
+      write_command(action.command);
+      write_integer("importance", action.priority);
+      reply_.append(",\"allot_mb\":").append(std::to_string(action.memory_grant_mb));
       break;
-    case Action::Kind::kBell:
+    case Action::Kind::kSetTimer:
       begin_decision("SET_ALARM", gateway_id);
-      write_integer("wait", nanoseconds_of(action.wait));
-      write_integer("ref", action.number);
+      write_integer("wait", nanoseconds_of(action.timer_delay));
+      write_integer("ref", kTimerReference);
       break;
-    case Action::Kind::kLog:
+    case Action::Kind::kLogEngineHealth:
       begin_decision("SAY_LOG", gateway_id);
-      write_text("line", action.text);
+      write_text("line", engine_health_text(action.engine, action.health));
       break;
   }
   end_decision();
--- a/src/simulator_adapter/decision_writer.h
+++ b/src/simulator_adapter/decision_writer.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "policy/rules.h"
+#include "policy/actions.h"
 
 namespace firvalve::simulator {
 
--- a/src/simulator_adapter/event_fields.h
+++ b/src/simulator_adapter/event_fields.h
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "policy/rules.h"
+#include "policy/events.h"
 
 namespace firvalve::simulator {
 
--- a/src/simulator_adapter/event_reader.cpp
+++ b/src/simulator_adapter/event_reader.cpp
@@ -20,12 +20,12 @@
   static constexpr std::pair<std::string_view, Outcome> kOutcomes[] = {
       {"Ok", Outcome::kOk},
       {"Failed", Outcome::kFailed},
-      {"QueueFull", Outcome::kFull},
+      {"QueueFull", Outcome::kQueueFull},
       {"TimedOut", Outcome::kTimedOut},
       {"ConnectError", Outcome::kConnectFailed},
       {"ResetByPeer", Outcome::kReset},
       {"Canceled", Outcome::kCancelled},
-      {"Ignored", Outcome::kMoot},
+      {"Ignored", Outcome::kCancelledBeforeStart},
   };
   const std::string disposition = fields.text("disposition");
   for (const auto& [theirs, ours] : kOutcomes)
@@ -35,19 +35,23 @@
 
 EngineState engine_state_of(int64_t lifecycle) {
   if (lifecycle == kLifecycleReady) return EngineState::kReady;
-  return lifecycle == kLifecycleDraining ? EngineState::kDraining : EngineState::kGone;
+  return lifecycle == kLifecycleDraining ? EngineState::kDraining : EngineState::kRemoved;
+}
+
+EngineId read_engine_id(const EventFields& fields) {
+  return EngineId{static_cast<uint32_t>(fields.integer("engine"))};
 }
 
 EngineInfo read_engine(const Value& member) {
   static const std::string kMember = "MANIFEST members";
   const EventFields fields(kMember, member);
   EngineInfo engine;
-  engine.engine = static_cast<uint32_t>(fields.integer("engine"));
+  engine.engine = read_engine_id(fields);
   engine.zone = fields.find("zone") ? fields.text("zone") : "";
-  engine.machine = fields.find("generation_hw") ? fields.text("generation_hw") : "";
+  engine.machine_type = fields.find("generation_hw") ? fields.text("generation_hw") : "";
   engine.cell = static_cast<int>(fields.integer("block", 0));
-  engine.life = engine_state_of(fields.integer("lifecycle"));
-  engine.born = ms_of_nanoseconds(fields.integer("born", 0));
+  engine.state = engine_state_of(fields.integer("lifecycle"));
+  if (const int64_t born = fields.integer("born", 0); born > 0) engine.started_at = time_of_nanoseconds(born);
   return engine;
 }
 
@@ -65,7 +69,7 @@
   const int64_t how = fields.integer("how");
   if (how == kUpdateFailed) return std::nullopt;
   EngineListUpdate update;
-  update.full = how == kUpdateWholeList || how == kUpdateFirstList;
+  update.is_complete = how == kUpdateWholeList || how == kUpdateFirstList;
   return update;
 }
 
@@ -74,22 +78,21 @@
   Admitted& admitted = command.admitted;
   admitted.id = fields.command_id();
   command.profile = fields.text("class");
-  if (const Value* billing = fields.find("billing"); billing && billing->IsString())
-    command.customer = fields.text("billing");
-  admitted.has_key = fields.find("target") != nullptr;
-  admitted.key = static_cast<uint64_t>(fields.integer("target", 0));
-  admitted.gives_up_at = ms_of_nanoseconds(fields.integer("valid_until"));
-  admitted.estimate = ms_of_nanoseconds(fields.integer("plan_cost", 0));
-  admitted.memory_mb = fields.number("est_memory_mb", 0);
-  if (fields.find("table_group")) admitted.tables = static_cast<int64_t>(fields.number("table_group", 0));
-  admitted.repeat = fields.flag("resent");
+  if (fields.find("target")) admitted.ordering_key = static_cast<uint64_t>(fields.integer("target"));
+  admitted.deadline = time_of_nanoseconds(fields.integer("valid_until"));
+  if (const int64_t cost = fields.integer("plan_cost", 0); cost > 0)
+    admitted.estimated_work = duration_of_nanoseconds(cost);
+  admitted.estimated_memory_mb = fields.number("est_memory_mb", 0);
+  if (fields.find("table_group"))
+    admitted.table_group = static_cast<int64_t>(fields.number("table_group", 0));
+  fields.flag("resent");  // nothing is decided from it, but a malformed one is an error
   return command;
 }
 
 std::optional<AttemptStatus> read_attempt_status(const EventFields& fields) {
   AttemptStatus status;
   status.id = fields.command_id();
-  status.send = static_cast<int>(fields.integer("round_no"));
+  status.attempt = static_cast<int>(fields.integer("round_no"));
   const int64_t kind = fields.integer("kind");
   if (kind < 1 || kind > 3) return std::nullopt;
   status.kind = static_cast<AttemptStatusKind>(kind);
@@ -100,19 +103,21 @@
 AttemptFinished read_attempt_finished(const EventFields& fields) {
   AttemptFinished finished;
   finished.id = fields.command_id();
-  finished.send = static_cast<int>(fields.integer("round_no"));
+  finished.attempt = static_cast<int>(fields.integer("round_no"));
   finished.outcome = read_outcome(fields);
-  finished.took = ms_of_nanoseconds(fields.integer("time_taken"));
-  finished.finished = fields.flag("last");
+  finished.elapsed = duration_of_nanoseconds(fields.integer("time_taken"));
+  finished.is_command_finished = fields.flag("last");
   const int64_t bill = fields.integer("bill", 0);
-  finished.work = static_cast<double>(bill / kBillSteps);
-  finished.memory_mb = static_cast<double>(bill % kBillSteps) * kMbPerBillStep;
+  if (const int64_t work_ms = bill / kBillSteps; work_ms > 0)
+    finished.work = Duration(static_cast<double>(work_ms));
+  if (const int64_t memory_steps = bill % kBillSteps; memory_steps > 0)
+    finished.memory_mb = static_cast<double>(memory_steps) * kMbPerBillStep;
   return finished;
 }
 
 ProbeResult read_probe_result(const EventFields& fields) {
   ProbeResult result;
-  result.engine = static_cast<uint32_t>(fields.integer("engine"));
+  result.engine = read_engine_id(fields);
   result.outcome = read_outcome(fields);
   return result;
 }
@@ -120,7 +125,8 @@
 ClientGone read_client_gone(const EventFields& fields) { return {fields.command_id()}; }
 
 TimerFired read_timer_fired(const EventFields& fields) {
-  return {static_cast<uint64_t>(fields.integer("ref"))};
+  fields.integer("ref");  // of the one timer that is set at a time
+  return {};
 }
 
 }  // namespace firvalve::simulator
--- a/src/simulator_adapter/event_reader.h
+++ b/src/simulator_adapter/event_reader.h
@@ -5,16 +5,19 @@
 #include <string>
 #include <vector>
 
-#include "base/units.h"
-#include "policy/rules.h"
+#include "base/time.h"
+#include "policy/events.h"
 #include "simulator_adapter/event_fields.h"
 
 namespace firvalve::simulator {
 
 // The simulator counts times in whole nanoseconds.
 constexpr double kNanosecondsPerMs = 1e6;
-inline Ms ms_of_nanoseconds(int64_t nanoseconds) {
-  return static_cast<double>(nanoseconds) / kNanosecondsPerMs;
+inline Duration duration_of_nanoseconds(int64_t nanoseconds) {
+  return Duration(static_cast<double>(nanoseconds) / kNanosecondsPerMs);
+}
+inline TimePoint time_of_nanoseconds(int64_t nanoseconds) {
+  return TimePoint(duration_of_nanoseconds(nanoseconds));
 }
 
 // The engines of a list that later updates refer to by its number.
@@ -23,10 +26,10 @@
 // An update without its engines. Nothing: the call for a list failed, the old one holds.
 std::optional<EngineListUpdate> read_engine_list_update(const EventFields& fields);
 
-// A command without the numbers of its profile and customer: these depend on its gateway's settings.
+// A command without its profile's number, which depends on its gateway's settings.
 struct AcceptedCommand {
   Admitted admitted;
-  std::string profile, customer;  // names; the customer's is empty where none is named
+  std::string profile;  // its name
 };
 AcceptedCommand read_accepted_command(const EventFields& fields);
 
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -5,6 +5,7 @@
 
 #include <algorithm>
 #include <iostream>
+#include <optional>
 #include <string_view>
 #include <utility>
 
@@ -20,10 +21,10 @@
 
 int64_t gateway_id_of(const EventFields& fields) { return fields.integer("gateway_id"); }
 
-// The place of a name, or -1.
-int place_of(const std::vector<std::string>& names, const std::string& name) {
+std::optional<int> place_of(const std::vector<std::string>& names, const std::string& name) {
   const auto at = std::find(names.begin(), names.end(), name);
-  return at == names.end() ? -1 : static_cast<int>(at - names.begin());
+  if (at == names.end()) return std::nullopt;
+  return static_cast<int>(at - names.begin());
 }
 
 }  // namespace
@@ -37,7 +38,7 @@
     throw MalformedInput(std::string("not JSON: ") + rapidjson::GetParseError_En(batch.GetParseError()));
   static const std::string kBatch = "batch";
   const EventFields batch_fields(kBatch, batch);
-  const Ms now = ms_of_nanoseconds(batch_fields.integer("wall"));
+  const TimePoint now = time_of_nanoseconds(batch_fields.integer("wall"));
   const Value& events = batch_fields.required("happened");
   if (!events.IsArray()) batch_fields.throw_not("happened", "a list");
   writer_.begin();
@@ -62,7 +63,7 @@
   return writer_.end();
 }
 
-void SimulatorAdapter::write_decisions(Ms now, int64_t gateway_id, Gateway& gateway) {
+void SimulatorAdapter::write_decisions(TimePoint now, int64_t gateway_id, Gateway& gateway) {
   gateway.has_new_events = false;
   actions_.clear();
   try {
@@ -103,15 +104,15 @@
   return &at->second;
 }
 
-void SimulatorAdapter::deliver(Ms now, int64_t gateway_id, const Event& event) {
+void SimulatorAdapter::deliver(TimePoint now, int64_t gateway_id, const Event& event) {
   if (Gateway* const gateway = find_gateway(gateway_id)) handle(gateway->state, now, event);
 }
 
-void SimulatorAdapter::handle_manifest(Ms, const EventFields& fields) {
+void SimulatorAdapter::handle_manifest(TimePoint, const EventFields& fields) {
   engine_lists_[fields.integer("ref")] = read_engine_list(fields);
 }
 
-void SimulatorAdapter::handle_start(Ms, const EventFields& fields) {
+void SimulatorAdapter::handle_start(TimePoint, const EventFields& fields) {
   const int64_t id = gateway_id_of(fields);
   const Value& json = fields.required("settings");
   if (!json.IsObject()) fields.throw_not("settings", "an object");
@@ -121,60 +122,58 @@
   Gateway& gateway = gateways_[id];
   gateway.state = open(settings, static_cast<uint64_t>(salt));
   gateway.profiles = names_of(settings, setting::kProfiles);
-  gateway.customers = names_of(settings, setting::kCustomers);
   std::erase(decision_order_, id);
   find_gateway(id);
 }
 
-void SimulatorAdapter::handle_killed(Ms, const EventFields& fields) {
+void SimulatorAdapter::handle_killed(TimePoint, const EventFields& fields) {
   const int64_t id = gateway_id_of(fields);
   gateways_.erase(id);
   std::erase(decision_order_, id);
 }
 
-void SimulatorAdapter::handle_update(Ms now, const EventFields& fields) {
+void SimulatorAdapter::handle_update(TimePoint now, const EventFields& fields) {
   const int64_t id = gateway_id_of(fields);
   std::optional<EngineListUpdate> update = read_engine_list_update(fields);
   if (!update) return;
   const auto list = engine_lists_.find(fields.integer("ref"));
   if (list == engine_lists_.end()) fields.throw_not("ref", "the number of a list");
-  update->listings = list->second;
+  update->engines = list->second;
   deliver(now, id, *std::move(update));
 }
 
-void SimulatorAdapter::handle_accept(Ms now, const EventFields& fields) {
+void SimulatorAdapter::handle_accept(TimePoint now, const EventFields& fields) {
   const int64_t id = gateway_id_of(fields);
   AcceptedCommand command = read_accepted_command(fields);
   Gateway* const gateway = find_gateway(id);
   if (!gateway) return;
   command.admitted.profile = place_of(gateway->profiles, command.profile);
-  command.admitted.tenant = place_of(gateway->customers, command.customer);
-  if (command.admitted.profile < 0)
+  if (!command.admitted.profile)
     std::cerr << "firvalve-simulator-adapter: event ACCEPT: no profile is named " << command.profile << '\n';
   handle(gateway->state, now, command.admitted);
 }
 
-void SimulatorAdapter::handle_change(Ms now, const EventFields& fields) {
+void SimulatorAdapter::handle_change(TimePoint now, const EventFields& fields) {
   const int64_t id = gateway_id_of(fields);
   if (const std::optional<AttemptStatus> status = read_attempt_status(fields)) deliver(now, id, *status);
 }
 
-void SimulatorAdapter::handle_settled(Ms now, const EventFields& fields) {
+void SimulatorAdapter::handle_settled(TimePoint now, const EventFields& fields) {
   const int64_t id = gateway_id_of(fields);
   deliver(now, id, read_attempt_finished(fields));
 }
 
-void SimulatorAdapter::handle_gone(Ms now, const EventFields& fields) {
+void SimulatorAdapter::handle_gone(TimePoint now, const EventFields& fields) {
   const int64_t id = gateway_id_of(fields);
   deliver(now, id, read_client_gone(fields));
 }
 
-void SimulatorAdapter::handle_probe_result(Ms now, const EventFields& fields) {
+void SimulatorAdapter::handle_probe_result(TimePoint now, const EventFields& fields) {
   const int64_t id = gateway_id_of(fields);
   deliver(now, id, read_probe_result(fields));
 }
 
-void SimulatorAdapter::handle_bell(Ms now, const EventFields& fields) {
+void SimulatorAdapter::handle_bell(TimePoint now, const EventFields& fields) {
   const int64_t id = gateway_id_of(fields);
   deliver(now, id, read_timer_fired(fields));
 }
--- a/src/simulator_adapter/simulator_adapter.h
+++ b/src/simulator_adapter/simulator_adapter.h
@@ -7,7 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "policy/rules.h"
+#include "base/time.h"
+#include "policy/policy.h"
 #include "simulator_adapter/decision_writer.h"
 #include "simulator_adapter/event_fields.h"
 
@@ -23,29 +24,29 @@
  private:
   struct Gateway {
     State state;
-    std::vector<std::string> profiles, customers;  // names, in the order of the settings
-    bool has_new_events = false;                   // in this batch
+    std::vector<std::string> profiles;  // names, in the order of the settings
+    bool has_new_events = false;        // in this batch
   };
-  using Handler = void (SimulatorAdapter::*)(Ms now, const EventFields& fields);
+  using Handler = void (SimulatorAdapter::*)(TimePoint now, const EventFields& fields);
 
   static Handler handler_of(const std::string& event);
   // One for each event of the wire. Fields are read before the gateway is looked up, so that a malformed
   // event is reported also where its gateway is not running.
-  void handle_manifest(Ms now, const EventFields& fields);
-  void handle_start(Ms now, const EventFields& fields);
-  void handle_killed(Ms now, const EventFields& fields);
-  void handle_update(Ms now, const EventFields& fields);
-  void handle_accept(Ms now, const EventFields& fields);
-  void handle_change(Ms now, const EventFields& fields);
-  void handle_settled(Ms now, const EventFields& fields);
-  void handle_gone(Ms now, const EventFields& fields);
-  void handle_probe_result(Ms now, const EventFields& fields);
-  void handle_bell(Ms now, const EventFields& fields);
+  void handle_manifest(TimePoint now, const EventFields& fields);
+  void handle_start(TimePoint now, const EventFields& fields);
+  void handle_killed(TimePoint now, const EventFields& fields);
+  void handle_update(TimePoint now, const EventFields& fields);
+  void handle_accept(TimePoint now, const EventFields& fields);
+  void handle_change(TimePoint now, const EventFields& fields);
+  void handle_settled(TimePoint now, const EventFields& fields);
+  void handle_gone(TimePoint now, const EventFields& fields);
+  void handle_probe_result(TimePoint now, const EventFields& fields);
+  void handle_bell(TimePoint now, const EventFields& fields);
 
   // Null: it is not running. It will be asked for its decisions.
   Gateway* find_gateway(int64_t gateway_id);
-  void deliver(Ms now, int64_t gateway_id, const Event& event);
-  void write_decisions(Ms now, int64_t gateway_id, Gateway& gateway);
+  void deliver(TimePoint now, int64_t gateway_id, const Event& event);
+  void write_decisions(TimePoint now, int64_t gateway_id, Gateway& gateway);
 
   std::map<int64_t, Gateway> gateways_;
   std::vector<int64_t> decision_order_;                      // ids of gateways with new events
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -42,12 +42,12 @@
                           {"profile.0.client timeout", 4000.0}};
   RecordingEnds ends;
   Metrics metrics;
-  Core core{settings, 1, ends, ends, metrics, [](const PolicyMessage&) {}};
+  Core core{settings, 1, ends, ends, metrics, [](const EngineHealthChange&) {}};
 
   void list(const std::string& name, EngineState life = EngineState::kReady) {
     NamedEngineInfo l{name, "127.0.0.1:1", {}};
-    l.info.machine = "std";
-    l.info.life = life;
+    l.info.machine_type = "std";
+    l.info.state = life;
     core.update_engine_list(time_point_of(1000), false, {l});
   }
   AdmissionResult admit(uint64_t call, const char* id = "9b1f03aa5c7e2d41", const char* profile = "quick") {
@@ -129,9 +129,9 @@
   core.decide(time_point_of(5005));
   EXPECT_EQ(told,
             (std::vector<std::string>{"command.admitted//none", "attempt.started/s-1/none",
-                                      "attempt.cancelled/s-1/deadline over", "attempt.finished/s-1/none",
-                                      "command.failed/s-1/deadline over"}));
-  EXPECT_EQ(metrics.counts["commands ended unserved: deadline over"], 1u);
+                                      "attempt.cancelled/s-1/deadline exceeded", "attempt.finished/s-1/none",
+                                      "command.failed/s-1/deadline exceeded"}));
+  EXPECT_EQ(metrics.counts["commands ended unserved: deadline exceeded"], 1u);
 }
 
 // A half-close: for a moment it is as any other, then nothing follows and it is told so.
@@ -177,7 +177,7 @@
   RecordingEnds ends;
   Metrics metrics;
   Core core({{"profile.0.name", std::string("quick")}, {"profile.0.effect", std::string("replayable")}}, 1,
-            ends, ends, metrics, [](const PolicyMessage&) {});
+            ends, ends, metrics, [](const EngineHealthChange&) {});
   CommandRequest request;
   request.command = "9b1f03aa5c7e2d41";
   request.profile = "quick";
