--- /dev/null
+++ b/tests/compatibility/stored_data_test.cpp
@@ -0,0 +1,680 @@
+// What an earlier program has stored, or says to a program of this text, is read, served and written again to
+// the same bytes. tests/fixtures/60b1129/README.md tells how its program wrote it.
+//
+// Enumerators and fields stand here by name and in the fixtures by number: one that was renumbered shows.
+#include <fcntl.h>
+#include <gtest/gtest.h>
+#include <lmdb.h>
+#include <stdlib.h>
+#include <sys/file.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <filesystem>
+#include <fstream>
+#include <map>
+#include <memory>
+#include <sstream>
+
+#include "client/client.h"
+#include "duty/claim.h"
+#include "duty/merges.h"
+#include "fleet/folder.h"
+#include "fleet/wire.h"
+#include "lab/scale/capacity_file.h"
+#include "lab/scale/fit.h"
+#include "schema/registry.h"
+#include "soon.h"
+#include "spool/spool.h"
+#include "standin/fleet.h"
+#include "standin/process.h"
+#include "standin/script.h"
+
+namespace firvalve {
+namespace {
+
+const std::string kFixtures = FIRVALVE_SOURCE "/tests/fixtures/60b1129/";
+const std::vector<std::string> kKeepers = {"127.60.11.29:7601", "127.60.11.29:7602", "127.60.11.29:7603"};
+
+std::string content_of(const std::string& path) {
+  std::ifstream file(path, std::ios::binary);
+  EXPECT_TRUE(file) << path;
+  std::stringstream all;
+  all << file.rdbuf();
+  return all.str();
+}
+
+std::string hex(std::string_view bytes) {
+  static constexpr char kDigits[] = "0123456789abcdef";
+  std::string text;
+  for (const char c : bytes) text += {kDigits[static_cast<uint8_t>(c) >> 4], kDigits[c & 15]};
+  return text;
+}
+
+// A copy of a stored folder: whoever opens one may write to it.
+class FolderCopy {
+ public:
+  explicit FolderCopy(const std::string& name) {
+    char pattern[] = "/tmp/firvalve-stored-XXXXXX";
+    path_ = ::mkdtemp(pattern);
+    std::filesystem::copy(kFixtures + name, path_, std::filesystem::copy_options::recursive);
+  }
+  ~FolderCopy() { std::filesystem::remove_all(path_); }
+  FolderCopy(const FolderCopy&) = delete;
+  FolderCopy& operator=(const FolderCopy&) = delete;
+  const std::string& path() const { return path_; }
+
+ private:
+  std::string path_;
+};
+
+// ---- A keeper's folder ---------------------------------------------------------------------------
+
+std::unique_ptr<fleet::Folder> open_folder(const FolderCopy& copy, int keeper) {
+  return std::make_unique<fleet::Folder>(copy.path(), kKeepers[static_cast<size_t>(keeper - 1)],
+                                         fleet::hash_of(kKeepers), [] {});
+}
+
+std::map<std::string, std::string> raw_entries(MDB_txn* transaction, const char* database) {
+  std::map<std::string, std::string> all;
+  MDB_dbi handle = 0;
+  MDB_cursor* cursor = nullptr;
+  EXPECT_EQ(mdb_dbi_open(transaction, database, 0, &handle), 0) << database;
+  EXPECT_EQ(mdb_cursor_open(transaction, handle, &cursor), 0);
+  MDB_val key{}, value{};
+  while (mdb_cursor_get(cursor, &key, &value, MDB_NEXT) == 0)
+    all[{static_cast<const char*>(key.mv_data), key.mv_size}] = {static_cast<const char*>(value.mv_data),
+                                                                 value.mv_size};
+  mdb_cursor_close(cursor);
+  return all;
+}
+
+// The bytes as they lie in the folder, past all code of the program.
+struct RawFolder {
+  explicit RawFolder(const std::string& path) {
+    MDB_env* environment = nullptr;
+    MDB_txn* transaction = nullptr;
+    EXPECT_EQ(mdb_env_create(&environment), 0);
+    EXPECT_EQ(mdb_env_set_maxdbs(environment, 2), 0);
+    EXPECT_EQ(mdb_env_open(environment, path.c_str(), MDB_RDONLY | MDB_NOLOCK, 0), 0);
+    EXPECT_EQ(mdb_txn_begin(environment, nullptr, MDB_RDONLY, &transaction), 0);
+    slots = raw_entries(transaction, "slots");
+    standing = raw_entries(transaction, "standing");
+    mdb_txn_abort(transaction);
+    mdb_env_close(environment);
+  }
+  std::map<std::string, std::string> slots, standing;
+};
+
+// A register's value as its reader understands it, written again.
+std::string rewritten_value(const std::string& key, const std::string& value) {
+  if (key.starts_with(schema::Registry::kPrefix)) {
+    std::string why;
+    const auto bulletin = schema::read_bulletin(value, why);
+    return bulletin ? schema::written(*bulletin) : why;
+  }
+  auto claim = duty::read_claim(value);
+  if (!claim) return "no claim";
+  if (key.starts_with("merge:")) claim->state = duty::written(duty::read_merge(claim->state));
+  return duty::written(*claim);
+}
+
+class StoredFolder : public testing::TestWithParam<const char*> {};
+
+TEST_P(StoredFolder, EachStoredValueIsWrittenAgainToTheSameBytes) {
+  const FolderCopy copy(GetParam());
+  const RawFolder raw(copy.path());
+  ASSERT_EQ(raw.standing.size(), 1u);
+  const std::string& standing = raw.standing.at("standing");
+  const auto owned = fleet::read_owned(standing);
+  ASSERT_TRUE(owned);
+  EXPECT_EQ(hex(fleet::written(*owned)), hex(standing));
+  EXPECT_EQ(raw.slots.size(), 6u);
+  for (const auto& [key, bytes] : raw.slots) {
+    const auto slot = fleet::read_slot(bytes);
+    ASSERT_TRUE(slot) << key;
+    EXPECT_EQ(hex(fleet::written(*slot)), hex(bytes)) << key;
+    EXPECT_EQ(hex(rewritten_value(key, slot->fact.value)), hex(slot->fact.value)) << key;
+  }
+}
+
+INSTANTIATE_TEST_SUITE_P(Folders, StoredFolder, testing::Values("keeper-1", "keeper-2-killed", "keeper-3"));
+
+struct Register {
+  const char* key;
+  uint64_t version, change;
+  size_t remembered;  // changes before the last
+  bool urgent;
+};
+
+void expect_registers(const std::map<std::string, record::Slot>& slots,
+                      const std::vector<Register>& expected) {
+  EXPECT_EQ(slots.size(), expected.size());
+  for (const Register& one : expected) {
+    ASSERT_TRUE(slots.count(one.key)) << one.key;
+    const record::Fact& fact = slots.at(one.key).fact;
+    EXPECT_EQ(fact.version, one.version) << one.key;
+    EXPECT_EQ(fact.change, one.change) << one.key;
+    EXPECT_EQ(fact.before.size(), one.remembered) << one.key;
+    EXPECT_EQ(fact.urgent, one.urgent) << one.key;
+  }
+}
+
+duty::Claim claim_in(const fleet::Folder& folder, const std::string& key) {
+  const auto claim = duty::read_claim(folder.slots.at(key).fact.value);
+  EXPECT_TRUE(claim) << key;
+  return claim.value_or(duty::Claim{});
+}
+
+TEST(StoredRecord, AKeepersFolderGivesItsRegisters) {
+  const FolderCopy copy("keeper-3");
+  const auto folder = open_folder(copy, 3);
+  ASSERT_TRUE(folder->standing);
+  EXPECT_EQ(*folder->standing, (record::Standing{817787996861,
+                                                 true,
+                                                 {146748374581, 1849659686399, 817787996861},
+                                                 {146748374581, 61508626815, 817787996861}}));
+  expect_registers(folder->slots, {{"bulletin boats", 1, 3182723937691230939u, 0, true},
+                                   {"bulletin cabins", 8, 18155488423664110229u, 7, true},
+                                   {"merge:night-2026-12-02", 4, 11607522886454602759u, 3, true},
+                                   {"merge:night-2026-12-03", 4, 15866891877692339974u, 3, true},
+                                   {"trial:s-0000000a", 8, 6271747301817018548u, 7, false},
+                                   {"trial:s-0000000b", 8, 8365445156178667918u, 7, true}});
+  const record::Slot& slot = folder->slots.at("trial:s-0000000a");  // a change is on its way at its end
+  EXPECT_EQ(slot.promised, (record::Ballot{35, 17422707628205788545u}));
+  EXPECT_EQ(slot.held, (record::Ballot{31, 17422707628205788545u}));
+  EXPECT_EQ(slot.fact.before.front(), 6584014357435533354u);
+  EXPECT_EQ(slot.fact.before.back(), 8617334479729928363u);
+}
+
+TEST(StoredRecord, LeasesHeldAndReleasedAreReadSo) {
+  const FolderCopy ended("keeper-3"), killed("keeper-2-killed");
+  EXPECT_EQ(claim_in(*open_folder(ended, 3), "trial:s-0000000b"),
+            (duty::Claim{3, kKeepers[1], 10594507252441581575u, 2000, true, ""}));
+  const auto folder = open_folder(killed, 2);
+  EXPECT_EQ(claim_in(*folder, "trial:s-0000000a"),
+            (duty::Claim{1, kKeepers[2], 6632831152290725549u, 2000, false, ""}));
+  EXPECT_EQ(claim_in(*folder, "trial:s-0000000b"),
+            (duty::Claim{1, kKeepers[1], 7202441673331798167u, 2000, false, ""}));
+}
+
+TEST(StoredRecord, RunOnceLoadsAreAnsweredAndFailedAsTheyEnded) {
+  const FolderCopy copy("keeper-1");
+  const auto folder = open_folder(copy, 1);
+  const auto load = [&](const char* key) { return duty::read_merge(claim_in(*folder, key).state); };
+  EXPECT_EQ(load("merge:night-2026-12-02"),
+            (duty::Merge{duty::Merge::Stage::kAnswered, 0, 2428006521986618431u,
+                         "0\t0\trow 0 of page 0\n0\t1\trow 1 of page 0\n"}));
+  EXPECT_EQ(load("merge:night-2026-12-03"),
+            (duty::Merge{duty::Merge::Stage::kFailed, 0, 15031783911495997865u, ""}));
+}
+
+schema::Field field(uint32_t number, const char* name, schema::Type type) {
+  schema::Field f;
+  f.number = number;
+  f.name = name;
+  f.type = type;
+  return f;
+}
+
+schema::Schema cabins_schema() {
+  using schema::Type;
+  schema::Schema s;
+  s.key = {1};
+  s.order = "key";
+  s.fields = {field(1, "cabin", Type::kText),     field(2, "beds", Type::kInt32),
+              field(3, "state", Type::kChoice),   field(4, "price", Type::kFloat64),
+              field(5, "open", Type::kBool),      field(6, "visits", Type::kInt64),
+              field(7, "height", Type::kFloat32), field(8, "note", Type::kText)};
+  s.fields[0].required = s.fields[2].required = true;
+  s.fields[1].preset = schema::Value(int64_t{2});
+  s.fields[1].least = 0;
+  s.fields[1].most = 12;
+  s.fields[2].choices = {{0, "free"}, {1, "held"}};
+  s.fields[3].unit = "dollars";
+  s.fields[4].preset = schema::Value(true);
+  s.fields[6].unit = "m";
+  s.fields[7].preset = schema::Value(std::string("none"));
+  s.fields[7].most = 40;
+  return s;
+}
+
+schema::Bulletin cabins() {
+  schema::Bulletin b;
+  schema::Schema s = cabins_schema();
+  b.versions.push_back({1, schema::State::kGone, s});
+  s.fields.push_back(field(9, "view", schema::Type::kText));
+  b.versions.push_back({2, schema::State::kDeprecated, s});
+  s.fields.push_back(field(10, "floor", schema::Type::kInt32));
+  b.versions.push_back({3, schema::State::kLive, s});
+  b.declarations = {{"pier", "pier", {3}, {1}, {}, false, 86400000, 1},
+                    {"screen 4", "river lodge", {2, 3}, {1, 2}, {2}, true, 0, 1}};
+  return b;
+}
+
+TEST(StoredRecord, ABulletinIsReadWithAllItsVersionsAndDeclarations) {
+  const FolderCopy copy("keeper-1");
+  const std::string json = open_folder(copy, 1)->slots.at(schema::Registry::key_of("cabins")).fact.value;
+  std::string why;
+  const auto bulletin = schema::read_bulletin(json, why);
+  ASSERT_TRUE(bulletin) << why;
+  EXPECT_EQ(*bulletin, cabins());
+  EXPECT_EQ(schema::written(cabins()), json);
+}
+
+// ---- A fleet over stored folders -----------------------------------------------------------------
+
+// Two of the three keepers, at the addresses that their folders name.
+class StoredFleet : public testing::Test {
+ protected:
+  void SetUp() override {
+    // The addresses are the fixtures' own: a run of another build on this machine waits for its turn.
+    lock_ = ::open("/tmp/firvalve-stored-fleet.lock", O_RDWR | O_CREAT | O_CLOEXEC, 0666);
+    ASSERT_GE(lock_, 0);
+    ASSERT_EQ(::flock(lock_, LOCK_EX), 0);
+    for (const int keeper : {1, 3}) ASSERT_NO_FATAL_FAILURE(start(keeper));
+    client::Options options;
+    options.gateways = clients_;
+    client_ = std::make_unique<client::Client>(options);
+  }
+  void TearDown() override {
+    client_.reset();
+    for (const auto& gateway : gateways_) {
+      gateway->signal(SIGTERM);
+      EXPECT_EQ(gateway->wait(), 0);
+    }
+    ::close(lock_);
+  }
+  void start(int keeper) {
+    folders_.push_back(std::make_unique<FolderCopy>("keeper-" + std::to_string(keeper)));
+    const std::string& folder = folders_.back()->path();
+    const std::string& self = kKeepers[static_cast<size_t>(keeper - 1)];
+    std::ofstream(folder + "/operator.json5")
+        << R"({"fleet": {"on": true, "site": "office", "lease_ms": 2000, "listen": ")" << self
+        << R"(", "folder": ")" << folder << R"(", "keepers": [")" << kKeepers[0] << R"(", ")" << kKeepers[1]
+        << R"(", ")" << kKeepers[2] << R"("], "duties": ["trial:s-0000000a"]}})";
+    clients_.push_back(standin::free_address());
+    logs_.push_back(folder + "/log");
+    gateways_.push_back(std::make_unique<standin::Process>(
+        FIRVALVE_PROGRAM, engines_.config(clients_.back()),
+        std::vector<std::string>{"--operator", folder + "/operator.json5"}, logs_.back()));
+    ASSERT_TRUE(standin::Process::listens(clients_.back()));
+  }
+  client::Result load(const std::string& name, const std::string& statement) {
+    client::Command command;
+    command.profile = "load";
+    command.statement = statement;
+    command.timeout_ms = 8000;
+    command.merge = name;
+    return client_->call(command);
+  }
+  bool logged(const std::string& text) const {
+    return std::any_of(logs_.begin(), logs_.end(), [&](const std::string& log) {
+      return content_of(log).find(text) != std::string::npos;
+    });
+  }
+
+  standin::Fleet engines_{1};
+  std::vector<std::unique_ptr<FolderCopy>> folders_;
+  std::vector<std::string> clients_, logs_;
+  std::vector<std::unique_ptr<standin::Process>> gateways_;
+  std::unique_ptr<client::Client> client_;
+  int lock_ = -1;
+};
+
+TEST_F(StoredFleet, ALoadThatHasEndedIsToldAndNotRunAgain) {
+  const std::string answered = "insert into sales_17.orders select * from staging.new /*! rows=2 */";
+  const std::string failed = "insert into sales_17.orders select 1 /*! status=500 */";
+  const client::Result rows = load("night-2026-12-02", answered);
+  EXPECT_EQ(rows.outcome, client::Outcome::kAnswered) << rows.why;
+  EXPECT_EQ(rows.rows, "0\t0\trow 0 of page 0\n0\t1\trow 1 of page 0\n");
+  EXPECT_EQ(load("night-2026-12-03", failed).why, "failed; it may have run");
+  EXPECT_EQ(load("night-2026-12-02", "insert into sales_17.orders select 2").why,
+            "another statement stands under this name");
+  EXPECT_EQ(engines_.started(), 0);
+}
+
+TEST_F(StoredFleet, ABulletinIsToldAndASchemaThatStandsKeepsItsVersion) {
+  const client::Result cabins_told = client_->ask("bulletin", "cabins", "{}", 8000).wait();
+  EXPECT_EQ(cabins_told.outcome, client::Outcome::kAnswered) << cabins_told.why;
+  EXPECT_NE(cabins_told.rows.find(schema::written(cabins()).substr(1)), std::string::npos)
+      << cabins_told.rows;
+  const client::Result boats =
+      client_->propose("boats", R"({"key":[1],"fields":[{"number":1,"name":"boat","required":true}]})", 8000)
+          .wait();
+  EXPECT_EQ(boats.rows, R"({"version":1})") << boats.why;
+}
+
+// The epoch after the stored one: the stored claim was understood and built on.
+TEST_F(StoredFleet, ALeaseGoesOnWithTheNextEpoch) {
+  EXPECT_TRUE(soon([&] {
+    return logged("event=\"duty.taken\" component=duty duty=trial:s-0000000a epoch=2");
+  })) << content_of(logs_[0])
+      << content_of(logs_[1]);
+}
+
+// ---- Paged results -------------------------------------------------------------------------------
+
+constexpr const char* kBoot = "a47cb284-9e09-422b-bd22-0ef985f2166b";
+constexpr const char* kToken = "103b7ed23ba1563784565d8f72522ab2";
+constexpr const char* kShortToken = "cbe33ae5478b23ad9adbab8002900f3b";
+constexpr const char* kStatement = "select 1 /*! rows=40 pages=3 row-bytes=60 */";
+
+std::vector<spool::Record> records_of(const std::string& segment) {
+  std::vector<spool::Record> all;
+  spool::Record record;
+  for (size_t at = spool::kSegmentHead.size(), next = 0;; at = next) {
+    const spool::ReadRecord read = spool::read_record(segment, at, record, next);
+    EXPECT_TRUE(read == spool::ReadRecord::kRecord || read == spool::ReadRecord::kEnd) << at;
+    if (read != spool::ReadRecord::kRecord) return all;
+    all.push_back(record);
+  }
+}
+
+TEST(StoredPages, ASegmentIsWrittenAgainToTheSameBytes) {
+  const std::string segment = content_of(kFixtures + "spool/segment-0000000001");
+  ASSERT_TRUE(segment.starts_with(spool::kSegmentHead));
+  std::string again(spool::kSegmentHead);
+  std::map<spool::Record::Kind, int> kinds;
+  for (const spool::Record& record : records_of(segment)) {
+    ++kinds[record.kind];
+    spool::append_record(again, record);
+  }
+  EXPECT_EQ(hex(again), hex(segment));
+  EXPECT_EQ(kinds[spool::Record::Kind::kPage], 6);
+  EXPECT_EQ(kinds[spool::Record::Kind::kWhole], 3);
+  EXPECT_EQ(kinds[spool::Record::Kind::kGone], 1);
+}
+
+// The spool over a copy of the stored folder, at a moment of the boot in which it was written.
+class StoredSpool : public testing::Test {
+ protected:
+  StoredSpool() : copy_("spool") {
+    for (const spool::Record& record : records_of(content_of(copy_.path() + "/segment-0000000001")))
+      if (record.kind == spool::Record::Kind::kWhole)
+        first_lease_until_ = std::min(first_lease_until_, record.whole.lease_until);
+    std::ifstream(copy_.path() + "/clock") >> boot_ >> offset_;
+  }
+  // So long before the first lease's end. The wall clock is stepped by a day: leases must not care.
+  void open(Ms before_end) {
+    const Ms since_boot = first_lease_until_ - before_end - offset_;
+    now_ = first_lease_until_ + 86400000;
+    files_ = std::make_unique<spool::Files>(
+        spool::Files::Terms{copy_.path(), size_t{16} << 20, spool::BootTime{kBoot, since_boot}}, now_, [] {});
+    spool::SpoolTerms terms;
+    terms.keeping.disk = 10e6;
+    spool_ = std::make_unique<spool::Spool>(terms, 7, [](std::string_view) {});
+    spool_->use(now_, *files_, files_->found, files_->lease_offset());
+  }
+  std::string read(const char* token, const char* key, uint64_t page) {
+    std::string got = "never";
+    spool_->read(now_, token, key, page, [&](Ms, Shelf::Read what, std::string_view rows, uint64_t) {
+      got = what == Shelf::Read::kRows ? std::string(rows) : what == Shelf::Read::kGone ? "gone" : "no page";
+    });
+    soon([&] {
+      spool_->due(now_);
+      return got != "never";
+    });
+    return got;
+  }
+  Shelf::Wish repeat(const char* key) const {
+    return {"", key, "report", kStatement, "00000000000000a1", -1};
+  }
+
+  FolderCopy copy_;
+  std::string boot_;
+  Ms first_lease_until_ = 1e300, offset_ = 0, now_ = 0;
+  std::unique_ptr<spool::Files> files_;  // outlives the spool
+  std::unique_ptr<spool::Spool> spool_;
+};
+
+TEST_F(StoredSpool, RowsAreServedPageByPage) {
+  EXPECT_EQ(boot_, kBoot);
+  open(10000);
+  EXPECT_EQ(files_->found.size(), 2u);  // the third was released
+  EXPECT_EQ(files_->broken + files_->cut, 0u);
+  for (int page = 0; page < 3; ++page)
+    EXPECT_EQ(read(kToken, "mine", static_cast<uint64_t>(page + 1)),
+              standin::rows_of(standin::script_of(kStatement), page));
+  EXPECT_EQ(read(kToken, "mine", 4), "no page");
+  EXPECT_EQ(read(kToken, "another's", 1), "gone");
+  EXPECT_EQ(read(kShortToken, "", 1), "0\t0\trow 0 of page 0\n");
+}
+
+TEST_F(StoredSpool, ARepeatFindsItsResultByKeyProfileAndStatement) {
+  open(10000);
+  const ShelfNo found = spool_->find(now_, repeat("mine"));
+  ASSERT_NE(found, 0u);
+  EXPECT_EQ(spool_->answer(found).token, kToken);
+  EXPECT_EQ(spool_->answer(found).pages, 3u);
+  EXPECT_EQ(spool_->answer(found).rows, 120u);
+  EXPECT_EQ(spool_->find(now_, repeat("another's")), 0u);
+}
+
+TEST_F(StoredSpool, AfterItsLeaseNothingIsServed) {
+  open(-3600000);
+  EXPECT_EQ(files_->found.size(), 0u);
+  EXPECT_EQ(read(kToken, "mine", 1), "gone");
+}
+
+// ---- The capacity file ---------------------------------------------------------------------------
+
+TEST(StoredCapacity, AFileIsReadAndWrittenAgainToTheSameBytes) {
+  using namespace lab::scale;
+  const std::string text = content_of(kFixtures + "capacity.json");
+  const CapacityFile file = read_capacity_file(kFixtures + "capacity.json");
+  EXPECT_EQ(capacity_text(file), text);
+  EXPECT_EQ(file.fleet.planned.client_connections, 6.5e6);
+  EXPECT_EQ(file.fleet.planned.region_cuts_per_year, 4);
+  EXPECT_EQ(file.fleet.assumed.keepers, 5);
+  EXPECT_EQ(file.fleet.assumed.duties, 20);
+  ASSERT_EQ(file.measurements.size(), 5u);
+  const Measurement& linear = file.measurements[2];
+  EXPECT_EQ(linear.name, "bus.control.bytes_out");
+  EXPECT_EQ(linear.varied, "gateways");
+  EXPECT_EQ(linear.fixed, (std::map<std::string, double>{{"duties", 20}, {"engines", 50}, {"keepers", 5}}));
+  EXPECT_EQ(linear.points.back().value, 14248.8);
+  const std::vector<Form> forms = {Form::kConstant, Form::kConstant, Form::kLinear, Form::kLogLinear,
+                                   Form::kQuadratic};
+  for (size_t i = 0; i < forms.size(); ++i) {
+    const auto fit = fit_held_out(file.measurements[i].points);
+    EXPECT_EQ(fit.has_value(), i != 1) << i;  // three points give no fit
+    if (fit) {
+      EXPECT_EQ(fit->fit.form, forms[i]) << i;
+    }
+  }
+}
+
+// ---- Frames between gateways ---------------------------------------------------------------------
+
+std::string framed(const std::string& body) {
+  return "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+}
+
+// What the frames were said to be by their place in the exchange, by their files' names.
+const std::map<std::string, record::Say> kSays = {{"prepare", record::Say::kPrepare},
+                                                  {"promise", record::Say::kPromise},
+                                                  {"accept", record::Say::kAccept},
+                                                  {"accepted", record::Say::kAccepted},
+                                                  {"refused", record::Say::kRefused},
+                                                  {"look", record::Say::kLook},
+                                                  {"changes", record::Say::kChanges},
+                                                  {"standing", record::Say::kStanding},
+                                                  {"standing_is", record::Say::kStandingIs},
+                                                  {"fetch", record::Say::kFetch},
+                                                  {"state", record::Say::kState}};
+
+std::vector<record::Say> says_of(const std::string& file_stem) {
+  std::vector<record::Say> says;
+  std::stringstream words(file_stem);
+  std::string word;
+  std::getline(words, word, '-');  // its number
+  while (std::getline(words, word, '-')) says.push_back(kSays.at(word));
+  return says;
+}
+
+TEST(StoredFrames, EachIsReadAndWrittenAgainToTheSameBytes) {
+  size_t frames = 0;
+  for (const auto& file : std::filesystem::directory_iterator(kFixtures + "frames")) {
+    const std::string body = content_of(file.path());
+    const char* why = "";
+    const auto frame = fleet::read_frame(body, why);
+    ASSERT_TRUE(frame) << file.path() << why;
+    std::vector<record::Say> says;
+    for (const record::Message& message : frame->parts) says.push_back(message.say);
+    EXPECT_EQ(says, says_of(file.path().stem())) << file.path();
+    EXPECT_TRUE(std::count(kKeepers.begin(), kKeepers.end(), frame->from)) << frame->from;
+    EXPECT_EQ(frame->keepers, fleet::hash_of(kKeepers));
+    std::string again;
+    fleet::append_frame(again, *frame);
+    EXPECT_EQ(hex(again), hex(framed(body))) << file.path();
+    ++frames;
+  }
+  EXPECT_EQ(frames, 12u);
+}
+
+// ---- Values built field by field -----------------------------------------------------------------
+
+record::Fact some_fact() { return {3, 0x1122334455667788, {21, 22}, "a value", true}; }
+record::Slot some_slot() { return {{8, 9}, {6, 7}, some_fact()}; }
+
+// Every kind of message, each with every field told.
+fleet::Frame every_message() {
+  fleet::Frame frame{kKeepers[0], 0x0123456789abcdef, {}};
+  for (const auto say :
+       {record::Say::kPrepare, record::Say::kPromise, record::Say::kAccept, record::Say::kAccepted,
+        record::Say::kRefused, record::Say::kLook, record::Say::kChanges, record::Say::kStanding,
+        record::Say::kStandingIs, record::Say::kFetch, record::Say::kState}) {
+    record::Message& m = frame.parts.emplace_back();
+    m.say = say;
+    m.op = 100 + frame.parts.size();
+    m.key = "trial:s-0000000a";
+    m.ballot = {41, 42};
+    m.held = {31, 32};
+    m.fact = some_fact();
+    m.life = 51;
+    m.lives = {51, 52, 53};
+    m.founders = {61, 62, 63};
+    m.since = 71;
+    m.full = true;
+    m.more = frame.parts.size() % 2 == 0;
+    m.entries = {{"bulletin cabins", some_slot()}, {"merge:night", record::Slot{}}};
+  }
+  return frame;
+}
+
+spool::Record some_record(spool::Record::Kind kind) {
+  spool::Record r;
+  r.kind = kind;
+  r.life = 7;
+  r.result = 8;
+  if (kind == spool::Record::Kind::kPage) {
+    r.page = 2;
+    r.stored = spool::pack("x\ty\n");  // too short to be compressed: no bytes of the compressor's
+  }
+  if (kind == spool::Record::Kind::kWhole)
+    r.whole = {
+        *spool::token_of("000102030405060708090a0b0c0d0e0f"), 11, 12, 1796217798258.5, 3, 120, "office"};
+  return r;
+}
+
+const std::vector<std::pair<const char*, duty::Merge::Stage>> kStages = {
+    {"load_not_begun", duty::Merge::Stage::kNone},
+    {"load_begun", duty::Merge::Stage::kBegun},
+    {"load_answered", duty::Merge::Stage::kAnswered},
+    {"load_failed", duty::Merge::Stage::kFailed},
+    {"load_unknown", duty::Merge::Stage::kUnknown}};
+const std::vector<std::pair<const char*, spool::Record::Kind>> kRecords = {
+    {"record_page", spool::Record::Kind::kPage},
+    {"record_whole", spool::Record::Kind::kWhole},
+    {"record_gone", spool::Record::Kind::kGone}};
+
+const fleet::Owned kStanding{{5, true, {5, 6, 7}, {1, 2, 3}}, kKeepers[0], 99};
+const duty::Claim kHeld{3, kKeepers[0], 9, 2000.5, false, "state"},
+    kReleased{3, kKeepers[0], 9, 2000.5, true, ""};
+duty::Merge load_at(duty::Merge::Stage stage) { return {stage, 5, 6, "1\t2\n"}; }
+
+// All of it as this program writes it, by name.
+std::map<std::string, std::string> written_values() {
+  std::map<std::string, std::string> all;
+  fleet::append_frame(all["every_message"], every_message());
+  all["slot"] = fleet::written(some_slot());
+  all["slot_promised_alone"] = fleet::written(record::Slot{{8, 9}, {}, {}});
+  all["standing"] = fleet::written(kStanding);
+  all["lease_held"] = duty::written(kHeld);
+  all["lease_released"] = duty::written(kReleased);
+  for (const auto& [name, stage] : kStages) all[name] = duty::written(load_at(stage));
+  for (const auto& [name, kind] : kRecords) spool::append_record(all[name], some_record(kind));
+  all["bulletin"] = schema::written(cabins());
+  return all;
+}
+
+std::string from_hex(const std::string& text) {
+  std::string bytes;
+  for (size_t i = 0; i + 1 < text.size(); i += 2)
+    bytes += static_cast<char>(std::stoi(text.substr(i, 2), nullptr, 16));
+  return bytes;
+}
+
+std::map<std::string, std::string> stored_values() {
+  std::map<std::string, std::string> stored;
+  std::ifstream lines(kFixtures + "values.txt");
+  for (std::string name, bytes; lines >> name >> bytes;) stored[name] = from_hex(bytes);
+  return stored;
+}
+
+TEST(StoredValues, EachIsWrittenToTheSameBytes) {
+  auto stored = stored_values();
+  const auto values = written_values();
+  EXPECT_EQ(stored.size(), values.size());
+  for (const auto& [name, bytes] : values)
+    EXPECT_EQ(hex(stored[name]), hex(bytes)) << "its line in values.txt: " << name << " " << hex(bytes);
+}
+
+TEST(StoredValues, EachIsReadFieldByField) {
+  auto stored = stored_values();
+  const char* why = "";
+  const std::string message = stored["every_message"];
+  const auto frame = fleet::read_frame(std::string_view(message).substr(message.find("\r\n\r\n") + 4), why);
+  ASSERT_TRUE(frame) << why;
+  EXPECT_EQ(frame->from, every_message().from);
+  EXPECT_EQ(frame->keepers, every_message().keepers);
+  EXPECT_EQ(frame->parts, every_message().parts);
+  EXPECT_EQ(fleet::read_slot(stored["slot"]), some_slot());
+  EXPECT_EQ(fleet::read_slot(stored["slot_promised_alone"]), (record::Slot{{8, 9}, {}, {}}));
+  const auto owned = fleet::read_owned(stored["standing"]);
+  ASSERT_TRUE(owned);
+  EXPECT_EQ(owned->standing, kStanding.standing);
+  EXPECT_EQ(owned->owner, kStanding.owner);
+  EXPECT_EQ(owned->keepers, kStanding.keepers);
+  EXPECT_EQ(duty::read_claim(stored["lease_held"]), kHeld);
+  EXPECT_EQ(duty::read_claim(stored["lease_released"]), kReleased);
+  for (const auto& [name, stage] : kStages) EXPECT_EQ(duty::read_merge(stored[name]), load_at(stage)) << name;
+}
+
+TEST(StoredValues, RecordsOfASegmentAreReadFieldByField) {
+  auto stored = stored_values();
+  for (const auto& [name, kind] : kRecords) {
+    const spool::Record expected = some_record(kind);
+    spool::Record record;
+    size_t next = 0;
+    ASSERT_EQ(spool::read_record(stored[name], 0, record, next), spool::ReadRecord::kRecord) << name;
+    EXPECT_EQ(next, stored[name].size()) << name;
+    EXPECT_EQ(record.kind, kind) << name;
+    EXPECT_EQ(record.life, expected.life) << name;
+    EXPECT_EQ(record.result, expected.result) << name;
+    EXPECT_EQ(record.page, expected.page) << name;
+    EXPECT_EQ(record.stored.raw, expected.stored.raw) << name;
+    EXPECT_EQ(record.stored.bytes, expected.stored.bytes) << name;
+    EXPECT_EQ(record.whole.token, expected.whole.token) << name;
+    EXPECT_EQ(record.whole.key_hash, expected.whole.key_hash) << name;
+    EXPECT_EQ(record.whole.chain_hash, expected.whole.chain_hash) << name;
+    EXPECT_EQ(record.whole.lease_until, expected.whole.lease_until) << name;
+    EXPECT_EQ(record.whole.pages, expected.whole.pages) << name;
+    EXPECT_EQ(record.whole.rows, expected.whole.rows) << name;
+    EXPECT_EQ(record.whole.owner, expected.whole.owner) << name;
+  }
+}
+
+}  // namespace
+}  // namespace firvalve
