--- a/tests/gateway/endings_test.cpp
+++ b/tests/gateway/endings_test.cpp
@@ -271,9 +271,13 @@
   process_->signal(SIGHUP);
   const std::string config = fleet_.config(address_);
   ASSERT_EQ(::write(pipe, config.data(), config.size()), static_cast<ssize_t>(config.size()));
+  // For the SIGHUP that is heard once it serves. It takes the pipe's place before the pipe ends: the program
+  // may read its configuration again as soon as it has seen that end, and would wait for ever on a pipe that
+  // nobody writes to.
+  const std::string next = path + ".next";
+  std::ofstream(next) << config;
+  ASSERT_EQ(std::rename(next.c_str(), path.c_str()), 0);
   ::close(pipe);
-  std::remove(path.c_str());
-  std::ofstream(path) << config;  // for the SIGHUP that is heard once it serves
   Client client(address_);
   client.send(kHeartbeat);
   EXPECT_TRUE(has(client.answer(), "healthy"));
