--- a/tests/compatibility/stored_data_test.cpp
+++ b/tests/compatibility/stored_data_test.cpp
@@ -410,11 +410,11 @@
   }
   std::string read(const char* token, const char* key, uint64_t page) {
     std::string got = "never";
-    spool_->read(now_, token, key, page, [&](Ms, ResultStore::Read what, std::string_view rows, uint64_t) {
-      got = what == ResultStore::Read::kRows   ? std::string(rows)
-            : what == ResultStore::Read::kGone ? "gone"
-                                               : "no page";
-    });
+    using Status = ResultStore::ReadStatus;
+    const auto callback = [&](TimePoint, Status status, std::string_view rows, uint64_t) {
+      got = status == Status::kRows ? std::string(rows) : status == Status::kGone ? "gone" : "no page";
+    };
+    spool_->read_page(time_point_of(now_), token, key, page, callback);
     soon([&] {
       spool_->due(now_);
       return got != "never";
@@ -447,12 +447,12 @@
 
 TEST_F(StoredSpool, ARepeatFindsItsResultByKeyProfileAndStatement) {
   open(10000);
-  const ResultHandle found = spool_->find(now_, repeat("mine"));
-  ASSERT_NE(found, 0u);
-  EXPECT_EQ(spool_->answer(found).token, kToken);
-  EXPECT_EQ(spool_->answer(found).pages, 3u);
-  EXPECT_EQ(spool_->answer(found).rows, 120u);
-  EXPECT_EQ(spool_->find(now_, repeat("another's")), 0u);
+  const auto found = spool_->find(time_point_of(now_), repeat("mine"));
+  ASSERT_TRUE(found.has_value());
+  EXPECT_EQ(spool_->answer_of(*found).token, kToken);
+  EXPECT_EQ(spool_->answer_of(*found).pages, 3u);
+  EXPECT_EQ(spool_->answer_of(*found).rows, 120u);
+  EXPECT_EQ(spool_->find(time_point_of(now_), repeat("another's")), std::nullopt);
 }
 
 TEST_F(StoredSpool, AfterItsLeaseNothingIsServed) {
