--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -1,6 +1,6 @@
 // One gateway's part in the fleet, all machines together, still without I/O or clock: keeper (where it is
 // one), asker, follower, duties, merges. The program's driver (fleet.h) and the world in virtual time
-// (lab/fleet_world.h) run the same.
+// (simulation/fleet_world.h) run the same.
 #pragma once
 
 #include <memory>
--- a/src/lab/scale/capacity_file.cpp
+++ b/src/loadtest/capacity_file.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/capacity_file.h"
+#include "loadtest/capacity_file.h"
 
 #include <fmt/format.h>
 #include <rapidjson/stringbuffer.h>
@@ -14,10 +14,10 @@
 #include <tuple>
 #include <utility>
 
-#include "lab/scale/fit.h"
-#include "lab/scale/json_lines.h"
+#include "loadtest/fit.h"
+#include "loadtest/json_lines.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 // How far a stored fit may be from the one that its points give: both are written with kDigits digits.
@@ -300,4 +300,4 @@
   }
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/capacity_file.h
+++ b/src/loadtest/capacity_file.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/fleet_size.h"
-#include "lab/scale/measurement.h"
+#include "loadtest/fleet_size.h"
+#include "loadtest/measurement.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 struct CapacityFile {
   FleetSize fleet;
@@ -47,4 +47,4 @@
 // The old content stays where the new cannot be written whole.
 void write_text_file(const std::string& path, const std::string& text);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/capacity_page.cpp
+++ b/src/loadtest/capacity_page.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/capacity_page.h"
+#include "loadtest/capacity_page.h"
 
 #include <fmt/format.h>
 
@@ -7,10 +7,10 @@
 #include <set>
 #include <sstream>
 
-#include "lab/scale/cost_model.h"
-#include "lab/scale/trouble.h"
+#include "loadtest/cost_model.h"
+#include "loadtest/trouble.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr std::string_view kTableMark = "<!-- table: ";
@@ -326,4 +326,4 @@
   return out;
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/capacity_page.h
+++ b/src/loadtest/capacity_page.h
@@ -6,9 +6,9 @@
 #include <string_view>
 #include <vector>
 
-#include "lab/scale/capacity_file.h"
+#include "loadtest/capacity_file.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 struct PageTable {
   const char* name;   // in the page: <!-- table: NAME -->
@@ -32,4 +32,4 @@
 // All tables with their titles.
 std::string print_tables(const CapacityFile& file);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/client_loss.cpp
+++ b/src/loadtest/client_loss.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/client_loss.h"
+#include "loadtest/client_loss.h"
 
 #include <fmt/format.h>
 
@@ -14,7 +14,7 @@
 #include "client/client.h"
 #include "fakes/fake_gateway.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr Ms kWindow = 1000;
@@ -127,4 +127,4 @@
   return result;
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/client_loss.h
+++ b/src/loadtest/client_loss.h
@@ -4,9 +4,9 @@
 #include <cstdint>
 
 #include "base/units.h"
-#include "lab/scale/parts.h"
+#include "loadtest/parts.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 struct ClientLossOptions {
   int clients = 20;
@@ -26,4 +26,4 @@
 // Three scripted gateways, one of which ends and comes back; all clients know all three.
 ClientLossResult try_client_loss(const ClientLossOptions& options, const Progress& progress);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/command.cpp
+++ b/src/loadtest/command.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/command.h"
+#include "loadtest/command.h"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -11,23 +11,19 @@
 #include <memory>
 #include <sstream>
 
-#include "lab/scale/capacity_file.h"
-#include "lab/scale/capacity_page.h"
-#include "lab/scale/fit.h"
-#include "lab/scale/interrupt.h"
-#include "lab/scale/json_lines.h"
-#include "lab/scale/parts.h"
-#include "lab/scale/progress_line.h"
-#include "lab/scale/quantity.h"
-#include "lab/scale/sizes_check.h"
+#include "loadtest/capacity_file.h"
+#include "loadtest/capacity_page.h"
+#include "loadtest/fit.h"
+#include "loadtest/interrupt.h"
+#include "loadtest/json_lines.h"
+#include "loadtest/parts.h"
+#include "loadtest/progress_line.h"
+#include "loadtest/quantity.h"
+#include "loadtest/sizes_check.h"
 
-namespace firvalve::lab {
+namespace firvalve::loadtest {
 namespace {
 
-using scale::CapacityFile;
-using scale::Measurement;
-using scale::ScaleOptions;
-
 constexpr int kExitFailed = 1;  // a run or a file
 constexpr int kExitBadOptions = 2;
 constexpr int kExitInterrupted = 130;
@@ -97,9 +93,9 @@
 }
 
 std::vector<Measurement> measure(const ScaleOptions& options) {
-  scale::ProgressLine shown(stderr, options.json == kStandardOutput);
-  const scale::Progress progress = [&](const std::string& line) {
-    if (scale::is_interrupted()) throw scale::ScaleError("interrupted");
+  ProgressLine shown(stderr, options.json == kStandardOutput);
+  const Progress progress = [&](const std::string& line) {
+    if (is_interrupted()) throw ScaleError("interrupted");
     shown.show(line);
   };
   std::vector<Measurement> all;
@@ -108,68 +104,67 @@
     progress(part);
     for (Measurement& measurement : measure_part(options, progress)) all.push_back(std::move(measurement));
   };
-  add("gateway", scale::measure_gateway);
-  add("control", scale::measure_control);
-  add("loss", scale::measure_loss);
+  add("gateway", measure_gateway);
+  add("control", measure_control);
+  add("loss", measure_loss);
   sign(all, options);
   return all;
 }
 
 void print_measurements(const std::vector<Measurement>& measurements) {
   for (const Measurement& m : measurements) {
-    const std::string fixed = scale::fixed_sizes_text(m);
+    const std::string fixed = fixed_sizes_text(m);
     fmt::print("{}, {}, by {}{}\n", m.name, m.unit, m.varied, fixed.empty() ? "" : " (" + fixed + ")");
-    for (const scale::Point& point : m.points)
-      fmt::print("  {:>10} {:>14}\n", scale::number_text(point.size), scale::number_text(point.value));
-    const auto held_out = scale::fit_held_out(m.points);
+    for (const Point& point : m.points)
+      fmt::print("  {:>10} {:>14}\n", number_text(point.size), number_text(point.value));
+    const auto held_out = fit_held_out(m.points);
     if (!held_out) {
       fmt::print("  too few sizes for a slope\n");
       continue;
     }
     fmt::print("  {}: {}; residual {:.1f} in 100; the largest is {:+.0f} in 100 off\n",
-               scale::form_name(held_out->fit.form), scale::formula_text(held_out->fit),
-               held_out->fit.residual * 100, held_out->miss * 100);
+               form_name(held_out->fit.form), formula_text(held_out->fit), held_out->fit.residual * 100,
+               held_out->miss * 100);
   }
 }
 
 std::vector<Measurement> read_measurements(const std::vector<std::string>& paths) {
   std::vector<Measurement> out;
   for (const std::string& path : paths)
-    for (Measurement& measurement : scale::read_measurements_file(path))
-      out.push_back(std::move(measurement));
+    for (Measurement& measurement : read_measurements_file(path)) out.push_back(std::move(measurement));
   return out;
 }
 
 // One that is not there yet begins with the built-in sizes.
 CapacityFile file_to_merge_into(const std::string& path) {
   if (!std::filesystem::exists(path)) return {};
-  return scale::read_capacity_file(path);
+  return read_capacity_file(path);
 }
 
 void deliver(const CommandOptions& options, const std::vector<Measurement>& measurements) {
   if (options.scale.json == kStandardOutput)
-    std::fputs(scale::measurements_text(measurements).c_str(), stdout);
+    std::fputs(measurements_text(measurements).c_str(), stdout);
   else
     print_measurements(measurements);
   if (!options.scale.json.empty() && options.scale.json != kStandardOutput)
-    scale::write_text_file(options.scale.json, scale::measurements_text(measurements));
+    write_text_file(options.scale.json, measurements_text(measurements));
   if (options.merge_into.empty()) return;
   CapacityFile file = file_to_merge_into(options.merge_into);
-  scale::merge_measurements(file, measurements);
-  scale::write_text_file(options.merge_into, scale::capacity_text(file));
+  merge_measurements(file, measurements);
+  write_text_file(options.merge_into, capacity_text(file));
 }
 
 int run_measurements(const CommandOptions& options, bool are_zones_given) {
-  const std::string fault = scale::size_fault(options.scale, are_zones_given);
+  const std::string fault = size_fault(options.scale, are_zones_given);
   if (!fault.empty()) throw BadOptions(fault);
   if (options.scale.quick && !options.merge_into.empty())
     throw BadOptions("--quick gives no figures to plan with: --merge-into takes none of them");
   if (!options.merge_into.empty()) file_to_merge_into(options.merge_into);  // before minutes are spent
-  const scale::InterruptScope interrupts;
+  const InterruptScope interrupts;
   try {
     deliver(options, measure(options.scale));
-  } catch (const scale::ScaleError&) {
-    if (!scale::is_interrupted()) throw;
+  } catch (const ScaleError&) {
+    if (!is_interrupted()) throw;
     std::fputs("firvalve-lab scale: interrupted, nothing was written\n", stderr);
     return kExitInterrupted;
   }
@@ -177,11 +172,11 @@
 }
 
 int run_page(const CommandOptions& options) {
-  const CapacityFile file = scale::read_capacity_file(options.capacity);
+  const CapacityFile file = read_capacity_file(options.capacity);
   try {
-    scale::write_text_file(options.page, scale::fill_page(scale::read_text_file(options.page), file));
-  } catch (const scale::PageError& error) {
-    throw scale::CapacityFileError(options.page + ": " + error.what());
+    write_text_file(options.page, fill_page(read_text_file(options.page), file));
+  } catch (const PageError& error) {
+    throw CapacityFileError(options.page + ": " + error.what());
   }
   return 0;
 }
@@ -195,8 +190,8 @@
 }
 
 int run_prediction(const CommandOptions& options, const CLI::App& app) {
-  CapacityFile file = scale::read_capacity_file(options.capacity);
-  scale::PlannedSize& planned = file.fleet.planned;
+  CapacityFile file = read_capacity_file(options.capacity);
+  PlannedSize& planned = file.fleet.planned;
   set_size(planned.gateways, "--gateways", options.scale.gateways);
   set_size(planned.engines, "--engines", options.scale.engines);
   set_size(planned.client_connections, "--connections", options.scale.connections);
@@ -205,9 +200,9 @@
   if (app.count("--zones") > 0) planned.zones = options.scale.zones;
   if (app.count("--keepers") > 0) file.fleet.assumed.keepers = options.scale.keepers;
   if (app.count("--duties") > 0) file.fleet.assumed.duties = options.scale.duties;
-  const std::string fault = scale::contradiction(file.fleet);
+  const std::string fault = contradiction(file.fleet);
   if (!fault.empty()) throw BadOptions(fault);
-  std::fputs(scale::print_tables(file).c_str(), stdout);
+  std::fputs(print_tables(file).c_str(), stdout);
   return 0;
 }
 
@@ -230,9 +225,9 @@
     return run_command(options, app);
   } catch (const BadOptions& error) {
     return fail(error, kExitBadOptions);
-  } catch (const scale::ScaleError& error) {
+  } catch (const ScaleError& error) {
     return fail(error, kExitFailed);
-  } catch (const scale::CapacityFileError& error) {
+  } catch (const CapacityFileError& error) {
     return fail(error, kExitFailed);
   }
 }
@@ -286,4 +281,4 @@
   scale_app->callback([options, scale_app, &exit_code] { exit_code = run(*options, *scale_app); });
 }
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/command.h
+++ b/src/loadtest/command.h
@@ -3,8 +3,8 @@
 
 #include <CLI/CLI.hpp>
 
-namespace firvalve::lab {
+namespace firvalve::loadtest {
 
 void add_scale(CLI::App& app, int& exit_code);
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/command_load.cpp
+++ b/src/loadtest/command_load.cpp
@@ -1,9 +1,9 @@
-#include "lab/scale/command_load.h"
+#include "loadtest/command_load.h"
 
 #include <algorithm>
 #include <chrono>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -79,4 +79,4 @@
   for (int i = 0; i < count; ++i) client_.send(long_command());
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/command_load.h
+++ b/src/loadtest/command_load.h
@@ -8,7 +8,7 @@
 
 #include "client/client.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // Short commands at a steady rate, from its start until it is destroyed.
 class SteadyCommands {
@@ -36,4 +36,4 @@
   client::Client client_;
 };
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/control_changes.cpp
+++ b/src/loadtest/control_changes.cpp
@@ -11,9 +11,9 @@
 
 #include "fakes/fake_deployment.h"
 #include "fakes/process.h"
-#include "lab/scale/control_series.h"
+#include "loadtest/control_series.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr Ms kSettleMost = 120000;
@@ -269,4 +269,4 @@
   return series.take();
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/control_rest.cpp
+++ b/src/loadtest/control_rest.cpp
@@ -5,9 +5,9 @@
 #include <map>
 #include <set>
 
-#include "lab/scale/control_series.h"
+#include "loadtest/control_series.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr Ms kSettleMost = 120000;
@@ -220,4 +220,4 @@
   return all;
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/control_run.cpp
+++ b/src/loadtest/control_run.cpp
@@ -6,9 +6,9 @@
 #include <chrono>
 #include <thread>
 
-#include "lab/scale/control_series.h"
+#include "loadtest/control_series.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr Ms kTellEvery = 2000;  // of a point that takes long
@@ -114,4 +114,4 @@
   return all;
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/control_series.h
+++ b/src/loadtest/control_series.h
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/hollow_fleet.h"
-#include "lab/scale/parts.h"
+#include "loadtest/hollow_fleet.h"
+#include "loadtest/parts.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // Sizes of a series: those that were asked for, or its own, the largest of them held out from the fit.
 std::vector<int> sizes_of(const std::vector<int>& asked, bool quick, std::vector<int> full,
@@ -47,4 +47,4 @@
 // A change of configuration at processes of the program itself: a file and a signal for each.
 std::vector<Measurement> measure_configuration_changes(const ScaleOptions& options, const Progress& progress);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/cost_model.cpp
+++ b/src/loadtest/cost_model.cpp
@@ -1,10 +1,10 @@
-#include "lab/scale/cost_model.h"
+#include "loadtest/cost_model.h"
 
 #include <fmt/format.h>
 
 #include <cmath>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr double kSearchStep = 1.01;       // between the sizes tried
@@ -535,4 +535,4 @@
   return out;
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/cost_model.h
+++ b/src/loadtest/cost_model.h
@@ -7,9 +7,9 @@
 #include <string_view>
 #include <vector>
 
-#include "lab/scale/quantity.h"
+#include "loadtest/quantity.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 enum class Role {
   kGatewayData,
@@ -104,4 +104,4 @@
 
 BreakingSize breaking_size(const Check& check, const CapacityFile& file);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/duty_view.cpp
+++ b/src/loadtest/duty_view.cpp
@@ -1,10 +1,10 @@
-#include "lab/scale/duty_view.h"
+#include "loadtest/duty_view.h"
 
 #include <tuple>
 
 #include "lease/lease_record.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 DutyView::DutyView(std::vector<std::string> duties, size_t members)
     : duties_(std::move(duties)), members_(members) {
@@ -65,4 +65,4 @@
   return held->holder;
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/duty_view.h
+++ b/src/loadtest/duty_view.h
@@ -11,7 +11,7 @@
 #include "base/units.h"
 #include "consensus/register.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // From any thread.
 class DutyView {
@@ -48,4 +48,4 @@
   std::vector<Member> members_;
 };
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/fit.cpp
+++ b/src/loadtest/fit.cpp
@@ -1,11 +1,11 @@
-#include "lab/scale/fit.h"
+#include "loadtest/fit.h"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 #include <limits>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr std::array kForms = {Form::kConstant, Form::kLinear, Form::kLogLinear, Form::kQuadratic};
@@ -110,4 +110,4 @@
   return out;
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/fit.h
+++ b/src/loadtest/fit.h
@@ -6,9 +6,9 @@
 #include <string_view>
 #include <vector>
 
-#include "lab/scale/measurement.h"
+#include "loadtest/measurement.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // How a value grows with the size, the simplest first.
 enum class Form { kConstant, kLinear, kLogLinear, kQuadratic };
@@ -57,4 +57,4 @@
 // Nothing where there are fewer than kFitPoints and one to hold out.
 std::optional<HeldOutFit> fit_held_out(const std::vector<Point>& points);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/fleet_size.cpp
+++ b/src/loadtest/fleet_size.cpp
@@ -1,8 +1,8 @@
-#include "lab/scale/fleet_size.h"
+#include "loadtest/fleet_size.h"
 
 #include <fmt/format.h>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 FleetSize FleetSize::with_gateways(double gateways) const {
   FleetSize out = *this;
@@ -44,4 +44,4 @@
   return {};
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/fleet_size.h
+++ b/src/loadtest/fleet_size.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 constexpr double kSecondsPerDay = 86400;
 constexpr double kBytesPerMegabyte = 1e6;
@@ -112,4 +112,4 @@
     {"client_spread_s", &AssumedSize::client_spread_s},
 }};
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/gateway_run.cpp
+++ b/src/loadtest/gateway_run.cpp
@@ -6,14 +6,14 @@
 #include <memory>
 #include <thread>
 
-#include "lab/scale/command_load.h"
-#include "lab/scale/idle_clients.h"
-#include "lab/scale/parts.h"
-#include "lab/scale/process_usage.h"
-#include "lab/scale/real_gateway.h"
-#include "lab/scale/scripted_engines.h"
-
-namespace firvalve::lab::scale {
+#include "loadtest/command_load.h"
+#include "loadtest/idle_clients.h"
+#include "loadtest/parts.h"
+#include "loadtest/process_usage.h"
+#include "loadtest/real_gateway.h"
+#include "loadtest/scripted_engines.h"
+
+namespace firvalve::loadtest {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -402,4 +402,4 @@
   return GatewayRun(options, progress).measure();
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/hollow_fleet.cpp
+++ b/src/loadtest/hollow_fleet.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/hollow_fleet.h"
+#include "loadtest/hollow_fleet.h"
 
 #include <fmt/format.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 
 #include "fakes/fake_event_bus.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr int kProcessesMost = 290;         // of the 300 that a run may have
@@ -209,4 +209,4 @@
   processes_.back()->announce(listings, whole);
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/hollow_fleet.h
+++ b/src/loadtest/hollow_fleet.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/hollow_process.h"
-#include "lab/scale/parts.h"
+#include "loadtest/hollow_process.h"
+#include "loadtest/parts.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 struct HollowFleetOptions {
   int gateways = 0;             // the keepers among them
@@ -92,4 +92,4 @@
 // Engines `first` to `first + count - 1` as an event of the bus lists them.
 std::string engine_listings(int first, int count, const std::string& state = "SERVING");
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/loadtest/hollow_gateway.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/hollow_gateway.h"
+#include "loadtest/hollow_gateway.h"
 
 #include <Poco/Exception.h>
 #include <fmt/format.h>
@@ -17,12 +17,12 @@
 #include "cluster/cluster_service.h"
 #include "config/operator_config.h"
 #include "core/settings.h"
-#include "lab/scale/parts.h"
+#include "loadtest/parts.h"
 #include "net/endpoint_watcher.h"
 #include "net/engine_connections.h"
 #include "net/waker.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 // As the program itself has them where its settings do not say otherwise (gateway/serve.cpp).
@@ -270,4 +270,4 @@
 
 HollowGatewayReport HollowGateway::report() { return running_ ? running_->report() : HollowGatewayReport{}; }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/hollow_gateway.h
+++ b/src/loadtest/hollow_gateway.h
@@ -10,7 +10,7 @@
 
 #include "base/units.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 struct HollowGatewayOptions {
   std::string address;               // HOST:PORT where it listens for its peers
@@ -80,4 +80,4 @@
   std::unique_ptr<Running> running_;
 };
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/hollow_main.cpp
+++ b/src/loadtest/hollow_main.cpp
@@ -16,10 +16,10 @@
 #include <optional>
 
 #include "fakes/fake_event_bus.h"
-#include "lab/scale/hollow_wire.h"
-#include "lab/scale/parts.h"
+#include "loadtest/hollow_wire.h"
+#include "loadtest/parts.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr double kMegabyte = 1024 * 1024;
@@ -176,6 +176,6 @@
 }
 
 }  // namespace
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
 
-int main() { return firvalve::lab::scale::run(); }
+int main() { return firvalve::loadtest::run(); }
--- a/src/lab/scale/hollow_process.cpp
+++ b/src/loadtest/hollow_process.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/hollow_process.h"
+#include "loadtest/hollow_process.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -14,10 +14,10 @@
 #include <filesystem>
 #include <utility>
 
-#include "lab/scale/hollow_wire.h"
-#include "lab/scale/parts.h"
+#include "loadtest/hollow_wire.h"
+#include "loadtest/parts.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr int kAnswerMostMs = 30000;  // for a child's answer, on a busy machine
@@ -147,4 +147,4 @@
   if (channel_ >= 0) ::close(std::exchange(channel_, -1));
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/hollow_process.h
+++ b/src/loadtest/hollow_process.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/hollow_gateway.h"
+#include "loadtest/hollow_gateway.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 struct HollowProcessOptions {
   std::vector<HollowGatewayOptions> gateways;
@@ -76,4 +76,4 @@
 // The program of that name in the folder of the one that runs.
 std::string sibling_program(const std::string& name);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/hollow_wire.cpp
+++ b/src/loadtest/hollow_wire.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/hollow_wire.h"
+#include "loadtest/hollow_wire.h"
 
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
@@ -6,9 +6,9 @@
 
 #include <type_traits>
 
-#include "lab/scale/parts.h"
+#include "loadtest/parts.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 using rapidjson::Value;
@@ -222,4 +222,4 @@
 HollowCommand read_command(const std::string& line) { return read<HollowCommand>(line); }
 HollowProcessReport read_report_line(const std::string& line) { return read<HollowProcessReport>(line); }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/hollow_wire.h
+++ b/src/loadtest/hollow_wire.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/hollow_process.h"
+#include "loadtest/hollow_process.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 struct HollowCommand {
   enum class Kind : uint8_t { kReport, kKillGateways, kStartGateways, kEndGateways, kAnnounce };
@@ -25,4 +25,4 @@
 std::string error_line(const std::string& why);
 HollowProcessReport read_report_line(const std::string& line);  // throws what an error_line() says, too
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/idle_clients.cpp
+++ b/src/loadtest/idle_clients.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/idle_clients.h"
+#include "loadtest/idle_clients.h"
 
 #include <Poco/Net/NetException.h>
 #include <fmt/format.h>
@@ -6,10 +6,10 @@
 #include <algorithm>
 #include <array>
 
-#include "lab/scale/parts.h"
+#include "loadtest/parts.h"
 #include "proto/jsonrpc/reply.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 const Poco::Timespan kAnswerWithin(2, 0);
@@ -45,4 +45,4 @@
   return static_cast<int>(std::count_if(sockets_.begin(), sockets_.end(), is_open));
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/idle_clients.h
+++ b/src/loadtest/idle_clients.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 class IdleClients {
  public:
@@ -19,4 +19,4 @@
   std::vector<Poco::Net::StreamSocket> sockets_;
 };
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/interrupt.cpp
+++ b/src/loadtest/interrupt.cpp
@@ -1,9 +1,9 @@
-#include "lab/scale/interrupt.h"
+#include "loadtest/interrupt.h"
 
 #include <atomic>
 #include <csignal>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr int kNoted[] = {SIGINT, SIGTERM, SIGHUP};
@@ -27,4 +27,4 @@
 
 bool is_interrupted() { return interrupted; }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/interrupt.h
+++ b/src/loadtest/interrupt.h
@@ -1,7 +1,7 @@
 // Ctrl-C and its kin during a run: noted, so that the run ends what it started before the process ends.
 #pragma once
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // While it lives, SIGINT, SIGTERM and SIGHUP are noted and do not end the process.
 class InterruptScope {
@@ -19,4 +19,4 @@
 
 bool is_interrupted();
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/json_lines.cpp
+++ b/src/loadtest/json_lines.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/json_lines.h"
+#include "loadtest/json_lines.h"
 
 #include <rapidjson/error/en.h>
 #include <rapidjson/reader.h>
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 using Kind = JsonNode::Kind;
@@ -127,4 +127,4 @@
   return builder.take();
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/json_lines.h
+++ b/src/loadtest/json_lines.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // A text cannot be used: what() is one line that begins with "line N: ".
 class JsonError : public std::runtime_error {
@@ -39,4 +39,4 @@
 // Throws JsonError.
 JsonNode parse_json(const std::string& text);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/load.cpp
+++ b/src/loadtest/load.cpp
@@ -1,4 +1,4 @@
-#include "lab/load.h"
+#include "loadtest/load.h"
 
 #include <fmt/format.h>
 #include <rapidjson/stringbuffer.h>
@@ -19,10 +19,10 @@
 #include <vector>
 
 #include "client/client.h"
-#include "lab/histogram.h"
-#include "lab/search.h"
+#include "simulation/histogram.h"
+#include "simulation/search.h"
 
-namespace firvalve::lab {
+namespace firvalve::loadtest {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -36,7 +36,7 @@
   std::string effect = "replayable", arrivals = "poisson";
   int threads = 2, closed = 0;
   double seconds = 5;
-  SearchOptions search;
+  simulation::SearchOptions search;
   bool json = false;
 };
 
@@ -54,7 +54,7 @@
 // What one step has met so far; callbacks of several clients add to it.
 struct Meter {
   std::mutex mutex;
-  Histogram latency, lag;
+  simulation::Histogram latency, lag;
   std::array<uint64_t, 5> ends{};
   uint64_t asked = 0;
 
@@ -78,7 +78,7 @@
 
   // Each thread asks its part of the rate by a plan of its own. Latency counts from the moment that the plan
   // names, so a call that had to wait for the tool or for the calls before it waits in the figures, too.
-  StepOutcome open(double rate, Meter& meter) {
+  simulation::StepOutcome open(double rate, Meter& meter) {
     return play(meter, rate, [&](int thread, Clock::time_point start, Clock::time_point end) {
       pcg32 chance(static_cast<uint64_t>(thread) + 1, static_cast<uint64_t>(rate));
       std::exponential_distribution<double> gap(rate / options_.threads / 1000);
@@ -103,7 +103,7 @@
   }
 
   // So many calls are always out; each is followed by the next.
-  StepOutcome closed(int calls, Meter& meter) {
+  simulation::StepOutcome closed(int calls, Meter& meter) {
     std::atomic<bool> over = false;
     std::function<void(int)> next = [&](int thread) {
       if (over || interrupted) return;
@@ -126,7 +126,7 @@
 
  private:
   template <class Part>
-  StepOutcome play(Meter& meter, double rate, Part&& part) {
+  simulation::StepOutcome play(Meter& meter, double rate, Part&& part) {
     const auto start = Clock::now();
     const auto end =
         start + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(options_.seconds));
@@ -134,7 +134,7 @@
     std::vector<std::thread> threads;
     for (int i = 0; i < options_.threads; ++i) threads.emplace_back([&, i] { part(i, start, end); });
     for (std::thread& t : threads) t.join();
-    StepOutcome o;
+    simulation::StepOutcome o;
     o.cpu = (cpu_seconds() - cpu) / options_.seconds;
     // What is out has its time to end.
     const auto most =
@@ -156,7 +156,7 @@
   std::vector<std::unique_ptr<client::Client>> clients_;
 };
 
-void tell(const LoadOptions& o, const StepOutcome& step, const Meter& m, const std::string& why) {
+void tell(const LoadOptions& o, const simulation::StepOutcome& step, const Meter& m, const std::string& why) {
   const double met = static_cast<double>(m.ends[0]) / o.seconds;
   if (!o.json) {
     std::printf("%9.0f %9.0f %9.1f %8.2f %8.2f %8.2f %8.2f %7.1f  %s\n", step.rate, met, 100 * step.answered,
@@ -201,15 +201,15 @@
                 "p99 ms", "most ms", "cores", "");
   if (o.closed > 0) {
     Meter meter;
-    const StepOutcome step = Player(o).closed(o.closed, meter);
+    const simulation::StepOutcome step = Player(o).closed(o.closed, meter);
     tell(o, step, meter, interrupted ? "interrupted" : "");
     return 0;
   }
-  Search search(o.search);
+  simulation::Search search(o.search);
   while (!search.done() && !interrupted) {
     Meter meter;
     // New clients a step: what those of the last one were refused would keep them from asking.
-    const StepOutcome step = Player(o).open(search.rate(), meter);
+    const simulation::StepOutcome step = Player(o).open(search.rate(), meter);
     const std::string why = search.handle(step);
     tell(o, step, meter, why);
   }
@@ -278,4 +278,4 @@
   });
 }
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/loss_fleet.cpp
+++ b/src/loadtest/loss_fleet.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/loss_fleet.h"
+#include "loadtest/loss_fleet.h"
 
 #include <fmt/format.h>
 #include <sys/resource.h>
@@ -6,9 +6,9 @@
 
 #include <algorithm>
 
-#include "lab/scale/hollow_fleet.h"
+#include "loadtest/hollow_fleet.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr size_t kProcessesMost = 290;  // of the 300 that a run may have
@@ -223,7 +223,7 @@
   const Ms killed_at = hollow_clock();
   for (const size_t member : members) {
     if (member < keepers()) proxies_[member]->set_listening(false);
-    for (HeldSpan& span : history_.held)
+    for (simulation::HeldSpan& span : history_.held)
       if (span.holder == names_[member]) span.until = std::min(span.until, killed_at);
   }
 }
@@ -291,7 +291,7 @@
 void LossFleet::note(size_t member, const DutyEvent& event) {
   using Kind = DutyEvent::Kind;
   const bool acts = event.kind == Kind::kTaken || event.kind == Kind::kRenewed;
-  for (HeldSpan& span : history_.held) {
+  for (simulation::HeldSpan& span : history_.held) {
     if (span.holder != names_[member] || span.duty != event.duty || span.epoch != event.epoch) continue;
     span.until = acts ? event.until : std::min(span.until, event.at);
     return;
@@ -303,14 +303,14 @@
   collect_history();
   const Ms now = hollow_clock();
   std::vector<size_t> out;
-  for (const HeldSpan& span : history_.held)
+  for (const simulation::HeldSpan& span : history_.held)
     if (span.from <= now && now < span.until) out.push_back(members_.at(span.holder));
   return out;
 }
 
-std::vector<FleetViolation> LossFleet::breaches() {
+std::vector<simulation::FleetViolation> LossFleet::breaches() {
   collect_history();
-  return judge(history_);
+  return simulation::judge(history_);
 }
 
 std::vector<pid_t> LossFleet::process_ids() const {
@@ -350,4 +350,4 @@
   sums_.push_back({samples_.back().at, sum_of(samples_.back().keepers)});
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/loss_fleet.h
+++ b/src/loadtest/loss_fleet.h
@@ -9,14 +9,14 @@
 #include <string>
 #include <vector>
 
-#include "lab/judge.h"
-#include "lab/scale/duty_view.h"
-#include "lab/scale/hollow_process.h"
-#include "lab/scale/parts.h"
-#include "lab/scale/region_proxy.h"
-#include "lab/scale/topology.h"
+#include "loadtest/duty_view.h"
+#include "loadtest/hollow_process.h"
+#include "loadtest/parts.h"
+#include "loadtest/region_proxy.h"
+#include "loadtest/topology.h"
+#include "simulation/judge.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 struct LossFleetOptions {
   TopologyOptions topology;
@@ -70,7 +70,7 @@
   void collect_history();
   // Members that may act for some duty at this moment, by their own reports.
   std::vector<size_t> holders_now();
-  std::vector<FleetViolation> breaches();
+  std::vector<simulation::FleetViolation> breaches();
   std::vector<pid_t> process_ids() const;
 
  private:
@@ -97,7 +97,7 @@
   std::vector<std::unique_ptr<RegionProxy>> proxies_;  // by keeper
   std::vector<Process> processes_;                     // of keepers, of first holders, of all others
   std::vector<size_t> process_of_;                     // by member
-  FleetHistory history_;
+  simulation::FleetHistory history_;
 };
 
 // A rate of the keeper that has the most of it.
@@ -132,4 +132,4 @@
   TrafficRate peak_, last_second_;
 };
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/loss_run.cpp
+++ b/src/loadtest/loss_run.cpp
@@ -6,11 +6,11 @@
 #include <fstream>
 #include <thread>
 
-#include "lab/scale/client_loss.h"
-#include "lab/scale/loss_trial.h"
-#include "lab/scale/parts.h"
+#include "loadtest/client_loss.h"
+#include "loadtest/loss_trial.h"
+#include "loadtest/parts.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 // The last, largest size of each is held out from the fit. More gateways than these contend for a lost duty
@@ -135,7 +135,7 @@
                          name_of(loss), gateways, result.recovery, result.return_recovery));
     add_result(series, gateways, result);
   }
-  const std::vector<FleetViolation> breaches = fleet.breaches();
+  const std::vector<simulation::FleetViolation> breaches = fleet.breaches();
   if (!breaches.empty()) throw ScaleError(fmt::format("{}: {}", breaches[0].rule, breaches[0].text));
 }
 
@@ -178,4 +178,4 @@
   return series.take();
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/loss_trial.cpp
+++ b/src/loadtest/loss_trial.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/loss_trial.h"
+#include "loadtest/loss_trial.h"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <map>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr useconds_t kLookEveryUs = 10000;
@@ -238,4 +238,4 @@
   return Trial(fleet, kind, times, progress).run();
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/loss_trial.h
+++ b/src/loadtest/loss_trial.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/loss_fleet.h"
+#include "loadtest/loss_fleet.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 enum class LossKind { kHolder, kKeeper, kRack, kZone, kRegionPair, kSplit };
 const char* name_of(LossKind kind);
@@ -43,4 +43,4 @@
 // time.
 LossResult try_loss(LossFleet& fleet, LossKind kind, const LossTimes& times, const Progress& progress);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/main.cpp
+++ b/src/loadtest/main.cpp
@@ -1,7 +1,7 @@
 // firvalve-lab: the project's laboratory. None of it is linked into the gateway.
-#include "lab/load.h"
-#include "lab/run.h"
-#include "lab/scale/command.h"
+#include "loadtest/command.h"
+#include "loadtest/load.h"
+#include "simulation/run.h"
 
 int main(int argc, char** argv) {
   CLI::App app("The laboratory of firvalve.", "firvalve-lab");
@@ -9,9 +9,9 @@
   app.require_subcommand(1);
   app.failure_message(
       [](const CLI::App*, const CLI::Error& error) { return std::string(error.what()) + "\n"; });
-  firvalve::lab::add_load(app, exit_code);
-  firvalve::lab::add_run(app, exit_code);
-  firvalve::lab::add_scale(app, exit_code);
+  firvalve::loadtest::add_load(app, exit_code);
+  firvalve::simulation::add_run(app, exit_code);
+  firvalve::loadtest::add_scale(app, exit_code);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
--- a/src/lab/scale/measurement.h
+++ b/src/loadtest/measurement.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 struct Point {
   double size = 0;   // of what was varied
@@ -26,4 +26,4 @@
   uint64_t seed = 0;
 };
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/options.h
+++ b/src/loadtest/options.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 struct ScaleOptions {
   std::vector<std::string> parts;  // of "gateway", "control", "loss"; empty: all
@@ -23,4 +23,4 @@
   bool quick = false;   // small sizes and short times: a look, no figures to plan with
 };
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/parts.h
+++ b/src/loadtest/parts.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/measurement.h"
-#include "lab/scale/options.h"
+#include "loadtest/measurement.h"
+#include "loadtest/options.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // The run cannot go on: what() is one line that says why. Nothing measured so far is printed as if whole.
 class ScaleError : public std::runtime_error {
@@ -26,4 +26,4 @@
 // Hollow gateways: a holder, a keeper, a rack, a zone lost; two regions cut apart and joined again.
 std::vector<Measurement> measure_loss(const ScaleOptions& options, const Progress& progress);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/process_usage.cpp
+++ b/src/loadtest/process_usage.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/process_usage.h"
+#include "loadtest/process_usage.h"
 
 #include <fmt/format.h>
 #include <sys/resource.h>
@@ -13,9 +13,9 @@
 #include <string_view>
 #include <unordered_set>
 
-#include "lab/scale/parts.h"
+#include "loadtest/parts.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr double kKilobytesPerMegabyte = 1024;
@@ -99,4 +99,4 @@
         fmt::format("{} descriptors are needed, the limit is {}: see ulimit -Hn", wanted, limit.rlim_max));
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/process_usage.h
+++ b/src/loadtest/process_usage.h
@@ -6,7 +6,7 @@
 #include <cstddef>
 #include <string>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // User and system time of all threads. Throws ScaleError where there is no such process.
 double processor_seconds(pid_t process);
@@ -28,4 +28,4 @@
 // Raises the limit of descriptors as far as it goes, and throws ScaleError where that is less than `wanted`.
 void need_descriptors(size_t wanted);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/progress_line.cpp
+++ b/src/loadtest/progress_line.cpp
@@ -1,9 +1,9 @@
-#include "lab/scale/progress_line.h"
+#include "loadtest/progress_line.h"
 
 #include <sys/ioctl.h>
 #include <unistd.h>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr const char* kClearLine = "\r\033[K";
@@ -41,4 +41,4 @@
   is_shown_ = false;
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/progress_line.h
+++ b/src/loadtest/progress_line.h
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <string>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 class ProgressLine {
  public:
@@ -25,4 +25,4 @@
   bool is_shown_ = false;
 };
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/quantity.cpp
+++ b/src/loadtest/quantity.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/quantity.h"
+#include "loadtest/quantity.h"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <limits>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr double kCommasFrom = 999.5;  // what three digits would round to a thousand
@@ -157,4 +157,4 @@
   return sign + fmt::format("{:.3g}", magnitude);
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/quantity.h
+++ b/src/loadtest/quantity.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/capacity_file.h"
-#include "lab/scale/fit.h"
+#include "loadtest/capacity_file.h"
+#include "loadtest/fit.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // Which measurement a term wants. Among those of that name and varied size, the one whose held sizes are
 // nearest to the fleet's is taken.
@@ -70,4 +70,4 @@
 // A number for people: three digits that count, commas from a thousand on.
 std::string number_text(double value);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/real_gateway.cpp
+++ b/src/loadtest/real_gateway.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/real_gateway.h"
+#include "loadtest/real_gateway.h"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -9,9 +9,9 @@
 
 #include "client/client.h"
 #include "fakes/fake_deployment.h"
-#include "lab/scale/parts.h"
+#include "loadtest/parts.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -57,4 +57,4 @@
   }()));
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/real_gateway.h
+++ b/src/loadtest/real_gateway.h
@@ -5,9 +5,9 @@
 #include <string>
 
 #include "fakes/process.h"
-#include "lab/scale/scripted_engines.h"
+#include "loadtest/scripted_engines.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // The gateway's program where none is named: `firvalve` beside the program that runs now.
 std::string default_gateway_program();
@@ -31,4 +31,4 @@
   double start_to_ready_ms_ = 0;
 };
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/region_proxy.cpp
+++ b/src/loadtest/region_proxy.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/region_proxy.h"
+#include "loadtest/region_proxy.h"
 
 #include <Poco/Net/SocketAddress.h>
 #include <fcntl.h>
@@ -12,10 +12,10 @@
 #include <string_view>
 
 #include "cluster/wire.h"
-#include "lab/scale/parts.h"
+#include "loadtest/parts.h"
 #include "proto/jsonrpc/rpc.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 using Poco::Net::SocketAddress;
@@ -221,4 +221,4 @@
   connections_.erase(at);
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/region_proxy.h
+++ b/src/loadtest/region_proxy.h
@@ -14,7 +14,7 @@
 
 #include "consensus/register.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // Both directions, since the proxy's start.
 struct KeeperTraffic {
@@ -73,4 +73,4 @@
   std::thread thread_;
 };
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/scripted_engines.cpp
+++ b/src/loadtest/scripted_engines.cpp
@@ -1,13 +1,13 @@
-#include "lab/scale/scripted_engines.h"
+#include "loadtest/scripted_engines.h"
 
 #include <Poco/Exception.h>
 #include <fmt/format.h>
 #include <unistd.h>
 
 #include "fakes/fake_deployment.h"
-#include "lab/scale/parts.h"
+#include "loadtest/parts.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr size_t kThreads = 2;
@@ -61,4 +61,4 @@
   return fakes::gateway_config(options, listings);
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/scripted_engines.h
+++ b/src/loadtest/scripted_engines.h
@@ -9,9 +9,9 @@
 #include "fakes/fake_engine.h"
 #include "fakes/fake_event_bus.h"
 #include "fakes/fake_host.h"
-#include "lab/scale/process_usage.h"
+#include "loadtest/process_usage.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // Of the loopback addresses those that engines listen at; clients and the bus use 127.0.0.1.
 constexpr LoopbackRange kEngineAddresses = {64, 127};
@@ -34,4 +34,4 @@
   std::vector<std::unique_ptr<fakes::FakeEngine>> engines_;
 };
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/sizes_check.cpp
+++ b/src/loadtest/sizes_check.cpp
@@ -1,11 +1,11 @@
-#include "lab/scale/sizes_check.h"
+#include "loadtest/sizes_check.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <vector>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 template <typename Number>
@@ -58,4 +58,4 @@
   return fault == faults.end() ? std::string() : *fault;
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/sizes_check.h
+++ b/src/loadtest/sizes_check.h
@@ -3,9 +3,9 @@
 
 #include <string>
 
-#include "lab/scale/options.h"
+#include "loadtest/options.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // The most that one machine is asked to bear in a measuring run.
 constexpr int kMostGateways = 4096;
@@ -21,4 +21,4 @@
 // are not the default.
 std::string size_fault(const ScaleOptions& options, bool are_zones_given);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/topology.cpp
+++ b/src/loadtest/topology.cpp
@@ -1,10 +1,10 @@
-#include "lab/scale/topology.h"
+#include "loadtest/topology.h"
 
 #include <fmt/format.h>
 
-#include "lab/scale/parts.h"
+#include "loadtest/parts.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 void check(const TopologyOptions& options) {
@@ -61,4 +61,4 @@
   return side;
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/topology.h
+++ b/src/loadtest/topology.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <vector>
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 // A zone's tenth stands in one rack and is lost with it.
 constexpr size_t kRacksPerZone = 10;
@@ -43,4 +43,4 @@
   std::vector<Place> gateways_, keepers_;
 };
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/trouble.cpp
+++ b/src/loadtest/trouble.cpp
@@ -1,13 +1,13 @@
-#include "lab/scale/trouble.h"
+#include "loadtest/trouble.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "lab/scale/quantity.h"
+#include "loadtest/quantity.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 std::string a_year(double count) { return number_text(count) + " a year"; }
@@ -156,4 +156,4 @@
   return out;
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/scale/trouble.h
+++ b/src/loadtest/trouble.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/capacity_file.h"
+#include "loadtest/capacity_file.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 
 struct Trouble {
   std::string what;
@@ -49,4 +49,4 @@
 
 KeeperPlacement place_keepers(const FleetSize& fleet);
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/lab/checker.cpp
+++ b/src/simulation/checker.cpp
@@ -1,4 +1,4 @@
-#include "lab/checker.h"
+#include "simulation/checker.h"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 #include <map>
 #include <unordered_map>
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 namespace {
 
 using Kind = Happening::Kind;
@@ -277,4 +277,4 @@
   return judge.end();
 }
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/checker.h
+++ b/src/simulation/checker.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/history.h"
+#include "simulation/history.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 enum class Rule {
   kOneAnswer,  // exactly one final answer a command, in time
@@ -43,4 +43,4 @@
 // `end`: until when the run was watched; what its clients still wait for then is owed nothing.
 Verdict judge(const RunRules& rules, const History& history, Ms end);
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/engine_model.cpp
+++ b/src/simulation/engine_model.cpp
@@ -1,8 +1,8 @@
-#include "lab/engine_model.h"
+#include "simulation/engine_model.h"
 
 #include <algorithm>
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 constexpr double kWorkDone = 1e-9;  // ms of work: less is rounding
 
@@ -152,4 +152,4 @@
   if (connections_ > 0) --connections_;
 }
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/engine_model.h
+++ b/src/simulation/engine_model.h
@@ -10,7 +10,7 @@
 
 #include "base/units.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 // How gateways and engines are connected. Not modelled unless `modelled`: then an attempt simply arrives.
 struct ConnectionOptions {
@@ -92,4 +92,4 @@
   bool silent_ = false, handshake_runs_ = false;
 };
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/explore.h
+++ b/src/simulation/explore.h
@@ -14,7 +14,7 @@
 #include <unordered_set>
 #include <vector>
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 // What is kept of a state that was seen: 128 bits of its digest. Two that differ are taken for one with a
 // chance of under 1 in 10^20 at a hundred million states.
@@ -145,4 +145,4 @@
   return out;
 }
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/fleet_world.cpp
+++ b/src/simulation/fleet_world.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet_world.h"
+#include "simulation/fleet_world.h"
 
 #include <fmt/format.h>
 
@@ -10,10 +10,10 @@
 #include <set>
 
 #include "cluster/cluster_node.h"
-#include "lab/queue.h"
 #include "lease/fence.h"
+#include "simulation/queue.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 namespace {
 
@@ -520,4 +520,4 @@
   return best;
 }
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/fleet_world.h
+++ b/src/simulation/fleet_world.h
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/judge.h"
+#include "simulation/judge.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 struct FleetFault {
   enum class Kind : uint8_t { kStall, kKill, kCut, kCutOneWay, kDisk };
@@ -65,4 +65,4 @@
 // Leaves out faults, one after the other, for as long as the same rule is still broken: a short way to it.
 FleetOptions cut_down(const FleetOptions& options, const std::string& rule);
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/histogram.h
+++ b/src/simulation/histogram.h
@@ -8,7 +8,7 @@
 
 #include "base/units.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 class Histogram {
  public:
@@ -68,4 +68,4 @@
   Ms most_ = 0;
 };
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/history.h
+++ b/src/simulation/history.h
@@ -9,7 +9,7 @@
 
 #include "base/units.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 struct Happening {
   enum class Kind : uint8_t {
@@ -68,4 +68,4 @@
   double budget_free = 0, budget_share = 0;
 };
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/judge.cpp
+++ b/src/simulation/judge.cpp
@@ -1,4 +1,4 @@
-#include "lab/judge.h"
+#include "simulation/judge.h"
 
 #include <fmt/format.h>
 #include <rapidjson/document.h>
@@ -7,7 +7,7 @@
 #include <cstdlib>
 #include <sstream>
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 namespace {
 
@@ -169,4 +169,4 @@
   while (!open.empty()) close(open.begin()->first);
 }
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/judge.h
+++ b/src/simulation/judge.h
@@ -20,7 +20,7 @@
 
 #include "base/units.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 struct HeldSpan {  // a gateway may act
   std::string duty, holder;
@@ -78,4 +78,4 @@
 // Reads a bulletin as gateways tell it: JSON with `versions` and `declarations`.
 AgreedTopic read_agreed(const std::string& name, Ms at, const std::string& json);
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/queue.h
+++ b/src/simulation/queue.h
@@ -7,7 +7,7 @@
 
 #include "base/units.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 template <class Event>
 class EventQueue {
@@ -66,4 +66,4 @@
   uint64_t last_ = 0;
 };
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/run.cpp
+++ b/src/simulation/run.cpp
@@ -1,4 +1,4 @@
-#include "lab/run.h"
+#include "simulation/run.h"
 
 #include <fmt/format.h>
 
@@ -9,9 +9,9 @@
 #include <fstream>
 #include <memory>
 
-#include "lab/world.h"
+#include "simulation/world.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 namespace {
 
 double peak_mb() {
@@ -175,4 +175,4 @@
   });
 }
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/search.cpp
+++ b/src/simulation/search.cpp
@@ -1,10 +1,10 @@
-#include "lab/search.h"
+#include "simulation/search.h"
 
 #include <fmt/format.h>
 
 #include <cmath>
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 std::string Search::handle(const StepOutcome& o) {
   std::string why;
@@ -36,4 +36,4 @@
   return why;
 }
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/search.h
+++ b/src/simulation/search.h
@@ -6,7 +6,7 @@
 
 #include "base/units.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 struct StepOutcome {
   double rate = 0;      // asked for, a second
@@ -44,4 +44,4 @@
   bool done_ = false, tool_ = false;
 };
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/world.cpp
+++ b/src/simulation/world.cpp
@@ -1,4 +1,4 @@
-#include "lab/world.h"
+#include "simulation/world.h"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -12,9 +12,9 @@
 #include <unordered_map>
 
 #include "core/core.h"
-#include "lab/queue.h"
+#include "simulation/queue.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 namespace {
 
 constexpr Ms kCancelUnanswered = 2100;  // after a cancellation, as the gateway's driver has it
@@ -918,4 +918,4 @@
 
 WorldOutcome play(const WorldOptions& options) { return World(options).play(); }
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/src/lab/world.h
+++ b/src/simulation/world.h
@@ -28,12 +28,12 @@
 #include <string>
 #include <vector>
 
-#include "lab/checker.h"
-#include "lab/engine_model.h"
-#include "lab/histogram.h"
-#include "lab/history.h"
+#include "simulation/checker.h"
+#include "simulation/engine_model.h"
+#include "simulation/histogram.h"
+#include "simulation/history.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 struct WorldProfile {
   std::string name;
@@ -141,4 +141,4 @@
 
 WorldOutcome play(const WorldOptions& options);
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -15,7 +15,7 @@
 #include "client/client.h"
 #include "cluster/wire.h"
 #include "fakes/load_clients.h"
-#include "lab/judge.h"
+#include "simulation/judge.h"
 #include "soon.h"
 
 namespace firvalve {
@@ -34,10 +34,11 @@
   }
   void TearDown() override {
     if (!crowd_) return;
-    lab::FleetHistory history;
+    simulation::FleetHistory history;
     for (size_t i = 0; i < crowd_->size(); ++i)
-      lab::read_spans(fmt::format("g{}", i), crowd_->log(i), history);
-    for (const lab::FleetViolation& b : lab::judge(history)) ADD_FAILURE() << b.rule << ": " << b.text;
+      simulation::read_spans(fmt::format("g{}", i), crowd_->log(i), history);
+    for (const simulation::FleetViolation& b : simulation::judge(history))
+      ADD_FAILURE() << b.rule << ": " << b.text;
     EXPECT_GT(history.held.size(), 0u);
     for (const auto& [statement, most] : once_)
       EXPECT_LE(crowd_->engines().runs(statement), most) << statement;
@@ -108,8 +109,8 @@
   const size_t first = held_by();
   EXPECT_EQ(c.end(first), 0);
   EXPECT_TRUE(handed_on(first));
-  lab::FleetHistory h;
-  for (size_t i = 0; i < c.size(); ++i) lab::read_spans("g", c.log(i), h);
+  simulation::FleetHistory h;
+  for (size_t i = 0; i < c.size(); ++i) simulation::read_spans("g", c.log(i), h);
   std::sort(h.held.begin(), h.held.end(), [](const auto& a, const auto& b) { return a.epoch < b.epoch; });
   ASSERT_GE(h.held.size(), 2u);
   EXPECT_LT(h.held[1].from - h.held[0].until, 1000);  // far from the lease, however loaded the machine
@@ -432,9 +433,10 @@
   std::string stands(size_t gateway) {
     const client::Result r = at(gateway).ask("bulletin", "cabins", "{}", 8000).wait();
     EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.why;
-    lab::FleetHistory h;
-    h.bulletins.push_back(lab::read_agreed("cabins", 0, r.rows));
-    for (const lab::FleetViolation& b : lab::judge(h)) ADD_FAILURE() << b.rule << ": " << b.text;
+    simulation::FleetHistory h;
+    h.bulletins.push_back(simulation::read_agreed("cabins", 0, r.rows));
+    for (const simulation::FleetViolation& b : simulation::judge(h))
+      ADD_FAILURE() << b.rule << ": " << b.text;
     return r.rows;
   }
   std::map<size_t, std::unique_ptr<client::Client>> clients_;
--- a/tests/cluster/world_test.cpp
+++ b/tests/cluster/world_test.cpp
@@ -5,9 +5,9 @@
 
 #include "base/injected_bug.h"
 #include "bound.h"
-#include "lab/fleet_world.h"
+#include "simulation/fleet_world.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 namespace {
 
 FleetOptions rough(uint64_t seed) {
@@ -227,4 +227,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/tests/consensus/explore_test.cpp
+++ b/tests/consensus/explore_test.cpp
@@ -233,7 +233,7 @@
 
 const size_t kMost = states_most();
 
-lab::Explored explore(const Bounds& bounds, size_t most) { return explored<Race>(bounds, most); }
+simulation::Explored explore(const Bounds& bounds, size_t most) { return explored<Race>(bounds, most); }
 bool found(const Bounds& bounds, InjectedBug flaw) { return walks_find<Race>(bounds, flaw, kMost / 2); }
 
 TEST(Explore, TwoThatChangeOneFactAndNobodyGivesUp) {
@@ -245,7 +245,7 @@
 TEST(Explore, TwoThatChangeOneFactWithATimeOut) {
   Bounds b;
   b.timeouts = 1;
-  const lab::Explored out = explore(b, kMost);
+  const simulation::Explored out = explore(b, kMost);
   EXPECT_FALSE(out.breach);
 }
 
@@ -253,7 +253,7 @@
   Bounds b;
   b.timeouts = 1;
   b.deaths = 1;
-  const lab::Explored out = explore(b, kMost);
+  const simulation::Explored out = explore(b, kMost);
   EXPECT_FALSE(out.breach);
 }
 
--- a/tests/lease/explore_test.cpp
+++ b/tests/lease/explore_test.cpp
@@ -183,11 +183,11 @@
 
 const size_t kMost = states_most();
 
-lab::Explored explore(const Bounds& bounds, size_t most) { return explored<Pair>(bounds, most); }
+simulation::Explored explore(const Bounds& bounds, size_t most) { return explored<Pair>(bounds, most); }
 bool found(const Bounds& bounds, InjectedBug flaw) { return walks_find<Pair>(bounds, flaw, kMost / 2); }
 
 TEST(ExploreDuty, NeverTwoThatMayAct) {
-  const lab::Explored out = explore({}, kMost);
+  const simulation::Explored out = explore({}, kMost);
   EXPECT_FALSE(out.breach);
 }
 
--- a/tests/lab/capacity_test.cpp
+++ b/tests/loadtest/capacity_test.cpp
@@ -6,15 +6,15 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/capacity_file.h"
-#include "lab/scale/capacity_page.h"
-#include "lab/scale/cost_model.h"
-#include "lab/scale/fit.h"
-#include "lab/scale/json_lines.h"
-#include "lab/scale/sizes_check.h"
-#include "lab/scale/trouble.h"
-
-namespace firvalve::lab::scale {
+#include "loadtest/capacity_file.h"
+#include "loadtest/capacity_page.h"
+#include "loadtest/cost_model.h"
+#include "loadtest/fit.h"
+#include "loadtest/json_lines.h"
+#include "loadtest/sizes_check.h"
+#include "loadtest/trouble.h"
+
+namespace firvalve::loadtest {
 namespace {
 
 const std::vector<double> kSizes = {8, 64, 128, 256, 512, 1100};
@@ -299,4 +299,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/tests/lab/scale_control_test.cpp
+++ b/tests/loadtest/scale_control_test.cpp
@@ -13,27 +13,27 @@
 #include "fakes/fake_deployment.h"
 #include "fakes/fault_proxy.h"
 #include "fakes/process.h"
-#include "lab/fleet_world.h"
-#include "lab/scale/hollow_fleet.h"
+#include "loadtest/hollow_fleet.h"
+#include "simulation/fleet_world.h"
 #include "soon.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 constexpr Ms kSettleMost = 60000;
 
 // What comes to a gateway that holds no duty in ten seconds of virtual time, once the fleet has settled.
-FleetHeard heard_at_rest(uint32_t gateways) {
-  FleetOptions options;
+simulation::FleetHeard heard_at_rest(uint32_t gateways) {
+  simulation::FleetOptions options;
   options.gateways = gateways;
   options.keepers = 5;
   options.duties = 8;
   options.merges = options.publishers = options.readers = 0;
   options.lease = 3000;
   options.span = 10000;
-  const std::vector<FleetHeard> before = play(options).heard;
+  const std::vector<simulation::FleetHeard> before = simulation::play(options).heard;
   options.span = 20000;
-  const std::vector<FleetHeard> after = play(options).heard;
+  const std::vector<simulation::FleetHeard> after = simulation::play(options).heard;
   std::vector<uint64_t> messages, facts;
   for (size_t i = options.keepers; i < after.size(); ++i) {
     messages.push_back(after[i].messages - before[i].messages);
@@ -47,11 +47,11 @@
 }
 
 TEST(ScaleControl, AGatewaysTrafficAtRestDoesNotGrowWithTheFleet) {
-  const FleetHeard small = heard_at_rest(32);
+  const simulation::FleetHeard small = heard_at_rest(32);
   ASSERT_GT(small.messages, 0u);
   ASSERT_GT(small.facts, 0u);
   for (const uint32_t gateways : {64u, 128u}) {
-    const FleetHeard heard = heard_at_rest(gateways);
+    const simulation::FleetHeard heard = heard_at_rest(gateways);
     const auto ratio = [](uint64_t a, uint64_t b) { return static_cast<double>(a) / static_cast<double>(b); };
     EXPECT_NEAR(ratio(heard.messages, small.messages), 1, 0.1) << gateways;
     EXPECT_NEAR(ratio(heard.facts, small.facts), 1, 0.1) << gateways;
@@ -294,4 +294,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/tests/lab/scale_gateway_test.cpp
+++ b/tests/loadtest/scale_gateway_test.cpp
@@ -9,15 +9,15 @@
 #include <filesystem>
 #include <fstream>
 
-#include "lab/scale/command_load.h"
-#include "lab/scale/idle_clients.h"
-#include "lab/scale/parts.h"
-#include "lab/scale/process_usage.h"
-#include "lab/scale/real_gateway.h"
-#include "lab/scale/scripted_engines.h"
+#include "loadtest/command_load.h"
+#include "loadtest/idle_clients.h"
+#include "loadtest/parts.h"
+#include "loadtest/process_usage.h"
+#include "loadtest/real_gateway.h"
+#include "loadtest/scripted_engines.h"
 #include "soon.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 ScaleOptions small_run() {
@@ -161,4 +161,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/tests/lab/scale_loss_test.cpp
+++ b/tests/loadtest/scale_loss_test.cpp
@@ -4,10 +4,10 @@
 
 #include <algorithm>
 
-#include "lab/scale/client_loss.h"
-#include "lab/scale/loss_trial.h"
+#include "loadtest/client_loss.h"
+#include "loadtest/loss_trial.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 const Progress kQuiet = [](const std::string&) {};
@@ -21,7 +21,7 @@
   void expect_whole() {
     EXPECT_TRUE(fleet_->is_served(fleet_->gateways_up(), fleet_->holders_up(), 0));
     EXPECT_EQ(fleet_->gateways_up().size(), 12u);
-    for (const FleetViolation& breach : fleet_->breaches())
+    for (const simulation::FleetViolation& breach : fleet_->breaches())
       ADD_FAILURE() << breach.rule << ": " << breach.text;
   }
   LossResult lose(LossKind kind) { return try_loss(*fleet_, kind, kTimes, kQuiet); }
@@ -127,4 +127,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/tests/schema/registry_test.cpp
+++ b/tests/schema/registry_test.cpp
@@ -4,8 +4,8 @@
 
 #include "base/injected_bug.h"
 #include "consensus/digest.h"
-#include "lab/explore.h"
 #include "schema/declaration_expiry.h"
+#include "simulation/explore.h"
 
 namespace firvalve::schema {
 namespace {
@@ -225,7 +225,7 @@
 };
 
 TEST(RegistryExplore, NoOrderOfCrossingChangesAgreesWhatBreaksADeclaration) {
-  const lab::Explored out = lab::explore(Crossing(), 100000);
+  const simulation::Explored out = simulation::explore(Crossing(), 100000);
   std::printf("%zu states, whole\n", out.states);
   EXPECT_TRUE(out.whole);
   EXPECT_FALSE(out.breach) << *out.breach;
@@ -233,7 +233,7 @@
 
 TEST(RegistryExplore, ACheckBeforeAgreementIsFound) {
   injected_bug = InjectedBug::kCheckBeforeAgreement;
-  const lab::Explored out = lab::explore(Crossing(), 100000);
+  const simulation::Explored out = simulation::explore(Crossing(), 100000);
   injected_bug = InjectedBug::kNone;
   ASSERT_TRUE(out.breach);
   for (const std::string& line : out.trace) std::printf("  %s\n", line.c_str());
--- a/tests/searching.h
+++ b/tests/searching.h
@@ -5,19 +5,19 @@
 
 #include "base/injected_bug.h"
 #include "bound.h"
-#include "lab/explore.h"
+#include "simulation/explore.h"
 
 namespace firvalve {
 
-inline void print(const lab::Explored& out) {
+inline void print(const simulation::Explored& out) {
   std::printf("%zu states, depth %zu, %s%s\n", out.states, out.depth, out.whole ? "whole" : "cut off",
               out.breach ? (": " + *out.breach).c_str() : "");
   for (const std::string& line : out.trace) std::printf("  %s\n", line.c_str());
 }
 
 template <class State, class Bounds>
-lab::Explored explored(const Bounds& bounds, size_t most) {
-  const lab::Explored out = lab::explore(State(bounds), most);
+simulation::Explored explored(const Bounds& bounds, size_t most) {
+  const simulation::Explored out = simulation::explore(State(bounds), most);
   print(out);
   return out;
 }
@@ -26,7 +26,7 @@
 template <class State, class Bounds>
 bool walks_find(const Bounds& bounds, InjectedBug flaw, size_t walks) {
   injected_bug = flaw;
-  const lab::Explored out = lab::wander(State(bounds), 1, walks, 60);
+  const simulation::Explored out = simulation::wander(State(bounds), 1, walks, 60);
   injected_bug = InjectedBug::kNone;
   print(out);
   return out.breach.has_value();
--- a/tests/lab/collapse_test.cpp
+++ b/tests/simulation/collapse_test.cpp
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <numeric>
 
-#include "lab/world.h"
+#include "simulation/world.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 namespace {
 
 constexpr size_t kBegins = 6, kEnds = 11;  // s: the cause
@@ -118,4 +118,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/tests/lab/engine_model_test.cpp
+++ b/tests/simulation/engine_model_test.cpp
@@ -1,8 +1,8 @@
-#include "lab/engine_model.h"
+#include "simulation/engine_model.h"
 
 #include <gtest/gtest.h>
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 namespace {
 
 using Admission = EngineModel::Admission;
@@ -83,4 +83,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/tests/lab/lab_test.cpp
+++ b/tests/simulation/lab_test.cpp
@@ -4,12 +4,12 @@
 #include <algorithm>
 #include <cmath>
 
-#include "lab/checker.h"
-#include "lab/histogram.h"
-#include "lab/queue.h"
-#include "lab/search.h"
+#include "simulation/checker.h"
+#include "simulation/histogram.h"
+#include "simulation/queue.h"
+#include "simulation/search.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 namespace {
 
 RC_GTEST_PROP(HistogramProperty, TellsWhatSortingTellsWithinItsError, (const std::vector<uint32_t>& micros)) {
@@ -293,4 +293,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/tests/lab/world_test.cpp
+++ b/tests/simulation/world_test.cpp
@@ -1,10 +1,10 @@
-#include "lab/world.h"
+#include "simulation/world.h"
 
 #include <gtest/gtest.h>
 
 #include <thread>
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 namespace {
 
 WorldOptions small(uint64_t seed = 1) {
@@ -60,4 +60,4 @@
 }
 
 }  // namespace
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
