--- a/tests/compatibility/stored_data_test.cpp
+++ b/tests/compatibility/stored_data_test.cpp
@@ -22,10 +22,10 @@
 #include "fakes/fake_deployment.h"
 #include "fakes/fault_script.h"
 #include "fakes/process.h"
-#include "lab/scale/capacity_file.h"
-#include "lab/scale/fit.h"
 #include "lease/lease_record.h"
 #include "lease/run_once_jobs.h"
+#include "loadtest/capacity_file.h"
+#include "loadtest/fit.h"
 #include "results/paged_result_store.h"
 #include "schema/registry.h"
 #include "soon.h"
@@ -464,7 +464,7 @@
 // ---- The capacity file ---------------------------------------------------------------------------
 
 TEST(StoredCapacity, AFileIsReadAndWrittenAgainToTheSameBytes) {
-  using namespace lab::scale;
+  using namespace loadtest;
   const std::string text = content_of(kFixtures + "capacity.json");
   const CapacityFile file = read_capacity_file(kFixtures + "capacity.json");
   EXPECT_EQ(capacity_text(file), text);
