--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -176,7 +176,7 @@
   return appended;
 }
 
-void Core::attempt_finished(TimePoint now, AttemptId attempt, Outcome outcome, std::string rows) {
+void Core::attempt_finished(TimePoint now, AttemptId attempt, Outcome outcome, std::string_view rows) {
   PendingCommand* const command = commands_.end_attempt(attempt);
   if (!command) return;
   const Duration duration = now - command->attempt_started_at;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -78,7 +78,7 @@
   // One more page of a paged attempt's rows. kOutOfSpace also for an attempt that has finished.
   ResultStore::AppendResult append_page(TimePoint now, AttemptId attempt, std::string_view rows);
   // Unknown attempts are ignored. `rows`: of an attempt that is not paged.
-  void attempt_finished(TimePoint now, AttemptId attempt, Outcome outcome, std::string rows = {});
+  void attempt_finished(TimePoint now, AttemptId attempt, Outcome outcome, std::string_view rows = {});
 
   // ---- The result store
   void result_space_available(TimePoint now);  // a reservation may succeed again
--- a/src/net/engine_connections.cpp
+++ b/src/net/engine_connections.cpp
@@ -466,7 +466,7 @@
   if (look_at_ > 0 && now >= look_at_) look(now);
   telling_.swap(endings_);
   for (Ending& e : telling_)
-    core_->attempt_finished(time_point_of(now), AttemptId{e.send}, e.outcome, std::move(e.rows));
+    core_->attempt_finished(time_point_of(now), AttemptId{e.send}, e.outcome, e.rows);
   telling_.clear();
 }
 
