--- /dev/null
+++ b/src/policy/engine_list.cpp
@@ -0,0 +1,57 @@
+#include "policy/engine_list.h"
+
+#include <algorithm>
+
+#include "policy/state.h"
+
+namespace firvalve {
+namespace {
+
+void remove_unlisted(State& state, const EngineListUpdate& event) {
+  std::vector<EngineId> listed;
+  for (const EngineInfo& info : event.engines) listed.push_back(info.engine);
+  std::sort(listed.begin(), listed.end());
+  for (Engine& engine : state.engines)
+    if (!std::binary_search(listed.begin(), listed.end(), engine.id)) engine.state = EngineState::kRemoved;
+}
+
+void copy_placement(State& state, Engine& engine, const EngineInfo& info) {
+  engine.zone = info.zone;
+  engine.zone_index = index_of(state.zones, info.zone);
+  engine.machine_type = info.machine_type;
+  engine.machine_type_index = index_of(state.machine_types, info.machine_type);
+  state.concurrency.groups.resize(2 * state.machine_types.size());
+  engine.cell = info.cell;
+  engine.cores = number(state.settings, "cores." + info.machine_type, 1);
+  if (engine.concurrency.limit == 0) engine.concurrency.limit = initial_limit(state, engine);
+}
+
+// Guards rule 4: a start within the warm-up makes a cold engine, whether it is new or came back.
+void note_restart(State& state, Engine& engine, TimePoint started_at, TimePoint now) {
+  const std::optional<TimePoint>& known_start = engine.slow_start.started_at;
+  if (now - started_at >= state.options.slow_start.warm_up || (known_start && *known_start >= started_at))
+    return;
+  start_slow_start(state, engine, started_at);
+  // What its earlier incarnation did says nothing of it.
+  engine.outlier.attempts = engine.outlier.failures = 0;
+  engine.outlier.is_unresponsive = false;
+}
+
+}  // namespace
+
+void handle_engine_list(State& state, TimePoint now, const EngineListUpdate& event) {
+  if (event.is_complete) remove_unlisted(state, event);
+  for (const EngineInfo& info : event.engines) {
+    Engine& engine = find_or_add_engine(state, info.engine);
+    copy_placement(state, engine, info);
+    const bool joins = engine.state == EngineState::kRemoved && info.state == EngineState::kReady;
+    engine.state = info.state;
+    if (info.started_at && info.started_at != engine.started_at)
+      note_restart(state, engine, start_time_of(*info.started_at, event.current_at, now), now);
+    engine.started_at = info.started_at;
+    if (joins) engine.outlier.last_sign_at = now;
+  }
+  forget_removed_engines(state);
+}
+
+}  // namespace firvalve
--- /dev/null
+++ b/src/policy/engine_list.h
@@ -0,0 +1,13 @@
+// Takes the endpoint list into the state.
+#pragma once
+
+#include "base/time.h"
+#include "policy/events.h"
+
+namespace firvalve {
+
+struct State;
+
+void handle_engine_list(State& state, TimePoint now, const EngineListUpdate& event);
+
+}  // namespace firvalve
--- /dev/null
+++ b/src/policy/policy.cpp
@@ -0,0 +1,145 @@
+#include "policy/policy.h"
+
+#include <algorithm>
+#include <string>
+
+#include "policy/attempt_events.h"
+#include "policy/cancellation.h"
+#include "policy/engine_list.h"
+#include "policy/reconciliation.h"
+
+namespace firvalve {
+namespace {
+
+using namespace std::chrono_literals;
+
+constexpr Duration kTick = 20ms;    // between decisions while commands are in hand: far under any target
+constexpr Duration kStall = 200ms;  // that a tick comes late: this gateway itself stood still
+
+std::optional<Duration> positive_time(double ms) {
+  return ms > 0 ? std::optional(duration_of(ms)) : std::nullopt;
+}
+
+PolicyOptions options_from(const Settings& settings) {
+  const auto flag = [&](const char* name) { return number(settings, name) > 0; };
+  const auto time = [&](const char* name) { return duration_of(number(settings, name)); };
+  PolicyOptions options;
+  options.gateways = std::max(1.0, number(settings, "gateways", 1));
+  options.gateway_number = number(settings, "gateway number");
+  options.max_attempts = std::max(1, static_cast<int>(number(settings, "sends at most", 1)));
+  options.may_cancel = flag("may cancel");
+  options.are_priorities_heeded = flag("priorities heeded");
+  options.are_memory_grants_heeded = flag("grants heeded");
+  if (flag("may advise")) options.retry_after = positive_time(number(settings, "longest advice"));
+  options.status_period = positive_time(number(settings, "note period"));
+  options.key_cooldown = time("key rest");
+  options.retry_budget.is_limited =
+      settings.count("further sends share") > 0 || settings.count("further sends free") > 0;
+  options.retry_budget.allowance = number(settings, "further sends free");
+  options.retry_budget.share = number(settings, "further sends share");
+  options.retry_budget.window = time("further sends window");
+  options.slow_start.warm_up = time("warm-up");
+  options.slow_start.initial_share = number(settings, "cold share", 1);
+  options.slow_start.overload_multiple = number(settings, "fall multiple", 1);
+  options.slow_start.overload_window = time("fall window");
+  return options;
+}
+
+void handle_admitted(State& state, TimePoint now, const Admitted& event) {
+  const auto profiles = static_cast<int>(state.profiles.size());
+  if (!event.profile || *event.profile < 0 || *event.profile >= profiles)
+    return state.unknown_profile_commands.push_back(event.id);
+  Command& command = add_command_in_hand(state);
+  command.request = event;
+  command.profile = static_cast<size_t>(*event.profile);
+  command.admitted_at = command.queued_since = now;
+  state.retry_budget.admitted.add(now);
+  predict_cost(state, command);
+}
+
+void handle_client_gone(State& state, const ClientGone& event) {
+  if (Command* const command = find_command(state, event.id)) command->is_ended = true;
+}
+
+// Guards against attempts for a client that has closed: what is in flight may end and be answered, nothing
+// follows.
+void handle_client_half_closed(State& state, TimePoint now, const ClientHalfClosed& event) {
+  Command* const command = find_command(state, event.id);
+  if (command) command->half_closed_at = event.is_half_closed ? std::optional(now) : std::nullopt;
+}
+
+void handle_result_reservation(State& state, const ResultReservation& event) {
+  if (Command* const command = find_command(state, event.id)) command->lacks_reservation = !event.is_granted;
+}
+
+void handle_timer_fired(State& state, TimePoint now) {
+  if (state.timer_at && now >= *state.timer_at) state.timer_at.reset();
+}
+
+// Calls the handler of each type of event.
+struct EventVisitor {
+  State& state;
+  TimePoint now;
+
+  void operator()(const EngineListUpdate& event) const { handle_engine_list(state, now, event); }
+  void operator()(const Admitted& event) const { handle_admitted(state, now, event); }
+  void operator()(const AttemptStatus& event) const { handle_attempt_status(state, now, event); }
+  void operator()(const AttemptFinished& event) const { handle_attempt_finished(state, now, event); }
+  void operator()(const ProbeResult&) const {}
+  void operator()(const ClientGone& event) const { handle_client_gone(state, event); }
+  void operator()(const ClientHalfClosed& event) const { handle_client_half_closed(state, now, event); }
+  void operator()(const TimerFired&) const { handle_timer_fired(state, now); }
+  void operator()(const ShutdownStarted& event) const { state.shutdown_at = event.ends_at; }
+  void operator()(const ResultReservation& event) const { handle_result_reservation(state, event); }
+};
+
+// Guards against leaving commands without an answer: no client's deadline outlasts this gateway.
+void limit_deadlines(State& state) {
+  if (!state.shutdown_at) return;
+  for (const size_t slot : state.in_hand) {
+    TimePoint& deadline = state.slots[slot].request.deadline;
+    deadline = std::min(deadline, *state.shutdown_at);
+  }
+}
+
+void plan_next_tick(State& state, TimePoint now) {
+  const auto is_unended = [&](size_t slot) { return !state.slots[slot].is_ended; };
+  state.next_tick_at.reset();
+  if (std::any_of(state.in_hand.begin(), state.in_hand.end(), is_unended)) state.next_tick_at = now + kTick;
+}
+
+}  // namespace
+
+State open(const Settings& settings, uint64_t seed) {
+  State state;
+  state.settings = settings;
+  state.options = options_from(settings);
+  state.random.state = seed * 2 + 1;
+  state.random.next();
+  for (int i = 0; settings.count("profile." + std::to_string(i) + ".name"); ++i)
+    state.profiles.emplace_back(profile_from(settings, i)).memory_factor = kInitialMemoryFactor;
+  return state;
+}
+
+void handle(State& state, TimePoint now, const Event& event) {
+  // Guards against a stall of this gateway itself: what it finds then came at some time before, so neither
+  // times taken nor paces of that moment tell of the engines.
+  if (state.next_tick_at && now > *state.next_tick_at + kStall) state.resumed_at = now;
+  if (!state.first_event_at) state.first_event_at = now;
+  std::visit(EventVisitor{state, now}, event);
+}
+
+void decide(State& state, TimePoint now, Actions& actions) {
+  forget_unlocked_tables(state, now);
+  forget_key_cooldowns(state, now);
+  limit_deadlines(state);
+  review_engines(state, now);
+  update_pool(state);
+  update_overrun(state, now);
+  review_attempts(state, now);
+  review_queue(state, now);
+  plan_next_tick(state, now);
+  append_actions(state, now, actions);
+}
+
+}  // namespace firvalve
--- a/src/policy/state.cpp
+++ b/src/policy/state.cpp
@@ -1,117 +1,90 @@
-// The containers of the state and the reading of settings. Nothing is decided here.
 #include "policy/state.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace firvalve {
+namespace {
 
-Profile profile_from(const Settings& a, int i) {
-  const std::string at = "profile." + std::to_string(i) + ".";
-  Profile p;
-  p.benefit = number(a, at + "benefit", 1);
-  p.late_share = number(a, at + "late share");
-  p.latency_target = number(a, at + "latency target");
-  p.target_stretch = number(a, at + "target stretch");
-  p.repeat_window = number(a, at + "repeat window");
-  const std::string effect = text(a, at + "effect"), group = text(a, at + "group");
-  p.effect = effect == "replayable" ? Effect::kReplayable
-             : effect == "uniqued"  ? Effect::kUniqued
-                                    : Effect::kNonReplayable;
-  p.group = group == "all" ? Group::kAll : group == "zone" ? Group::kZone : Group::kCell;
-  p.in_order = number(a, at + "in order") > 0;
-  p.is_load = number(a, at + "load") > 0;
-  p.waits = number(a, at + "waits") > 0;
-  p.threads = std::max(1, static_cast<int>(number(a, at + "threads", 1)));
-  p.zones = texts(a, at + "zone");
-  p.machines = texts(a, at + "machine");
-  return p;
+// Calls visit(place) for each place in State::engines that the command refers to.
+template <class AnyCommand, class Visit>
+void visit_engine_places(AnyCommand& command, Visit&& visit) {
+  if (command.attempt.engine) visit(*command.attempt.engine);
+  if (command.desired_engine) visit(*command.desired_engine);
+  if (command.possible_run) visit(command.possible_run->engine);
 }
 
-int number_of(std::vector<std::string>& names, const std::string& name) {
-  const auto at = std::find(names.begin(), names.end(), name);
-  const auto place = at - names.begin();
-  if (at == names.end()) names.push_back(name);
-  return static_cast<int>(place);
+bool refers_to(const Command& command, size_t place) {
+  bool refers = false;
+  visit_engine_places(command, [&](size_t engine) { refers |= engine == place; });
+  return refers;
 }
 
-Engine& engine_of(State& s, EngineId id) {
-  auto e = std::lower_bound(s.engines.begin(), s.engines.end(), id,
-                            [](const Engine& x, EngineId i) { return x.id < i; });
-  if (e != s.engines.end() && e->id == id) return *e;
-  const int place = static_cast<int>(e - s.engines.begin());
-  for (const int i : s.live) {
-    Command& c = s.slab[i];
-    for (int* held : {&c.engine, &c.want_engine, &c.risked_on})
-      if (*held >= place) ++*held;
-  }
-  e = s.engines.insert(e, Engine{});
-  e->id = id;
-  return *e;
-}
+}  // namespace
 
-void forget_gone(State& s) {
-  const auto gone = [](const Engine& e) { return e.life == EngineState::kRemoved; };
-  const auto all_gone = static_cast<size_t>(std::count_if(s.engines.begin(), s.engines.end(), gone));
-  if (2 * all_gone <= s.engines.size()) return;
-  for (size_t i = s.engines.size(); i-- > 0;) {
-    const int place = static_cast<int>(i);
-    const auto refers = [&](int live) {
-      const Command& c = s.slab[live];
-      return c.engine == place || c.want_engine == place || c.risked_on == place;
-    };
-    if (!gone(s.engines[i]) || std::any_of(s.live.begin(), s.live.end(), refers)) continue;
-    s.engines.erase(s.engines.begin() + place);
-    for (const int live : s.live)
-      for (int* held : {&s.slab[live].engine, &s.slab[live].want_engine, &s.slab[live].risked_on})
-        if (*held > place) --*held;
-  }
+bool is_short(const State& state, const Command& command) {
+  return profile_of(state, command).threads == 1 && !command.is_heavy;
 }
 
-const Command* command_of(const State& s, const CommandId& id) {
-  for (const int place : s.live)
-    if (s.slab[place].asked.id == id) return &s.slab[place];
-  return nullptr;
+size_t index_of(std::vector<std::string>& names, const std::string& name) {
+  const auto at = std::find(names.begin(), names.end(), name);
+  const auto index = static_cast<size_t>(at - names.begin());
+  if (at == names.end()) names.push_back(name);
+  return index;
 }
 
-Command* command_of(State& s, const CommandId& id) {
-  return const_cast<Command*>(command_of(std::as_const(s), id));
+Engine& find_or_add_engine(State& state, EngineId id) {
+  const auto at = std::lower_bound(state.engines.begin(), state.engines.end(), id,
+                                   [](const Engine& engine, EngineId wanted) { return engine.id < wanted; });
+  if (at != state.engines.end() && at->id == id) return *at;
+  const auto place = static_cast<size_t>(at - state.engines.begin());
+  for (const size_t slot : state.in_hand)
+    visit_engine_places(state.slots[slot], [&](size_t& engine) {
+      if (engine >= place) ++engine;
+    });
+  Engine& added = *state.engines.insert(at, Engine{});
+  added.id = id;
+  return added;
 }
 
-Command& new_place(State& s) {
-  int place = static_cast<int>(s.slab.size());
-  if (s.free_places.empty()) {
-    s.slab.emplace_back();
-  } else {
-    place = s.free_places.back();
-    s.free_places.pop_back();
+void forget_removed_engines(State& state) {
+  const auto is_removed = [](const Engine& engine) { return engine.state == EngineState::kRemoved; };
+  const auto removed =
+      static_cast<size_t>(std::count_if(state.engines.begin(), state.engines.end(), is_removed));
+  if (2 * removed <= state.engines.size()) return;
+  for (size_t place = state.engines.size(); place-- > 0;) {
+    const auto is_referred_to = [&](size_t slot) { return refers_to(state.slots[slot], place); };
+    if (!is_removed(state.engines[place]) ||
+        std::any_of(state.in_hand.begin(), state.in_hand.end(), is_referred_to))
+      continue;
+    state.engines.erase(state.engines.begin() + static_cast<std::ptrdiff_t>(place));
+    for (const size_t slot : state.in_hand)
+      visit_engine_places(state.slots[slot], [&](size_t& engine) {
+        if (engine > place) --engine;
+      });
   }
-  s.live.push_back(place);
-  return s.slab[place] = Command{};
 }
 
-uint32_t Pcg::next() {
-  const uint64_t old = state;
-  state = old * 6364136223846793005ULL + 1442695040888963407ULL;
-  const uint32_t shifted = static_cast<uint32_t>(((old >> 18) ^ old) >> 27);
-  const uint32_t turn = static_cast<uint32_t>(old >> 59);
-  return (shifted >> turn) | (shifted << ((32 - turn) & 31));
+const Command* find_command(const State& state, const CommandId& id) {
+  for (const size_t slot : state.in_hand)
+    if (state.slots[slot].request.id == id) return &state.slots[slot];
+  return nullptr;
 }
 
-void SlidingWindow::add(Ms at) {
-  if (count_ == places_.size()) {
-    std::rotate(places_.begin(), places_.begin() + static_cast<long>(first_), places_.end());
-    first_ = 0;
-    places_.resize(std::max<size_t>(64, 2 * places_.size()));
-  }
-  places_[(first_ + count_++) % places_.size()] = at;
+Command* find_command(State& state, const CommandId& id) {
+  return const_cast<Command*>(find_command(std::as_const(state), id));
 }
 
-void SlidingWindow::forget_before(Ms at) {
-  while (count_ > 0 && places_[first_] < at) {
-    first_ = (first_ + 1) % places_.size();
-    --count_;
+Command& add_command_in_hand(State& state) {
+  size_t slot = state.slots.size();
+  if (state.free_slots.empty()) {
+    state.slots.emplace_back();
+  } else {
+    slot = state.free_slots.back();
+    state.free_slots.pop_back();
   }
+  state.in_hand.push_back(slot);
+  return state.slots[slot] = Command{};
 }
 
 }  // namespace firvalve
--- a/tests/policy/helpers.h
+++ b/tests/policy/helpers.h
@@ -1,97 +1,105 @@
-// Builds the state that a test needs: profiles, engines, commands in hand.
+// Builds the state that a test of the policy needs: profiles, engines, commands in hand.
 #pragma once
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <cstdio>
+#include <utility>
+#include <vector>
 
 #include "policy/policy.h"
 
 namespace firvalve {
 
-inline CommandId id_of(int n) {
+// A time point so many milliseconds after the start of a test, and a span of so many.
+constexpr TimePoint at(Ms ms) { return time_point_of(ms); }
+constexpr Duration span(Ms ms) { return duration_of(ms); }
+
+inline CommandId id_of(int number) {
   CommandId id;
   char text[17];
-  std::snprintf(text, sizeof text, "%016x", static_cast<unsigned>(n));
+  std::snprintf(text, sizeof text, "%016x", static_cast<unsigned>(number));
   std::copy(text, text + 16, id.text.begin());
   return id;
 }
 
 inline Profile profile(Effect effect, int threads = 1) {
-  Profile p;
-  p.benefit = 1;
-  p.latency_target = 1000;
-  p.effect = effect;
-  p.threads = threads;
-  return p;
+  Profile made;
+  made.benefit = 1;
+  made.latency_target = span(1000);
+  made.effect = effect;
+  made.threads = threads;
+  return made;
 }
 
 // Ready, warm engines with ids 10, 20, ... and room on all of them.
 inline State state_with(int engines, std::vector<Profile> profiles) {
-  State s;
-  s.profiles = std::move(profiles);
-  s.most_sends = 5;
-  s.may_cancel = true;
-  s.machines = s.zones = {""};
-  s.kin.resize(2);
+  State state;
+  state.profiles = std::move(profiles);
+  state.options.max_attempts = 5;
+  state.options.may_cancel = true;
+  state.machine_types = state.zones = {""};
+  state.concurrency.groups.resize(2);
   for (int i = 0; i < engines; ++i) {
-    Engine e;
-    e.id = EngineId{static_cast<uint32_t>(10 * (i + 1))};
-    e.life = EngineState::kReady;
-    e.cores = 8;
-    e.limit = 16;
-    s.engines.push_back(e);
+    Engine engine;
+    engine.id = EngineId{static_cast<uint32_t>(10 * (i + 1))};
+    engine.state = EngineState::kReady;
+    engine.cores = 8;
+    engine.concurrency.limit = 16;
+    state.engines.push_back(engine);
   }
-  return s;
+  return state;
 }
 
-inline void put_in_zone(State& s, size_t engine, const std::string& zone) {
-  s.engines[engine].zone = zone;
-  s.engines[engine].zone_number = number_of(s.zones, zone);
+inline void put_in_zone(State& state, size_t engine, const std::string& zone) {
+  state.engines[engine].zone = zone;
+  state.engines[engine].zone_index = index_of(state.zones, zone);
 }
 
-// A held command of the given profile, taken at 0, with 10 s to go and 100 ms of predicted work.
-inline Command& add_command(State& s, int profile = 0) {
-  const int place = static_cast<int>(s.slab.size());
-  s.slab.reserve(64);  // so that references stay good
-  s.live.push_back(place);
-  Command& c = s.slab.emplace_back();
-  c.asked.id = id_of(place);
-  c.asked.profile = profile;
-  c.asked.gives_up_at = 10000;
-  c.cost = c.alone = 100;
-  return c;
+// A queued command of the given profile, admitted at 0, with 10 s to go and 100 ms of predicted work.
+inline Command& add_command(State& state, size_t profile = 0) {
+  const size_t slot = state.slots.size();
+  state.slots.reserve(64);  // so that references stay good
+  state.in_hand.push_back(slot);
+  Command& command = state.slots.emplace_back();
+  command.request.id = id_of(static_cast<int>(slot));
+  command.request.profile = static_cast<int>(profile);
+  command.profile = profile;
+  command.request.deadline = at(10000);
+  command.predicted_work = command.predicted_runtime = span(100);
+  return command;
 }
 
-inline void put_out(State& s, Command& c, int engine, Ms at) {
-  c.want = Want::kOut;
-  c.out = true;
-  c.sends += 1;
-  c.engine = c.want_engine = engine;
-  c.sent_at = c.noted_at = at;
-  Engine& e = s.engines[static_cast<size_t>(engine)];
-  e.sends_out += 1;
-  e.threads_out += s.profiles[static_cast<size_t>(c.asked.profile)].threads;
-  e.work_out += c.cost;
-  if (s.profiles[static_cast<size_t>(c.asked.profile)].threads == 1 && !c.heavy) e.short_out += 1;
+// An attempt of it is in flight on that engine.
+inline void start_attempt(State& state, Command& command, size_t engine, TimePoint now) {
+  command.desired = DesiredState::kInFlight;
+  command.desired_engine = engine;
+  command.attempts += 1;
+  command.attempt = Attempt{};
+  command.attempt.state = AttemptState::kInFlight;
+  command.attempt.engine = engine;
+  command.attempt.started_at = command.attempt.reported_at = now;
+  EngineLoad& load = state.engines[engine].in_flight;
+  load.attempts += 1;
+  load.threads += state.profiles[command.profile].threads;
+  load.work += command.predicted_work;
+  if (is_short(state, command)) load.short_threads += 1;
 }
 
-inline Event settled(const Command& c, Outcome outcome) {
-  AttemptFinished r;
-  r.id = c.asked.id;
-  r.attempt = c.sends - 1;
-  r.outcome = outcome;
-  r.elapsed = duration_of(100);
-  r.is_command_finished = outcome == Outcome::kOk;
-  return r;
+inline AttemptFinished attempt_finished(const Command& command, Outcome outcome) {
+  AttemptFinished event;
+  event.id = command.request.id;
+  event.attempt = command.attempts - 1;
+  event.outcome = outcome;
+  event.elapsed = span(100);
+  event.is_command_finished = outcome == Outcome::kOk;
+  return event;
 }
 
-inline void handle_at(State& s, Ms now, const Event& event) { handle(s, time_point_of(now), event); }
-
 inline int count_of(const Actions& actions, Action::Kind kind) {
-  return static_cast<int>(
-      std::count_if(actions.begin(), actions.end(), [&](const Action& a) { return a.kind == kind; }));
+  return static_cast<int>(std::count_if(actions.begin(), actions.end(),
+                                        [&](const Action& action) { return action.kind == kind; }));
 }
 
 }  // namespace firvalve
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -1,7 +1,9 @@
 #include <cmath>
 
+#include "policy/cancellation.h"
 #include "policy/helpers.h"
 #include "policy/policy.h"
+#include "policy/reconciliation.h"
 
 namespace firvalve {
 namespace {
@@ -12,50 +14,50 @@
 TEST(Answer, TimedOutAtTheEndFailsInTheSameReply) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  handle_at(s, 10000, settled(c, Outcome::kTimedOut));
+  start_attempt(s, c, 0, at(0));
+  handle(s, at(10000), attempt_finished(c, Outcome::kTimedOut));
   Actions out;
-  emit(s, 10000, out);
+  append_actions(s, at(10000), out);
   EXPECT_EQ(count_of(out, Kind::kFailCommand), 1);
-  EXPECT_TRUE(s.live.empty());
+  EXPECT_TRUE(s.in_hand.empty());
 }
 
 TEST(Answer, HeldCommandEndsBeforeTheClientGivesUp) {
   State s = state_with(0, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  review_line(s, 9900);
-  EXPECT_EQ(c.want, Want::kShed);
+  review_queue(s, at(9900));
+  EXPECT_EQ(c.desired, DesiredState::kShed);
 }
 
 TEST(Answer, WhatCannotEndInTimeAtTheUsualStretchIsShedAtOnce) {
   State s = state_with(1, {profile(Effect::kReplayable)});
-  s.usual_stretch = 3;
+  s.concurrency.usual_slowdown = 3;
   Command& c = add_command(s);
-  c.alone = 200;
-  c.asked.gives_up_at = 1000;
-  review_line(s, 500);
-  EXPECT_EQ(c.want, Want::kShed);
+  c.predicted_runtime = span(200);
+  c.request.deadline = at(1000);
+  review_queue(s, at(500));
+  EXPECT_EQ(c.desired, DesiredState::kShed);
 }
 
 TEST(Answer, NothingIsSaidAfterTheClientLeft) {
   State s = state_with(1, {profile(Effect::kReplayable)});
-  add_command(s).ended = true;
+  add_command(s).is_ended = true;
   Actions out;
-  emit(s, 10, out);
+  append_actions(s, at(10), out);
   EXPECT_TRUE(out.empty());
-  EXPECT_TRUE(s.live.empty());
+  EXPECT_TRUE(s.in_hand.empty());
 }
 
 TEST(Answer, WorkOfAClientThatLeftIsCalledOff) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  c.ended = true;
+  start_attempt(s, c, 0, at(0));
+  c.is_ended = true;
   Actions out;
-  emit(s, 10, out);
-  emit(s, 11, out);
+  append_actions(s, at(10), out);
+  append_actions(s, at(11), out);
   EXPECT_EQ(count_of(out, Kind::kCancelAttempt), 1);
-  EXPECT_EQ(s.live.size(), 1u);  // its key and place are kept until it has settled
+  EXPECT_EQ(s.in_hand.size(), 1u);  // its key and place are kept until it has settled
 }
 
 // Rule 2: no effect twice.
@@ -65,9 +67,9 @@
   const auto [outcome, again] = GetParam();
   State s = state_with(1, {profile(Effect::kNonReplayable)});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  handle_at(s, 100, settled(c, outcome));
-  EXPECT_EQ(may_send(s, c, s.engines[0], 100), again);
+  start_attempt(s, c, 0, at(0));
+  handle(s, at(100), attempt_finished(c, outcome));
+  EXPECT_EQ(may_attempt(s, c, s.engines[0], at(100)), again);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -80,72 +82,67 @@
 TEST(Effects, NonReplayableThatMayHaveRunFailsAndIsNotShed) {
   State s = state_with(1, {profile(Effect::kNonReplayable)});
   Command& c = add_command(s);
-  c.sends = 1;
-  c.may_have_run = true;
-  review_line(s, 100);
-  EXPECT_EQ(c.want, Want::kFail);
+  c.attempts = 1;
+  c.possible_run = PossibleRun{};
+  review_queue(s, at(100));
+  EXPECT_EQ(c.desired, DesiredState::kFailed);
 }
 
 TEST(Effects, UniquedStaysInItsGroupAndWindow) {
-  Profile p = profile(Effect::kUniqued);
-  p.group = Group::kZone;
-  p.repeat_window = 5000;
+  Profile p = profile(Effect::kDeduplicated);
+  p.deduplication_scope = DeduplicationScope::kZone;
+  p.deduplication_window = span(5000);
   State s = state_with(2, {p});
   put_in_zone(s, 0, "a");
   put_in_zone(s, 1, "b");
   Command& c = add_command(s);
-  c.sends = 1;
-  c.may_have_run = true;
-  c.risked_on = 0;
-  c.risked_at = 100;
-  EXPECT_TRUE(may_send(s, c, s.engines[0], 4000));
-  EXPECT_FALSE(may_send(s, c, s.engines[1], 4000));
-  EXPECT_FALSE(may_send(s, c, s.engines[0], 5050));
+  c.attempts = 1;
+  c.possible_run = PossibleRun{0, at(100)};
+  EXPECT_TRUE(may_attempt(s, c, s.engines[0], at(4000)));
+  EXPECT_FALSE(may_attempt(s, c, s.engines[1], at(4000)));
+  EXPECT_FALSE(may_attempt(s, c, s.engines[0], at(5050)));
 }
 
 // A refusal says that trying again is harmless: so it is while the engines will still know the mark then.
 TEST(Effects, UniquedThatMayHaveRunIsShedEarlyInItsWindowAndFailsLater) {
-  Profile p = profile(Effect::kUniqued);
-  p.repeat_window = 4000;
-  for (const auto& [now, want] : {std::pair<Ms, Want>{1000, Want::kShed}, {2500, Want::kFail}}) {
+  Profile p = profile(Effect::kDeduplicated);
+  p.deduplication_window = span(4000);
+  for (const auto& [now, want] :
+       {std::pair<Ms, DesiredState>{1000, DesiredState::kShed}, {2500, DesiredState::kFailed}}) {
     State s = state_with(1, {p});
     Command& c = add_command(s);
-    c.sends = s.most_sends;
-    c.may_have_run = true;
-    c.risked_on = 0;
-    c.risked_at = 100;
-    review_line(s, now);
-    EXPECT_EQ(c.want, want) << now;
+    c.attempts = s.options.max_attempts;
+    c.possible_run = PossibleRun{0, at(100)};
+    review_queue(s, at(now));
+    EXPECT_EQ(c.desired, want) << now;
   }
 }
 
 TEST(Effects, UniquedPastItsWindowEndsAtOnce) {
-  Profile p = profile(Effect::kUniqued);
-  p.repeat_window = 1000;
+  Profile p = profile(Effect::kDeduplicated);
+  p.deduplication_window = span(1000);
   State s = state_with(1, {p});
   Command& c = add_command(s);
-  c.sends = 1;
-  c.may_have_run = true;
-  c.risked_on = 0;
-  c.risked_at = 100;
-  review_line(s, 1000);
-  EXPECT_EQ(c.want, Want::kFail);
-  c.want = Want::kOut;
-  c.out = true;
-  c.engine = c.want_engine = 0;
-  EXPECT_TRUE(may_start_attempt(s, c.asked.id, time_point_of(800)));
-  EXPECT_FALSE(may_start_attempt(s, c.asked.id, time_point_of(1000)));  // its connection came up too late
+  c.attempts = 1;
+  c.possible_run = PossibleRun{0, at(100)};
+  review_queue(s, at(1000));
+  EXPECT_EQ(c.desired, DesiredState::kFailed);
+  c.desired = DesiredState::kInFlight;
+  c.attempt.state = AttemptState::kInFlight;
+  c.attempt.engine = c.desired_engine = 0;
+  EXPECT_TRUE(may_start_attempt(s, c.request.id, at(800)));
+  EXPECT_FALSE(may_start_attempt(s, c.request.id, at(1000)));  // its connection came up too late
 }
 
 TEST(Effects, NeverTwoSendsAtOnceNorPastTheLimit) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  EXPECT_FALSE(may_send(s, c, s.engines[0], 10));
-  c.out = false;
-  EXPECT_TRUE(may_send(s, c, s.engines[0], 10));
-  c.sends = s.most_sends;
-  EXPECT_FALSE(may_send(s, c, s.engines[0], 10));
+  start_attempt(s, c, 0, at(0));
+  EXPECT_FALSE(may_attempt(s, c, s.engines[0], at(10)));
+  c.attempt.state = AttemptState::kNone;
+  EXPECT_TRUE(may_attempt(s, c, s.engines[0], at(10)));
+  c.attempts = s.options.max_attempts;
+  EXPECT_FALSE(may_attempt(s, c, s.engines[0], at(10)));
 }
 
 // Rule 3: drains.
@@ -155,30 +152,30 @@
   EngineInfo draining;
   draining.engine = EngineId{10};
   draining.state = EngineState::kDraining;
-  handle_at(s, 50, EngineListUpdate{true, {draining}});  // a full list: 20 is gone
-  EXPECT_FALSE(may_send(s, c, s.engines[0], 50));
-  EXPECT_FALSE(may_send(s, c, s.engines[1], 50));
+  handle(s, at(50), EngineListUpdate{true, {draining}});  // a full list: 20 is gone
+  EXPECT_FALSE(may_attempt(s, c, s.engines[0], at(50)));
+  EXPECT_FALSE(may_attempt(s, c, s.engines[1], at(50)));
 }
 
 TEST(Drains, ANewEngineKeepsThePlacesOfTheOthers) {
   State s = state_with(2, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  put_out(s, c, 1, 0);
+  start_attempt(s, c, 1, at(0));
   EngineInfo early;
   early.engine = EngineId{5};
-  handle_at(s, 50, EngineListUpdate{false, {early}});
-  EXPECT_EQ(s.engines[static_cast<size_t>(c.engine)].id, EngineId{20});
+  handle(s, at(50), EngineListUpdate{false, {early}});
+  EXPECT_EQ(s.engines[*c.attempt.engine].id, EngineId{20});
 }
 
 // Rule 4: cold engines.
 State with_a_cold_engine(double gateways) {
   State s = state_with(1, {profile(Effect::kReplayable)});
-  s.warm_up = 10000;
-  s.fall_window = 2000;
-  s.fall_multiple = 3;
-  s.cold_share = 0.3;
-  s.gateways = gateways;
-  s.engines[0].cold_since = 0;
+  s.options.slow_start.warm_up = span(10000);
+  s.options.slow_start.overload_window = span(2000);
+  s.options.slow_start.overload_multiple = 3;
+  s.options.slow_start.initial_share = 0.3;
+  s.options.gateways = gateways;
+  s.engines[0].slow_start.started_at = at(0);
   return s;
 }
 
@@ -186,24 +183,24 @@
   State s = with_a_cold_engine(2);
   Engine& e = s.engines[0];
   const Ms most = 3 * 0.3 * 8 * 2000 / 2;  // this gateway's share right after the start
-  EXPECT_EQ(cold_room(s, e, most / 4, 0), ColdRoom::kOpen);
-  EXPECT_NE(cold_room(s, e, most, 0), ColdRoom::kOpen);
-  e.spent.push_back({0, most / 4});
-  EXPECT_NE(cold_room(s, e, most / 4, 1), ColdRoom::kOpen);
-  e.spent.clear();
-  EXPECT_EQ(cold_room(s, e, most, 9000), ColdRoom::kOpen);
-  EXPECT_EQ(cold_room(s, e, 100 * most, 10001), ColdRoom::kOpen);
+  EXPECT_EQ(slow_start_admission(s, e, span(most / 4), at(0)), SlowStartAdmission::kAllowed);
+  EXPECT_NE(slow_start_admission(s, e, span(most), at(0)), SlowStartAdmission::kAllowed);
+  e.slow_start.sent.push_back({at(0), span(most / 4)});
+  EXPECT_NE(slow_start_admission(s, e, span(most / 4), at(1)), SlowStartAdmission::kAllowed);
+  e.slow_start.sent.clear();
+  EXPECT_EQ(slow_start_admission(s, e, span(most), at(9000)), SlowStartAdmission::kAllowed);
+  EXPECT_EQ(slow_start_admission(s, e, span(100 * most), at(10001)), SlowStartAdmission::kAllowed);
 }
 
 TEST(ColdEngine, LargeCommandsOfManyGatewaysComeByTurns) {
   State s = with_a_cold_engine(100);
   int sent = 0;
   for (int gateway = 0; gateway < 100; ++gateway) {
-    s.gateway_number = gateway;
-    s.engines[0].spent.clear();
+    s.options.gateway_number = gateway;
+    s.engines[0].slow_start.sent.clear();
     for (Ms now = 0; now < 2000; now += 5) {
-      if (cold_room(s, s.engines[0], 2000, now) == ColdRoom::kShut) continue;
-      s.engines[0].spent.push_back({now, 2000});
+      if (slow_start_admission(s, s.engines[0], span(2000), at(now)) == SlowStartAdmission::kDenied) continue;
+      s.engines[0].slow_start.sent.push_back({at(now), span(2000)});
       ++sent;
     }
   }
@@ -213,9 +210,9 @@
 
 TEST(ColdEngine, SmallCommandsOfManyGatewaysComeSeldom) {
   State s = with_a_cold_engine(1000);
-  EXPECT_EQ(cold_room(s, s.engines[0], 50, 100), ColdRoom::kOpen);
-  s.engines[0].spent.push_back({100, 50});
-  EXPECT_EQ(cold_room(s, s.engines[0], 50, 3000), ColdRoom::kShut);
+  EXPECT_EQ(slow_start_admission(s, s.engines[0], span(50), at(100)), SlowStartAdmission::kAllowed);
+  s.engines[0].slow_start.sent.push_back({at(100), span(50)});
+  EXPECT_EQ(slow_start_admission(s, s.engines[0], span(50), at(3000)), SlowStartAdmission::kDenied);
 }
 
 // Rule 4 over the whole fleet: whatever N gateways want to send an engine that started, unevenly and some of
@@ -229,22 +226,22 @@
   for (size_t i = 0; i < works.size(); ++i) mean += works[i] * shares[i];
   for (const int gateways : {1, 6, 20, 30, 300, 1024}) {
     for (const uint64_t seed : {1, 2, 3}) {
-      Pcg chance{seed};
+      Pcg32 chance{seed};
       const auto opened = [&](int number, Ms now) {
         State s;
-        s.chance.state = (static_cast<uint64_t>(chance.next()) << 32) | chance.next();
+        s.random.state = (static_cast<uint64_t>(chance.next()) << 32) | chance.next();
         s.settings = {{"cores.", 12.0}};
-        for (const Ms work : works) s.profiles.emplace_back().mean_cost = work;
-        s.gateways = gateways;
-        s.gateway_number = number;
-        s.warm_up = kWarm;
-        s.fall_window = kWindow;
-        s.fall_multiple = 3;
-        s.cold_share = 0.4;
+        for (const Ms work : works) s.profiles.emplace_back().costs.mean_predicted_work = span(work);
+        s.options.gateways = gateways;
+        s.options.gateway_number = number;
+        s.options.slow_start.warm_up = span(kWarm);
+        s.options.slow_start.overload_window = span(kWindow);
+        s.options.slow_start.overload_multiple = 3;
+        s.options.slow_start.initial_share = 0.4;
         EngineInfo cold;
         cold.engine = EngineId{10};
-        cold.started_at = time_point_of(1000);
-        handle_at(s, now, EngineListUpdate{true, {cold}});
+        cold.started_at = at(1000);
+        handle(s, at(now), EngineListUpdate{true, {cold}});
         return s;
       };
       std::vector<State> all;
@@ -257,15 +254,17 @@
             // Uneven: the busiest always have one waiting, the quietest hardly ever.
             if (chance.next() % static_cast<uint32_t>(1 + i % 7 * 3) > 0) continue;
             State& s = all[static_cast<size_t>(i)];
-            if (cold_room(s, s.engines[0], works[k], now) == ColdRoom::kShut) continue;
-            s.engines[0].spent.push_back({now, works[k]});
+            if (slow_start_admission(s, s.engines[0], span(works[k]), at(now)) == SlowStartAdmission::kDenied)
+              continue;
+            s.engines[0].slow_start.sent.push_back({at(now), span(works[k])});
             sent.push_back({now, works[k]});
           }
         }
         Ms sum = 0;
         for (const auto& [at, work] : sent)
           if (at > now - kWindow) sum += work;
-        const double allowed = 3 * warmth(all[0], all[0].engines[0], now) * 0.85 * 12 * kWindow / mean;
+        const double allowed =
+            3 * warm_share(all[0], all[0].engines[0], at(now)) * 0.85 * 12 * kWindow / mean;
         EXPECT_LE(sum / mean, allowed + 2 * std::sqrt(allowed) + 2)
             << gateways << " gateways, seed " << seed << ", " << now - 1000 << " ms after the start";
         if (HasFailure()) return;
@@ -276,124 +275,127 @@
 
 TEST(ColdEngine, ANewLifeClearsWhatTheLastOneDid) {
   State s = with_a_cold_engine(1);
-  s.engines[0].fails = s.engines[0].tries = 9;
+  s.engines[0].outlier.failures = s.engines[0].outlier.attempts = 9;
   EngineInfo again;
   again.engine = EngineId{10};
-  again.started_at = time_point_of(5000);
-  handle_at(s, 6000, EngineListUpdate{false, {again}});
-  judge_engines(s, 6000);
-  EXPECT_FALSE(s.engines[0].doubted);
+  again.started_at = at(5000);
+  handle(s, at(6000), EngineListUpdate{false, {again}});
+  review_engines(s, at(6000));
+  EXPECT_FALSE(s.engines[0].outlier.is_ejected);
 }
 
 // Wall clocks are stepped: what a list says of a start is believed where it can be true.
 TEST(ColdEngine, AStartThatCannotBeTrueCountsAsOneNow) {
   constexpr Ms kNow = 1e9, kHour = 3.6e6;
-  EXPECT_EQ(start_of(kNow - 3000, 0, kNow), kNow - 3000);
-  EXPECT_EQ(start_of(kNow - 3000, kNow - 900, kNow), kNow - 3000);  // the list comes late
-  EXPECT_EQ(start_of(kNow + kHour, kNow - 900, kNow), kNow);
-  EXPECT_EQ(start_of(kNow - kHour, kNow - 900, kNow), kNow);
-  EXPECT_EQ(start_of(kNow - kHour, 0, kNow), kNow - kHour);             // a list of the start: it may be old
-  EXPECT_EQ(start_of(kNow - 50000, kNow - 60000, kNow), kNow - 50000);  // no news of the list for a minute
+  EXPECT_EQ(start_time_of(at(kNow - 3000), std::nullopt, at(kNow)), at(kNow - 3000));
+  EXPECT_EQ(start_time_of(at(kNow - 3000), at(kNow - 900), at(kNow)),
+            at(kNow - 3000));  // the list comes late
+  EXPECT_EQ(start_time_of(at(kNow + kHour), at(kNow - 900), at(kNow)), at(kNow));
+  EXPECT_EQ(start_time_of(at(kNow - kHour), at(kNow - 900), at(kNow)), at(kNow));
+  EXPECT_EQ(start_time_of(at(kNow - kHour), std::nullopt, at(kNow)),
+            at(kNow - kHour));  // a list of the start: it may be old
+  EXPECT_EQ(start_time_of(at(kNow - 50000), at(kNow - 60000), at(kNow)),
+            at(kNow - 50000));  // no news of the list for a minute
 }
 
 TEST(ColdEngine, ANewStartIsColdWhateverTheClocksSayAndIsTakenOnce) {
   for (const Ms off : {-3.6e6, 0.0, 3.6e6}) {
     constexpr Ms kNow = 1e9;
     State s = with_a_cold_engine(1);
-    s.engines[0].cold_since = -1;
+    s.engines[0].slow_start.started_at.reset();
     EngineInfo again;
     again.engine = EngineId{10};
-    again.started_at = time_point_of(kNow - 500 + off);
-    handle_at(s, kNow, EngineListUpdate{false, {again}, time_point_of(kNow - 900)});
-    EXPECT_LT(warmth(s, s.engines[0], kNow), 0.35) << off;
-    EXPECT_GE(warmth(s, s.engines[0], kNow), 0.3) << off;
-    handle_at(
-        s, kNow + 5000,
-        EngineListUpdate{false, {again}, time_point_of(kNow + 4500)});  // told again: it did not start anew
-    EXPECT_GT(warmth(s, s.engines[0], kNow + 5000), 0.6) << off;
-    EXPECT_EQ(warmth(s, s.engines[0], kNow + 11000), 1) << off;
+    again.started_at = at(kNow - 500 + off);
+    handle(s, at(kNow), EngineListUpdate{false, {again}, at(kNow - 900)});
+    EXPECT_LT(warm_share(s, s.engines[0], at(kNow)), 0.35) << off;
+    EXPECT_GE(warm_share(s, s.engines[0], at(kNow)), 0.3) << off;
+    handle(s, at(kNow + 5000),
+              EngineListUpdate{false, {again}, at(kNow + 4500)});  // told again: it did not start anew
+    EXPECT_GT(warm_share(s, s.engines[0], at(kNow + 5000)), 0.6) << off;
+    EXPECT_EQ(warm_share(s, s.engines[0], at(kNow + 11000)), 1) << off;
   }
 }
 
 TEST(ColdEngine, AnswerAfterLongSilenceCountsAsAStart) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  s.engines[0].silent = true;
-  handle_at(s, 9000, settled(c, Outcome::kOk));
-  EXPECT_EQ(s.engines[0].cold_since, 9000);
+  start_attempt(s, c, 0, at(0));
+  s.engines[0].outlier.is_unresponsive = true;
+  handle(s, at(9000), attempt_finished(c, Outcome::kOk));
+  EXPECT_EQ(s.engines[0].slow_start.started_at, at(9000));
 }
 
 // Rule 5: order.
 TEST(AttemptRequest, OneAtATimePerKeyInTheOrderTaken) {
-  Profile p = profile(Effect::kUniqued);
-  p.in_order = true;
+  Profile p = profile(Effect::kDeduplicated);
+  p.is_ordered = true;
   State s = state_with(1, {p});
   Command& first = add_command(s);
   Command& second = add_command(s);
   Command& other = add_command(s);
-  first.asked.has_key = second.asked.has_key = other.asked.has_key = true;
-  other.asked.key = 7;
-  first.ended = first.out = true;  // ended, but its send has not settled
-  EXPECT_FALSE(has_turn(s, second, 10));
-  EXPECT_TRUE(has_turn(s, other, 10));
-  s.live.erase(s.live.begin());
-  EXPECT_TRUE(has_turn(s, second, 10));
+  first.request.ordering_key = second.request.ordering_key = 0;
+  other.request.ordering_key = 7;
+  first.is_ended = true;
+  first.attempt.state = AttemptState::kInFlight;  // ended, but its send has not settled
+  EXPECT_FALSE(has_turn(s, second, at(10)));
+  EXPECT_TRUE(has_turn(s, other, at(10)));
+  s.in_hand.erase(s.in_hand.begin());
+  EXPECT_TRUE(has_turn(s, second, at(10)));
 }
 
 TEST(AttemptRequest, KeyRestsAfterASendThatMayStillRun) {
-  Profile p = profile(Effect::kUniqued);
-  p.in_order = true;
+  Profile p = profile(Effect::kDeduplicated);
+  p.is_ordered = true;
   State s = state_with(1, {p});
-  s.key_rest = 300;
+  s.options.key_cooldown = span(300);
   Command& first = add_command(s);
-  first.asked.has_key = true;
-  put_out(s, first, 0, 0);
-  handle_at(s, 100, settled(first, Outcome::kReset));
+  first.request.ordering_key = 0;
+  start_attempt(s, first, 0, at(0));
+  handle(s, at(100), attempt_finished(first, Outcome::kReset));
   Command next = first;
-  next.sends = 0;
-  s.live.clear();
-  EXPECT_FALSE(has_turn(s, next, 399));
-  EXPECT_TRUE(has_turn(s, next, 400));
+  next.attempts = 0;
+  s.in_hand.clear();
+  EXPECT_FALSE(has_turn(s, next, at(399)));
+  EXPECT_TRUE(has_turn(s, next, at(400)));
 }
 
 // Rule 6: placement.
 TEST(Placement, HeldWhenNoAllowedEngineIsThere) {
   Profile p = profile(Effect::kReplayable);
-  p.machines = {"big"};
+  p.machine_types = {"big"};
   State s = state_with(2, {p});
   Command& c = add_command(s);
-  s.engines[0].machine = "small";
-  s.engines[1].machine = "big";
-  EXPECT_EQ(choose(s, c, 10), 1);
-  s.engines[1].life = EngineState::kRemoved;
-  EXPECT_EQ(choose(s, c, 10), -1);
+  s.engines[0].machine_type = "small";
+  s.engines[1].machine_type = "big";
+  EXPECT_EQ(choose_engine(s, c, at(10)), 1u);
+  s.engines[1].state = EngineState::kRemoved;
+  EXPECT_EQ(choose_engine(s, c, at(10)), std::nullopt);
 }
 
 // Rule 7: the budget of further sends.
 TEST(Budget, SlidesWithTheWindow) {
   State s = state_with(1, {profile(Effect::kReplayable)});
-  s.budgeted = true;
-  s.budget_free = 1;
-  s.budget_share = 0.1;
-  s.budget_window = 5000;
-  for (int i = 0; i < 10; ++i) s.taken.add(100);
-  EXPECT_TRUE(budget_left(s, 100));
-  s.further.add(100);
-  s.further.add(200);
-  EXPECT_FALSE(budget_left(s, 5000));  // 2 of 1 + 1
-  EXPECT_TRUE(budget_left(s, 5250));   // all have slid out
+  s.options.retry_budget.is_limited = true;
+  s.options.retry_budget.allowance = 1;
+  s.options.retry_budget.share = 0.1;
+  s.options.retry_budget.window = span(5000);
+  for (int i = 0; i < 10; ++i) s.retry_budget.admitted.add(at(100));
+  EXPECT_TRUE(has_retry_budget(s, at(100)));
+  s.retry_budget.retries.add(at(100));
+  s.retry_budget.retries.add(at(200));
+  EXPECT_FALSE(has_retry_budget(s, at(5000)));  // 2 of 1 + 1
+  EXPECT_TRUE(has_retry_budget(s, at(5250)));   // all have slid out
 }
 
 TEST(Budget, OneMomentsSendsCountForEachOther) {
   State s = state_with(4, {profile(Effect::kReplayable)});
-  s.budgeted = true;
-  s.budget_free = 1;
-  s.budget_window = 5000;
-  for (int i = 0; i < 3; ++i) add_command(s).sends = 1;
-  review_line(s, 10);
+  s.options.retry_budget.is_limited = true;
+  s.options.retry_budget.allowance = 1;
+  s.options.retry_budget.window = span(5000);
+  for (int i = 0; i < 3; ++i) add_command(s).attempts = 1;
+  review_queue(s, at(10));
   Actions out;
-  emit(s, 10, out);
+  append_actions(s, at(10), out);
   EXPECT_EQ(count_of(out, Kind::kStartAttempt), 1);
 }
 
@@ -401,201 +403,201 @@
 TEST(Design, HeavyGoesToThePoolAndOverflows) {
   State s = state_with(3, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  c.heavy = true;
-  s.engines[2].in_pool = true;
-  EXPECT_EQ(choose(s, c, 10), 2);
-  s.engines[2].threads_out = 16;
-  EXPECT_NE(choose(s, c, 10), 2);
+  c.is_heavy = true;
+  s.engines[2].is_in_pool = true;
+  EXPECT_EQ(choose_engine(s, c, at(10)), 2u);
+  s.engines[2].in_flight.threads = 16;
+  EXPECT_NE(choose_engine(s, c, at(10)), 2u);
 }
 
 TEST(Design, ReadersOfHeldTablesStayOffThePoolWhileALightEngineWorks) {
   State s = state_with(2, {profile(Effect::kReplayable)});
-  s.profiles[0].waits = true;
+  s.profiles[0].waits_for_loads = true;
   Command& c = add_command(s);
-  s.engines[1].in_pool = true;
-  s.engines[0].threads_out = 30;
-  EXPECT_EQ(choose(s, c, 10), -1);
-  s.engines[0].doubted = true;
-  s.engines[0].trial_at = 20;
-  EXPECT_EQ(choose(s, c, 10), 1);
+  s.engines[1].is_in_pool = true;
+  s.engines[0].in_flight.threads = 30;
+  EXPECT_EQ(choose_engine(s, c, at(10)), std::nullopt);
+  s.engines[0].outlier.is_ejected = true;
+  s.engines[0].outlier.next_probe_at = at(20);
+  EXPECT_EQ(choose_engine(s, c, at(10)), 1u);
 }
 
 TEST(Design, LoadsThatReadersWaitBehindOverflowOnceHeldForLong) {
   State s = state_with(2, {profile(Effect::kReplayable), profile(Effect::kNonReplayable)});
-  s.profiles[0].waits = s.profiles[1].is_load = true;
+  s.profiles[0].waits_for_loads = s.profiles[1].is_load = true;
   Command& load = add_command(s, 1);
-  load.heavy = s.engines[1].in_pool = true;
-  s.engines[1].threads_out = 8;
-  s.engines[1].limit = 4;
-  EXPECT_EQ(choose(s, load, 500), -1);
-  EXPECT_EQ(choose(s, load, 1500), 0);
+  load.is_heavy = s.engines[1].is_in_pool = true;
+  s.engines[1].in_flight.threads = 8;
+  s.engines[1].concurrency.limit = 4;
+  EXPECT_EQ(choose_engine(s, load, at(500)), std::nullopt);
+  EXPECT_EQ(choose_engine(s, load, at(1500)), 0u);
 }
 
 TEST(Design, PoolIsAZoneOfTwoOrElseTheLastById) {
   State s = state_with(4, {profile(Effect::kReplayable)});
-  draw_pool(s);
-  EXPECT_FALSE(s.engines[1].in_pool);
-  EXPECT_TRUE(s.engines[2].in_pool && s.engines[3].in_pool);
+  update_pool(s);
+  EXPECT_FALSE(s.engines[1].is_in_pool);
+  EXPECT_TRUE(s.engines[2].is_in_pool && s.engines[3].is_in_pool);
   put_in_zone(s, 0, "b");
   put_in_zone(s, 3, "b");
-  draw_pool(s);
-  EXPECT_TRUE(s.engines[0].in_pool && s.engines[3].in_pool);
-  EXPECT_FALSE(s.engines[2].in_pool);
+  update_pool(s);
+  EXPECT_TRUE(s.engines[0].is_in_pool && s.engines[3].is_in_pool);
+  EXPECT_FALSE(s.engines[2].is_in_pool);
 }
 
 // One zone is the dearest case: no zone will do, so each engine's is asked for.
 TEST(Design, DrawingThePoolLooksAtEachEngineOnce) {
   for (const int engines : {8, 64, 512, 2200}) {
     State s = state_with(engines, {profile(Effect::kReplayable)});
-    draw_pool(s);
-    EXPECT_EQ(s.zones_looked_at, static_cast<uint64_t>(engines));
+    update_pool(s);
+    EXPECT_EQ(s.pool.engines_examined, static_cast<uint64_t>(engines));
   }
 }
 
 TEST(Design, LessPredictedWorkOfTwoDrawn) {
   State s = state_with(2, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  s.engines[0].work_out = 500;
-  EXPECT_EQ(choose(s, c, 10), 1);
+  s.engines[0].in_flight.work = span(500);
+  EXPECT_EQ(choose_engine(s, c, at(10)), 1u);
 }
 
 TEST(Design, OverloadedPoolHoldsHeavyThenSheds) {
   State s = state_with(2, {profile(Effect::kReplayable)});
-  s.pool_sends = 20;
-  s.pool_bad = 5;
+  s.pool.heavy_attempts = 20;
+  s.pool.heavy_rejections = 5;
   Command& heavy = add_command(s);
   Command& light = add_command(s);
-  heavy.heavy = true;
-  review_line(s, 500);
-  EXPECT_EQ(heavy.want, Want::kHold);
-  EXPECT_EQ(light.want, Want::kOut);
-  review_line(s, 1000);
-  EXPECT_EQ(heavy.want, Want::kShed);
+  heavy.is_heavy = true;
+  review_queue(s, at(500));
+  EXPECT_EQ(heavy.desired, DesiredState::kQueued);
+  EXPECT_EQ(light.desired, DesiredState::kInFlight);
+  review_queue(s, at(1000));
+  EXPECT_EQ(heavy.desired, DesiredState::kShed);
 }
 
 TEST(Design, FailingEngineIsSkipped) {
   State s = state_with(2, {profile(Effect::kReplayable, 2)});
   Command& c = add_command(s);
-  s.engines[0].tries = 10;
-  s.engines[0].fails = 4;
-  judge_engines(s, 0);
-  EXPECT_EQ(choose(s, c, 10), 1);
+  s.engines[0].outlier.attempts = 10;
+  s.engines[0].outlier.failures = 4;
+  review_engines(s, at(0));
+  EXPECT_EQ(choose_engine(s, c, at(10)), 1u);
 }
 
 // Beside the design.
 TEST(Health, SilentEngineIsDoubtedAndItsReplayableWorkWithdrawn) {
   State s = state_with(2, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  judge_engines(s, 5000);
-  EXPECT_TRUE(s.engines[0].doubted);
-  review_out(s, 5000);
-  EXPECT_EQ(c.want, Want::kWithdraw);
+  start_attempt(s, c, 0, at(0));
+  review_engines(s, at(5000));
+  EXPECT_TRUE(s.engines[0].outlier.is_ejected);
+  review_attempts(s, at(5000));
+  EXPECT_EQ(c.desired, DesiredState::kCancelled);
 }
 
 TEST(Health, AFewGoodTrialsInARowBringAFailingEngineBack) {
   State s = state_with(2, {profile(Effect::kReplayable)});
-  s.engines[0].fails = s.engines[0].tries = 9;
-  judge_engines(s, 0);
+  s.engines[0].outlier.failures = s.engines[0].outlier.attempts = 9;
+  review_engines(s, at(0));
   for (int i = 0; i < 4; ++i) {
     Command& c = add_command(s);
-    put_out(s, c, 0, 0);
-    handle_at(s, 100, settled(c, Outcome::kOk));
+    start_attempt(s, c, 0, at(0));
+    handle(s, at(100), attempt_finished(c, Outcome::kOk));
   }
-  judge_engines(s, 100);
-  EXPECT_FALSE(s.engines[0].doubted);
+  review_engines(s, at(100));
+  EXPECT_FALSE(s.engines[0].outlier.is_ejected);
 }
 
 TEST(Health, AShortCommandThatTakesLongIsNoSilence) {
   State s = state_with(1, {profile(Effect::kReplayable)});
-  s.profiles[0].mean_cost = 200;
+  s.profiles[0].costs.mean_predicted_work = span(200);
   Command& c = add_command(s);
-  c.cost = c.alone = 10;  // an estimate far too low
-  put_out(s, c, 0, 0);
-  judge_engines(s, 700);
-  EXPECT_FALSE(s.engines[0].doubted);
+  c.predicted_work = c.predicted_runtime = span(10);  // an estimate far too low
+  start_attempt(s, c, 0, at(0));
+  review_engines(s, at(700));
+  EXPECT_FALSE(s.engines[0].outlier.is_ejected);
 }
 
 TEST(Health, WhatWaitsOwesNoWordNorIsAStallOfTheGatewayASilence) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  handle_at(s, 5, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaiting, 1});
-  judge_engines(s, 5000);
-  EXPECT_FALSE(s.engines[0].doubted);
-  c.waiting = false;
-  s.want_bell = 20;
-  handle_at(s, 5000, TimerFired{});
-  judge_engines(s, 5000);
-  EXPECT_FALSE(s.engines[0].doubted);
-  judge_engines(s, 6000);
-  EXPECT_TRUE(s.engines[0].doubted);
+  start_attempt(s, c, 0, at(0));
+  handle(s, at(5), AttemptStatus{c.request.id, 0, AttemptStatusKind::kWaiting, 1});
+  review_engines(s, at(5000));
+  EXPECT_FALSE(s.engines[0].outlier.is_ejected);
+  c.attempt.is_waiting = false;
+  s.next_tick_at = at(20);
+  handle(s, at(5000), TimerFired{});
+  review_engines(s, at(5000));
+  EXPECT_FALSE(s.engines[0].outlier.is_ejected);
+  review_engines(s, at(6000));
+  EXPECT_TRUE(s.engines[0].outlier.is_ejected);
 }
 
 TEST(BadPlan, WithdrawnWhenItsPaceIsFarOffThePrediction) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  c.share_done = 0.1;
-  c.noted_at = 400;  // 4 s in all against 100 ms
-  review_out(s, 400);
-  EXPECT_EQ(c.want, Want::kWithdraw);
+  start_attempt(s, c, 0, at(0));
+  c.attempt.share_done = 0.1;
+  c.attempt.reported_at = at(400);  // 4 s in all against 100 ms
+  review_attempts(s, at(400));
+  EXPECT_EQ(c.desired, DesiredState::kCancelled);
 }
 
 TEST(Tables, ReadersAvoidAnEngineWhereALoadHoldsThem) {
   Profile reader = profile(Effect::kReplayable), load = profile(Effect::kNonReplayable);
-  reader.waits = load.is_load = true;
+  reader.waits_for_loads = load.is_load = true;
   State s = state_with(2, {reader, load});
-  put_out(s, add_command(s, 1), 0, 0);
+  start_attempt(s, add_command(s, 1), 0, at(0));
   Command& c = add_command(s);
-  s.slab[0].asked.tables = c.asked.tables = 3;
-  EXPECT_EQ(choose(s, c, 10), 1);
-  put_out(s, c, 1, 10);
-  handle_at(s, 500,
-            AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaiting, 2});  // a load of some other gateway
-  review_out(s, 500);
-  EXPECT_EQ(c.want, Want::kWithdraw);
-  EXPECT_TRUE(stands_still(s, c, s.engines[1]));
+  s.slots[0].request.table_group = c.request.table_group = 3;
+  EXPECT_EQ(choose_engine(s, c, at(10)), 1u);
+  start_attempt(s, c, 1, at(10));
+  handle(s, at(500),
+         AttemptStatus{c.request.id, 0, AttemptStatusKind::kWaiting, 2});  // a load of some other gateway
+  review_attempts(s, at(500));
+  EXPECT_EQ(c.desired, DesiredState::kCancelled);
+  EXPECT_TRUE(is_blocked_by_load(s, c, s.engines[1]));
 }
 
 TEST(Level, CutWhenCrowdedAndRaisedWhenItBinds) {
   State s = state_with(2, {profile(Effect::kReplayable)});
-  s.engines[0].stretch = 2.5;
-  s.engines[0].seen = s.engines[1].seen = 1e6;
-  s.engines[1].limit_met = true;
-  judge_engines(s, 60000);
-  EXPECT_LT(s.engines[0].limit, 16);
-  EXPECT_GT(s.engines[1].limit, 16);
+  s.engines[0].concurrency.slowdown = 2.5;
+  s.engines[0].concurrency.samples = s.engines[1].concurrency.samples = 1e6;
+  s.engines[1].concurrency.is_limit_reached = true;
+  review_engines(s, at(60000));
+  EXPECT_LT(s.engines[0].concurrency.limit, 16);
+  EXPECT_GT(s.engines[1].concurrency.limit, 16);
 }
 
 TEST(BadPlan, SendWithoutAWordIsWithdrawnThoughItsEngineServesOthers) {
   State s = state_with(1, {profile(Effect::kReplayable)});
-  s.profiles[0].mean_cost = 100;
+  s.profiles[0].costs.mean_predicted_work = span(100);
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  s.engines[0].sign_at = 990;
-  review_out(s, 1000);
-  EXPECT_EQ(c.want, Want::kWithdraw);
-  EXPECT_FALSE(s.engines[0].silent);
+  start_attempt(s, c, 0, at(0));
+  s.engines[0].outlier.last_sign_at = at(990);
+  review_attempts(s, at(1000));
+  EXPECT_EQ(c.desired, DesiredState::kCancelled);
+  EXPECT_FALSE(s.engines[0].outlier.is_unresponsive);
 }
 
 TEST(Level, NotesOfASlowPaceTellACrowdBeforeAnyOutcome) {
   State s = state_with(1, {profile(Effect::kNonReplayable)});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
+  start_attempt(s, c, 0, at(0));
   for (int i = 1; i < 50; ++i)
-    handle_at(s, i * 300.0, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kProgress, i * 0.02});
-  judge_engines(s, 15000);
-  EXPECT_LT(s.engines[0].limit, 16);
+    handle(s, at(i * 300.0), AttemptStatus{c.request.id, 0, AttemptStatusKind::kProgress, i * 0.02});
+  review_engines(s, at(15000));
+  EXPECT_LT(s.engines[0].concurrency.limit, 16);
 }
 
 TEST(Level, FullEngineIsLeftAloneForAMoment) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  handle_at(s, 100, settled(c, Outcome::kQueueFull));
-  EXPECT_EQ(choose(s, c, 101), -1);
-  EXPECT_EQ(choose(s, c, 1000), 0);
+  start_attempt(s, c, 0, at(0));
+  handle(s, at(100), attempt_finished(c, Outcome::kQueueFull));
+  EXPECT_EQ(choose_engine(s, c, at(101)), std::nullopt);
+  EXPECT_EQ(choose_engine(s, c, at(1000)), 0u);
 }
 
 TEST(Level, ClosedDoorsRestLongerWithEachInARow) {
@@ -604,255 +606,256 @@
     Command& c = add_command(s);
     Ms now = 0, rest = 0;
     for (int i = 0; i < 3; ++i) {
-      put_out(s, c, 0, now);
-      handle_at(s, now, settled(c, closed));
-      EXPECT_EQ(choose(s, c, now + 1.5 * rest), -1) << i;
-      rest = s.engines[0].closed_until - now;
-      now = s.engines[0].closed_until;
-      EXPECT_EQ(choose(s, c, now), 0) << i;
+      start_attempt(s, c, 0, at(now));
+      handle(s, at(now), attempt_finished(c, closed));
+      EXPECT_EQ(choose_engine(s, c, at(now + 1.5 * rest)), std::nullopt) << i;
+      rest = to_ms(s.engines[0].backoff.until) - now;
+      now = to_ms(s.engines[0].backoff.until);
+      EXPECT_EQ(choose_engine(s, c, at(now)), 0u) << i;
     }
-    put_out(s, c, 0, now);
-    handle_at(s, now, settled(c, Outcome::kFailed));  // it has begun there: the door is open
-    EXPECT_EQ(s.engines[0].closed_doors, 0);
+    start_attempt(s, c, 0, at(now));
+    handle(s, at(now), attempt_finished(c, Outcome::kFailed));  // it has begun there: the door is open
+    EXPECT_EQ(s.engines[0].backoff.rejections_in_a_row, 0);
   }
 }
 
 TEST(Level, WhatWaitsForMemoryGoesElsewhereAndSmallerOnesMayFit) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  c.asked.memory_mb = 100;
-  put_out(s, c, 0, 0);
-  handle_at(s, 5, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaiting, 1});
-  review_out(s, 5);
-  EXPECT_EQ(c.want, Want::kWithdraw);
+  c.request.estimated_memory_mb = 100;
+  start_attempt(s, c, 0, at(0));
+  handle(s, at(5), AttemptStatus{c.request.id, 0, AttemptStatusKind::kWaiting, 1});
+  review_attempts(s, at(5));
+  EXPECT_EQ(c.desired, DesiredState::kCancelled);
   Command& large = add_command(s);
   Command& small = add_command(s);
-  large.asked.memory_mb = 200;
-  EXPECT_EQ(choose(s, large, 10), -1);
-  EXPECT_EQ(choose(s, small, 10), 0);
+  large.request.estimated_memory_mb = 200;
+  EXPECT_EQ(choose_engine(s, large, at(10)), std::nullopt);
+  EXPECT_EQ(choose_engine(s, small, at(10)), 0u);
 }
 
 TEST(Level, UniquedThatWaitsForMemoryMovesInsideItsWindowAndRestsBetweenMoves) {
-  Profile p = profile(Effect::kUniqued);
-  p.repeat_window = 5000;
+  Profile p = profile(Effect::kDeduplicated);
+  p.deduplication_window = span(5000);
   State s = state_with(1, {p});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  handle_at(s, 5, AttemptStatus{c.asked.id, 0, AttemptStatusKind::kWaiting, 1});
-  review_out(s, 4900);
-  EXPECT_EQ(c.want, Want::kOut);
+  start_attempt(s, c, 0, at(0));
+  handle(s, at(5), AttemptStatus{c.request.id, 0, AttemptStatusKind::kWaiting, 1});
+  review_attempts(s, at(4900));
+  EXPECT_EQ(c.desired, DesiredState::kInFlight);
   c.moves = 2;
-  review_out(s, 10);
-  EXPECT_EQ(c.want, Want::kWithdraw);
-  EXPECT_GT(c.rest_until, 10);
+  review_attempts(s, at(10));
+  EXPECT_EQ(c.desired, DesiredState::kCancelled);
+  EXPECT_GT(c.retry_not_before, at(10));
 }
 
 TEST(Level, CrowdingShowsWhereAnswersTellNoCost) {
   State s = state_with(1, {profile(Effect::kReplayable)});
-  s.profiles[0].base = 1;
-  s.profiles[0].correction = 3;  // learned from crowded latencies
+  s.profiles[0].costs.baseline = 1;
+  s.profiles[0].costs.correction = 3;  // learned from crowded latencies
   Admitted t;
   t.id = id_of(1);
   t.profile = 0;
-  t.estimated_work = duration_of(50);
-  t.deadline = time_point_of(10000);
-  handle_at(s, 0, t);
-  put_out(s, s.slab[0], 0, 0);
-  handle_at(s, 100, settled(s.slab[0], Outcome::kOk));
-  EXPECT_GT(s.engines[0].stretch, 1);
+  t.estimated_work = span(50);
+  t.deadline = at(10000);
+  handle(s, at(0), t);
+  start_attempt(s, s.slots[0], 0, at(0));
+  handle(s, at(100), attempt_finished(s.slots[0], Outcome::kOk));
+  EXPECT_GT(s.engines[0].concurrency.slowdown, 1);
 }
 
 TEST(Level, TimesTakenAcrossAStallOfTheGatewayTellNothing) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  s.want_bell = 20;
-  AttemptFinished r = std::get<AttemptFinished>(settled(c, Outcome::kOk));
-  r.elapsed = duration_of(2000);
-  handle_at(s, 2000, r);
-  EXPECT_EQ(s.engines[0].stretch, 1);
-  EXPECT_EQ(s.profiles[0].correction, 0);
+  start_attempt(s, c, 0, at(0));
+  s.next_tick_at = at(20);
+  AttemptFinished r = attempt_finished(c, Outcome::kOk);
+  r.elapsed = span(2000);
+  handle(s, at(2000), r);
+  EXPECT_EQ(s.engines[0].concurrency.slowdown, 1);
+  EXPECT_EQ(s.profiles[0].costs.correction, 0);
 }
 
 TEST(Level, YardstickIsGuessedUntilThereIsAReading) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   for (int i = 0; i < 5; ++i) {
     Command& c = add_command(s);
-    c.asked.estimate = 100;
-    put_out(s, c, 0, 0);
-    AttemptFinished r = std::get<AttemptFinished>(settled(c, Outcome::kOk));
-    r.elapsed = duration_of(400);
-    handle_at(s, 400, r);
+    c.request.estimated_work = span(100);
+    start_attempt(s, c, 0, at(0));
+    AttemptFinished r = attempt_finished(c, Outcome::kOk);
+    r.elapsed = span(400);
+    handle(s, at(400), r);
   }
-  EXPECT_GT(s.profiles[0].base, 1.5);  // towards 4, from 1
-  EXPECT_LT(s.profiles[0].base, 4);
+  EXPECT_GT(s.profiles[0].costs.baseline, 1.5);  // towards 4, from 1
+  EXPECT_LT(s.profiles[0].costs.baseline, 4);
 }
 
 TEST(Level, CrowdedEnginesTakeNothingThatHasRoomOnOthers) {
   State s = state_with(4, {profile(Effect::kReplayable)});
-  for (int i : {0, 1, 2}) s.engines[static_cast<size_t>(i)].crowding = 3;
-  for (int i = 0; i < 8; ++i) EXPECT_EQ(choose(s, add_command(s), 10), 3);
-  s.engines[3].closed_until = 100;
-  EXPECT_GE(choose(s, add_command(s), 10), 0);
+  for (int i : {0, 1, 2}) s.engines[static_cast<size_t>(i)].concurrency.congestion = 3;
+  for (int i = 0; i < 8; ++i) EXPECT_EQ(choose_engine(s, add_command(s), at(10)), 3u);
+  s.engines[3].backoff.until = at(100);
+  EXPECT_TRUE(choose_engine(s, add_command(s), at(10)).has_value());
 }
 
 TEST(Level, StepsUpAreAlikeSoThatSharesEvenOut) {
   State s = state_with(2, {profile(Effect::kReplayable)});
-  s.gateways = 100;
-  s.engines[0].limit = 0.1;
-  s.engines[1].limit = 4;
-  for (Engine& e : s.engines) e.limit_met = true;
-  judge_engines(s, 60000);
-  EXPECT_NEAR(s.engines[0].limit - 0.1, s.engines[1].limit - 4, 1e-9);
-  EXPECT_GT(s.engines[1].limit, 4);
+  s.options.gateways = 100;
+  s.engines[0].concurrency.limit = 0.1;
+  s.engines[1].concurrency.limit = 4;
+  for (Engine& e : s.engines) e.concurrency.is_limit_reached = true;
+  review_engines(s, at(60000));
+  EXPECT_NEAR(s.engines[0].concurrency.limit - 0.1, s.engines[1].concurrency.limit - 4, 1e-9);
+  EXPECT_GT(s.engines[1].concurrency.limit, 4);
 }
 
 TEST(Level, OneBadStayIsRememberedWhereLittleElseIsKnown) {
   State s = state_with(2, {profile(Effect::kReplayable, 4)});
   Command& c = add_command(s);
-  put_out(s, c, 0, 0);
-  handle_at(s, 3200,
-            AttemptStatus{c.asked.id, 0, AttemptStatusKind::kProgress, 0.8});  // far off its time alone
-  judge_engines(s, 3200);
-  EXPECT_GT(s.engines[0].crowding, s.engines[1].crowding + 0.3);
+  start_attempt(s, c, 0, at(0));
+  handle(s, at(3200),
+         AttemptStatus{c.request.id, 0, AttemptStatusKind::kProgress, 0.8});  // far off its time alone
+  review_engines(s, at(3200));
+  EXPECT_GT(s.engines[0].concurrency.congestion, s.engines[1].concurrency.congestion + 0.3);
 }
 
 TEST(Level, SmallSharesOfManyEnginesHoldTogether) {
   State s = state_with(4, {profile(Effect::kReplayable)});
-  for (Engine& e : s.engines) e.limit = 0.2;
-  put_out(s, add_command(s), 0, 0);
-  EXPECT_EQ(choose(s, add_command(s), 10), -1);
-  s.engines[3].limit = 2;
-  EXPECT_GE(choose(s, add_command(s), 10), 0);
+  for (Engine& e : s.engines) e.concurrency.limit = 0.2;
+  start_attempt(s, add_command(s), 0, at(0));
+  EXPECT_EQ(choose_engine(s, add_command(s), at(10)), std::nullopt);
+  s.engines[3].concurrency.limit = 2;
+  EXPECT_TRUE(choose_engine(s, add_command(s), at(10)).has_value());
 }
 
 // Of the threads of 300 gateways that each run one command whenever they may, no more than the levels hold as
 // a mean: of what each runs past its share it waits out the rest.
 TEST(Level, WhatRanPastAShareIsWaitedFor) {
   State s = state_with(2, {profile(Effect::kReplayable, 4), profile(Effect::kReplayable)});
-  for (Engine& e : s.engines) e.limit = 0.5;  // one thread in all, four are run at once
+  for (Engine& e : s.engines) e.concurrency.limit = 0.5;  // one thread in all, four are run at once
   Command& first = add_command(s);
   Ms ran = 0, all = 0;
-  count_debts(s, 0);
+  update_overrun(s, at(0));
   for (Ms now = 0; now < 40000; now += 20) {
-    const bool out = s.engines[0].sends_out + s.engines[1].sends_out > 0;
+    const bool out = s.engines[0].in_flight.attempts + s.engines[1].in_flight.attempts > 0;
     ran += out ? 4 * 20 : 0;
     all += 20;
-    if (out && now - first.sent_at >= 200) handle_at(s, now, settled(first, Outcome::kFailed));
-    count_debts(s, now);
-    const int engine = first.out ? -1 : choose(s, first, now);
-    if (engine >= 0) put_out(s, first, engine, now), first.sends = 1;
-    if (s.debts[0] > 0) {
-      EXPECT_GE(choose(s, add_command(s, 1), now), 0);
+    if (out && now - to_ms(first.attempt.started_at) >= 200)
+      handle(s, at(now), attempt_finished(first, Outcome::kFailed));
+    update_overrun(s, at(now));
+    const std::optional<size_t> engine = has_attempt(first) ? std::nullopt : choose_engine(s, first, at(now));
+    if (engine) start_attempt(s, first, *engine, at(now)), first.attempts = 1;
+    if (s.concurrency.overrun[0] > Duration{}) {
+      EXPECT_TRUE(choose_engine(s, add_command(s, 1), at(now)).has_value());
     }  // short ones do not wait
-    s.slab.resize(1);
-    s.live.resize(1);
+    s.slots.resize(1);
+    s.in_hand.resize(1);
   }
   EXPECT_NEAR(ran / all, 1, 0.15);
 }
 
 TEST(Level, ShortCommandsDoNotSitOutALongOne) {
   State s = state_with(4, {profile(Effect::kReplayable), profile(Effect::kReplayable, 4)});
-  for (Engine& e : s.engines) e.limit = 0.2;
-  put_out(s, add_command(s, 1), 0, 0);
-  EXPECT_EQ(choose(s, add_command(s, 1), 10), -1);
-  EXPECT_GE(choose(s, add_command(s), 10), 0);
+  for (Engine& e : s.engines) e.concurrency.limit = 0.2;
+  start_attempt(s, add_command(s, 1), 0, at(0));
+  EXPECT_EQ(choose_engine(s, add_command(s, 1), at(10)), std::nullopt);
+  EXPECT_TRUE(choose_engine(s, add_command(s), at(10)).has_value());
 }
 
 TEST(Level, EngineWithFewOutcomesIsJudgedByItsKin) {
   State s = state_with(2, {profile(Effect::kReplayable)});
-  s.kin[0].stretch = 3;
-  s.engines[1].seen = 1e6;
-  judge_engines(s, 60000);
-  EXPECT_LT(s.engines[0].limit, 16);
-  EXPECT_EQ(s.engines[1].limit, 16);
+  s.concurrency.groups[0].slowdown = 3;
+  s.engines[1].concurrency.samples = 1e6;
+  review_engines(s, at(60000));
+  EXPECT_LT(s.engines[0].concurrency.limit, 16);
+  EXPECT_EQ(s.engines[1].concurrency.limit, 16);
 }
 
 TEST(Terms, GrantCoversMostOfWhatIsNeeded) {
   State s = state_with(1, {profile(Effect::kReplayable)});
-  s.profiles[0].grant = 1;
+  s.profiles[0].memory_factor = 1;
   for (int i = 0; i < 400; ++i) {
     Command& c = add_command(s);
-    c.asked.memory_mb = 100;
-    put_out(s, c, 0, 0);
-    AttemptFinished r = std::get<AttemptFinished>(settled(c, Outcome::kOk));
+    c.request.estimated_memory_mb = 100;
+    start_attempt(s, c, 0, at(0));
+    AttemptFinished r = attempt_finished(c, Outcome::kOk);
     r.memory_mb = i % 10 == 0 ? 190 : 110;  // one in ten needs far more
-    handle_at(s, 100, r);
-    s.live.clear();
-    s.slab.clear();
+    handle(s, at(100), r);
+    s.in_hand.clear();
+    s.slots.clear();
   }
-  EXPECT_GT(s.profiles[0].grant, 1.6);
+  EXPECT_GT(s.profiles[0].memory_factor, 1.6);
 }
 
 TEST(Slab, PlacesAreUsedAgain) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Admitted t;
   t.profile = 0;
-  t.deadline = time_point_of(10000);
+  t.deadline = at(10000);
   for (int i = 0; i < 5; ++i) {
     t.id = id_of(i);
-    handle_at(s, i, t);
+    handle(s, at(i), t);
     Actions out;
-    decide(s, time_point_of(i), out);
-    handle_at(s, i, settled(s.slab[0], Outcome::kOk));
-    decide(s, time_point_of(i), out);
+    decide(s, at(i), out);
+    handle(s, at(i), attempt_finished(s.slots[0], Outcome::kOk));
+    decide(s, at(i), out);
   }
-  EXPECT_EQ(s.slab.size(), 1u);
+  EXPECT_EQ(s.slots.size(), 1u);
 }
 
 TEST(ShutdownStarted, NoCommandOutlastsItsGateway) {
   State s = state_with(1, {profile(Effect::kReplayable)});
-  s.engines[0].life = EngineState::kRemoved;
+  s.engines[0].state = EngineState::kRemoved;
   add_command(s);
-  handle_at(s, 0, ShutdownStarted{time_point_of(500)});
+  handle(s, at(0), ShutdownStarted{at(500)});
   Actions actions;
-  decide(s, time_point_of(495), actions);
+  decide(s, at(495), actions);
   EXPECT_EQ(count_of(actions, Action::Kind::kShedCommand), 1);
 }
 
 TEST(Engines, TheGoneAreForgottenOnceNoCommandRefersToThem) {
   State s = state_with(1, {profile(Effect::kReplayable)});
   Command& c = add_command(s);
-  for (uint32_t id = 1; id <= 6; ++id) engine_of(s, EngineId{id}).life = EngineState::kRemoved;
-  put_out(s, c, 6, 0);  // on the one that is ready, behind those
-  c.risked_on = 2;
-  forget_gone(s);
+  for (uint32_t id = 1; id <= 6; ++id) find_or_add_engine(s, EngineId{id}).state = EngineState::kRemoved;
+  start_attempt(s, c, 6, at(0));  // on the one that is ready, behind those
+  c.possible_run = PossibleRun{2, {}};
+  forget_removed_engines(s);
   ASSERT_EQ(s.engines.size(), 2u);
-  EXPECT_EQ(s.engines[static_cast<size_t>(c.engine)].id, EngineId{10});
-  EXPECT_EQ(s.engines[static_cast<size_t>(c.risked_on)].id, EngineId{3});
+  EXPECT_EQ(s.engines[*c.attempt.engine].id, EngineId{10});
+  EXPECT_EQ(s.engines[c.possible_run->engine].id, EngineId{3});
 }
 
 TEST(Line, WhatMayRunAnywhereLeavesRoomToWhatIsBound) {
   State s = state_with(2, {profile(Effect::kReplayable, 4), profile(Effect::kReplayable, 2)});
-  s.profiles[0].machines = {"big"};
-  s.machines = {"", "big"};
-  s.kin.resize(4);
-  s.engines[1].machine = "big";
-  s.engines[1].kind = 1;
+  s.profiles[0].machine_types = {"big"};
+  s.machine_types = {"", "big"};
+  s.concurrency.groups.resize(4);
+  s.engines[1].machine_type = "big";
+  s.engines[1].machine_type_index = 1;
   for (Engine& e : s.engines) {
-    e.limit = 4;
-    e.threads_out = e.sends_out = 2;
+    e.concurrency.limit = 4;
+    e.in_flight.threads = e.in_flight.attempts = 2;
   }
-  s.engines[0].threads_out = 4;  // full
+  s.engines[0].in_flight.threads = 4;  // full
   Command& bound = add_command(s);
-  add_command(s, 1).cost = 1000;  // worth less for its work
-  review_line(s, 0);
-  EXPECT_EQ(s.slab[1].want, Want::kHold);
-  s.engines[1].threads_out = 0;
-  review_line(s, 0);
-  EXPECT_EQ(bound.want_engine, 1);
+  add_command(s, 1).predicted_work = span(1000);  // worth less for its work
+  review_queue(s, at(0));
+  EXPECT_EQ(s.slots[1].desired, DesiredState::kQueued);
+  s.engines[1].in_flight.threads = 0;
+  review_queue(s, at(0));
+  EXPECT_EQ(bound.desired_engine, 1u);
 }
 
 // Where a gateway's share is less than one command something is always awaited: all short commands of all
 // gateways would crowd the few machines that nothing is bound to.
 TEST(Line, ShortCommandsLeaveAwaitedMachinesOnlyWhereTheShareHoldsOne) {
   State s = state_with(2, {profile(Effect::kReplayable)});
-  s.engines[0].awaited = true;
-  s.engines[1].work_out = 1e6;
+  s.engines[0].is_reserved = true;
+  s.engines[1].in_flight.work = span(1e6);
   Command& c = add_command(s);
-  EXPECT_EQ(choose(s, c, 0), 1);
-  for (Engine& e : s.engines) e.limit = 0.5;
-  EXPECT_EQ(choose(s, c, 0), 0);
+  EXPECT_EQ(choose_engine(s, c, at(0)), 1u);
+  for (Engine& e : s.engines) e.concurrency.limit = 0.5;
+  EXPECT_EQ(choose_engine(s, c, at(0)), 0u);
 }
 
 }  // namespace
