--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -89,9 +89,9 @@
 void run_through(int mb, bool disk) {
   Folder folder;
   results::PagedResultStoreOptions options;
-  options.keeping.memory = 16e6;
-  options.keeping.disk = disk ? 4e9 : 0;
-  options.keeping.lease = 1e6;
+  options.retention.memory_bytes = 16e6;
+  options.retention.disk_bytes = disk ? 4e9 : 0;
+  options.retention.lease = 1e6;
   results::PagedResultStore spool(options, 1, [](std::string_view) {});
   std::unique_ptr<results::SegmentFiles> files;
   if (disk) {
@@ -110,7 +110,7 @@
       no = spool.reserve(now, {"x", "", "report", "select 1", "00000000000000a1", 1});
     }
     while (spool.page(now, no, rows) == ResultStore::Put::kSlow) {
-      while (files->backlog() > 1000000) spool.due(now), std::this_thread::yield();
+      while (files->backlog_bytes() > 1000000) spool.due(now), std::this_thread::yield();
       break;
     }
     spool.due(now);
@@ -118,7 +118,7 @@
   spool.whole(now, no);
   const double in = ms_since(start);
   fmt::print("{}: {} MB of rows in at {:.0f} MB/s, {:.1f} MB of spool memory\n",
-             disk ? "with disk" : "memory alone", mb, 1000.0 * mb / in, spool.keeping().memory() / 1e6);
+             disk ? "with disk" : "memory alone", mb, 1000.0 * mb / in, spool.retention().memory() / 1e6);
   if (!disk) return;
   const auto read_start = Clock::now();
   double got = 0;
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -70,9 +70,9 @@
   Folder folder;
   const double before = resident_mb();
   results::SegmentFiles files({folder.path}, 1000, [] {});
-  std::vector<results::Found::Place> places(kPages);
+  std::vector<results::RecordLocation> places(kPages);
   const auto take = [&] {
-    for (auto& d : files.done()) places[d.tag - 1] = d.place;
+    for (auto& d : files.take_completions()) places[d.request_id - 1] = d.location;
   };
   auto start = Clock::now();
   for (int i = 0; i < kPages; ++i) {
@@ -81,21 +81,22 @@
     r.page = static_cast<uint32_t>(i % kRound);
     r.stored.bytes = page;
     files.append(static_cast<uint64_t>(i) + 1, std::move(r));
-    while (files.backlog() > 4'000'000) std::this_thread::yield();
+    while (files.backlog_bytes() > 4'000'000) std::this_thread::yield();
     take();
     const int oldest = (i / kRound - kKept) * kRound;
-    if (i % kRound == 0 && oldest > 0) files.drop_until(places[static_cast<size_t>(oldest)].segment);
+    if (i % kRound == 0 && oldest > 0)
+      files.delete_segments_before(places[static_cast<size_t>(oldest)].segment);
   }
-  while (files.backlog() > 0) std::this_thread::yield();
+  while (files.backlog_bytes() > 0) std::this_thread::yield();
   const double in = ms_since(start);
   take();
   start = Clock::now();
   int wanted = 0, came = 0;
   for (int i = kPages - kKept * kRound; i < kPages; ++i, ++wanted) {
     files.read(1000000 + static_cast<uint64_t>(i), places[static_cast<size_t>(i)]);
-    while (wanted - came > 32) came += static_cast<int>(files.done().size());
+    while (wanted - came > 32) came += static_cast<int>(files.take_completions().size());
   }
-  while (came < wanted) came += static_cast<int>(files.done().size());
+  while (came < wanted) came += static_cast<int>(files.take_completions().size());
   tell("own segments", in, ms_since(start), folder_mb(folder.path), resident_mb() - before);
 }
 
--- a/fuzz/segment_fuzz.cpp
+++ b/fuzz/segment_fuzz.cpp
@@ -17,15 +17,15 @@
   const size_t cut = recovery.handle(1, segment);
   if (cut != std::string::npos && cut > segment.size()) std::abort();
   size_t broken = 0;
-  for (const Found& f : recovery.found(0, broken)) {
-    if (f.pages.size() != f.whole.pages) std::abort();
-    for (const Found::Place& p : f.pages) {
+  for (const RecoveredResult& f : recovery.found(0, broken)) {
+    if (f.pages.size() != f.manifest.pages) std::abort();
+    for (const RecordLocation& p : f.pages) {
       if (p.offset + p.length > segment.size()) std::abort();
       StoredPage page;
       page.bytes = segment.substr(p.offset, p.length);
-      page.raw = p.raw;
-      page.sum = p.sum;
-      unpack(page);
+      page.uncompressed_bytes = p.uncompressed_bytes;
+      page.checksum = p.checksum;
+      decompress(page);
     }
   }
 }
@@ -35,24 +35,24 @@
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   std::string bytes(reinterpret_cast<const char*>(data), size);
   try_segment(bytes);
-  std::string mended(kSegmentHead);
-  for (size_t at = 0; at + kRecordHead <= bytes.size();) {
-    std::string head = bytes.substr(at, kRecordHead);
+  std::string mended(kSegmentHeader);
+  for (size_t at = 0; at + kRecordHeaderBytes <= bytes.size();) {
+    std::string head = bytes.substr(at, kRecordHeaderBytes);
     const uint32_t magic = 0x46565350;
     std::memcpy(head.data(), &magic, sizeof magic);
     uint32_t length = 0;
     std::memcpy(&length, head.data() + 32, sizeof length);
     length %= 256;
-    if (at + kRecordHead + length > bytes.size())
-      length = static_cast<uint32_t>(bytes.size() - at - kRecordHead);
+    if (at + kRecordHeaderBytes + length > bytes.size())
+      length = static_cast<uint32_t>(bytes.size() - at - kRecordHeaderBytes);
     std::memcpy(head.data() + 32, &length, sizeof length);
-    uint64_t sum = XXH3_64bits(bytes.data() + at + kRecordHead, length);
+    uint64_t sum = XXH3_64bits(bytes.data() + at + kRecordHeaderBytes, length);
     std::memcpy(head.data() + 40, &sum, sizeof sum);
-    sum = XXH3_64bits(head.data(), kRecordHead - 8);
-    std::memcpy(head.data() + kRecordHead - 8, &sum, sizeof sum);
+    sum = XXH3_64bits(head.data(), kRecordHeaderBytes - 8);
+    std::memcpy(head.data() + kRecordHeaderBytes - 8, &sum, sizeof sum);
     mended += head;
-    mended.append(bytes, at + kRecordHead, length);
-    at += kRecordHead + length;
+    mended.append(bytes, at + kRecordHeaderBytes, length);
+    at += kRecordHeaderBytes + length;
   }
   try_segment(mended);
   return 0;
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -139,13 +139,13 @@
                     log::Log& logger) {
     if (!wish.on) return;
     results::PagedResultStoreOptions options;
-    options.keeping.memory = wish.memory_mb * 1e6;
-    options.keeping.disk = wish.folder.empty() ? 0 : wish.disk_mb * 1e6;
-    options.keeping.result_most = wish.result_mb * 1e6;
-    options.keeping.lease = wish.lease_s * 1000;
-    options.keeping.results_most = static_cast<size_t>(wish.results);
-    options.first_expected = wish.first_expected_kb * 1000;
-    options.backlog_most = options.keeping.memory / 4;
+    options.retention.memory_bytes = wish.memory_mb * 1e6;
+    options.retention.disk_bytes = wish.folder.empty() ? 0 : wish.disk_mb * 1e6;
+    options.retention.max_result_bytes = wish.result_mb * 1e6;
+    options.retention.lease = wish.lease_s * 1000;
+    options.retention.max_results = static_cast<size_t>(wish.results);
+    options.initial_expected_bytes = wish.first_expected_kb * 1000;
+    options.max_backlog_bytes = options.retention.memory_bytes / 4;
     std::random_device device;
     const uint64_t life = (static_cast<uint64_t>(device()) << 32) | device();
     spool = std::make_unique<results::PagedResultStore>(
@@ -281,7 +281,7 @@
     engines.limit_page(static_cast<size_t>(wishes.spool.page_kb * 1000));
     core.shelve(*shelving.spool);
     clients.read_pages(*shelving.spool);
-    shelving.spool->on_room = [&core](Ms now) { core.room(now); };
+    shelving.spool->on_space_freed = [&core](Ms now) { core.room(now); };
   }
   observe(core, clients, engines, logger);
   net::EndpointWatcher bus(loop, counters, told.bus, connect, kFirstPart * number(settings, "drain grace"),
--- a/src/results/paged_result_store.cpp
+++ b/src/results/paged_result_store.cpp
@@ -18,19 +18,19 @@
 
 }  // namespace
 
-PagedResultStore::PagedResultStore(const PagedResultStoreOptions& options, uint64_t life, Count count)
+PagedResultStore::PagedResultStore(const PagedResultStoreOptions& options, uint64_t incarnation, Count count)
     : options_(options),
-      life_(life),
+      incarnation_(incarnation),
       count_(std::move(count)),
-      keeping_(options.keeping),
-      sizes_(options.first_expected) {
-  const Token salt = new_token();
+      retention_(options.retention),
+      size_estimator_(options.initial_expected_bytes) {
+  const ResultToken salt = new_token();
   std::memcpy(&salt_, salt.data(), sizeof salt_);
-  keeping_.on_gone = [this](ResultNo no, Gone why) { gone(no, why); };
-  keeping_.on_leave_memory = [this](ResultNo no) { leave_memory(no); };
+  retention_.on_removed = [this](ResultId no, RemovalReason reason) { gone(no, reason); };
+  retention_.on_memory_evicted = [this](ResultId no) { leave_memory(no); };
 }
 
-PagedResultStore::~PagedResultStore() { keeping_.on_gone = nullptr; }
+PagedResultStore::~PagedResultStore() { retention_.on_removed = nullptr; }
 
 uint64_t PagedResultStore::key_hash(std::string_view key) const { return key.empty() ? 0 : hash(key) | 1; }
 
@@ -41,45 +41,47 @@
   return hash(all) | 1;
 }
 
-void PagedResultStore::use(Ms now, Storage& storage, const std::vector<Found>& found, Ms lease_offset) {
+void PagedResultStore::use(Ms now, Storage& storage, const std::vector<RecoveredResult>& found,
+                           Ms lease_offset) {
   now_ = now;
   lease_offset_ = lease_offset;
   storage_ = &storage;
-  for (const Found& f : found) {
-    const Ms lease_until = f.whole.lease_until - lease_offset_;
-    const ResultNo no = keeping_.restore(now, f.whole.owner, f.bytes, lease_until - now);
+  for (const RecoveredResult& f : found) {
+    const Ms lease_expiry = f.manifest.lease_expiry - lease_offset_;
+    const ResultId no = retention_.restore(now, f.manifest.owner, f.bytes, lease_expiry - now);
     if (no == 0) continue;
     Result& r = results_[no];
-    r.token = f.whole.token;
-    r.owner = f.whole.owner;
-    r.key = f.whole.key_hash;
-    r.chain = f.whole.chain_hash;
-    r.rows = f.whole.rows;
+    r.token = f.manifest.token;
+    r.owner = f.manifest.owner;
+    r.key = f.manifest.key_hash;
+    r.chain = f.manifest.chain_hash;
+    r.rows = f.manifest.rows;
     r.whole = true;
-    r.told_until = lease_until;
-    r.life = f.life;
-    r.stored_as = f.result;
-    for (const Found::Place& place : f.pages) {
+    r.stored_lease_expiry = lease_expiry;
+    r.incarnation = f.incarnation;
+    r.stored_result = f.result;
+    for (const RecordLocation& location : f.pages) {
       Page p;
-      p.place = place;
+      p.location = location;
       p.on_disk = p.written = true;
-      p.stored.raw = place.raw;
-      p.stored.sum = place.sum;
-      p.size = static_cast<double>(place.length);
+      p.stored.uncompressed_bytes = location.uncompressed_bytes;
+      p.stored.checksum = location.checksum;
+      p.size = static_cast<double>(location.length);
       r.pages.push_back(std::move(p));
-      ++live_[place.segment];
+      ++live_pages_[location.segment];
     }
     tokens_.emplace(hash({reinterpret_cast<const char*>(r.token.data()), r.token.size()}, salt_), no);
     if (r.chain != 0) chains_.emplace(r.chain, no);
     count_("results read back");
   }
-  drop_segments();
+  delete_unused_segments();
 }
 
-ResultNo PagedResultStore::reserve(Ms now, const Reservation& w) {
+ResultId PagedResultStore::reserve(Ms now, const Reservation& w) {
   now_ = now;
   const std::string profile(w.profile);
-  const ResultNo no = keeping_.reserve(now, std::string(w.owner), sizes_.expected(profile, w.tables));
+  const ResultId no =
+      retention_.reserve(now, std::string(w.owner), size_estimator_.expected(profile, w.tables));
   if (no == 0) {
     count_("places not had");
     return 0;
@@ -93,12 +95,12 @@
   return no;
 }
 
-ResultNo PagedResultStore::find(Ms now, const Reservation& w) {
+ResultId PagedResultStore::find(Ms now, const Reservation& w) {
   now_ = now;
   const auto [begin, end] = chains_.equal_range(chain_hash(w));
   for (auto at = begin; at != end; ++at) {
     const Result& r = results_.at(at->second);
-    if (!r.whole || r.key != key_hash(w.key) || !keeping_.read(now, at->second)) continue;
+    if (!r.whole || r.key != key_hash(w.key) || !retention_.read(now, at->second)) continue;
     count_("results found by a repeat");
     return at->second;
   }
@@ -109,46 +111,48 @@
   now_ = now;
   const auto at = results_.find(no);
   if (at == results_.end() || at->second.whole) return Put::kOutgrown;
-  if (at->second.raw + static_cast<double>(rows.size()) > options_.keeping.result_most) {
-    keeping_.forget(no, Gone::kOutgrown);
+  if (at->second.uncompressed_bytes + static_cast<double>(rows.size()) >
+      options_.retention.max_result_bytes) {
+    retention_.forget(no, RemovalReason::kTooLarge);
     return Put::kOutgrown;
   }
   Page p;
-  p.stored = pack(rows);
+  p.stored = compress(rows);
   p.size = static_cast<double>(p.stored.bytes.size()) + kPageOverhead;
-  if (!keeping_.grow(now, no, p.size)) return Put::kOutgrown;
+  if (!retention_.grow(now, no, p.size)) return Put::kOutgrown;
   Result& r = at->second;
   r.rows += static_cast<uint64_t>(std::count(rows.begin(), rows.end(), '\n'));
-  r.raw += static_cast<double>(rows.size());
+  r.uncompressed_bytes += static_cast<double>(rows.size());
   r.pages.push_back(std::move(p));
   write(now, no, r.pages.size() - 1);
-  return storage_ && static_cast<double>(storage_->backlog()) > options_.backlog_most ? Put::kSlow
-                                                                                      : Put::kTaken;
+  return storage_ && static_cast<double>(storage_->backlog_bytes()) > options_.max_backlog_bytes
+             ? Put::kSlow
+             : Put::kTaken;
 }
 
-void PagedResultStore::write(Ms now, ResultNo no, size_t page) {
+void PagedResultStore::write(Ms now, ResultId no, size_t page) {
   if (!storage_) return;
   Result& r = results_.at(no);
   Page& p = r.pages[page];
-  if (!keeping_.take_disk(now, no, p.size)) {
+  if (!retention_.reserve_disk(now, no, p.size)) {
     count_("pages without room on disk");
     return;
   }
   p.written = true;
   Record record;
   record.kind = Record::Kind::kPage;
-  put_name(no, r, record);
+  set_record_key(no, r, record);
   record.page = static_cast<uint32_t>(page);
   record.stored = p.stored;
-  writes_[++last_tag_] = {no, page, r.tries};
-  storage_->append(last_tag_, std::move(record));
+  writes_[++last_request_id_] = {no, page, r.attempt};
+  storage_->append(last_request_id_, std::move(record));
 }
 
-void PagedResultStore::let_go(const Result& r) {
+void PagedResultStore::forget_segments_of(const Result& r) {
   for (const Page& p : r.pages) {
     if (!p.on_disk) continue;
-    const auto at = live_.find(p.place.segment);
-    if (at != live_.end() && --at->second == 0) live_.erase(at);
+    const auto at = live_pages_.find(p.location.segment);
+    if (at != live_pages_.end() && --at->second == 0) live_pages_.erase(at);
   }
 }
 
@@ -156,17 +160,17 @@
   now_ = now;
   const auto at = results_.find(no);
   if (at == results_.end() || at->second.whole) return;
-  let_go(at->second);
+  forget_segments_of(at->second);
   at->second.pages.clear();
   at->second.rows = 0;
-  at->second.raw = 0;
-  at->second.tries += 1;
-  keeping_.clear(no);
+  at->second.uncompressed_bytes = 0;
+  at->second.attempt += 1;
+  retention_.clear(no);
 }
 
 void PagedResultStore::drop(Ms now, ResultHandle no) {
   now_ = now;
-  keeping_.forget(no, Gone::kGivenUp);
+  retention_.forget(no, RemovalReason::kAbandoned);
 }
 
 void PagedResultStore::whole(Ms now, ResultHandle no) {
@@ -180,30 +184,30 @@
   chains_.emplace(r.chain, no);
   double size = 0;
   for (const Page& p : r.pages) size += p.size;
-  sizes_.ended(r.profile, r.tables, size);
-  keeping_.whole(now, no);
+  size_estimator_.ended(r.profile, r.tables, size);
+  retention_.whole(now, no);
   count_("results kept");
-  room_ = true;  // what was reserved and not used
-  tell_whole(now, no);
+  space_freed_ = true;  // what was reserved and not used
+  write_manifest(now, no);
 }
 
 // What began anew is another to the storage; what an earlier life stored keeps its name.
-void PagedResultStore::put_name(ResultNo no, const Result& r, Record& record) const {
-  record.life = r.life ? r.life : life_;
-  record.result = r.life ? r.stored_as : (no << 16) + r.tries;
+void PagedResultStore::set_record_key(ResultId no, const Result& r, Record& record) const {
+  record.incarnation = r.incarnation ? r.incarnation : incarnation_;
+  record.result = r.incarnation ? r.stored_result : (no << 16) + r.attempt;
 }
 
 // Only what is wholly on its way to the disk can be read back: the rest gets no record of being whole.
-void PagedResultStore::tell_whole(Ms now, ResultNo no) {
+void PagedResultStore::write_manifest(Ms now, ResultId no) {
   Result& r = results_.at(no);
   if (!storage_ || !std::all_of(r.pages.begin(), r.pages.end(), [](const Page& p) { return p.written; }))
     return;
   Record record;
-  record.kind = Record::Kind::kWhole;
-  put_name(no, r, record);
-  r.told_until = now + options_.keeping.lease;
-  record.whole = {
-      r.token, r.key,  r.chain, r.told_until + lease_offset_, static_cast<uint32_t>(r.pages.size()),
+  record.kind = Record::Kind::kManifest;
+  set_record_key(no, r, record);
+  r.stored_lease_expiry = now + options_.retention.lease;
+  record.manifest = {
+      r.token, r.key,  r.chain, r.stored_lease_expiry + lease_offset_, static_cast<uint32_t>(r.pages.size()),
       r.rows,  r.owner};
   storage_->append(0, std::move(record));
 }
@@ -211,38 +215,39 @@
 PagedAnswer PagedResultStore::answer(ResultHandle no) const {
   const auto at = results_.find(no);
   if (at == results_.end()) return {};
-  return {hex_of(at->second.token), at->second.pages.size(), at->second.rows};
+  return {to_hex(at->second.token), at->second.pages.size(), at->second.rows};
 }
 
-ResultNo PagedResultStore::by_token(std::string_view hex, std::string_view key) const {
-  const auto token = token_of(hex);
+ResultId PagedResultStore::find_by_token(std::string_view hex, std::string_view key) const {
+  const auto token = parse_token(hex);
   if (!token) return 0;
   const uint64_t h = hash({reinterpret_cast<const char*>(token->data()), token->size()}, salt_);
   const auto [begin, end] = tokens_.equal_range(h);
   for (auto at = begin; at != end; ++at) {
     const Result& r = results_.at(at->second);
-    if (same(r.token, *token) && (r.key == 0 || r.key == key_hash(key))) return at->second;
+    if (equal_in_constant_time(r.token, *token) && (r.key == 0 || r.key == key_hash(key))) return at->second;
   }
   return 0;
 }
 
 void PagedResultStore::read(Ms now, std::string_view token, std::string_view key, uint64_t page, Rows done) {
   now_ = now;
-  const ResultNo no = by_token(token, key);
-  if (no == 0 || !keeping_.read(now, no)) return done(now, Read::kGone, {}, 0);
+  const ResultId no = find_by_token(token, key);
+  if (no == 0 || !retention_.read(now, no)) return done(now, Read::kGone, {}, 0);
   Result& r = results_.at(no);
   if (page < 1 || page > r.pages.size()) return done(now, Read::kNoSuchPage, {}, r.pages.size());
   // The storage is told of a lease that goes on, before half of what it knows is over.
-  if (r.told_until > 0 && r.told_until < now + options_.keeping.lease / 2) tell_whole(now, no);
+  if (r.stored_lease_expiry > 0 && r.stored_lease_expiry < now + options_.retention.lease / 2)
+    write_manifest(now, no);
   const Page& p = r.pages[page - 1];
   if (p.stored.bytes.empty() && p.on_disk) {
-    reads_[++last_tag_] = {no, page - 1, std::move(done)};
-    return storage_->read(last_tag_, p.place);
+    reads_[++last_request_id_] = {no, page - 1, std::move(done)};
+    return storage_->read(last_request_id_, p.location);
   }
-  const auto rows = unpack(p.stored);
+  const auto rows = decompress(p.stored);
   if (!rows) {
     count_("pages broken");
-    keeping_.forget(no, Gone::kEvicted);
+    retention_.forget(no, RemovalReason::kEvicted);
     return done(now, Read::kGone, {}, 0);
   }
   done(now, Read::kRows, *rows, r.pages.size());
@@ -250,25 +255,25 @@
 
 bool PagedResultStore::release(Ms now, std::string_view token, std::string_view key) {
   now_ = now;
-  const ResultNo no = by_token(token, key);
+  const ResultId no = find_by_token(token, key);
   if (no == 0) return false;
-  keeping_.forget(no, Gone::kReleased);
+  retention_.forget(no, RemovalReason::kReleased);
   return true;
 }
 
-void PagedResultStore::leave_memory(ResultNo no) {
+void PagedResultStore::leave_memory(ResultId no) {
   for (Page& p : results_.at(no).pages)
     if (p.on_disk) std::string().swap(p.stored.bytes);
   count_("results moved to disk alone");
 }
 
-void PagedResultStore::gone(ResultNo no, Gone why) {
+void PagedResultStore::gone(ResultId no, RemovalReason reason) {
   static constexpr std::string_view kWhy[] = {"results released", "results whose lease was over",
                                               "results evicted", "results outgrown", "results given up"};
   const auto at = results_.find(no);
   if (at == results_.end()) return;
   const Result& r = at->second;
-  count_(kWhy[static_cast<size_t>(why)]);
+  count_(kWhy[static_cast<size_t>(reason)]);
   const auto erase = [&](auto& map, uint64_t h) {
     const auto [begin, end] = map.equal_range(h);
     for (auto i = begin; i != end; ++i)
@@ -278,54 +283,55 @@
     erase(tokens_, hash({reinterpret_cast<const char*>(r.token.data()), r.token.size()}, salt_));
     erase(chains_, r.chain);
   }
-  let_go(r);
+  forget_segments_of(r);
   // Guards against a result that was released or is over and comes back with the next life.
-  if (r.told_until > now_ && storage_) {
+  if (r.stored_lease_expiry > now_ && storage_) {
     Record record;
-    record.kind = Record::Kind::kGone;
-    put_name(no, r, record);
+    record.kind = Record::Kind::kTombstone;
+    set_record_key(no, r, record);
     storage_->append(0, std::move(record));
   }
   results_.erase(at);
-  room_ = true;
-  drop_segments();
+  space_freed_ = true;
+  delete_unused_segments();
 }
 
 // Segments go from the oldest on, so that no word of a result's end goes before its pages.
-void PagedResultStore::drop_segments() {
+void PagedResultStore::delete_unused_segments() {
   if (!storage_) return;
-  const size_t until =
-      live_.empty() ? storage_->current() : std::min(live_.begin()->first, storage_->current());
+  const size_t until = live_pages_.empty()
+                           ? storage_->current_segment()
+                           : std::min(live_pages_.begin()->first, storage_->current_segment());
   if (until <= dropped_until_) return;
   dropped_until_ = until;
-  storage_->drop_until(until);
+  storage_->delete_segments_before(until);
 }
 
 void PagedResultStore::due(Ms now) {
   now_ = now;
-  keeping_.due(now);
+  retention_.due(now);
   if (storage_) {
-    for (Storage::Done& d : storage_->done()) {
-      if (const auto w = writes_.find(d.tag); w != writes_.end()) {
+    for (Storage::Completion& d : storage_->take_completions()) {
+      if (const auto w = writes_.find(d.request_id); w != writes_.end()) {
         const Writing writing = w->second;
         writes_.erase(w);
         const auto at = results_.find(writing.no);
-        if (!d.good) count_("pages not written");
-        if (at == results_.end() || at->second.tries != writing.tries) continue;
+        if (!d.succeeded) count_("pages not written");
+        if (at == results_.end() || at->second.attempt != writing.attempt) continue;
         Page& p = at->second.pages[writing.page];
-        p.written = p.on_disk = d.good;
-        p.place = d.place;
-        if (d.good) ++live_[d.place.segment];
-        keeping_.stored(writing.no, p.size, d.good);
-      } else if (const auto r = reads_.find(d.tag); r != reads_.end()) {
+        p.written = p.on_disk = d.succeeded;
+        p.location = d.location;
+        if (d.succeeded) ++live_pages_[d.location.segment];
+        retention_.stored(writing.no, p.size, d.succeeded);
+      } else if (const auto r = reads_.find(d.request_id); r != reads_.end()) {
         const Reading reading = std::move(r->second);
         reads_.erase(r);
         const auto at = results_.find(reading.no);
         std::optional<std::string> rows;
-        if (at != results_.end() && d.good) {
+        if (at != results_.end() && d.succeeded) {
           StoredPage page = at->second.pages[reading.page].stored;
           page.bytes = std::move(d.bytes);
-          rows = unpack(page);
+          rows = decompress(page);
         }
         if (rows) {
           reading.done(now, Read::kRows, *rows, at->second.pages.size());
@@ -334,14 +340,14 @@
         // A page that is broken is never served, and so the rest is of no use either.
         if (at != results_.end()) {
           count_("pages broken");
-          keeping_.forget(reading.no, Gone::kEvicted);
+          retention_.forget(reading.no, RemovalReason::kEvicted);
         }
         reading.done(now, Read::kGone, {}, 0);
       }
     }
-    drop_segments();
+    delete_unused_segments();
   }
-  if (std::exchange(room_, false) && on_room) on_room(now);
+  if (std::exchange(space_freed_, false) && on_space_freed) on_space_freed(now);
 }
 
 }  // namespace firvalve::results
--- a/src/results/paged_result_store.h
+++ b/src/results/paged_result_store.h
@@ -9,30 +9,30 @@
 #include <vector>
 
 #include "core/result_store.h"
+#include "results/result_size_estimator.h"
 #include "results/retention.h"
 #include "results/segment_files.h"
-#include "results/sizes.h"
 #include "results/storage.h"
 
 namespace firvalve::results {
 
 struct PagedResultStoreOptions {
-  RetentionOptions keeping;
-  double first_expected = 64 * 1024;  // bytes of a result of which nothing is known
-  double backlog_most = 4e6;          // bytes waiting for the disk, past which engines are asked more slowly
+  RetentionOptions retention;
+  double initial_expected_bytes = 64 * 1024;  // bytes of a result of which nothing is known
+  double max_backlog_bytes = 4e6;  // bytes waiting for the disk, past which engines are asked more slowly
 };
 
 class PagedResultStore : public ResultStore {
  public:
   // Counts by name: kept, evicted, outgrown and so on.
   using Count = std::function<void(std::string_view what)>;
-  PagedResultStore(const PagedResultStoreOptions& options, uint64_t life, Count count);
+  PagedResultStore(const PagedResultStoreOptions& options, uint64_t incarnation, Count count);
   ~PagedResultStore() override;
 
   // Results of earlier lives, and where pages go from here on. The storage must outlive the spool.
   // lease_offset: by how much the time in which the storage holds leases lies past `now`.
-  void use(Ms now, Storage& storage, const std::vector<Found>& found, Ms lease_offset = 0);
-  std::function<void(Ms now)> on_room;  // a place may be had again
+  void use(Ms now, Storage& storage, const std::vector<RecoveredResult>& found, Ms lease_offset = 0);
+  std::function<void(Ms now)> on_space_freed;  // a place may be had again
 
   ResultHandle reserve(Ms now, const Reservation& wish) override;
   ResultHandle find(Ms now, const Reservation& wish) override;
@@ -45,67 +45,68 @@
   bool release(Ms now, std::string_view token, std::string_view key) override;
 
   void due(Ms now);  // what the storage has done, and leases that are over
-  Ms next_due() const { return room_ ? 1 : keeping_.next_due(); }
-  const Retention& keeping() const { return keeping_; }
+  Ms next_due() const { return space_freed_ ? 1 : retention_.next_due(); }
+  const Retention& retention() const { return retention_; }
   bool settled() const { return reads_.empty(); }
 
  private:
   struct Page {
     StoredPage stored;  // its bytes: empty once it is on disk alone
-    Found::Place place;
+    RecordLocation location;
     bool on_disk = false, written = false;  // written: it has been handed to the storage
     double size = 0;
   };
   struct Result {
-    Token token{};
+    ResultToken token{};
     std::string owner, profile;
     uint64_t key = 0, chain = 0;
     int64_t tables = -1;
-    uint64_t rows = 0, tries = 0;      // tries: how often it began anew
-    uint64_t life = 0, stored_as = 0;  // as an earlier life of the program stored it; 0: this one
+    uint64_t rows = 0, attempt = 0;               // attempt: how often it began anew
+    uint64_t incarnation = 0, stored_result = 0;  // as an earlier life of the program stored it; 0: this one
     std::vector<Page> pages;
-    double raw = 0;
+    double uncompressed_bytes = 0;
     bool whole = false;
-    Ms told_until =
+    Ms stored_lease_expiry =
         0;  // the lease's end as the storage knows it, in our time; 0: it does not know it as whole
   };
   struct Writing {
-    ResultNo no = 0;
+    ResultId no = 0;
     size_t page = 0;
-    uint64_t tries = 0;
+    uint64_t attempt = 0;
   };
   struct Reading {
-    ResultNo no = 0;
+    ResultId no = 0;
     size_t page = 0;
     Rows done;
   };
 
   uint64_t key_hash(std::string_view key) const;
   uint64_t chain_hash(const Reservation& wish) const;
-  ResultNo by_token(std::string_view token, std::string_view key) const;  // 0: none that this client may have
-  void gone(ResultNo no, Gone why);
-  void leave_memory(ResultNo no);
-  void write(Ms now, ResultNo no, size_t page);
-  void tell_whole(Ms now, ResultNo no);
-  void put_name(ResultNo no, const Result& r, Record& record) const;  // what the storage knows it by
-  void let_go(const Result& r);
-  void drop_segments();
+  ResultId find_by_token(std::string_view token,
+                         std::string_view key) const;  // 0: none that this client may have
+  void gone(ResultId no, RemovalReason reason);
+  void leave_memory(ResultId no);
+  void write(Ms now, ResultId no, size_t page);
+  void write_manifest(Ms now, ResultId no);
+  void set_record_key(ResultId no, const Result& r, Record& record) const;  // what the storage knows it by
+  void forget_segments_of(const Result& r);
+  void delete_unused_segments();
 
   const PagedResultStoreOptions options_;
-  const uint64_t life_;
+  const uint64_t incarnation_;
   Count count_;
-  Retention keeping_;
-  Sizes sizes_;
+  Retention retention_;
+  ResultSizeEstimator size_estimator_;
   Storage* storage_ = nullptr;
   Ms lease_offset_ = 0;
-  std::unordered_map<ResultNo, Result> results_;
-  std::unordered_multimap<uint64_t, ResultNo> tokens_, chains_;  // by hash
+  std::unordered_map<ResultId, Result> results_;
+  std::unordered_multimap<uint64_t, ResultId> tokens_, chains_;  // by hash
   std::unordered_map<uint64_t, Writing> writes_;
   std::unordered_map<uint64_t, Reading> reads_;
-  std::map<size_t, int> live_;  // pages wanted, by segment
-  uint64_t last_tag_ = 0, salt_ = 0;
+  std::map<size_t, int> live_pages_;  // pages wanted, by segment
+  uint64_t last_request_id_ = 0, salt_ = 0;
   size_t dropped_until_ = 0;
-  bool room_ = false;  // something has gone since the last look
+  bool space_freed_ = false;  // something has gone since the last look
   Ms now_ = 0;
 };
 
--- a/src/results/sizes.cpp
+++ b/src/results/result_size_estimator.cpp
@@ -1,4 +1,4 @@
-#include "results/sizes.h"
+#include "results/result_size_estimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void Sizes::Counts::add(double bytes) {
+void ResultSizeEstimator::Counts::add(double bytes) {
   const double step = 2 * std::log2(std::max(bytes, 1.0));
   const auto at = static_cast<size_t>(std::clamp(std::ceil(step), 0.0, 63.0));
   for (float& c : count) c *= kFade;
@@ -21,7 +21,7 @@
   count[at] += 1;
 }
 
-double Sizes::Counts::quantile() const {
+double ResultSizeEstimator::Counts::quantile() const {
   float sum = 0;
   for (size_t i = 0; i < count.size(); ++i) {
     sum += count[i];
@@ -30,7 +30,7 @@
   return std::exp2(31.5);
 }
 
-void Sizes::ended(const std::string& profile, int64_t tables, double bytes) {
+void ResultSizeEstimator::ended(const std::string& profile, int64_t tables, double bytes) {
   profiles_[profile].add(bytes);
   const Key key{profile, tables};
   auto at = groups_.find(key);
@@ -46,7 +46,7 @@
   by_use_.splice(by_use_.end(), by_use_, at->second.used);
 }
 
-double Sizes::expected(const std::string& profile, int64_t tables) const {
+double ResultSizeEstimator::expected(const std::string& profile, int64_t tables) const {
   const auto group = groups_.find({profile, tables});
   if (group != groups_.end() && group->second.counts.all >= kLeast) return group->second.counts.quantile();
   const auto all = profiles_.find(profile);
--- a/src/results/sizes.h
+++ b/src/results/result_size_estimator.h
@@ -10,10 +10,10 @@
 
 namespace firvalve::results {
 
-class Sizes {
+class ResultSizeEstimator {
  public:
   // `first`: bytes expected of what has never ended here.
-  explicit Sizes(double first) : first_(first) {}
+  explicit ResultSizeEstimator(double first) : first_(first) {}
   void ended(const std::string& profile, int64_t tables, double bytes);
   // Bytes that nine in ten results stay within: of the group, or else of the profile, or else `first`.
   double expected(const std::string& profile, int64_t tables) const;
--- a/src/results/retention.cpp
+++ b/src/results/retention.cpp
@@ -6,7 +6,8 @@
 namespace firvalve::results {
 
 double Retention::fair_share() const {
-  return (options_.memory + options_.disk) / static_cast<double>(std::max<size_t>(owners_.size(), 1));
+  return (options_.memory_bytes + options_.disk_bytes) /
+         static_cast<double>(std::max<size_t>(owners_.size(), 1));
 }
 
 double Retention::held_by(const std::string& owner) const {
@@ -46,7 +47,7 @@
   return r;
 }
 
-bool Retention::remove(ResultNo no) {
+bool Retention::remove(ResultId no) {
   const auto at = results_.find(no);
   if (at == results_.end()) return false;
   const std::unique_ptr<Result> r = std::move(at->second);
@@ -62,8 +63,8 @@
   return true;
 }
 
-void Retention::forget(ResultNo no, Gone why) {
-  if (remove(no) && on_gone) on_gone(no, why);
+void Retention::forget(ResultId no, RemovalReason reason) {
+  if (remove(no) && on_removed) on_removed(no, reason);
 }
 
 void Retention::lend(Result& r, Ms until) {
@@ -75,12 +76,12 @@
 // What is on disk costs nothing to take out of memory: it is read from there.
 bool Retention::leave_memory() {
   if (cached_.empty()) return false;
-  const ResultNo no = *cached_.begin();
+  const ResultId no = *cached_.begin();
   cached_.erase(cached_.begin());
   Result& r = *results_.at(no);
   const double leaves = std::exchange(r.cached, 0);
   charge(r, -leaves, 0, 0);
-  if (on_leave_memory) on_leave_memory(no);
+  if (on_memory_evicted) on_memory_evicted(no);
   return true;
 }
 
@@ -99,18 +100,18 @@
     Owner& owner = *at->second;
     const bool asks_more = asks.held + bytes >= owner.held;
     if (asks_more)
-      if (Result* const own = first_of(asks)) return forget(own->no, Gone::kEvicted), true;
+      if (Result* const own = first_of(asks)) return forget(own->no, RemovalReason::kEvicted), true;
     if (owner.held <= share || &owner == &asks) {
       if (owner.held <= share) return false;
       continue;
     }
-    if (Result* const r = first_of(owner)) return forget(r->no, Gone::kEvicted), true;
+    if (Result* const r = first_of(owner)) return forget(r->no, RemovalReason::kEvicted), true;
   }
   return false;
 }
 
 bool Retention::make_room(bool on_disk, double bytes, const Result* not_this, Owner& asks) {
-  const double most = on_disk ? options_.disk : options_.memory;
+  const double most = on_disk ? options_.disk_bytes : options_.memory_bytes;
   if (bytes > most) return false;
   while ((on_disk ? disk_ : memory_ + reserved_) + bytes > most) {
     if (!on_disk && leave_memory()) continue;
@@ -119,12 +120,12 @@
   return true;
 }
 
-ResultNo Retention::reserve(Ms, const std::string& owner, double expected) {
+ResultId Retention::reserve(Ms, const std::string& owner, double expected) {
   // A place is never more than a part of all: what turns out larger moves to disk as it comes.
-  const double bytes = std::min({expected, options_.result_most, options_.memory});
+  const double bytes = std::min({expected, options_.max_result_bytes, options_.memory_bytes});
   Result& r = add(owner);
-  const ResultNo no = r.no;
-  const bool too_many = results_.size() > options_.results_most && !evict(false, bytes, &r, *r.owner);
+  const ResultId no = r.no;
+  const bool too_many = results_.size() > options_.max_results && !evict(false, bytes, &r, *r.owner);
   if (too_many || !make_room(false, bytes, &r, *r.owner)) {
     remove(no);  // nobody knows of it yet
     return 0;
@@ -133,13 +134,13 @@
   return no;
 }
 
-bool Retention::grow(Ms, ResultNo no, double bytes) {
+bool Retention::grow(Ms, ResultId no, double bytes) {
   const auto at = results_.find(no);
   if (at == results_.end()) return false;
   Result& r = *at->second;
   const double from_place = std::min(bytes, r.reserved);
-  if (r.total + bytes > options_.result_most || !make_room(false, bytes - from_place, &r, *r.owner)) {
-    forget(no, Gone::kOutgrown);
+  if (r.total + bytes > options_.max_result_bytes || !make_room(false, bytes - from_place, &r, *r.owner)) {
+    forget(no, RemovalReason::kTooLarge);
     return false;
   }
   charge(r, bytes, 0, -from_place);
@@ -147,16 +148,16 @@
   return true;
 }
 
-bool Retention::take_disk(Ms, ResultNo no, double bytes) {
+bool Retention::reserve_disk(Ms, ResultId no, double bytes) {
   const auto at = results_.find(no);
-  if (at == results_.end() || options_.disk <= 0) return false;
+  if (at == results_.end() || options_.disk_bytes <= 0) return false;
   Result& r = *at->second;
   if (!make_room(true, bytes, &r, *r.owner)) return false;
   charge(r, 0, bytes, 0);
   return true;
 }
 
-void Retention::stored(ResultNo no, double bytes, bool written) {
+void Retention::stored(ResultId no, double bytes, bool written) {
   const auto at = results_.find(no);
   if (at == results_.end()) return;
   Result& r = *at->second;
@@ -165,7 +166,7 @@
   cached_.insert(no);
 }
 
-void Retention::whole(Ms now, ResultNo no) {
+void Retention::whole(Ms now, ResultId no) {
   const auto at = results_.find(no);
   if (at == results_.end()) return;
   Result& r = *at->second;
@@ -174,7 +175,7 @@
   lend(r, now + options_.lease);
 }
 
-void Retention::clear(ResultNo no) {
+void Retention::clear(ResultId no) {
   const auto at = results_.find(no);
   if (at == results_.end()) return;
   Result& r = *at->second;
@@ -183,7 +184,7 @@
   charge(r, -r.memory, -r.disk, r.memory);
 }
 
-ResultNo Retention::restore(Ms now, const std::string& owner, double bytes, Ms lease_left) {
+ResultId Retention::restore(Ms now, const std::string& owner, double bytes, Ms lease_left) {
   Result& r = add(owner);
   if (!make_room(true, bytes, &r, *r.owner)) {
     remove(r.no);
@@ -195,7 +196,7 @@
   return r.no;
 }
 
-bool Retention::read(Ms now, ResultNo no) {
+bool Retention::read(Ms now, ResultId no) {
   const auto at = results_.find(no);
   if (at == results_.end()) return false;
   Result& r = *at->second;
@@ -206,7 +207,7 @@
 
 void Retention::due(Ms now) {
   leases_.advance(static_cast<uint64_t>(now / kTick), [&](base::TimingWheelNode& node) {
-    forget(static_cast<Result&>(node).no, Gone::kLeaseOver);
+    forget(static_cast<Result&>(node).no, RemovalReason::kLeaseExpired);
   });
 }
 
--- a/src/results/retention.h
+++ b/src/results/retention.h
@@ -26,48 +26,48 @@
 
 namespace firvalve::results {
 
-using ResultNo = uint64_t;  // from 1 up
+using ResultId = uint64_t;  // from 1 up
 
 struct RetentionOptions {
-  double memory = 8e6;       // bytes of pages in memory, reserved places included
-  double disk = 0;           // bytes of pages on disk; 0: there is none
-  double result_most = 1e9;  // bytes of one result, as rows
-  Ms lease = 60000;          // since its last read, a result is kept
-  size_t results_most = 100000;
+  double memory_bytes = 8e6;      // bytes of pages in memory, reserved places included
+  double disk_bytes = 0;          // bytes of pages on disk; 0: there is none
+  double max_result_bytes = 1e9;  // bytes of one result, as rows
+  Ms lease = 60000;               // since its last read, a result is kept
+  size_t max_results = 100000;
 };
 
-enum class Gone { kReleased, kLeaseOver, kEvicted, kOutgrown, kGivenUp };
+enum class RemovalReason { kReleased, kLeaseExpired, kEvicted, kTooLarge, kAbandoned };
 
 class Retention {
  public:
   // Told when a result goes, whatever the reason: its pages are to be forgotten everywhere.
-  std::function<void(ResultNo, Gone)> on_gone;
+  std::function<void(ResultId, RemovalReason)> on_removed;
   // Told when pages of a result that the disk has are to leave memory.
-  std::function<void(ResultNo)> on_leave_memory;
+  std::function<void(ResultId)> on_memory_evicted;
 
   explicit Retention(const RetentionOptions& options) : options_(options) {}
 
   // A place for a result of so many bytes expected; 0: none now, and none that may be taken from others.
-  // What is expected past `result_most` gets a place for that.
-  ResultNo reserve(Ms now, const std::string& owner, double expected);
+  // What is expected past `max_result_bytes` gets a place for that.
+  ResultId reserve(Ms now, const std::string& owner, double expected);
   // So many bytes more of it are in memory. False: it is outgrown, and gone.
-  bool grow(Ms now, ResultNo no, double bytes);
+  bool grow(Ms now, ResultId no, double bytes);
   // All of it is there; what was reserved beyond is free.
-  void whole(Ms now, ResultNo no);
+  void whole(Ms now, ResultId no);
   // It begins anew: what it holds is forgotten, its place stays.
-  void clear(ResultNo no);
+  void clear(ResultId no);
   // So many bytes of it are to be written to disk; false: no room there, it stays in memory alone.
-  bool take_disk(Ms now, ResultNo no, double bytes);
+  bool reserve_disk(Ms now, ResultId no, double bytes);
   // They are there, and may leave memory; `written` false: they are not.
-  void stored(ResultNo no, double bytes, bool written);
+  void stored(ResultId no, double bytes, bool written);
   // Known from an earlier life, on disk alone. 0: there is no room for it any more.
-  ResultNo restore(Ms now, const std::string& owner, double bytes, Ms lease_left);
-  bool read(Ms now, ResultNo no);  // renews its lease; false: it is gone
-  void forget(ResultNo no, Gone why);
+  ResultId restore(Ms now, const std::string& owner, double bytes, Ms lease_left);
+  bool read(Ms now, ResultId no);  // renews its lease; false: it is gone
+  void forget(ResultId no, RemovalReason reason);
 
   void due(Ms now);     // ends leases
   Ms next_due() const;  // 0: nothing is due
-  bool has(ResultNo no) const { return results_.count(no) > 0; }
+  bool has(ResultId no) const { return results_.count(no) > 0; }
   double memory() const { return memory_ + reserved_; }
   double disk() const { return disk_; }
   size_t results() const { return results_.size(); }
@@ -77,7 +77,7 @@
  private:
   struct Owner;
   struct Result : base::TimingWheelNode {
-    ResultNo no = 0;
+    ResultId no = 0;
     Owner* owner = nullptr;
     double memory = 0, disk = 0, reserved = 0;
     double cached = 0;  // of memory: on disk, too
@@ -103,7 +103,7 @@
   static uint64_t tick_of(Ms at) { return static_cast<uint64_t>(at / kTick) + 1; }
 
   Result& add(const std::string& owner);
-  bool remove(ResultNo no);        // without a word to the owner of on_gone
+  bool remove(ResultId no);        // without a word to the owner of on_removed
   void lend(Result& r, Ms until);  // whole, the latest read
   void charge(Result& r, double memory, double disk, double reserved);
   void rank(Owner& owner, double held);
@@ -114,13 +114,13 @@
   double fair_share() const;
 
   RetentionOptions options_;
-  std::unordered_map<ResultNo, std::unique_ptr<Result>> results_;
+  std::unordered_map<ResultId, std::unique_ptr<Result>> results_;
   std::unordered_map<std::string, std::unique_ptr<Owner>> owners_;
   base::TimingWheel leases_;
   std::set<std::pair<double, Owner*>> by_held_;
-  std::set<ResultNo> cached_;  // with bytes that may leave memory; the oldest first
+  std::set<ResultId> cached_;  // with bytes that may leave memory; the oldest first
   double memory_ = 0, disk_ = 0, reserved_ = 0;
-  ResultNo last_ = 0;
+  ResultId last_ = 0;
 };
 
 }  // namespace firvalve::results
--- a/src/results/segment_files.cpp
+++ b/src/results/segment_files.cpp
@@ -113,13 +113,13 @@
 bool SegmentFiles::open_segment() {
   const int fd = ::open(path_of(current_ + 1).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (fd < 0) return false;
-  if (!write_all(fd, kSegmentHead)) {
+  if (!write_all(fd, kSegmentHeader)) {
     ::close(fd);
     return false;
   }
   if (segment_fd_ >= 0) ::close(segment_fd_);
   segment_fd_ = fd;
-  written_ = kSegmentHead.size();
+  written_ = kSegmentHeader.size();
   const std::lock_guard lock(mutex_);
   ++current_;
   return true;
@@ -134,50 +134,50 @@
   wanted_.notify_one();
 }
 
-void SegmentFiles::append(uint64_t tag, Record record) {
+void SegmentFiles::append(uint64_t request_id, Record record) {
   Task t;
-  t.tag = tag;
-  t.bytes = kRecordHead + record.stored.bytes.size();
+  t.request_id = request_id;
+  t.bytes = kRecordHeaderBytes + record.stored.bytes.size();
   t.record = std::move(record);
   post(std::move(t));
 }
 
-void SegmentFiles::read(uint64_t tag, const Found::Place& place) {
+void SegmentFiles::read(uint64_t request_id, const RecordLocation& location) {
   Task t;
   t.kind = Task::Kind::kRead;
-  t.tag = tag;
-  t.place = place;
+  t.request_id = request_id;
+  t.location = location;
   post(std::move(t));
 }
 
-void SegmentFiles::drop_until(size_t segment) {
+void SegmentFiles::delete_segments_before(size_t segment) {
   Task t;
   t.kind = Task::Kind::kDrop;
-  t.place.segment = segment;
+  t.location.segment = segment;
   post(std::move(t));
 }
 
-std::vector<Storage::Done> SegmentFiles::done() {
+std::vector<Storage::Completion> SegmentFiles::take_completions() {
   const std::lock_guard lock(mutex_);
   return std::exchange(done_, {});
 }
 
-size_t SegmentFiles::backlog() const {
+size_t SegmentFiles::backlog_bytes() const {
   const std::lock_guard lock(mutex_);
   return backlog_;
 }
 
-size_t SegmentFiles::current() const {
+size_t SegmentFiles::current_segment() const {
   const std::lock_guard lock(mutex_);
   return current_;
 }
 
-Storage::Done SegmentFiles::write(const Task& task) {
-  Done d;
-  d.tag = task.tag;
+Storage::Completion SegmentFiles::write(const Task& task) {
+  Completion d;
+  d.request_id = task.request_id;
   std::string bytes;
   append_record(bytes, task.record);
-  if (written_ + bytes.size() > options_.segment_bytes && written_ > kSegmentHead.size()) open_segment();
+  if (written_ + bytes.size() > options_.segment_bytes && written_ > kSegmentHeader.size()) open_segment();
   // Guards against a disk that is full in the middle of a record: what follows would be behind a torn one,
   // and lost with it. The record goes again whole, or not at all.
   if (!write_all(segment_fd_, bytes)) {
@@ -186,30 +186,30 @@
       open_segment();
     return d;
   }
-  d.good = true;
+  d.succeeded = true;
   const std::lock_guard lock(mutex_);
-  d.place = {current_, written_ + kRecordHead, task.record.stored.bytes.size(), task.record.stored.raw,
-             task.record.stored.sum};
+  d.location = {current_, written_ + kRecordHeaderBytes, task.record.stored.bytes.size(),
+                task.record.stored.uncompressed_bytes, task.record.stored.checksum};
   written_ += bytes.size();
   return d;
 }
 
-Storage::Done SegmentFiles::fetch(const Task& task) {
-  Done d;
-  d.tag = task.tag;
-  const int fd = ::open(path_of(task.place.segment).c_str(), O_RDONLY | O_CLOEXEC);
+Storage::Completion SegmentFiles::fetch(const Task& task) {
+  Completion d;
+  d.request_id = task.request_id;
+  const int fd = ::open(path_of(task.location.segment).c_str(), O_RDONLY | O_CLOEXEC);
   if (fd < 0) return d;
-  d.bytes.resize(task.place.length);
+  d.bytes.resize(task.location.length);
   size_t got = 0;
   while (got < d.bytes.size()) {
-    const ssize_t n =
-        ::pread(fd, d.bytes.data() + got, d.bytes.size() - got, static_cast<off_t>(task.place.offset + got));
+    const ssize_t n = ::pread(fd, d.bytes.data() + got, d.bytes.size() - got,
+                              static_cast<off_t>(task.location.offset + got));
     if (n < 0 && errno == EINTR) continue;
     if (n <= 0) break;
     got += static_cast<size_t>(n);
   }
   ::close(fd);
-  d.good = got == d.bytes.size();
+  d.succeeded = got == d.bytes.size();
   return d;
 }
 
@@ -224,15 +224,15 @@
       tasks_.pop_front();
     }
     if (task.kind == Task::Kind::kDrop) {
-      for (; first_ < task.place.segment; ++first_) ::unlink(path_of(first_).c_str());
+      for (; first_ < task.location.segment; ++first_) ::unlink(path_of(first_).c_str());
       continue;
     }
-    Done d = task.kind == Task::Kind::kAppend ? write(task) : fetch(task);
+    Completion d = task.kind == Task::Kind::kAppend ? write(task) : fetch(task);
     bool wake = false;
     {
       const std::lock_guard lock(mutex_);
       backlog_ -= task.bytes;
-      if (d.tag != 0) {
+      if (d.request_id != 0) {
         wake = done_.empty();
         done_.push_back(std::move(d));
       }
--- a/src/results/segment_files.h
+++ b/src/results/segment_files.h
@@ -30,30 +30,30 @@
   SegmentFiles(const Options& options, Ms now, std::function<void()> wake);
   ~SegmentFiles() override;  // what waits is written first
 
-  void append(uint64_t tag, Record record) override;
-  void read(uint64_t tag, const Found::Place& place) override;
-  void drop_until(size_t segment) override;
-  std::vector<Done> done() override;
-  size_t backlog() const override;
-  size_t current() const override;
+  void append(uint64_t request_id, Record record) override;
+  void read(uint64_t request_id, const RecordLocation& location) override;
+  void delete_segments_before(size_t segment) override;
+  std::vector<Completion> take_completions() override;
+  size_t backlog_bytes() const override;
+  size_t current_segment() const override;
 
   // By how much the time in which leases are written lies past the caller's.
   Ms lease_offset() const { return lease_offset_; }
   // What was found at the start.
-  std::vector<Found> found;
+  std::vector<RecoveredResult> found;
   size_t broken = 0, cut = 0;  // results with a page that cannot be read; segments with a torn tail
 
  private:
   struct Task {
     enum class Kind { kAppend, kRead, kDrop } kind = Kind::kAppend;
-    uint64_t tag = 0;
+    uint64_t request_id = 0;
     Record record;
-    Found::Place place;
+    RecordLocation location;
     size_t bytes = 0;
   };
   void run();
-  Done write(const Task& task);
-  Done fetch(const Task& task);
+  Completion write(const Task& task);
+  Completion fetch(const Task& task);
   bool open_segment();
   std::string path_of(size_t segment) const;
   void post(Task task);
@@ -66,7 +66,7 @@
   mutable std::mutex mutex_;
   std::condition_variable wanted_;
   std::deque<Task> tasks_;
-  std::vector<Done> done_;
+  std::vector<Completion> done_;
   size_t backlog_ = 0, current_ = 0;
   bool ending_ = false;
   std::thread thread_;
--- a/tests/results/paged_result_store_model_test.cpp
+++ b/tests/results/paged_result_store_model_test.cpp
@@ -12,34 +12,34 @@
 
 class Disk : public Storage {
  public:
-  std::string segment{kSegmentHead};
-  void append(uint64_t tag, Record record) override {
-    Done d;
-    d.tag = tag;
-    d.good = true;
-    d.place = {1, segment.size() + kRecordHead, record.stored.bytes.size(), record.stored.raw,
-               record.stored.sum};
+  std::string segment{kSegmentHeader};
+  void append(uint64_t request_id, Record record) override {
+    Completion d;
+    d.request_id = request_id;
+    d.succeeded = true;
+    d.location = {1, segment.size() + kRecordHeaderBytes, record.stored.bytes.size(),
+                  record.stored.uncompressed_bytes, record.stored.checksum};
     append_record(segment, record);
-    if (tag != 0) ready_.push_back(std::move(d));
+    if (request_id != 0) ready_.push_back(std::move(d));
   }
-  void read(uint64_t tag, const Found::Place& place) override {
-    Done d;
-    d.tag = tag;
-    d.good = place.offset + place.length <= segment.size();
-    if (d.good) d.bytes = segment.substr(place.offset, place.length);
+  void read(uint64_t request_id, const RecordLocation& location) override {
+    Completion d;
+    d.request_id = request_id;
+    d.succeeded = location.offset + location.length <= segment.size();
+    if (d.succeeded) d.bytes = segment.substr(location.offset, location.length);
     ready_.push_back(std::move(d));
   }
-  void drop_until(size_t) override {}
-  std::vector<Done> done() override { return std::exchange(ready_, {}); }
-  size_t backlog() const override { return 0; }
-  size_t current() const override { return 1; }
+  void delete_segments_before(size_t) override {}
+  std::vector<Completion> take_completions() override { return std::exchange(ready_, {}); }
+  size_t backlog_bytes() const override { return 0; }
+  size_t current_segment() const override { return 1; }
   void crash(size_t torn) {
     ready_.clear();
-    segment.resize(std::max(kSegmentHead.size(), segment.size() - std::min(torn, segment.size())));
+    segment.resize(std::max(kSegmentHeader.size(), segment.size() - std::min(torn, segment.size())));
   }
 
  private:
-  std::vector<Done> ready_;
+  std::vector<Completion> ready_;
 };
 
 struct Kept {
@@ -53,15 +53,15 @@
 RC_GTEST_PROP(SpoolModel, NeverWrongAndNeverGoneWithoutACause,
               (const std::vector<std::tuple<uint8_t, uint16_t, uint16_t>>& steps)) {
   PagedResultStoreOptions options;
-  options.keeping.memory = 3000;
-  options.keeping.disk = 1e9;
-  options.keeping.lease = 1000;
-  options.first_expected = 200;
+  options.retention.memory_bytes = 3000;
+  options.retention.disk_bytes = 1e9;
+  options.retention.lease = 1000;
+  options.initial_expected_bytes = 200;
   Disk disk;
   std::map<std::string, Kept> model;
   Ms now = 10000;
-  uint64_t life = 1;
-  auto spool = std::make_unique<PagedResultStore>(options, life, [](std::string_view) {});
+  uint64_t incarnation = 1;
+  auto spool = std::make_unique<PagedResultStore>(options, incarnation, [](std::string_view) {});
   spool->use(now, disk, {});
   int number = 0;
   const auto pick = [&](uint16_t which) {
@@ -121,7 +121,7 @@
                     });
         spool->due(now);
         RC_ASSERT(heard);
-        const bool over = now > kept.read_at + options.keeping.lease - 40;
+        const bool over = now > kept.read_at + options.retention.lease - 40;
         if (kept.must && !over) RC_ASSERT(found);
         if (found) kept.read_at = now;
         if (!found) model.erase(at);
@@ -153,19 +153,19 @@
         if (cut != std::string::npos) disk.segment.resize(cut);
         size_t broken = 0;
         const auto found = recovery.found(now, broken);
-        spool = std::make_unique<PagedResultStore>(options, ++life, [](std::string_view) {});
+        spool = std::make_unique<PagedResultStore>(options, ++incarnation, [](std::string_view) {});
         spool->use(now, disk, found);
         // The disk is told of a lease that goes on before half of it is over; a torn tail may have held that
         // word.
         for (auto& [token, kept] : model) {
           kept.must &= kept.written <= disk.segment.size();
           kept.read_at =
-              torn > 0 ? kept.whole_at : std::max(kept.whole_at, kept.read_at - options.keeping.lease / 2);
+              torn > 0 ? kept.whole_at : std::max(kept.whole_at, kept.read_at - options.retention.lease / 2);
         }
         break;
       }
     }
-    RC_ASSERT(spool->keeping().memory() <= options.keeping.memory + 1e-6);
+    RC_ASSERT(spool->retention().memory() <= options.retention.memory_bytes + 1e-6);
   }
 }
 
--- a/tests/results/paged_result_store_test.cpp
+++ b/tests/results/paged_result_store_test.cpp
@@ -15,53 +15,53 @@
 
 TEST(Page, PackedAndUnpackedAreTheSameAndAFlippedBitShows) {
   const std::string rows = std::string(5000, 'a') + "\tb\tc\n";
-  StoredPage page = pack(rows);
+  StoredPage page = compress(rows);
   EXPECT_LT(page.bytes.size(), 200u);
-  EXPECT_EQ(unpack(page), rows);
+  EXPECT_EQ(decompress(page), rows);
   for (size_t i = 0; i < page.bytes.size(); ++i) {
     StoredPage flipped = page;
     flipped.bytes[i] = static_cast<char>(flipped.bytes[i] ^ 1);
-    EXPECT_FALSE(unpack(flipped)) << i;
+    EXPECT_FALSE(decompress(flipped)) << i;
   }
-  EXPECT_EQ(unpack(pack("")), "");
-  EXPECT_EQ(unpack(pack("x")), "x");
+  EXPECT_EQ(decompress(compress("")), "");
+  EXPECT_EQ(decompress(compress("x")), "x");
 }
 
 TEST(Token, HexThereAndBackAndNothingElse) {
-  const Token token = new_token();
-  EXPECT_TRUE(same(*token_of(hex_of(token)), token));
-  EXPECT_FALSE(same(new_token(), token));
+  const ResultToken token = new_token();
+  EXPECT_TRUE(equal_in_constant_time(*parse_token(to_hex(token)), token));
+  EXPECT_FALSE(equal_in_constant_time(new_token(), token));
   for (const char* text : {"", "00", "zz000000000000000000000000000000", "000000000000000000000000000000000"})
-    EXPECT_FALSE(token_of(text)) << text;
+    EXPECT_FALSE(parse_token(text)) << text;
 }
 
 Record page_record(uint64_t result, uint32_t page, const std::string& rows) {
   Record r;
-  r.life = 7;
+  r.incarnation = 7;
   r.result = result;
   r.page = page;
-  r.stored = pack(rows);
+  r.stored = compress(rows);
   return r;
 }
-Record whole_record(uint64_t result, uint32_t pages, double lease_until = 1e6) {
+Record whole_record(uint64_t result, uint32_t pages, double lease_expiry = 1e6) {
   Record r;
-  r.kind = Record::Kind::kWhole;
-  r.life = 7;
+  r.kind = Record::Kind::kManifest;
+  r.incarnation = 7;
   r.result = result;
-  r.whole.pages = pages;
-  r.whole.lease_until = lease_until;
-  r.whole.owner = "x";
+  r.manifest.pages = pages;
+  r.manifest.lease_expiry = lease_expiry;
+  r.manifest.owner = "x";
   return r;
 }
 std::string segment_of(const std::vector<Record>& records) {
-  std::string all(kSegmentHead);
+  std::string all(kSegmentHeader);
   for (const Record& r : records) append_record(all, r);
   return all;
 }
 
 TEST(Recovery, WhatIsWholeIsFoundWhatIsNotIsNot) {
   Record gone = whole_record(3, 1);
-  gone.kind = Record::Kind::kGone;
+  gone.kind = Record::Kind::kTombstone;
   Recovery recovery;
   EXPECT_EQ(
       recovery.handle(1, segment_of({page_record(1, 0, "a"), page_record(1, 1, "b"), page_record(2, 0, "c"),
@@ -110,40 +110,41 @@
 // Keeps what it is given; writes, or the bytes read back, go wrong when told to.
 struct MemoryStorage : Storage {
   std::vector<std::string> kept;
-  std::vector<Done> ready;
+  std::vector<Completion> ready;
   bool full = false, spoil = false;
   int whole = 0, gone = 0;
-  void append(uint64_t tag, Record record) override {
-    whole += record.kind == Record::Kind::kWhole;
-    gone += record.kind == Record::Kind::kGone;
-    if (tag == 0) return;
-    Done d;
-    d.tag = tag;
-    d.good = !full;
-    d.place = {1, kept.size(), record.stored.bytes.size(), record.stored.raw, record.stored.sum};
+  void append(uint64_t request_id, Record record) override {
+    whole += record.kind == Record::Kind::kManifest;
+    gone += record.kind == Record::Kind::kTombstone;
+    if (request_id == 0) return;
+    Completion d;
+    d.request_id = request_id;
+    d.succeeded = !full;
+    d.location = {1, kept.size(), record.stored.bytes.size(), record.stored.uncompressed_bytes,
+                  record.stored.checksum};
     kept.push_back(record.stored.bytes);
     ready.push_back(std::move(d));
   }
-  void read(uint64_t tag, const Found::Place& place) override {
-    Done d;
-    d.tag = tag;
-    d.good = true;
-    d.bytes = kept[place.offset];
+  void read(uint64_t request_id, const RecordLocation& location) override {
+    Completion d;
+    d.request_id = request_id;
+    d.succeeded = true;
+    d.bytes = kept[location.offset];
     if (spoil) d.bytes[0] = static_cast<char>(d.bytes[0] ^ 1);
     ready.push_back(std::move(d));
   }
-  void drop_until(size_t) override {}
-  std::vector<Done> done() override { return std::exchange(ready, {}); }
-  size_t backlog() const override { return 0; }
-  size_t current() const override { return 1; }
+  void delete_segments_before(size_t) override {}
+  std::vector<Completion> take_completions() override { return std::exchange(ready, {}); }
+  size_t backlog_bytes() const override { return 0; }
+  size_t current_segment() const override { return 1; }
 };
 
 struct SpoolTest : testing::Test {
   PagedResultStoreOptions options = [] {
     PagedResultStoreOptions t;
-    t.keeping.memory = 20000;
-    t.keeping.lease = 10000;
-    t.first_expected = 1000;
+    t.retention.memory_bytes = 20000;
+    t.retention.lease = 10000;
+    t.initial_expected_bytes = 1000;
     return t;
   }();
   MemoryStorage storage;
@@ -152,7 +153,7 @@
   Ms now = 1000;
 
   void open(bool with_disk) {
-    if (with_disk) options.keeping.disk = 100000;
+    if (with_disk) options.retention.disk_bytes = 100000;
     spool = std::make_unique<PagedResultStore>(
         options, 7, [this](std::string_view what) { ++counts[std::string(what)]; });
     if (with_disk) spool->use(now, storage, {});
@@ -268,7 +269,7 @@
   const PagedAnswer a = spool->answer(put({"a\tb\tc\n"}));
   EXPECT_EQ(counts["pages not written"], 1);
   EXPECT_EQ(read(a.token, 1), "a\tb\tc\n");
-  EXPECT_EQ(spool->keeping().disk(), 0);
+  EXPECT_EQ(spool->retention().disk(), 0);
 }
 
 TEST_F(SpoolTest, WhatBeginsAnewHoldsNothingOfBefore) {
@@ -306,9 +307,9 @@
   ~FilesTest() override { std::filesystem::remove_all(folder); }
   PagedResultStoreOptions options = [] {
     PagedResultStoreOptions t;
-    t.keeping.memory = 50000;
-    t.first_expected = 100;
-    t.keeping.disk = 10e6;
+    t.retention.memory_bytes = 50000;
+    t.initial_expected_bytes = 100;
+    t.retention.disk_bytes = 10e6;
     return t;
   }();
   // A life of a gateway: what it finds, and the tokens of what it keeps.
@@ -365,7 +366,7 @@
       spool.whole(wall, no);
       return files.found.size();
     };
-    const Ms lease = options.keeping.lease;
+    const Ms lease = options.retention.lease;
     EXPECT_EQ(live_once(kWall, {"boot-1", 5000}), 0u);
     EXPECT_EQ(live_once(kWall + step + lease / 2, {"boot-1", 5000 + lease / 2}), 1u) << step;
     EXPECT_EQ(live_once(kWall + step + 2 * lease, {"boot-1", 5000 + 2 * lease}), 0u) << step;
@@ -391,7 +392,7 @@
     if (!e.path().filename().string().starts_with("segment") || std::filesystem::file_size(e.path()) < 100)
       continue;
     std::fstream file(e.path(), std::ios::in | std::ios::out | std::ios::binary);
-    file.seekp(static_cast<long>(kSegmentHead.size() + kRecordHead + 2));  // in the first page
+    file.seekp(static_cast<long>(kSegmentHeader.size() + kRecordHeaderBytes + 2));  // in the first page
     file.put('!');
     break;
   }
@@ -424,7 +425,7 @@
 
 TEST_F(FilesTest, SegmentsThatHoldNothingAreDropped) {
   SegmentFiles files({folder, 4000}, 1000, [] {});
-  options.keeping.lease = 100;
+  options.retention.lease = 100;
   PagedResultStore spool(options, 9, [](std::string_view) {});
   spool.use(1000, files, {});
   for (int i = 0; i < 200; ++i) {
@@ -435,12 +436,12 @@
   const auto count = [&] {
     return std::distance(std::filesystem::directory_iterator(folder), std::filesystem::directory_iterator());
   };
-  for (int i = 0; i < 5000 && files.backlog() > 0; ++i)
+  for (int i = 0; i < 5000 && files.backlog_bytes() > 0; ++i)
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
   spool.due(1000);
   EXPECT_GT(count(), 5);
   spool.due(2000);  // all leases are over
-  for (int i = 0; i < 5000 && (files.backlog() > 0 || count() > 5); ++i) {
+  for (int i = 0; i < 5000 && (files.backlog_bytes() > 0 || count() > 5); ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
     spool.due(2000);
   }
