--- a/fuzz/segment_fuzz.cpp
+++ b/fuzz/segment_fuzz.cpp
@@ -6,7 +6,7 @@
 #include <cstring>
 #include <string>
 
-#include "results/page.h"
+#include "results/recovery.h"
 
 namespace {
 
--- a/src/results/storage.h
+++ b/src/results/storage.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "results/page.h"
+#include "results/recovery.h"
 
 namespace firvalve::results {
 
--- /dev/null
+++ b/tests/results/result_token_test.cpp
@@ -0,0 +1,17 @@
+#include "results/result_token.h"
+
+#include <gtest/gtest.h>
+
+namespace firvalve::results {
+namespace {
+
+TEST(Token, HexThereAndBackAndNothingElse) {
+  const ResultToken token = new_token();
+  EXPECT_TRUE(equal_in_constant_time(*parse_token(to_hex(token)), token));
+  EXPECT_FALSE(equal_in_constant_time(new_token(), token));
+  for (const char* text : {"", "00", "zz000000000000000000000000000000", "000000000000000000000000000000000"})
+    EXPECT_FALSE(parse_token(text)) << text;
+}
+
+}  // namespace
+}  // namespace firvalve::results
