--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -69,18 +69,18 @@
 void own(const std::string& page) {
   Folder folder;
   const double before = resident_mb();
-  results::SegmentFiles files({folder.path}, 1000, [] {});
+  results::SegmentFiles files({folder.path}, time_point_of(1000), [] {});
   std::vector<results::RecordLocation> places(kPages);
   const auto take = [&] {
     for (auto& d : files.take_completions()) places[d.request_id - 1] = d.location;
   };
   auto start = Clock::now();
   for (int i = 0; i < kPages; ++i) {
-    results::Record r;
-    r.result = static_cast<uint64_t>(i / kRound);
-    r.page = static_cast<uint32_t>(i % kRound);
-    r.stored.bytes = page;
-    files.append(static_cast<uint64_t>(i) + 1, std::move(r));
+    results::SegmentRecord record;
+    record.key.result = static_cast<uint64_t>(i / kRound);
+    record.page_index = static_cast<uint32_t>(i % kRound);
+    record.page.bytes = page;
+    files.append(static_cast<uint64_t>(i) + 1, std::move(record));
     while (files.backlog_bytes() > 4'000'000) std::this_thread::yield();
     take();
     const int oldest = (i / kRound - kKept) * kRound;
--- a/fuzz/segment_fuzz.cpp
+++ b/fuzz/segment_fuzz.cpp
@@ -14,17 +14,16 @@
 
 void try_segment(const std::string& segment) {
   Recovery recovery;
-  const size_t cut = recovery.handle(1, segment);
-  if (cut != std::string::npos && cut > segment.size()) std::abort();
-  size_t broken = 0;
-  for (const RecoveredResult& f : recovery.found(0, broken)) {
-    if (f.pages.size() != f.manifest.pages) std::abort();
-    for (const RecordLocation& p : f.pages) {
-      if (p.offset + p.length > segment.size()) std::abort();
+  const auto torn_at = recovery.add_segment(1, segment);
+  if (torn_at && *torn_at > segment.size()) std::abort();
+  for (const RecoveredResult& result : recovery.outcome(LeaseTime()).results) {
+    if (result.pages.size() != result.manifest.pages) std::abort();
+    for (const RecordLocation& location : result.pages) {
+      if (location.offset + location.length > segment.size()) std::abort();
       StoredPage page;
-      page.bytes = segment.substr(p.offset, p.length);
-      page.uncompressed_bytes = p.uncompressed_bytes;
-      page.checksum = p.checksum;
+      page.bytes = segment.substr(location.offset, location.length);
+      page.uncompressed_bytes = location.uncompressed_bytes;
+      page.checksum = location.checksum;
       decompress(page);
     }
   }
@@ -36,23 +35,23 @@
   std::string bytes(reinterpret_cast<const char*>(data), size);
   try_segment(bytes);
   std::string mended(kSegmentHeader);
-  for (size_t at = 0; at + kRecordHeaderBytes <= bytes.size();) {
-    std::string head = bytes.substr(at, kRecordHeaderBytes);
+  for (size_t at = 0; at + kRecordHeadBytes <= bytes.size();) {
+    std::string head = bytes.substr(at, kRecordHeadBytes);
     const uint32_t magic = 0x46565350;
     std::memcpy(head.data(), &magic, sizeof magic);
     uint32_t length = 0;
     std::memcpy(&length, head.data() + 32, sizeof length);
     length %= 256;
-    if (at + kRecordHeaderBytes + length > bytes.size())
-      length = static_cast<uint32_t>(bytes.size() - at - kRecordHeaderBytes);
+    if (at + kRecordHeadBytes + length > bytes.size())
+      length = static_cast<uint32_t>(bytes.size() - at - kRecordHeadBytes);
     std::memcpy(head.data() + 32, &length, sizeof length);
-    uint64_t sum = XXH3_64bits(bytes.data() + at + kRecordHeaderBytes, length);
+    uint64_t sum = XXH3_64bits(bytes.data() + at + kRecordHeadBytes, length);
     std::memcpy(head.data() + 40, &sum, sizeof sum);
-    sum = XXH3_64bits(head.data(), kRecordHeaderBytes - 8);
-    std::memcpy(head.data() + kRecordHeaderBytes - 8, &sum, sizeof sum);
+    sum = XXH3_64bits(head.data(), kRecordHeadBytes - 8);
+    std::memcpy(head.data() + kRecordHeadBytes - 8, &sum, sizeof sum);
     mended += head;
-    mended.append(bytes, at + kRecordHeaderBytes, length);
-    at += kRecordHeaderBytes + length;
+    mended.append(bytes, at + kRecordHeadBytes, length);
+    at += kRecordHeadBytes + length;
   }
   try_segment(mended);
   return 0;
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -24,6 +24,7 @@
 #include "net/waker.h"
 #include "proto/term.h"
 #include "results/paged_result_store.h"
+#include "results/segment_files.h"
 
 namespace firvalve {
 namespace {
@@ -142,7 +143,7 @@
     options.retention.memory_bytes = wish.memory_mb * 1e6;
     options.retention.disk_bytes = wish.folder.empty() ? 0 : wish.disk_mb * 1e6;
     options.retention.max_result_bytes = wish.result_mb * 1e6;
-    options.retention.lease = wish.lease_s * 1000;
+    options.retention.lease = duration_of(wish.lease_s * 1000);
     options.retention.max_results = static_cast<size_t>(wish.results);
     options.initial_expected_bytes = wish.first_expected_kb * 1000;
     options.max_backlog_bytes = options.retention.memory_bytes / 4;
@@ -154,16 +155,16 @@
     waker = std::make_unique<net::Waker>(loop);  // the turn that follows looks at what the files have done
     results::SegmentFiles::Options files_options;
     files_options.folder = wish.folder;
-    files_options.boot = results::boot_time();
-    files =
-        std::make_unique<results::SegmentFiles>(files_options, loop.now(), [w = waker.get()] { w->wake(); });
-    if (files->cut + files->broken > 0)
+    files_options.boot = results::read_boot_time();
+    files = std::make_unique<results::SegmentFiles>(files_options, time_point_of(loop.now()),
+                                                    [w = waker.get()] { w->wake(); });
+    if (files->truncated_segments() + files->corrupt_results() > 0)
       logger.write(loop.now(), Level::kWarning, "parts of the spool's folder left out",
                    {{"component", "spool"},
-                    {"torn_tails_cut", std::to_string(files->cut)},
-                    {"results_broken", std::to_string(files->broken)}});
-    spool->use(loop.now(), *files, files->found, files->lease_offset());
-    files->found.clear();
+                    {"torn_tails_cut", std::to_string(files->truncated_segments())},
+                    {"results_broken", std::to_string(files->corrupt_results())}});
+    spool->attach_storage(time_point_of(loop.now()), *files, files->take_recovered_results(),
+                          files->lease_offset());
   }
   std::unique_ptr<net::Waker> waker;
   std::unique_ptr<results::SegmentFiles> files;
@@ -194,23 +195,23 @@
   }
 }
 
-void tell_command_event(log::Log& logger, Ms now, const CommandEvent& event) {
+void tell_command_event(log::Log& logger, TimePoint now, const CommandEvent& event) {
   logger.write(
-      now, Level::kDebug, name_of(event.kind),
+      to_ms(now), Level::kDebug, name_of(event.kind),
       {{"component", "command"},
        {"command", std::string(event.command)},
        {"profile", std::string(event.profile)},
        {"engine", std::string(event.engine)},
-       {"attempt", std::to_string(event.attempt)},
-       {"outcome", event.kind == CommandEvent::Kind::kAttemptEnded ? std::string(name_of(event.outcome))
-                                                                   : std::string()},
+       {"attempt", std::to_string(event.attempts)},
+       {"outcome", event.kind == CommandEvent::Kind::kAttemptFinished ? std::string(name_of(event.outcome))
+                                                                      : std::string()},
        {"why", std::string(name_of(event.reason))},
-       {"took_ms", fmt::format("{:.1f}", event.took)}});
+       {"took_ms", fmt::format("{:.1f}", to_ms(event.duration.value_or(Duration{})))}});
 }
 
 // Single commands, attempts and connections are told at the level `debug` alone: they are many.
 void observe(Core& core, net::ClientServer& clients, net::EngineConnections& engines, log::Log& logger) {
-  core.observe([&logger](Ms now, const CommandEvent& event) {
+  core.set_observer([&logger](TimePoint now, const CommandEvent& event) {
     if (logger.level() == Level::kDebug) tell_command_event(logger, now, event);
   });
   const auto told_as = [&logger](const char* component) {
@@ -253,7 +254,7 @@
   net::Loop loop;
   loop.limit(told.sockets - kDescriptorsKept, static_cast<size_t>(kBufferPart * bytes));
   Metrics counters;
-  const Ms longest = longest_timeout(settings);
+  const Ms longest = to_ms(longest_client_timeout(settings).value_or(Duration{}));
   const Ms connect = told_or(settings, "connect time-out", 250),
            idle = told_or(settings, "idle close", 15000);
   net::ClientServer clients(loop, counters);
@@ -267,10 +268,11 @@
     peers = std::make_unique<cluster::ClusterService>(loop, counters, fleet_options(wishes.fleet, bytes),
                                                       clients, say);
   Core core(settings, told.seed, peers ? static_cast<ResponseSink&>(*peers) : clients, engines, counters,
-            [&](const std::string& text, const std::string& engine) {
-              say(Level::kWarning, text, {{"component", "module"}, {"engine", engine}});
+            [&](const PolicyMessage& message) {
+              say(Level::kWarning, message.text,
+                  {{"component", "module"}, {"engine", std::string(message.engine)}});
             });
-  core.limit(static_cast<size_t>(kStatementPart * bytes));
+  core.set_max_statement_bytes(static_cast<size_t>(kStatementPart * bytes));
   engines.serve(core);
   if (peers) {
     peers->serve(core);
@@ -279,9 +281,9 @@
   ResultStoreWiring shelving(wishes.spool, loop, counters, logger);
   if (wishes.spool.on) {
     engines.limit_page(static_cast<size_t>(wishes.spool.page_kb * 1000));
-    core.shelve(*shelving.spool);
+    core.set_result_store(*shelving.spool);
     clients.read_pages(*shelving.spool);
-    shelving.spool->on_space_freed = [&core](Ms now) { core.room(now); };
+    shelving.spool->on_space_freed = [&core](TimePoint now) { core.result_space_available(now); };
   }
   observe(core, clients, engines, logger);
   net::EndpointWatcher bus(loop, counters, told.bus, connect, kFirstPart * number(settings, "drain grace"),
@@ -322,7 +324,7 @@
     if (ended_at > 0) return;
     ended_at = loop.now();
     const Ms answered_by = ended_at + proto::answers_end(longest);
-    core.closing(ended_at, answered_by);
+    core.begin_shutdown(time_point_of(ended_at), time_point_of(answered_by));
     if (peers) peers->leave(ended_at, answered_by);
     say(Level::kInfo, "ending: everything taken is answered first", {{"component", "gateway"}});
   });
@@ -343,21 +345,23 @@
     bus.due(now);
     logger.due(now);
     engines.due(now);
-    if (shelving.spool) shelving.spool->due(now);
+    if (shelving.spool) shelving.spool->handle_due(time_point_of(now));
     clients.due(now);
     if (peers) peers->due(now);
-    core.turn(now);
-    const bool settled = ended_at > 0 && now >= ended_at + proto::kComingOn && core.unanswered() == 0 &&
-                         clients.unsent() == 0 && (!shelving.spool || shelving.spool->settled()) &&
+    core.decide(time_point_of(now));
+    const bool settled = ended_at > 0 && now >= ended_at + proto::kComingOn &&
+                         core.unanswered_call_count() == 0 && clients.unsent() == 0 &&
+                         (!shelving.spool || !shelving.spool->has_pending_reads()) &&
                          (!peers || peers->left(now));
     if (settled && clients.leave(now)) loop.stop();
     if (ended_at > 0 && now >= ended_at + proto::leaving_end(longest)) loop.stop();
     if (ended_at > 0) return now + kEndLook;
     const Ms fleet_due = peers ? peers->next_due(now) : 0;
-    const Ms spooled = shelving.spool ? shelving.spool->next_due() : 0;
-    return sooner(
-        sooner(sooner(spooled, fleet_due), logger.next_due()),
-        sooner(sooner(bus.next_due(), clients.next_due()), sooner(engines.next_due(), core.next_due())));
+    const std::optional<TimePoint> results_due = shelving.spool ? shelving.spool->next_due() : std::nullopt;
+    const Ms spooled = results_due ? to_ms(*results_due) : 0;
+    return sooner(sooner(sooner(spooled, fleet_due), logger.next_due()),
+                  sooner(sooner(bus.next_due(), clients.next_due()),
+                         sooner(engines.next_due(), to_ms(core.next_due().value_or(TimePoint{})))));
   };
   loop.run();
   say(Level::kInfo, "counters", {{"component", "gateway"}, {"counts", counters.text()}});
--- a/src/results/lease_clock.cpp
+++ b/src/results/lease_clock.cpp
@@ -6,31 +6,31 @@
 #include <cstdio>
 #include <fstream>
 
-#include "base/monotonic_clock.h"
-
 namespace firvalve::results {
 
-BootTime boot_time() {
-  BootTime out;
-  std::ifstream("/proc/sys/kernel/random/boot_id") >> out.boot_id;
-  out.since_boot = boot_clock_ms();
-  return out;
+BootTime read_boot_time() {
+  BootTime boot;
+  std::ifstream("/proc/sys/kernel/random/boot_id") >> boot.boot_id;
+  boot.now = BootClock::now();
+  return boot;
 }
 
-Ms lease_clock_offset(const std::string& folder, const BootTime& boot, Ms unix_now) {
+Duration load_or_create_lease_clock_offset(const std::string& folder, const BootTime& boot,
+                                           TimePoint unix_now) {
   const std::string path = folder + "/clock";
-  std::string held_id;
-  Ms held_offset = 0;
-  std::ifstream held(path);
-  const bool is_read = static_cast<bool>(held >> held_id >> held_offset) && std::isfinite(held_offset);
-  if (is_read && held_id == boot.boot_id) return held_offset;
-  const Ms offset = unix_now - boot.since_boot;
-  // Whole or not at all: a kill must not leave half a number.
-  const std::string fresh = path + ".new";
-  std::ofstream file(fresh, std::ios::trunc);
-  file << fmt::format("{} {}\n", boot.boot_id, offset);
+  std::string stored_boot_id;
+  Ms stored_offset = 0;
+  std::ifstream stored(path);
+  const bool is_readable =
+      static_cast<bool>(stored >> stored_boot_id >> stored_offset) && std::isfinite(stored_offset);
+  if (is_readable && stored_boot_id == boot.boot_id) return duration_of(stored_offset);
+  const Duration offset = unix_now.time_since_epoch() - boot.now.time_since_epoch();
+  // Replaced in one step: a kill must not leave half a number.
+  const std::string new_path = path + ".new";
+  std::ofstream file(new_path, std::ios::trunc);
+  file << fmt::format("{} {}\n", boot.boot_id, to_ms(offset));
   file.close();
-  if (!file || std::rename(fresh.c_str(), path.c_str()) != 0) std::remove(fresh.c_str());
+  if (!file || std::rename(new_path.c_str(), path.c_str()) != 0) std::remove(new_path.c_str());
   return offset;
 }
 
--- a/src/results/page.cpp
+++ b/src/results/page.cpp
@@ -24,7 +24,7 @@
 std::optional<std::string> decompress(const StoredPage& page) {
   if (XXH3_64bits(page.bytes.data(), page.bytes.size()) != page.checksum) return std::nullopt;
   if (page.uncompressed_bytes == page.bytes.size()) return page.bytes;
-  if (page.uncompressed_bytes > kMaxBodyBytes) return std::nullopt;
+  if (page.uncompressed_bytes > kMaxPageBytes) return std::nullopt;
   std::string rows(page.uncompressed_bytes, '\0');
   const int size = LZ4_decompress_safe(page.bytes.data(), rows.data(), static_cast<int>(page.bytes.size()),
                                        static_cast<int>(rows.size()));
--- a/src/results/page.h
+++ b/src/results/page.h
@@ -8,18 +8,19 @@
 
 namespace firvalve::results {
 
-// The longest body of a record, and so of a page, in bytes.
-constexpr uint32_t kMaxBodyBytes = 64 * 1024 * 1024;
+// The longest page, before and after compression.
+constexpr uint32_t kMaxPageBytes = 64 * 1024 * 1024;
 
-// Pages are LZ4 (docs/design-spool.md has the comparison with Zstandard); what does not shrink stays as it
-// is.
+// A page compressed by LZ4 (docs/design-spool.md compares it with Zstandard). Rows that do not shrink are
+// stored as they are.
 struct StoredPage {
   std::string bytes;
-  uint32_t uncompressed_bytes = 0;  // bytes before compression; equal to those kept: not compressed
-  uint64_t checksum = 0;            // XXH3 of the bytes kept
+  uint32_t uncompressed_bytes = 0;  // size of the rows; equal to bytes.size() if they are not compressed
+  uint64_t checksum = 0;            // XXH3 (64 bits) of `bytes`
 };
+
 StoredPage compress(std::string_view rows);
-std::optional<std::string> decompress(
-    const StoredPage& page);  // empty: the checksum or the compression is wrong
+// The rows; nothing if the checksum does not match or the bytes cannot be decompressed.
+std::optional<std::string> decompress(const StoredPage& page);
 
 }  // namespace firvalve::results
--- a/src/results/paged_result_store.cpp
+++ b/src/results/paged_result_store.cpp
@@ -10,344 +10,398 @@
 
 namespace {
 
-constexpr double kPageOverhead = 96;  // bytes of a page beside its own
+constexpr double kPageOverheadBytes = 96;  // of memory, beside the page's own bytes
 
 uint64_t hash(std::string_view text, uint64_t seed = 0) {
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
+// Never 0, which stands for no key.
+uint64_t hash_of_key(std::string_view key) { return key.empty() ? 0 : hash(key) | 1; }
+
+// What a retry must match: the id of the first command of its chain, and the whole command.
+uint64_t hash_of_chain(const ResultStore::Reservation& reservation) {
+  std::string all(reservation.retry_chain);
+  for (const std::string_view part : {reservation.profile, reservation.result_key, reservation.statement})
+    all.append("\n").append(part);
+  return hash(all) | 1;
+}
+
+std::string_view metric_of(RemovalReason reason) {
+  switch (reason) {
+    case RemovalReason::kReleased:
+      return "results released";
+    case RemovalReason::kLeaseExpired:
+      return "results whose lease was over";
+    case RemovalReason::kEvicted:
+      return "results evicted";
+    case RemovalReason::kTooLarge:
+      return "results outgrown";
+    case RemovalReason::kAbandoned:
+      return "results given up";
+  }
+  return "results removed";
+}
+
+void erase_entry(std::unordered_multimap<uint64_t, ResultId>& index, uint64_t hash, ResultId id) {
+  const auto [begin, end] = index.equal_range(hash);
+  const auto at = std::find_if(begin, end, [id](const auto& entry) { return entry.second == id; });
+  if (at != end) index.erase(at);
+}
+
 }  // namespace
 
-PagedResultStore::PagedResultStore(const PagedResultStoreOptions& options, uint64_t incarnation, Count count)
+PagedResultStore::PagedResultStore(const PagedResultStoreOptions& options, uint64_t incarnation,
+                                   CountMetric count)
     : options_(options),
       incarnation_(incarnation),
       count_(std::move(count)),
       retention_(options.retention),
       size_estimator_(options.initial_expected_bytes) {
-  const ResultToken salt = new_token();
-  std::memcpy(&salt_, salt.data(), sizeof salt_);
-  retention_.on_removed = [this](ResultId no, RemovalReason reason) { gone(no, reason); };
-  retention_.on_memory_evicted = [this](ResultId no) { leave_memory(no); };
+  const ResultToken salt = generate_token();
+  std::memcpy(&token_salt_, salt.data(), sizeof token_salt_);
+  retention_.on_removed = [this](ResultId id, RemovalReason reason) { handle_removed(id, reason); };
+  retention_.on_memory_evicted = [this](ResultId id) { handle_memory_evicted(id); };
 }
 
 PagedResultStore::~PagedResultStore() { retention_.on_removed = nullptr; }
 
-uint64_t PagedResultStore::key_hash(std::string_view key) const { return key.empty() ? 0 : hash(key) | 1; }
+uint64_t PagedResultStore::token_hash(const ResultToken& token) const {
+  return hash({reinterpret_cast<const char*>(token.data()), token.size()}, token_salt_);
+}
 
-// What a repeat must match: the chain's first id, and all of the command.
-uint64_t PagedResultStore::chain_hash(const Reservation& w) const {
-  std::string all(w.chain);
-  for (const std::string_view part : {w.profile, w.key, w.statement}) all.append("\n").append(part);
-  return hash(all) | 1;
+void PagedResultStore::add_to_indexes(ResultId id, const Result& result) {
+  by_token_.emplace(token_hash(result.token), id);
+  if (result.chain_hash != 0) by_chain_.emplace(result.chain_hash, id);
+}
+
+void PagedResultStore::remove_from_indexes(ResultId id, const Result& result) {
+  erase_entry(by_token_, token_hash(result.token), id);
+  erase_entry(by_chain_, result.chain_hash, id);
 }
 
-void PagedResultStore::use(Ms now, Storage& storage, const std::vector<RecoveredResult>& found,
-                           Ms lease_offset) {
+void PagedResultStore::attach_storage(TimePoint now, Storage& storage,
+                                      const std::vector<RecoveredResult>& recovered, Duration lease_offset) {
   now_ = now;
   lease_offset_ = lease_offset;
   storage_ = &storage;
-  for (const RecoveredResult& f : found) {
-    const Ms lease_expiry = f.manifest.lease_expiry - lease_offset_;
-    const ResultId no = retention_.restore(now, f.manifest.owner, f.bytes, lease_expiry - now);
-    if (no == 0) continue;
-    Result& r = results_[no];
-    r.token = f.manifest.token;
-    r.owner = f.manifest.owner;
-    r.key = f.manifest.key_hash;
-    r.chain = f.manifest.chain_hash;
-    r.rows = f.manifest.rows;
-    r.whole = true;
-    r.stored_lease_expiry = lease_expiry;
-    r.incarnation = f.incarnation;
-    r.stored_result = f.result;
-    for (const RecordLocation& location : f.pages) {
-      Page p;
-      p.location = location;
-      p.on_disk = p.written = true;
-      p.stored.uncompressed_bytes = location.uncompressed_bytes;
-      p.stored.checksum = location.checksum;
-      p.size = static_cast<double>(location.length);
-      r.pages.push_back(std::move(p));
+  for (const RecoveredResult& found : recovered) {
+    const Manifest& manifest = found.manifest;
+    const TimePoint lease_expiry = from_lease_time(manifest.lease_expiry, lease_offset_);
+    const auto id = retention_.restore(now, manifest.owner, found.bytes, lease_expiry - now);
+    if (!id) continue;
+    Result& result = results_[*id];
+    result.token = manifest.token;
+    result.owner = manifest.owner;
+    result.key_hash = manifest.key_hash;
+    result.chain_hash = manifest.chain_hash;
+    result.rows = manifest.rows;
+    result.is_complete = true;
+    result.stored_lease_expiry = lease_expiry;
+    result.recovered_key = found.key;
+    for (const RecordLocation& location : found.pages) {
+      Page& page = result.pages.emplace_back();
+      page.location = location;
+      page.is_on_disk = page.is_in_storage = true;
+      page.stored.uncompressed_bytes = location.uncompressed_bytes;
+      page.stored.checksum = location.checksum;
+      page.size_bytes = static_cast<double>(location.length);
       ++live_pages_[location.segment];
     }
-    tokens_.emplace(hash({reinterpret_cast<const char*>(r.token.data()), r.token.size()}, salt_), no);
-    if (r.chain != 0) chains_.emplace(r.chain, no);
+    add_to_indexes(*id, result);
     count_("results read back");
   }
   delete_unused_segments();
 }
 
-ResultId PagedResultStore::reserve(Ms now, const Reservation& w) {
+std::optional<ResultHandle> PagedResultStore::reserve(TimePoint now, const Reservation& reservation) {
   now_ = now;
-  const std::string profile(w.profile);
-  const ResultId no =
-      retention_.reserve(now, std::string(w.owner), size_estimator_.expected(profile, w.tables));
-  if (no == 0) {
+  const std::string profile(reservation.profile);
+  const auto id = retention_.reserve(std::string(reservation.owner),
+                                     size_estimator_.estimate_bytes(profile, reservation.table_group));
+  if (!id) {
     count_("places not had");
-    return 0;
+    return std::nullopt;
   }
-  Result& r = results_[no];
-  r.owner = w.owner;
-  r.profile = profile;
-  r.tables = w.tables;
-  r.key = key_hash(w.key);
-  r.chain = chain_hash(w);
-  return no;
+  Result& result = results_[*id];
+  result.owner = reservation.owner;
+  result.profile = profile;
+  result.table_group = reservation.table_group;
+  result.key_hash = hash_of_key(reservation.result_key);
+  result.chain_hash = hash_of_chain(reservation);
+  return id;
 }
 
-ResultId PagedResultStore::find(Ms now, const Reservation& w) {
+std::optional<ResultHandle> PagedResultStore::find(TimePoint now, const Reservation& reservation) {
   now_ = now;
-  const auto [begin, end] = chains_.equal_range(chain_hash(w));
+  const auto [begin, end] = by_chain_.equal_range(hash_of_chain(reservation));
   for (auto at = begin; at != end; ++at) {
-    const Result& r = results_.at(at->second);
-    if (!r.whole || r.key != key_hash(w.key) || !retention_.read(now, at->second)) continue;
+    const ResultId id = at->second;
+    const Result& result = results_.at(id);
+    if (!result.is_complete || result.key_hash != hash_of_key(reservation.result_key)) continue;
+    if (!retention_.renew_lease(now, id)) continue;
     count_("results found by a repeat");
-    return at->second;
+    return id;
   }
-  return 0;
+  return std::nullopt;
 }
 
-ResultStore::Put PagedResultStore::page(Ms now, ResultHandle no, std::string_view rows) {
+ResultStore::AppendResult PagedResultStore::append_page(TimePoint now, ResultHandle id,
+                                                        std::string_view rows) {
   now_ = now;
-  const auto at = results_.find(no);
-  if (at == results_.end() || at->second.whole) return Put::kOutgrown;
-  if (at->second.uncompressed_bytes + static_cast<double>(rows.size()) >
-      options_.retention.max_result_bytes) {
-    retention_.forget(no, RemovalReason::kTooLarge);
-    return Put::kOutgrown;
-  }
-  Page p;
-  p.stored = compress(rows);
-  p.size = static_cast<double>(p.stored.bytes.size()) + kPageOverhead;
-  if (!retention_.grow(now, no, p.size)) return Put::kOutgrown;
-  Result& r = at->second;
-  r.rows += static_cast<uint64_t>(std::count(rows.begin(), rows.end(), '\n'));
-  r.uncompressed_bytes += static_cast<double>(rows.size());
-  r.pages.push_back(std::move(p));
-  write(now, no, r.pages.size() - 1);
-  return storage_ && static_cast<double>(storage_->backlog_bytes()) > options_.max_backlog_bytes
-             ? Put::kSlow
-             : Put::kTaken;
-}
-
-void PagedResultStore::write(Ms now, ResultId no, size_t page) {
-  if (!storage_) return;
-  Result& r = results_.at(no);
-  Page& p = r.pages[page];
-  if (!retention_.reserve_disk(now, no, p.size)) {
-    count_("pages without room on disk");
-    return;
-  }
-  p.written = true;
-  Record record;
-  record.kind = Record::Kind::kPage;
-  set_record_key(no, r, record);
-  record.page = static_cast<uint32_t>(page);
-  record.stored = p.stored;
-  writes_[++last_request_id_] = {no, page, r.attempt};
-  storage_->append(last_request_id_, std::move(record));
-}
-
-void PagedResultStore::forget_segments_of(const Result& r) {
-  for (const Page& p : r.pages) {
-    if (!p.on_disk) continue;
-    const auto at = live_pages_.find(p.location.segment);
-    if (at != live_pages_.end() && --at->second == 0) live_pages_.erase(at);
+  const auto at = results_.find(id);
+  if (at == results_.end() || at->second.is_complete) return AppendResult::kOutOfSpace;
+  Result& result = at->second;
+  if (result.uncompressed_bytes + static_cast<double>(rows.size()) > options_.retention.max_result_bytes) {
+    retention_.remove(id, RemovalReason::kTooLarge);
+    return AppendResult::kOutOfSpace;
   }
+  Page page;
+  page.stored = compress(rows);
+  page.size_bytes = static_cast<double>(page.stored.bytes.size()) + kPageOverheadBytes;
+  if (!retention_.add_bytes(id, page.size_bytes)) return AppendResult::kOutOfSpace;
+  result.rows += static_cast<uint64_t>(std::count(rows.begin(), rows.end(), '\n'));
+  result.uncompressed_bytes += static_cast<double>(rows.size());
+  result.pages.push_back(std::move(page));
+  write_page(id, result.pages.size() - 1);
+  const bool is_storage_behind =
+      storage_ && static_cast<double>(storage_->backlog_bytes()) > options_.max_backlog_bytes;
+  return is_storage_behind ? AppendResult::kStoredSlowDown : AppendResult::kStored;
 }
 
-void PagedResultStore::clear(Ms now, ResultHandle no) {
+void PagedResultStore::clear_pages(TimePoint now, ResultHandle id) {
   now_ = now;
-  const auto at = results_.find(no);
-  if (at == results_.end() || at->second.whole) return;
-  forget_segments_of(at->second);
-  at->second.pages.clear();
-  at->second.rows = 0;
-  at->second.uncompressed_bytes = 0;
-  at->second.attempt += 1;
-  retention_.clear(no);
+  const auto at = results_.find(id);
+  if (at == results_.end() || at->second.is_complete) return;
+  Result& result = at->second;
+  release_segments(result);
+  result.pages.clear();
+  result.rows = 0;
+  result.uncompressed_bytes = 0;
+  result.attempt += 1;
+  retention_.clear(id);
 }
 
-void PagedResultStore::drop(Ms now, ResultHandle no) {
+void PagedResultStore::discard(TimePoint now, ResultHandle id) {
   now_ = now;
-  retention_.forget(no, RemovalReason::kAbandoned);
+  retention_.remove(id, RemovalReason::kAbandoned);
 }
 
-void PagedResultStore::whole(Ms now, ResultHandle no) {
+void PagedResultStore::complete(TimePoint now, ResultHandle id) {
   now_ = now;
-  const auto at = results_.find(no);
+  const auto at = results_.find(id);
   if (at == results_.end()) return;
-  Result& r = at->second;
-  r.whole = true;
-  r.token = new_token();
-  tokens_.emplace(hash({reinterpret_cast<const char*>(r.token.data()), r.token.size()}, salt_), no);
-  chains_.emplace(r.chain, no);
-  double size = 0;
-  for (const Page& p : r.pages) size += p.size;
-  size_estimator_.ended(r.profile, r.tables, size);
-  retention_.whole(now, no);
+  Result& result = at->second;
+  result.is_complete = true;
+  result.token = generate_token();
+  add_to_indexes(id, result);
+  double size_bytes = 0;
+  for (const Page& page : result.pages) size_bytes += page.size_bytes;
+  size_estimator_.add_result(result.profile, result.table_group, size_bytes);
+  retention_.complete(now, id);
   count_("results kept");
-  space_freed_ = true;  // what was reserved and not used
-  write_manifest(now, no);
-}
-
-// What began anew is another to the storage; what an earlier life stored keeps its name.
-void PagedResultStore::set_record_key(ResultId no, const Result& r, Record& record) const {
-  record.incarnation = r.incarnation ? r.incarnation : incarnation_;
-  record.result = r.incarnation ? r.stored_result : (no << 16) + r.attempt;
+  is_space_freed_ = true;  // the rest of its reservation
+  write_manifest(now, id);
 }
 
-// Only what is wholly on its way to the disk can be read back: the rest gets no record of being whole.
-void PagedResultStore::write_manifest(Ms now, ResultId no) {
-  Result& r = results_.at(no);
-  if (!storage_ || !std::all_of(r.pages.begin(), r.pages.end(), [](const Page& p) { return p.written; }))
-    return;
-  Record record;
-  record.kind = Record::Kind::kManifest;
-  set_record_key(no, r, record);
-  r.stored_lease_expiry = now + options_.retention.lease;
-  record.manifest = {
-      r.token, r.key,  r.chain, r.stored_lease_expiry + lease_offset_, static_cast<uint32_t>(r.pages.size()),
-      r.rows,  r.owner};
-  storage_->append(0, std::move(record));
-}
-
-PagedAnswer PagedResultStore::answer(ResultHandle no) const {
-  const auto at = results_.find(no);
+PagedAnswer PagedResultStore::answer_of(ResultHandle id) const {
+  const auto at = results_.find(id);
   if (at == results_.end()) return {};
   return {to_hex(at->second.token), at->second.pages.size(), at->second.rows};
 }
 
-ResultId PagedResultStore::find_by_token(std::string_view hex, std::string_view key) const {
+// Nothing also where there is such a result and the key is not this client's.
+std::optional<ResultId> PagedResultStore::find_by_token(std::string_view hex,
+                                                        std::string_view result_key) const {
   const auto token = parse_token(hex);
-  if (!token) return 0;
-  const uint64_t h = hash({reinterpret_cast<const char*>(token->data()), token->size()}, salt_);
-  const auto [begin, end] = tokens_.equal_range(h);
+  if (!token) return std::nullopt;
+  const auto [begin, end] = by_token_.equal_range(token_hash(*token));
   for (auto at = begin; at != end; ++at) {
-    const Result& r = results_.at(at->second);
-    if (equal_in_constant_time(r.token, *token) && (r.key == 0 || r.key == key_hash(key))) return at->second;
+    const Result& result = results_.at(at->second);
+    const bool is_token = equal_in_constant_time(result.token, *token);
+    if (is_token && (result.key_hash == 0 || result.key_hash == hash_of_key(result_key))) return at->second;
   }
-  return 0;
+  return std::nullopt;
 }
 
-void PagedResultStore::read(Ms now, std::string_view token, std::string_view key, uint64_t page, Rows done) {
+void PagedResultStore::read_page(TimePoint now, std::string_view token, std::string_view result_key,
+                                 uint64_t page_number, ReadCallback callback) {
   now_ = now;
-  const ResultId no = find_by_token(token, key);
-  if (no == 0 || !retention_.read(now, no)) return done(now, Read::kGone, {}, 0);
-  Result& r = results_.at(no);
-  if (page < 1 || page > r.pages.size()) return done(now, Read::kNoSuchPage, {}, r.pages.size());
-  // The storage is told of a lease that goes on, before half of what it knows is over.
-  if (r.stored_lease_expiry > 0 && r.stored_lease_expiry < now + options_.retention.lease / 2)
-    write_manifest(now, no);
-  const Page& p = r.pages[page - 1];
-  if (p.stored.bytes.empty() && p.on_disk) {
-    reads_[++last_request_id_] = {no, page - 1, std::move(done)};
-    return storage_->read(last_request_id_, p.location);
+  const auto id = find_by_token(token, result_key);
+  if (!id || !retention_.renew_lease(now, *id)) return callback(now, ReadStatus::kGone, {}, 0);
+  const Result& result = results_.at(*id);
+  if (page_number < 1 || page_number > result.pages.size())
+    return callback(now, ReadStatus::kNoSuchPage, {}, result.pages.size());
+  // A renewed lease is stored before half of the stored one is over.
+  if (result.stored_lease_expiry && *result.stored_lease_expiry < now + options_.retention.lease / 2)
+    write_manifest(now, *id);
+  const Page& page = result.pages[page_number - 1];
+  if (page.stored.bytes.empty() && page.is_on_disk) {
+    reads_[++last_request_id_] = {*id, page_number - 1, std::move(callback)};
+    return storage_->read(last_request_id_, page.location);
   }
-  const auto rows = decompress(p.stored);
+  const auto rows = decompress(page.stored);
   if (!rows) {
-    count_("pages broken");
-    retention_.forget(no, RemovalReason::kEvicted);
-    return done(now, Read::kGone, {}, 0);
+    handle_corrupt_page(*id);
+    return callback(now, ReadStatus::kGone, {}, 0);
   }
-  done(now, Read::kRows, *rows, r.pages.size());
+  callback(now, ReadStatus::kRows, *rows, result.pages.size());
 }
 
-bool PagedResultStore::release(Ms now, std::string_view token, std::string_view key) {
+bool PagedResultStore::release(TimePoint now, std::string_view token, std::string_view result_key) {
   now_ = now;
-  const ResultId no = find_by_token(token, key);
-  if (no == 0) return false;
-  retention_.forget(no, RemovalReason::kReleased);
+  const auto id = find_by_token(token, result_key);
+  if (!id) return false;
+  retention_.remove(*id, RemovalReason::kReleased);
   return true;
 }
 
-void PagedResultStore::leave_memory(ResultId no) {
-  for (Page& p : results_.at(no).pages)
-    if (p.on_disk) std::string().swap(p.stored.bytes);
-  count_("results moved to disk alone");
+// ---- Storage ------------------------------------------------------------------------------------
+
+// An attempt that starts over is another result to the storage. A recovered result keeps its key.
+RecordKey PagedResultStore::record_key(ResultId id, const Result& result) const {
+  return result.recovered_key.value_or(RecordKey{incarnation_, (id << 16) + result.attempt});
 }
 
-void PagedResultStore::gone(ResultId no, RemovalReason reason) {
-  static constexpr std::string_view kWhy[] = {"results released", "results whose lease was over",
-                                              "results evicted", "results outgrown", "results given up"};
-  const auto at = results_.find(no);
-  if (at == results_.end()) return;
-  const Result& r = at->second;
-  count_(kWhy[static_cast<size_t>(reason)]);
-  const auto erase = [&](auto& map, uint64_t h) {
-    const auto [begin, end] = map.equal_range(h);
-    for (auto i = begin; i != end; ++i)
-      if (i->second == no) return void(map.erase(i));
-  };
-  if (r.whole) {
-    erase(tokens_, hash({reinterpret_cast<const char*>(r.token.data()), r.token.size()}, salt_));
-    erase(chains_, r.chain);
+void PagedResultStore::write_page(ResultId id, size_t page_index) {
+  if (!storage_) return;
+  Result& result = results_.at(id);
+  Page& page = result.pages[page_index];
+  if (!retention_.reserve_disk(id, page.size_bytes)) {
+    count_("pages without room on disk");
+    return;
   }
-  forget_segments_of(r);
-  // Guards against a result that was released or is over and comes back with the next life.
-  if (r.stored_lease_expiry > now_ && storage_) {
-    Record record;
-    record.kind = Record::Kind::kTombstone;
-    set_record_key(no, r, record);
-    storage_->append(0, std::move(record));
+  page.is_in_storage = true;
+  SegmentRecord record;
+  record.kind = SegmentRecord::Kind::kPage;
+  record.key = record_key(id, result);
+  record.page_index = static_cast<uint32_t>(page_index);
+  record.page = page.stored;
+  writes_[++last_request_id_] = {id, page_index, result.attempt};
+  storage_->append(last_request_id_, std::move(record));
+}
+
+// Only a result of which all pages are on their way to the disk can be recovered: others get no manifest.
+void PagedResultStore::write_manifest(TimePoint now, ResultId id) {
+  if (!storage_) return;
+  Result& result = results_.at(id);
+  const auto is_in_storage = [](const Page& page) { return page.is_in_storage; };
+  if (!std::all_of(result.pages.begin(), result.pages.end(), is_in_storage)) return;
+  result.stored_lease_expiry = now + options_.retention.lease;
+  SegmentRecord record;
+  record.kind = SegmentRecord::Kind::kManifest;
+  record.key = record_key(id, result);
+  record.manifest.token = result.token;
+  record.manifest.key_hash = result.key_hash;
+  record.manifest.chain_hash = result.chain_hash;
+  record.manifest.lease_expiry = to_lease_time(*result.stored_lease_expiry, lease_offset_);
+  record.manifest.pages = static_cast<uint32_t>(result.pages.size());
+  record.manifest.rows = result.rows;
+  record.manifest.owner = result.owner;
+  storage_->append(std::nullopt, std::move(record));
+}
+
+// Guards against a result that was released, or is over, and would be recovered by the next incarnation.
+void PagedResultStore::write_tombstone(ResultId id, const Result& result) {
+  const bool is_recoverable = storage_ && result.stored_lease_expiry && *result.stored_lease_expiry > now_;
+  if (!is_recoverable) return;
+  SegmentRecord record;
+  record.kind = SegmentRecord::Kind::kTombstone;
+  record.key = record_key(id, result);
+  storage_->append(std::nullopt, std::move(record));
+}
+
+void PagedResultStore::finish_write(const PendingWrite& write, const Storage::Completion& completion) {
+  if (!completion.succeeded) count_("pages not written");
+  const auto at = results_.find(write.id);
+  if (at == results_.end() || at->second.attempt != write.attempt) return;
+  Page& page = at->second.pages[write.page_index];
+  page.is_in_storage = page.is_on_disk = completion.succeeded;
+  page.location = completion.location;
+  if (completion.succeeded) ++live_pages_[completion.location.segment];
+  retention_.finish_disk_write(write.id, page.size_bytes, completion.succeeded);
+}
+
+std::optional<std::string> PagedResultStore::decompress_read(const PendingRead& read,
+                                                             Storage::Completion completion) {
+  const auto at = results_.find(read.id);
+  if (at == results_.end() || !completion.succeeded) return std::nullopt;
+  StoredPage page = at->second.pages[read.page_index].stored;
+  page.bytes = std::move(completion.bytes);
+  return decompress(page);
+}
+
+void PagedResultStore::finish_read(TimePoint now, const PendingRead& read, Storage::Completion completion) {
+  if (const auto rows = decompress_read(read, std::move(completion)))
+    return read.callback(now, ReadStatus::kRows, *rows, results_.at(read.id).pages.size());
+  if (results_.count(read.id) > 0) handle_corrupt_page(read.id);
+  read.callback(now, ReadStatus::kGone, {}, 0);
+}
+
+void PagedResultStore::release_segments(const Result& result) {
+  for (const Page& page : result.pages) {
+    if (!page.is_on_disk) continue;
+    const auto at = live_pages_.find(page.location.segment);
+    if (at != live_pages_.end() && --at->second == 0) live_pages_.erase(at);
   }
-  results_.erase(at);
-  space_freed_ = true;
-  delete_unused_segments();
 }
 
-// Segments go from the oldest on, so that no word of a result's end goes before its pages.
+// Oldest first, so that no tombstone is deleted before the pages that it stands for.
 void PagedResultStore::delete_unused_segments() {
   if (!storage_) return;
-  const size_t until = live_pages_.empty()
-                           ? storage_->current_segment()
-                           : std::min(live_pages_.begin()->first, storage_->current_segment());
-  if (until <= dropped_until_) return;
-  dropped_until_ = until;
-  storage_->delete_segments_before(until);
+  const size_t current = storage_->current_segment();
+  const size_t first_kept = live_pages_.empty() ? current : std::min(live_pages_.begin()->first, current);
+  if (first_kept <= first_kept_segment_) return;
+  first_kept_segment_ = first_kept;
+  storage_->delete_segments_before(first_kept);
+}
+
+// ---- Retention ----------------------------------------------------------------------------------
+
+void PagedResultStore::handle_memory_evicted(ResultId id) {
+  for (Page& page : results_.at(id).pages)
+    if (page.is_on_disk) std::string().swap(page.stored.bytes);
+  count_("results moved to disk alone");
+}
+
+// A corrupt page is never served, and without it the other pages are of no use.
+void PagedResultStore::handle_corrupt_page(ResultId id) {
+  count_("pages broken");
+  retention_.remove(id, RemovalReason::kEvicted);
 }
 
-void PagedResultStore::due(Ms now) {
+void PagedResultStore::handle_removed(ResultId id, RemovalReason reason) {
+  const auto at = results_.find(id);
+  if (at == results_.end()) return;
+  const Result& result = at->second;
+  count_(metric_of(reason));
+  if (result.is_complete) remove_from_indexes(id, result);
+  release_segments(result);
+  write_tombstone(id, result);
+  results_.erase(at);
+  is_space_freed_ = true;
+  delete_unused_segments();
+}
+
+void PagedResultStore::handle_due(TimePoint now) {
   now_ = now;
-  retention_.due(now);
+  retention_.expire_leases(now);
   if (storage_) {
-    for (Storage::Completion& d : storage_->take_completions()) {
-      if (const auto w = writes_.find(d.request_id); w != writes_.end()) {
-        const Writing writing = w->second;
-        writes_.erase(w);
-        const auto at = results_.find(writing.no);
-        if (!d.succeeded) count_("pages not written");
-        if (at == results_.end() || at->second.attempt != writing.attempt) continue;
-        Page& p = at->second.pages[writing.page];
-        p.written = p.on_disk = d.succeeded;
-        p.location = d.location;
-        if (d.succeeded) ++live_pages_[d.location.segment];
-        retention_.stored(writing.no, p.size, d.succeeded);
-      } else if (const auto r = reads_.find(d.request_id); r != reads_.end()) {
-        const Reading reading = std::move(r->second);
-        reads_.erase(r);
-        const auto at = results_.find(reading.no);
-        std::optional<std::string> rows;
-        if (at != results_.end() && d.succeeded) {
-          StoredPage page = at->second.pages[reading.page].stored;
-          page.bytes = std::move(d.bytes);
-          rows = decompress(page);
-        }
-        if (rows) {
-          reading.done(now, Read::kRows, *rows, at->second.pages.size());
-          continue;
-        }
-        // A page that is broken is never served, and so the rest is of no use either.
-        if (at != results_.end()) {
-          count_("pages broken");
-          retention_.forget(reading.no, RemovalReason::kEvicted);
-        }
-        reading.done(now, Read::kGone, {}, 0);
+    for (Storage::Completion& completion : storage_->take_completions()) {
+      if (const auto write = writes_.extract(completion.request_id)) {
+        finish_write(write.mapped(), completion);
+      } else if (const auto read = reads_.extract(completion.request_id)) {
+        finish_read(now, read.mapped(), std::move(completion));
       }
     }
     delete_unused_segments();
   }
-  if (std::exchange(space_freed_, false) && on_space_freed) on_space_freed(now);
+  if (std::exchange(is_space_freed_, false) && on_space_freed) on_space_freed(now);
+}
+
+std::optional<TimePoint> PagedResultStore::next_due() const {
+  if (is_space_freed_) return TimePoint(Duration(1));  // at once
+  return retention_.next_expiry();
 }
 
 }  // namespace firvalve::results
--- a/src/results/recovery.cpp
+++ b/src/results/recovery.cpp
@@ -2,55 +2,55 @@
 
 namespace firvalve::results {
 
-size_t Recovery::handle(size_t number, std::string_view segment) {
+std::optional<size_t> Recovery::add_segment(size_t number, std::string_view segment) {
   if (!segment.starts_with(kSegmentHeader)) return 0;
-  size_t at = kSegmentHeader.size(), next = 0;
-  Record r;
-  for (;; at = next) {
-    const RecordStatus read = read_record(segment, at, r, next);
-    if (read == RecordStatus::kEndOfSegment) return std::string_view::npos;
-    if (read == RecordStatus::kTorn) return at;
-    Part& part = parts_[{r.incarnation, r.result}];
-    if (read == RecordStatus::kCorrupt) {
-      part.has_corrupt_record = true;
-      continue;
-    }
-    part.found.incarnation = r.incarnation;
-    part.found.result = r.result;
-    if (r.kind == Record::Kind::kTombstone) {
-      part.released = true;
-    } else if (r.kind == Record::Kind::kManifest) {
-      part.whole = true;
-      part.found.manifest = r.manifest;
+  size_t next = 0;
+  SegmentRecord record;
+  for (size_t at = kSegmentHeader.size();; at = next) {
+    const RecordStatus status = read_record(segment, at, record, next);
+    if (status == RecordStatus::kEndOfSegment) return std::nullopt;
+    if (status == RecordStatus::kTorn) return at;
+    PartialResult& result = results_[record.key];
+    if (status == RecordStatus::kCorrupt) {
+      result.has_corrupt_record = true;
+    } else if (record.kind == SegmentRecord::Kind::kTombstone) {
+      result.has_tombstone = true;
+    } else if (record.kind == SegmentRecord::Kind::kManifest) {
+      result.manifest = record.manifest;
     } else {
-      part.pages[r.page] = {number, at + kRecordHeaderBytes, r.stored.bytes.size(),
-                            r.stored.uncompressed_bytes, r.stored.checksum};
+      result.pages[record.page_index] = {number, at + kRecordHeadBytes, record.page.bytes.size(),
+                                         record.page.uncompressed_bytes, record.page.checksum};
     }
   }
 }
 
-std::vector<RecoveredResult> Recovery::found(double now, size_t& broken) const {
-  std::vector<RecoveredResult> all;
-  broken = 0;
-  for (const auto& [key, part] : parts_) {
-    if (part.released || !part.whole) {
-      broken += part.has_corrupt_record && !part.released;
+bool Recovery::PartialResult::has_all_pages() const {
+  return !has_corrupt_record && pages.size() == manifest->pages &&
+         (pages.empty() || pages.rbegin()->first + 1 == manifest->pages);
+}
+
+Recovery::Outcome Recovery::outcome(LeaseTime now) const {
+  Outcome outcome;
+  for (const auto& [key, partial] : results_) {
+    if (partial.has_tombstone) continue;
+    if (!partial.manifest) {
+      outcome.corrupt_results += partial.has_corrupt_record;
+      continue;
+    }
+    if (!partial.has_all_pages()) {
+      ++outcome.corrupt_results;
       continue;
     }
-    const Manifest& manifest = part.found.manifest;
-    const bool complete = !part.has_corrupt_record && part.pages.size() == manifest.pages &&
-                          (manifest.pages == 0 || part.pages.rbegin()->first + 1 == manifest.pages);
-    if (!complete) {
-      ++broken;
-    } else if (manifest.lease_expiry > now) {
-      all.push_back(part.found);
-      for (const auto& [page, location] : part.pages) {
-        all.back().pages.push_back(location);
-        all.back().bytes += static_cast<double>(location.length);
-      }
+    if (!(partial.manifest->lease_expiry > now)) continue;  // also where it is not a number
+    RecoveredResult& result = outcome.results.emplace_back();
+    result.key = key;
+    result.manifest = *partial.manifest;
+    for (const auto& [index, location] : partial.pages) {
+      result.pages.push_back(location);
+      result.bytes += static_cast<double>(location.length);
     }
   }
-  return all;
+  return outcome;
 }
 
 }  // namespace firvalve::results
--- a/src/results/result_size_estimator.cpp
+++ b/src/results/result_size_estimator.cpp
@@ -7,51 +7,53 @@
 namespace {
 
 constexpr double kQuantile = 0.9;
-constexpr float kFade = 0.98f;  // an ended result: some 50 are remembered
-constexpr float kLeast = 8;     // results, before a group is believed
-constexpr size_t kGroupsMost = 4096;
+constexpr float kFade = 0.98f;    // of all counts, with each result: some 50 results are remembered
+constexpr float kMinResults = 8;  // before a histogram is relied on
+constexpr size_t kMaxGroups = 4096;
 
 }  // namespace
 
-void ResultSizeEstimator::Counts::add(double bytes) {
-  const double step = 2 * std::log2(std::max(bytes, 1.0));
-  const auto at = static_cast<size_t>(std::clamp(std::ceil(step), 0.0, 63.0));
-  for (float& c : count) c *= kFade;
-  all = all * kFade + 1;
-  count[at] += 1;
+void ResultSizeEstimator::Histogram::add(double bytes) {
+  const double size_class = 2 * std::log2(std::max(bytes, 1.0));
+  const auto at = static_cast<size_t>(std::clamp(std::ceil(size_class), 0.0, 63.0));
+  for (float& count : counts) count *= kFade;
+  total = total * kFade + 1;
+  counts[at] += 1;
 }
 
-double ResultSizeEstimator::Counts::quantile() const {
+double ResultSizeEstimator::Histogram::quantile() const {
   float sum = 0;
-  for (size_t i = 0; i < count.size(); ++i) {
-    sum += count[i];
-    if (sum >= static_cast<float>(kQuantile) * all) return std::exp2(static_cast<double>(i) / 2);
+  for (size_t i = 0; i < counts.size(); ++i) {
+    sum += counts[i];
+    if (sum >= static_cast<float>(kQuantile) * total) return std::exp2(static_cast<double>(i) / 2);
   }
   return std::exp2(31.5);
 }
 
-void ResultSizeEstimator::ended(const std::string& profile, int64_t tables, double bytes) {
+void ResultSizeEstimator::add_result(const std::string& profile, int64_t table_group, double bytes) {
   profiles_[profile].add(bytes);
-  const Key key{profile, tables};
+  const Key key{profile, table_group};
   auto at = groups_.find(key);
   if (at == groups_.end()) {
-    if (groups_.size() >= kGroupsMost) {
+    if (groups_.size() >= kMaxGroups) {
       groups_.erase(by_use_.front());
       by_use_.pop_front();
     }
     at = groups_.emplace(key, Group{}).first;
-    at->second.used = by_use_.insert(by_use_.end(), key);
+    at->second.by_use = by_use_.insert(by_use_.end(), key);
   }
-  at->second.counts.add(bytes);
-  by_use_.splice(by_use_.end(), by_use_, at->second.used);
+  at->second.histogram.add(bytes);
+  by_use_.splice(by_use_.end(), by_use_, at->second.by_use);
 }
 
-double ResultSizeEstimator::expected(const std::string& profile, int64_t tables) const {
-  const auto group = groups_.find({profile, tables});
-  if (group != groups_.end() && group->second.counts.all >= kLeast) return group->second.counts.quantile();
-  const auto all = profiles_.find(profile);
-  if (all != profiles_.end() && all->second.all >= kLeast) return all->second.quantile();
-  return first_;
+double ResultSizeEstimator::estimate_bytes(const std::string& profile, int64_t table_group) const {
+  const auto group = groups_.find({profile, table_group});
+  if (group != groups_.end() && group->second.histogram.total >= kMinResults)
+    return group->second.histogram.quantile();
+  const auto of_profile = profiles_.find(profile);
+  if (of_profile != profiles_.end() && of_profile->second.total >= kMinResults)
+    return of_profile->second.quantile();
+  return initial_bytes_;
 }
 
 }  // namespace firvalve::results
--- a/src/results/result_size_estimator.h
+++ b/src/results/result_size_estimator.h
@@ -1,5 +1,5 @@
-// How large a result will be: learned by profile and table group from results that ended, as a quantile. One
-// in ten may be larger, which is why what outgrows its place has somewhere to go.
+// Predicts how large a result will be, from the sizes of earlier ones of the same profile and table group. It
+// is a quantile: one result in ten is larger, which is why a result may outgrow its reservation. One thread.
 #pragma once
 
 #include <array>
@@ -7,35 +7,39 @@
 #include <list>
 #include <map>
 #include <string>
+#include <utility>
 
 namespace firvalve::results {
 
 class ResultSizeEstimator {
  public:
-  // `first`: bytes expected of what has never ended here.
-  explicit ResultSizeEstimator(double first) : first_(first) {}
-  void ended(const std::string& profile, int64_t tables, double bytes);
-  // Bytes that nine in ten results stay within: of the group, or else of the profile, or else `first`.
-  double expected(const std::string& profile, int64_t tables) const;
-  size_t groups() const { return groups_.size(); }
+  // `initial_bytes`: the estimate for a profile of which too few results are known.
+  explicit ResultSizeEstimator(double initial_bytes) : initial_bytes_(initial_bytes) {}
+  // Learns the size of a complete result, as stored.
+  void add_result(const std::string& profile, int64_t table_group, double bytes);
+  // The size that nine in ten results stay within: of the table group, or else of the profile, or else the
+  // initial estimate.
+  double estimate_bytes(const std::string& profile, int64_t table_group) const;
+  size_t group_count() const { return groups_.size(); }
 
  private:
-  // Counts over sizes that grow by the root of two, fading, so that what changes is followed.
-  struct Counts {
-    std::array<float, 64> count{};
-    float all = 0;
+  // Counts of results by size class, each class the root of two times the one before. Old counts fade, so
+  // that changes are followed.
+  struct Histogram {
+    std::array<float, 64> counts{};
+    float total = 0;
     void add(double bytes);
     double quantile() const;
   };
-  using Key = std::pair<std::string, int64_t>;
+  using Key = std::pair<std::string, int64_t>;  // profile and table group
   struct Group {
-    Counts counts;
-    std::list<Key>::iterator used;
+    Histogram histogram;
+    std::list<Key>::iterator by_use;
   };
-  double first_;
-  std::map<std::string, Counts> profiles_;  // as many as the deployment has
-  std::map<Key, Group> groups_;             // the latest used, at most kGroupsMost
-  std::list<Key> by_use_;                   // the longest unused first
+  double initial_bytes_;
+  std::map<std::string, Histogram> profiles_;  // as many as the deployment has
+  std::map<Key, Group> groups_;                // the most recently used, at most kMaxGroups
+  std::list<Key> by_use_;                      // the least recently used first
 };
 
 }  // namespace firvalve::results
--- a/src/results/retention.h
+++ b/src/results/retention.h
@@ -1,88 +1,102 @@
-// What the spool decides: which result has a place, what of it stays in memory, what goes, and when. No I/O,
-// no clock, no bytes of any result: only their numbers.
+// Decides which results keep their space, which of their pages stay in memory, what is evicted, and when.
+// No I/O, no clock, none of the results' bytes: only sizes and times.
 //
-//   reserve  ->  grow ... grow  ->  whole  ->  read ... read  ->  gone (released, lease over, evicted)
-//                     |
-//                     +-> outgrown: neither memory nor disk has room for it
+//   reserve -> add_bytes ... add_bytes -> complete -> renew_lease ... renew_lease -> removed
+//                  |                                                  (released, lease expired, evicted)
+//                  +-> removed as too large: neither memory nor disk has space for it
 //
-// Rules, checked against a plain model by tests/spool/keeping_test.cpp:
-//   - memory held and reserved stays within the budget;
-//   - what is being filled is never evicted;
-//   - an owner within its fair share loses nothing to another: who takes more than its share loses its own
-//     results first, the longest unread before the others.
+// Invariants, checked against a plain model by tests/results/retention_test.cpp:
+//   - memory used and reserved stays within its budget;
+//   - a result that is still being filled is never evicted;
+//   - an owner within its fair share loses nothing to another owner: one that holds more than its share loses
+//     its own results first, the least recently read before the others.
+//
+// One thread.
 #pragma once
 
 #include <boost/intrusive/list.hpp>
 #include <cstdint>
 #include <functional>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <unordered_map>
-#include <vector>
+#include <utility>
 
+#include "base/time.h"
 #include "base/timing_wheel.h"
-#include "base/units.h"
 
 namespace firvalve::results {
 
-using ResultId = uint64_t;  // from 1 up
+using ResultId = uint64_t;  // from 1, unique within one incarnation of the program
 
 struct RetentionOptions {
-  double memory_bytes = 8e6;      // bytes of pages in memory, reserved places included
-  double disk_bytes = 0;          // bytes of pages on disk; 0: there is none
-  double max_result_bytes = 1e9;  // bytes of one result, as rows
-  Ms lease = 60000;               // since its last read, a result is kept
-  size_t max_results = 100000;
+  double memory_bytes = 8e6;         // budget of pages in memory, reservations included
+  double disk_bytes = 0;             // budget of pages on disk; 0: there is no disk
+  double max_result_bytes = 1e9;     // of one result: of its rows, and of its pages as stored
+  Duration lease = Duration(60000);  // how long a complete result is kept since it was last read
+  size_t max_results = 100000;       // kept at once, whatever their size
 };
 
-enum class RemovalReason { kReleased, kLeaseExpired, kEvicted, kTooLarge, kAbandoned };
+enum class RemovalReason {
+  kReleased,      // by its client
+  kLeaseExpired,  // nobody read it in time
+  kEvicted,       // its space was needed, or a page of it is corrupt
+  kTooLarge,      // past max_result_bytes, or past what memory and disk have space for
+  kAbandoned,     // by the command that was to fill it
+};
 
 class Retention {
  public:
-  // Told when a result goes, whatever the reason: its pages are to be forgotten everywhere.
+  // Called after a result was removed, whatever the reason: all its pages are to be forgotten.
   std::function<void(ResultId, RemovalReason)> on_removed;
-  // Told when pages of a result that the disk has are to leave memory.
+  // Called when those pages of a result that are on disk must leave memory.
   std::function<void(ResultId)> on_memory_evicted;
 
   explicit Retention(const RetentionOptions& options) : options_(options) {}
 
-  // A place for a result of so many bytes expected; 0: none now, and none that may be taken from others.
-  // What is expected past `max_result_bytes` gets a place for that.
-  ResultId reserve(Ms now, const std::string& owner, double expected);
-  // So many bytes more of it are in memory. False: it is outgrown, and gone.
-  bool grow(Ms now, ResultId no, double bytes);
-  // All of it is there; what was reserved beyond is free.
-  void whole(Ms now, ResultId no);
-  // It begins anew: what it holds is forgotten, its place stays.
-  void clear(ResultId no);
-  // So many bytes of it are to be written to disk; false: no room there, it stays in memory alone.
-  bool reserve_disk(Ms now, ResultId no, double bytes);
-  // They are there, and may leave memory; `written` false: they are not.
-  void stored(ResultId no, double bytes, bool written);
-  // Known from an earlier life, on disk alone. 0: there is no room for it any more.
-  ResultId restore(Ms now, const std::string& owner, double bytes, Ms lease_left);
-  bool read(Ms now, ResultId no);  // renews its lease; false: it is gone
-  void forget(ResultId no, RemovalReason reason);
-
-  void due(Ms now);     // ends leases
-  Ms next_due() const;  // 0: nothing is due
-  bool has(ResultId no) const { return results_.count(no) > 0; }
-  double memory() const { return memory_ + reserved_; }
-  double disk() const { return disk_; }
-  size_t results() const { return results_.size(); }
-  size_t owners() const { return owners_.size(); }
-  double held_by(const std::string& owner) const;
+  // Reserves memory for a new result, evicting others within the rules above. Nothing: there is no space now.
+  // An expectation past max_result_bytes, or past the whole memory budget, reserves just that.
+  std::optional<ResultId> reserve(const std::string& owner, double expected_bytes);
+  // Accounts for bytes that were appended in memory. False: the result was too large and has been removed.
+  bool add_bytes(ResultId id, double bytes);
+  // The result has all its pages: the rest of its reservation is freed, and its lease begins.
+  void complete(TimePoint now, ResultId id);
+  // The result starts over: what it holds is given up, and as much memory stays reserved for it.
+  void clear(ResultId id);
+
+  // Accounts for bytes that are about to be written to disk. False: no space there; they stay in memory only.
+  bool reserve_disk(ResultId id, double bytes);
+  // The outcome of such a write. What was written may leave memory; the space of a failed write is freed.
+  void finish_disk_write(ResultId id, double bytes, bool written);
+  // Takes over a complete result of an earlier incarnation, on disk only. Nothing: no space for it any more.
+  std::optional<ResultId> restore(TimePoint now, const std::string& owner, double bytes, Duration lease_left);
+
+  // A read was asked for. False: the result is not there, or not complete yet.
+  bool renew_lease(TimePoint now, ResultId id);
+  void remove(ResultId id, RemovalReason reason);  // calls on_removed; nothing happens if it is not there
+
+  void expire_leases(TimePoint now);
+  std::optional<TimePoint> next_expiry() const;  // when expire_leases() is to be called, if at all
+
+  bool contains(ResultId id) const { return results_.count(id) > 0; }
+  double memory_bytes() const { return memory_bytes_ + reserved_bytes_; }  // reservations included
+  double disk_bytes() const { return disk_bytes_; }
+  size_t result_count() const { return results_.size(); }
+  size_t owner_count() const { return owners_.size(); }
+  double held_bytes(const std::string& owner) const;  // in memory, reserved and on disk
 
  private:
+  enum class Tier { kMemory, kDisk };
   struct Owner;
   struct Result : base::TimingWheelNode {
-    ResultId no = 0;
+    ResultId id = 0;
     Owner* owner = nullptr;
-    double memory = 0, disk = 0, reserved = 0;
-    double cached = 0;  // of memory: on disk, too
-    double total = 0;   // of all its pages
-    bool whole = false;
+    double memory_bytes = 0, disk_bytes = 0, reserved_bytes = 0;
+    double cached_bytes = 0;  // the part of memory_bytes that is on disk, too
+    double total_bytes = 0;   // of all pages appended, wherever they are
+    bool is_complete = false;
     boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> by_read;
   };
   using ByRead = boost::intrusive::list<
@@ -94,33 +108,41 @@
       boost::intrusive::constant_time_size<false>>;
   struct Owner {
     std::string name;
-    double held = 0;  // bytes: in memory, reserved and on disk
-    size_t results = 0;
-    ByRead whole;  // the longest unread first
+    double held_bytes = 0;  // in memory, reserved and on disk
+    size_t result_count = 0;
+    ByRead complete;  // the least recently read first
+  };
+  // A change of what a result holds, in bytes.
+  struct Change {
+    double memory = 0, disk = 0, reserved = 0;
   };
 
-  static constexpr double kTick = 16;  // ms of the wheel's ticks: leases are seconds
-  static uint64_t tick_of(Ms at) { return static_cast<uint64_t>(at / kTick) + 1; }
+  static constexpr Duration kTick{16};  // of the timing wheel: coarse, since leases last seconds
+  static uint64_t tick_after(TimePoint time) {
+    return static_cast<uint64_t>(time.time_since_epoch() / kTick) + 1;
+  }
 
+  Result* find(ResultId id);
   Result& add(const std::string& owner);
-  bool remove(ResultId no);        // without a word to the owner of on_removed
-  void lend(Result& r, Ms until);  // whole, the latest read
-  void charge(Result& r, double memory, double disk, double reserved);
-  void rank(Owner& owner, double held);
-  // Whether so many bytes fit, once others have left memory or gone.
-  bool make_room(bool on_disk, double bytes, const Result* not_this, Owner& asks);
-  bool leave_memory();
-  bool evict(bool on_disk, double bytes, const Result* not_this, Owner& asks);
-  double fair_share() const;
+  bool erase(ResultId id);  // without a call of on_removed; false: it is not there
+  void start_lease(Result& result, TimePoint expiry);
+  void charge(Result& result, const Change& change);
+  // Makes space for so many bytes by evicting others; false: that is not possible. `excluded` is never
+  // evicted.
+  bool make_space(Tier tier, double bytes, const Result* excluded, Owner& requester);
+  bool evict_from_memory();
+  bool evict_result(Tier tier, double bytes, const Result* excluded, Owner& requester);
+  static Result* least_recently_read(Owner& owner, Tier tier, const Result* excluded);
+  double fair_share_bytes() const;
 
   RetentionOptions options_;
   std::unordered_map<ResultId, std::unique_ptr<Result>> results_;
   std::unordered_map<std::string, std::unique_ptr<Owner>> owners_;
   base::TimingWheel leases_;
-  std::set<std::pair<double, Owner*>> by_held_;
-  std::set<ResultId> cached_;  // with bytes that may leave memory; the oldest first
-  double memory_ = 0, disk_ = 0, reserved_ = 0;
-  ResultId last_ = 0;
+  std::set<std::pair<double, Owner*>> owners_by_held_bytes_;
+  std::set<ResultId> cached_;  // results with bytes that may leave memory; the oldest first
+  double memory_bytes_ = 0, disk_bytes_ = 0, reserved_bytes_ = 0;
+  ResultId last_id_ = 0;
 };
 
 }  // namespace firvalve::results
--- a/tests/results/page_test.cpp
+++ b/tests/results/page_test.cpp
@@ -5,7 +5,7 @@
 namespace firvalve::results {
 namespace {
 
-TEST(Page, PackedAndUnpackedAreTheSameAndAFlippedBitShows) {
+TEST(Page, CompressedAndDecompressedAreTheSameAndAFlippedBitShows) {
   const std::string rows = std::string(5000, 'a') + "\tb\tc\n";
   StoredPage page = compress(rows);
   EXPECT_LT(page.bytes.size(), 200u);
--- a/tests/results/paged_result_store_test.cpp
+++ b/tests/results/paged_result_store_test.cpp
@@ -12,25 +12,25 @@
 namespace firvalve::results {
 namespace {
 
-// Keeps what it is given; writes, or the bytes read back, go wrong when told to.
+// Stores in memory. Writes fail while `full` is set, and what is read back is corrupt while `spoil` is set.
 struct MemoryStorage : Storage {
   std::vector<std::string> kept;
   std::vector<Completion> ready;
   bool full = false, spoil = false;
-  int whole = 0, gone = 0;
-  void append(uint64_t request_id, Record record) override {
-    whole += record.kind == Record::Kind::kManifest;
-    gone += record.kind == Record::Kind::kTombstone;
-    if (request_id == 0) return;
+  int manifests = 0, tombstones = 0;
+  void append(std::optional<RequestId> request_id, SegmentRecord record) override {
+    manifests += record.kind == SegmentRecord::Kind::kManifest;
+    tombstones += record.kind == SegmentRecord::Kind::kTombstone;
+    if (!request_id) return;
     Completion d;
-    d.request_id = request_id;
+    d.request_id = *request_id;
     d.succeeded = !full;
-    d.location = {1, kept.size(), record.stored.bytes.size(), record.stored.uncompressed_bytes,
-                  record.stored.checksum};
-    kept.push_back(record.stored.bytes);
+    d.location = {1, kept.size(), record.page.bytes.size(), record.page.uncompressed_bytes,
+                  record.page.checksum};
+    kept.push_back(record.page.bytes);
     ready.push_back(std::move(d));
   }
-  void read(uint64_t request_id, const RecordLocation& location) override {
+  void read(RequestId request_id, const RecordLocation& location) override {
     Completion d;
     d.request_id = request_id;
     d.succeeded = true;
@@ -44,26 +44,26 @@
   size_t current_segment() const override { return 1; }
 };
 
-struct SpoolTest : testing::Test {
+struct ResultStoreTest : testing::Test {
   PagedResultStoreOptions options = [] {
     PagedResultStoreOptions t;
     t.retention.memory_bytes = 20000;
-    t.retention.lease = 10000;
+    t.retention.lease = Duration(10000);
     t.initial_expected_bytes = 1000;
     return t;
   }();
   MemoryStorage storage;
   std::map<std::string, int, std::less<>> counts;
-  std::unique_ptr<PagedResultStore> spool;
-  Ms now = 1000;
+  std::unique_ptr<PagedResultStore> store;
+  TimePoint now = time_point_of(1000);
 
   void open(bool with_disk) {
     if (with_disk) options.retention.disk_bytes = 100000;
-    spool = std::make_unique<PagedResultStore>(
+    store = std::make_unique<PagedResultStore>(
         options, 7, [this](std::string_view what) { ++counts[std::string(what)]; });
-    if (with_disk) spool->use(now, storage, {});
+    if (with_disk) store->attach_storage(now, storage, {});
   }
-  ResultStore::Reservation wish(const char* owner = "x", const char* key = "") {
+  ResultStore::Reservation reservation(const char* owner = "x", const char* key = "") {
     return {owner, key, "report", "select 1", "00000000000000a1", 1};
   }
   static std::string noise(size_t bytes, unsigned seed) {  // that does not shrink
@@ -75,28 +75,31 @@
     return text + "\tb\tc\n";
   }
   ResultHandle put(const std::vector<std::string>& pages, const char* owner = "x", const char* key = "") {
-    const ResultHandle no = spool->reserve(now, wish(owner, key));
-    EXPECT_NE(no, 0u);
-    for (const std::string& p : pages) EXPECT_EQ(spool->page(now, no, p), ResultStore::Put::kTaken);
-    spool->whole(now, no);
-    spool->due(now);
-    return no;
+    const std::optional<ResultHandle> reserved = store->reserve(now, reservation(owner, key));
+    EXPECT_TRUE(reserved);
+    const ResultHandle id = reserved.value();
+    for (const std::string& p : pages)
+      EXPECT_EQ(store->append_page(now, id, p), ResultStore::AppendResult::kStored);
+    store->complete(now, id);
+    store->handle_due(now);
+    return id;
   }
   std::string read(const std::string& token, uint64_t page, const char* key = "") {
     std::string got = "never";
-    spool->read(now, token, key, page, [&](Ms, ResultStore::Read what, std::string_view rows, uint64_t) {
-      got = what == ResultStore::Read::kRows   ? std::string(rows)
-            : what == ResultStore::Read::kGone ? "gone"
-                                               : "no such page";
-    });
-    spool->due(now);
+    store->read_page(now, token, key, page,
+                     [&](TimePoint, ResultStore::ReadStatus what, std::string_view rows, uint64_t) {
+                       got = what == ResultStore::ReadStatus::kRows   ? std::string(rows)
+                             : what == ResultStore::ReadStatus::kGone ? "gone"
+                                                                      : "no such page";
+                     });
+    store->handle_due(now);
     return got;
   }
 };
 
-TEST_F(SpoolTest, PagesComeBackByTokenAndNumber) {
+TEST_F(ResultStoreTest, PagesAreReadByTokenAndNumber) {
   open(false);
-  const PagedAnswer a = spool->answer(put({"a\tb\tc\n", "d\te\tf\ng\th\ti\n"}));
+  const PagedAnswer a = store->answer_of(put({"a\tb\tc\n", "d\te\tf\ng\th\ti\n"}));
   EXPECT_EQ(a.pages, 2u);
   EXPECT_EQ(a.rows, 3u);
   EXPECT_EQ(read(a.token, 1), "a\tb\tc\n");
@@ -107,60 +110,60 @@
   EXPECT_EQ(read(std::string(32, '0'), 1), "gone");
 }
 
-TEST_F(SpoolTest, ATokenIsUselessUnderAnotherKey) {
+TEST_F(ResultStoreTest, ATokenIsUselessUnderAnotherKey) {
   open(false);
-  const PagedAnswer a = spool->answer(put({"a\tb\tc\n"}, "x", "mine"));
+  const PagedAnswer a = store->answer_of(put({"a\tb\tc\n"}, "x", "mine"));
   EXPECT_EQ(read(a.token, 1, "yours"), "gone");
   EXPECT_EQ(read(a.token, 1), "gone");
-  EXPECT_FALSE(spool->release(now, a.token, "yours"));
+  EXPECT_FALSE(store->release(now, a.token, "yours"));
   EXPECT_EQ(read(a.token, 1, "mine"), "a\tb\tc\n");
 }
 
-TEST_F(SpoolTest, ReleasedByOneItIsGoneForTheOther) {
+TEST_F(ResultStoreTest, ReleasedByOneItIsGoneForTheOther) {
   open(false);
-  const PagedAnswer a = spool->answer(put({"a\tb\tc\n", "a\tb\tc\n"}));
+  const PagedAnswer a = store->answer_of(put({"a\tb\tc\n", "a\tb\tc\n"}));
   EXPECT_EQ(read(a.token, 1), "a\tb\tc\n");
-  EXPECT_TRUE(spool->release(now, a.token, ""));
+  EXPECT_TRUE(store->release(now, a.token, ""));
   EXPECT_EQ(read(a.token, 2), "gone");
-  EXPECT_FALSE(spool->release(now, a.token, ""));
+  EXPECT_FALSE(store->release(now, a.token, ""));
 }
 
-TEST_F(SpoolTest, ASecondBehindItsLeaseItIsGone) {
+TEST_F(ResultStoreTest, ASecondAfterItsLeaseItIsGone) {
   open(false);
-  const PagedAnswer a = spool->answer(put({"a\tb\tc\n"}));
-  now += 9000;
+  const PagedAnswer a = store->answer_of(put({"a\tb\tc\n"}));
+  now += Duration(9000);
   EXPECT_NE(read(a.token, 1), "gone");
-  now += 11000;
-  spool->due(now);
+  now += Duration(11000);
+  store->handle_due(now);
   EXPECT_EQ(read(a.token, 1), "gone");
 }
 
-TEST_F(SpoolTest, OnlyTheSameCommandsRepeatFindsAResult) {
+TEST_F(ResultStoreTest, OnlyARetryOfTheSameCommandFindsAResult) {
   open(false);
-  const ResultHandle no = put({"a\tb\tc\n"}, "x", "mine");
-  EXPECT_EQ(spool->find(now, wish("x", "mine")), no);
-  EXPECT_EQ(spool->find(now, wish("x", "yours")), 0u);
-  ResultStore::Reservation other = wish("x", "mine");
+  const ResultHandle id = put({"a\tb\tc\n"}, "x", "mine");
+  EXPECT_EQ(store->find(now, reservation("x", "mine")), id);
+  EXPECT_EQ(store->find(now, reservation("x", "yours")), std::nullopt);
+  ResultStore::Reservation other = reservation("x", "mine");
   other.statement = "select 2";
-  EXPECT_EQ(spool->find(now, other), 0u);
-  other = wish("x", "mine");
-  other.chain = "00000000000000a2";
-  EXPECT_EQ(spool->find(now, other), 0u);
+  EXPECT_EQ(store->find(now, other), std::nullopt);
+  other = reservation("x", "mine");
+  other.retry_chain = "00000000000000a2";
+  EXPECT_EQ(store->find(now, other), std::nullopt);
 }
 
-TEST_F(SpoolTest, WhatLeavesMemoryIsReadFromDisk) {
+TEST_F(ResultStoreTest, PagesEvictedFromMemoryAreReadFromDisk) {
   open(true);
   std::vector<PagedAnswer> all;
-  for (unsigned i = 0; i < 10; ++i) all.push_back(spool->answer(put({noise(4000, i)})));
+  for (unsigned i = 0; i < 10; ++i) all.push_back(store->answer_of(put({noise(4000, i)})));
   EXPECT_GT(counts["results moved to disk alone"], 0);
   EXPECT_EQ(counts["results evicted"], 0);
   for (unsigned i = 0; i < 10; ++i) EXPECT_EQ(read(all[i].token, 1), noise(4000, i)) << i;
 }
 
-TEST_F(SpoolTest, ABrokenPageIsNeverServed) {
+TEST_F(ResultStoreTest, ACorruptPageIsNeverServed) {
   open(true);
   std::vector<PagedAnswer> all;
-  for (unsigned i = 0; i < 10; ++i) all.push_back(spool->answer(put({noise(4000, i)})));
+  for (unsigned i = 0; i < 10; ++i) all.push_back(store->answer_of(put({noise(4000, i)})));
   storage.spoil = true;
   EXPECT_EQ(read(all[0].token, 1), "gone");
   storage.spoil = false;
@@ -168,38 +171,38 @@
   EXPECT_EQ(counts["pages broken"], 1);
 }
 
-TEST_F(SpoolTest, WithAFullDiskWhatIsThereStaysInMemory) {
+TEST_F(ResultStoreTest, WithAFullDiskPagesStayInMemory) {
   open(true);
   storage.full = true;
-  const PagedAnswer a = spool->answer(put({"a\tb\tc\n"}));
+  const PagedAnswer a = store->answer_of(put({"a\tb\tc\n"}));
   EXPECT_EQ(counts["pages not written"], 1);
   EXPECT_EQ(read(a.token, 1), "a\tb\tc\n");
-  EXPECT_EQ(spool->retention().disk(), 0);
+  EXPECT_EQ(store->retention().disk_bytes(), 0);
 }
 
-TEST_F(SpoolTest, WhatBeginsAnewHoldsNothingOfBefore) {
+TEST_F(ResultStoreTest, AResultThatStartsOverHoldsNothingOfBefore) {
   open(true);
-  const ResultHandle no = spool->reserve(now, wish());
-  spool->page(now, no, "old\tb\tc\n");
-  spool->clear(now, no);
-  spool->due(now);  // the disk's word on the old page comes late
-  spool->page(now, no, "new\tb\tc\n");
-  spool->whole(now, no);
-  spool->due(now);
-  const PagedAnswer a = spool->answer(no);
+  const ResultHandle id = *store->reserve(now, reservation());
+  store->append_page(now, id, "old\tb\tc\n");
+  store->clear_pages(now, id);
+  store->handle_due(now);  // the write of the old page completes late
+  store->append_page(now, id, "new\tb\tc\n");
+  store->complete(now, id);
+  store->handle_due(now);
+  const PagedAnswer a = store->answer_of(id);
   EXPECT_EQ(a.pages, 1u);
   EXPECT_EQ(read(a.token, 1), "new\tb\tc\n");
 }
 
-TEST_F(SpoolTest, ALeaseThatGoesOnIsToldToTheStorageAndAReleaseToo) {
+TEST_F(ResultStoreTest, ARenewedLeaseAndAReleaseAreStored) {
   open(true);
-  const PagedAnswer a = spool->answer(put({"a\tb\tc\n"}));
-  EXPECT_EQ(storage.whole, 1);
-  now += 6000;
+  const PagedAnswer a = store->answer_of(put({"a\tb\tc\n"}));
+  EXPECT_EQ(storage.manifests, 1);
+  now += Duration(6000);
   read(a.token, 1);
-  EXPECT_EQ(storage.whole, 2);
-  spool->release(now, a.token, "");
-  EXPECT_EQ(storage.gone, 1);
+  EXPECT_EQ(storage.manifests, 2);
+  store->release(now, a.token, "");
+  EXPECT_EQ(storage.tombstones, 1);
 }
 
 }  // namespace
--- a/tests/results/result_token_test.cpp
+++ b/tests/results/result_token_test.cpp
@@ -5,10 +5,10 @@
 namespace firvalve::results {
 namespace {
 
-TEST(Token, HexThereAndBackAndNothingElse) {
-  const ResultToken token = new_token();
+TEST(ResultToken, SurvivesHexAndNothingElseIsParsed) {
+  const ResultToken token = generate_token();
   EXPECT_TRUE(equal_in_constant_time(*parse_token(to_hex(token)), token));
-  EXPECT_FALSE(equal_in_constant_time(new_token(), token));
+  EXPECT_FALSE(equal_in_constant_time(generate_token(), token));
   for (const char* text : {"", "00", "zz000000000000000000000000000000", "000000000000000000000000000000000"})
     EXPECT_FALSE(parse_token(text)) << text;
 }
--- a/tests/results/retention_test.cpp
+++ b/tests/results/retention_test.cpp
@@ -9,196 +9,199 @@
 namespace firvalve::results {
 namespace {
 
-struct KeepingTest : testing::Test {
+struct RetentionTest : testing::Test {
   RetentionOptions options = [] {
     RetentionOptions t;
     t.memory_bytes = 1000;
-    t.lease = 1000;
+    t.lease = Duration(1000);
     return t;
   }();
-  std::map<ResultId, RemovalReason> gone;
+  std::map<ResultId, RemovalReason> removed;
   std::optional<Retention> retention;
   void open() {
     retention.emplace(options);
-    retention->on_removed = [this](ResultId no, RemovalReason reason) { gone[no] = reason; };
+    retention->on_removed = [this](ResultId id, RemovalReason reason) { removed[id] = reason; };
   }
-  ResultId kept(const std::string& owner, double bytes, Ms now = 0) {
-    const ResultId no = retention->reserve(now, owner, bytes);
-    if (no == 0) return 0;
-    EXPECT_TRUE(retention->grow(now, no, bytes));
-    retention->whole(now, no);
-    return no;
+  static constexpr TimePoint at(Ms ms) { return time_point_of(ms); }
+  std::optional<ResultId> add_complete(const std::string& owner, double bytes) {
+    const std::optional<ResultId> id = retention->reserve(owner, bytes);
+    if (!id) return std::nullopt;
+    EXPECT_TRUE(retention->add_bytes(*id, bytes));
+    retention->complete(at(0), *id);
+    return id;
   }
 };
 
-TEST_F(KeepingTest, WithoutAPlaceThereIsNone) {
+TEST_F(RetentionTest, WithoutSpaceNothingIsReserved) {
   open();
-  const ResultId a = retention->reserve(0, "a", 700);
+  const ResultId a = retention->reserve("a", 700).value();
   EXPECT_NE(a, 0u);
-  EXPECT_EQ(retention->reserve(0, "b", 700), 0u);  // it is being filled: nothing of it may go
-  retention->grow(0, a, 100);
-  retention->whole(0, a);  // it was smaller than expected
-  EXPECT_NE(retention->reserve(0, "b", 700), 0u);
-  EXPECT_TRUE(gone.empty());
+  EXPECT_EQ(retention->reserve("b", 700), std::nullopt);  // it is being filled: nothing of it may go
+  retention->add_bytes(a, 100);
+  retention->complete(at(0), a);  // it was smaller than expected
+  EXPECT_NE(retention->reserve("b", 700), std::nullopt);
+  EXPECT_TRUE(removed.empty());
 }
 
-TEST_F(KeepingTest, WhoLeavesManyBehindLosesItsOwn) {
+TEST_F(RetentionTest, AnOwnerThatLeavesManyBehindLosesItsOwn) {
   open();
-  for (int i = 0; i < 9; ++i) kept("many", 100);
-  const ResultId few = kept("few", 100);
-  EXPECT_TRUE(retention->has(few));
-  EXPECT_TRUE(gone.empty());
-  for (int i = 0; i < 20; ++i) kept("many", 100);
-  EXPECT_TRUE(retention->has(few));
-  const ResultId other = kept("other", 300);
-  EXPECT_NE(other, 0u);
-  EXPECT_TRUE(retention->has(few));
-  EXPECT_LE(retention->held_by("many"), 600);
-  for (const auto& [no, why] : gone) EXPECT_EQ(why, RemovalReason::kEvicted);
+  for (int i = 0; i < 9; ++i) add_complete("many", 100);
+  const std::optional<ResultId> few = add_complete("few", 100);
+  EXPECT_TRUE(retention->contains(few.value()));
+  EXPECT_TRUE(removed.empty());
+  for (int i = 0; i < 20; ++i) add_complete("many", 100);
+  EXPECT_TRUE(retention->contains(few.value()));
+  const std::optional<ResultId> other = add_complete("other", 300);
+  EXPECT_NE(other, std::nullopt);
+  EXPECT_TRUE(retention->contains(few.value()));
+  EXPECT_LE(retention->held_bytes("many"), 600);
+  for (const auto& [no, why] : removed) EXPECT_EQ(why, RemovalReason::kEvicted);
 }
 
-TEST_F(KeepingTest, TheLongestUnreadGoesFirst) {
+TEST_F(RetentionTest, TheLeastRecentlyReadIsEvictedFirst) {
   open();
-  const ResultId a = kept("x", 400), b = kept("x", 400);
-  EXPECT_TRUE(retention->read(10, a));
-  kept("x", 400);
-  EXPECT_TRUE(retention->has(a));
-  EXPECT_FALSE(retention->has(b));
+  const ResultId a = add_complete("x", 400).value(), b = add_complete("x", 400).value();
+  EXPECT_TRUE(retention->renew_lease(at(10), a));
+  add_complete("x", 400);
+  EXPECT_TRUE(retention->contains(a));
+  EXPECT_FALSE(retention->contains(b));
 }
 
-TEST_F(KeepingTest, ALeaseEndsAndAReadRenewsIt) {
+TEST_F(RetentionTest, ALeaseExpiresAndAReadRenewsIt) {
   open();
-  const ResultId a = kept("x", 10), b = kept("x", 10);
-  EXPECT_TRUE(retention->read(600, a));
-  retention->due(1100);
-  EXPECT_TRUE(retention->has(a));
-  EXPECT_EQ(gone.at(b), RemovalReason::kLeaseExpired);
-  retention->due(1700);
-  EXPECT_EQ(gone.at(a), RemovalReason::kLeaseExpired);
-  EXPECT_FALSE(retention->read(1800, a));
-  EXPECT_EQ(retention->owners(), 0u);
-  EXPECT_EQ(retention->memory(), 0);
+  const ResultId a = add_complete("x", 10).value(), b = add_complete("x", 10).value();
+  EXPECT_TRUE(retention->renew_lease(at(600), a));
+  retention->expire_leases(at(1100));
+  EXPECT_TRUE(retention->contains(a));
+  EXPECT_EQ(removed.at(b), RemovalReason::kLeaseExpired);
+  retention->expire_leases(at(1700));
+  EXPECT_EQ(removed.at(a), RemovalReason::kLeaseExpired);
+  EXPECT_FALSE(retention->renew_lease(at(1800), a));
+  EXPECT_EQ(retention->owner_count(), 0u);
+  EXPECT_EQ(retention->memory_bytes(), 0);
 }
 
-TEST_F(KeepingTest, AHundredTimesItsExpectedSizeMovesToDiskThenIsOutgrown) {
+TEST_F(RetentionTest, AHundredTimesItsExpectedSizeMovesToDiskThenIsTooLarge) {
   options.disk_bytes = 5000;
   open();
-  std::vector<ResultId> left;
-  retention->on_memory_evicted = [&](ResultId no) { left.push_back(no); };
-  const ResultId a = retention->reserve(0, "x", 100);
-  double grown = 0;
-  while (retention->grow(0, a, 100)) {
-    grown += 100;
-    if (retention->reserve_disk(0, a, 100)) retention->stored(a, 100, true);
-    EXPECT_LE(retention->memory(), 1000);
+  std::vector<ResultId> evicted;
+  retention->on_memory_evicted = [&](ResultId id) { evicted.push_back(id); };
+  const ResultId a = retention->reserve("x", 100).value();
+  double grown_bytes = 0;
+  while (retention->add_bytes(a, 100)) {
+    grown_bytes += 100;
+    if (retention->reserve_disk(a, 100)) retention->finish_disk_write(a, 100, true);
+    EXPECT_LE(retention->memory_bytes(), 1000);
   }
-  EXPECT_FALSE(left.empty());
-  EXPECT_EQ(gone.at(a), RemovalReason::kTooLarge);
-  EXPECT_GE(grown, 5000);
-  EXPECT_LE(grown, 6100);
-  EXPECT_EQ(retention->memory() + retention->disk(), 0);
+  EXPECT_FALSE(evicted.empty());
+  EXPECT_EQ(removed.at(a), RemovalReason::kTooLarge);
+  EXPECT_GE(grown_bytes, 5000);
+  EXPECT_LE(grown_bytes, 6100);
+  EXPECT_EQ(retention->memory_bytes() + retention->disk_bytes(), 0);
 }
 
-TEST_F(KeepingTest, WithoutADiskWhatOutgrowsMemoryIsGone) {
+TEST_F(RetentionTest, WithoutADiskAResultLargerThanMemoryIsRemoved) {
   open();
-  const ResultId a = retention->reserve(0, "x", 100);
-  EXPECT_TRUE(retention->grow(0, a, 900));
-  EXPECT_FALSE(retention->grow(0, a, 200));
-  EXPECT_EQ(gone.at(a), RemovalReason::kTooLarge);
+  const ResultId a = retention->reserve("x", 100).value();
+  EXPECT_TRUE(retention->add_bytes(a, 900));
+  EXPECT_FALSE(retention->add_bytes(a, 200));
+  EXPECT_EQ(removed.at(a), RemovalReason::kTooLarge);
 }
 
-TEST_F(KeepingTest, WhatBeginsAnewKeepsItsPlace) {
+TEST_F(RetentionTest, AResultThatStartsOverKeepsItsReservation) {
   open();
-  const ResultId a = retention->reserve(0, "x", 100);
-  retention->grow(0, a, 800);
+  const ResultId a = retention->reserve("x", 100).value();
+  retention->add_bytes(a, 800);
   retention->clear(a);
-  EXPECT_EQ(retention->memory(), 800);
-  EXPECT_TRUE(retention->grow(0, a, 800));
+  EXPECT_EQ(retention->memory_bytes(), 800);
+  EXPECT_TRUE(retention->add_bytes(a, 800));
 }
 
-// Any script: the budgets hold, what is filled stays, and nobody within its share loses anything to another.
-RC_GTEST_PROP(KeepingProperty, BudgetsAndSharesHold,
+// Whatever happens: the budgets hold, a result that is being filled stays, and an owner within its share
+// loses nothing to another.
+RC_GTEST_PROP(RetentionProperty, BudgetsAndSharesHold,
               (const std::vector<std::tuple<uint8_t, uint8_t, uint16_t>>& steps)) {
   RetentionOptions options;
   options.memory_bytes = 1000;
   options.disk_bytes = 2000;
-  options.lease = 500;
+  options.lease = Duration(500);
   options.max_results = 40;
   Retention retention(options);
   struct Seen {
     std::string owner;
-    bool whole = false;
-    double in_flight = 0;
+    bool is_complete = false;
+    double in_flight_bytes = 0;
   };
   std::map<ResultId, Seen> seen;
-  std::string asks;
+  std::string requester;
   std::map<std::string, double> held_before;
-  double asked_bytes = 0;
-  Ms now = 0;
-  retention.on_removed = [&](ResultId no, RemovalReason reason) {
-    const auto at = seen.find(no);
+  double requested_bytes = 0;
+  TimePoint now;
+  retention.on_removed = [&](ResultId id, RemovalReason reason) {
+    const auto at = seen.find(id);
     RC_ASSERT(at != seen.end());
     if (reason == RemovalReason::kEvicted) {
-      RC_ASSERT(at->second.whole);
-      if (at->second.owner != asks) {
+      RC_ASSERT(at->second.is_complete);
+      if (at->second.owner != requester) {
         // More than a fair share by what it held, and more than the one who asked.
-        const double share = 3000.0 / static_cast<double>(retention.owners() + 1);
+        const double share = 3000.0 / static_cast<double>(retention.owner_count() + 1);
         RC_ASSERT(held_before[at->second.owner] > share - 1e-6 ||
-                  held_before[at->second.owner] > held_before[asks] + asked_bytes);
+                  held_before[at->second.owner] > held_before[requester] + requested_bytes);
       }
     }
-    if (reason == RemovalReason::kLeaseExpired) RC_ASSERT(at->second.whole);
+    if (reason == RemovalReason::kLeaseExpired) RC_ASSERT(at->second.is_complete);
     seen.erase(at);
   };
   for (const auto& [what, which, how] : steps) {
-    now += which % 7;
-    for (const char* owner : {"a", "b", "c"}) held_before[owner] = retention.held_by(owner);
-    const auto pick = [&]() -> ResultId {
-      if (seen.empty()) return 0;
+    now += Duration(which % 7);
+    for (const char* owner : {"a", "b", "c"}) held_before[owner] = retention.held_bytes(owner);
+    const auto pick = [&]() -> std::optional<ResultId> {
+      if (seen.empty()) return std::nullopt;
       auto at = seen.begin();
       std::advance(at, which % seen.size());
       return at->first;
     };
-    const ResultId no = pick();
-    asked_bytes = 1 + how % 400;
-    if (no != 0) asks = seen[no].owner;
+    const std::optional<ResultId> id = pick();
+    requested_bytes = 1 + how % 400;
+    if (id) requester = seen[*id].owner;
     switch (what % 8) {
       case 0:
       case 1: {
-        asks = std::string(1, static_cast<char>('a' + which % 3));
-        if (const ResultId made = retention.reserve(now, asks, asked_bytes)) seen[made].owner = asks;
+        requester = std::string(1, static_cast<char>('a' + which % 3));
+        if (const auto reserved = retention.reserve(requester, requested_bytes))
+          seen[*reserved].owner = requester;
         break;
       }
       case 2:
       case 3:
-        if (no && !seen[no].whole && retention.grow(now, no, asked_bytes)) {
-          if (retention.reserve_disk(now, no, asked_bytes) && seen.count(no))
-            seen[no].in_flight += asked_bytes;
+        if (id && !seen[*id].is_complete && retention.add_bytes(*id, requested_bytes)) {
+          if (retention.reserve_disk(*id, requested_bytes) && seen.count(*id))
+            seen[*id].in_flight_bytes += requested_bytes;
         }
         break;
       case 4:
-        if (no && seen[no].in_flight > 0)
-          retention.stored(no, std::exchange(seen[no].in_flight, 0), how % 5 != 0);
+        if (id && seen[*id].in_flight_bytes > 0)
+          retention.finish_disk_write(*id, std::exchange(seen[*id].in_flight_bytes, 0), how % 5 != 0);
         break;
       case 5:
-        if (no && !seen[no].whole) seen[no].whole = true, retention.whole(now, no);
+        if (id && !seen[*id].is_complete) seen[*id].is_complete = true, retention.complete(now, *id);
         break;
       case 6:
-        if (no && how % 3 == 0)
-          retention.forget(no, RemovalReason::kReleased);
-        else if (no)
-          RC_ASSERT(retention.read(now, no) == seen[no].whole);
+        if (id && how % 3 == 0)
+          retention.remove(*id, RemovalReason::kReleased);
+        else if (id)
+          RC_ASSERT(retention.renew_lease(now, *id) == seen[*id].is_complete);
         break;
       case 7:
-        now += how % 300;
-        retention.due(now);
+        now += Duration(how % 300);
+        retention.expire_leases(now);
         break;
     }
-    RC_ASSERT(retention.memory() <= options.memory_bytes + 1e-6);
-    RC_ASSERT(retention.disk() <= options.disk_bytes + 1e-6);
-    RC_ASSERT(retention.results() == seen.size());
-    RC_ASSERT(retention.results() <= options.max_results);
-    for (const auto& [number, s] : seen) RC_ASSERT(retention.has(number));
+    RC_ASSERT(retention.memory_bytes() <= options.memory_bytes + 1e-6);
+    RC_ASSERT(retention.disk_bytes() <= options.disk_bytes + 1e-6);
+    RC_ASSERT(retention.result_count() == seen.size());
+    RC_ASSERT(retention.result_count() <= options.max_results);
+    for (const auto& [number, s] : seen) RC_ASSERT(retention.contains(number));
   }
 }
 
