--- a/src/cluster/cluster_service.cpp
+++ b/src/cluster/cluster_service.cpp
@@ -174,7 +174,7 @@
 ClusterOptions options_from(const config::OperatorConfig::Fleet& section) {
   ClusterOptions options;
   options.listen = section.listen;
-  options.name = section.name();
+  options.name = section.advertised_address();
   options.site = section.site;
   options.keepers = section.keepers;
   std::sort(options.keepers.begin(), options.keepers.end());
--- /dev/null
+++ b/src/config/cluster_checks.cpp
@@ -0,0 +1,122 @@
+#include "config/cluster_checks.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <optional>
+#include <set>
+#include <utility>
+
+namespace firvalve::config {
+namespace {
+
+constexpr size_t kMaxLeaseNameBytes = 200;
+
+bool is_port(std::string_view text) {
+  return !text.empty() && text.size() <= 5 &&
+         text.find_first_not_of("0123456789") == std::string_view::npos &&
+         std::stoi(std::string(text)) >= 1 && std::stoi(std::string(text)) <= 65535;
+}
+
+// Four numbers of 0 to 255 with dots between them.
+bool is_ipv4_address(std::string_view text) {
+  int parts = 0;
+  std::optional<int> value;
+  for (const char c : std::string(text) + ".") {
+    if (c == '.') {
+      if (!value || *value > 255) return false;
+      ++parts;
+      value.reset();
+    } else if (c >= '0' && c <= '9' && value.value_or(0) < 1000) {
+      value = value.value_or(0) * 10 + (c - '0');
+    } else {
+      return false;
+    }
+  }
+  return parts == 4;
+}
+
+// HOST:PORT with a number for the host: name look-ups are not available everywhere.
+bool is_address(std::string_view text) {
+  const size_t colon = text.rfind(':');
+  return colon != std::string_view::npos && is_ipv4_address(text.substr(0, colon)) &&
+         is_port(text.substr(colon + 1));
+}
+
+// KIND:NAME
+bool is_lease_name(std::string_view text) {
+  const size_t colon = text.find(':');
+  return colon != 0 && colon != std::string_view::npos && colon + 1 != text.size() &&
+         text.size() <= kMaxLeaseNameBytes;
+}
+
+class ClusterChecks {
+ public:
+  explicit ClusterChecks(ParsedConfig& config) : config_(config), section_(config.values.fleet) {}
+
+  void run() {
+    if (section_.site.empty())
+      add(DiagnosticCode::kMissingField, "fleet.site", "is missing: a name for where this gateway stands");
+    check_address("fleet.listen", section_.listen);
+    if (!section_.reached_at.empty()) check_address("fleet.reached_at", section_.reached_at);
+    check_acceptors();
+    check_leases();
+  }
+
+ private:
+  void add(DiagnosticCode code, const std::string& path, std::string message) {
+    const auto at = config_.lines.find(path);
+    const int line = at == config_.lines.end() ? config_.lines["fleet.on"] : at->second;
+    config_.diagnostics.push_back({code, line, path, std::move(message)});
+  }
+
+  void check_address(const std::string& path, const std::string& address) {
+    if (address.empty())
+      return add(DiagnosticCode::kMissingField, path, "is missing: HOST:PORT, the host as a number");
+    if (!is_address(address))
+      return add(DiagnosticCode::kNotAllowed, path,
+                 fmt::format("\"{}\" is not HOST:PORT with the host as a number", address));
+    if (!address.starts_with("127.") && !section_.trusted_network)
+      add(DiagnosticCode::kInconsistent, path,
+          fmt::format("{} is off the loopback, and connections between gateways are neither encrypted nor "
+                      "authenticated: set fleet.trusted_network where nobody else can read or write there",
+                      address));
+  }
+
+  void check_acceptors() {
+    const std::vector<std::string>& acceptors = section_.keepers;
+    if (acceptors.size() != 3 && acceptors.size() != 5 && acceptors.size() != 7)
+      add(DiagnosticCode::kNotAllowed, "fleet.keepers",
+          fmt::format("{} {}: three, five or seven; an even number tolerates no more failures than one less, "
+                      "and of one its loss is the loss of the registers",
+                      acceptors.size(), acceptors.size() == 1 ? "is listed" : "are listed"));
+    std::set<std::string> seen;
+    for (const std::string& acceptor : acceptors) {
+      check_address("fleet.keepers", acceptor);
+      if (!seen.insert(acceptor).second)
+        add(DiagnosticCode::kDuplicateField, "fleet.keepers", fmt::format("{} is listed twice", acceptor));
+    }
+    const std::string& self = section_.advertised_address();
+    if (!section_.folder.empty() && is_address(self) && seen.count(self) == 0)
+      add(DiagnosticCode::kInconsistent, "fleet.folder",
+          fmt::format("{} is not one of fleet.keepers and stores nothing: leave it empty, or list it", self));
+  }
+
+  void check_leases() {
+    for (const std::string& lease : section_.duties)
+      if (!is_lease_name(lease))
+        add(DiagnosticCode::kNotAllowed, "fleet.duties",
+            fmt::format("\"{}\" is not KIND:NAME, or KIND:* for all of a kind", lease));
+  }
+
+  ParsedConfig& config_;
+  const OperatorConfig::Fleet& section_;
+};
+
+}  // namespace
+
+void check_cluster_section(ParsedConfig& config) {
+  if (config.values.fleet.on) ClusterChecks(config).run();
+}
+
+}  // namespace firvalve::config
--- /dev/null
+++ b/src/config/fields.cpp
@@ -0,0 +1,165 @@
+#include "config/fields.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <cstdint>
+#include <numeric>
+
+namespace firvalve::config {
+namespace {
+
+std::vector<Field> make_fields() {
+  return {
+      {"clients.marks", [](OperatorConfig& c) -> FieldTarget { return &c.clients.marks; }, "true or false",
+       "read retry markers"},
+      {"spool.on", [](OperatorConfig& c) -> FieldTarget { return &c.spool.on; }, "true or false",
+       "paged results for clients that ask for them"},
+      {"spool.memory_mb",
+       [](OperatorConfig& c) -> FieldTarget { return &c.spool.memory_mb; },
+       "MB",
+       "pages in memory",
+       {0.1, 65536}},
+      {"spool.folder", [](OperatorConfig& c) -> FieldTarget { return &c.spool.folder; }, "a path",
+       "segment files; empty: memory only"},
+      {"spool.disk_mb",
+       [](OperatorConfig& c) -> FieldTarget { return &c.spool.disk_mb; },
+       "MB",
+       "pages on disk",
+       {1, 16777216}},
+      {"spool.lease_s",
+       [](OperatorConfig& c) -> FieldTarget { return &c.spool.lease_s; },
+       "s",
+       "a result is kept since its last read",
+       {0.1, 86400}},
+      {"spool.result_mb",
+       [](OperatorConfig& c) -> FieldTarget { return &c.spool.result_mb; },
+       "MB",
+       "one result",
+       {0.01, 4096}},
+      {"spool.page_kb",
+       [](OperatorConfig& c) -> FieldTarget { return &c.spool.page_kb; },
+       "kB",
+       "an engine's page",
+       {1, 4096}},
+      {"spool.first_expected_kb",
+       [](OperatorConfig& c) -> FieldTarget { return &c.spool.first_expected_kb; },
+       "kB",
+       "a result of which nothing is known",
+       {1, 1048576}},
+      {"spool.results",
+       [](OperatorConfig& c) -> FieldTarget { return &c.spool.results; },
+       "",
+       "results kept at once",
+       {1, 1000000, true}},
+      {"fleet.on", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.on; }, "true or false",
+       "talk with peers, hold leases with them"},
+      {"fleet.site", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.site; }, "a name",
+       "where this gateway stands"},
+      {"fleet.listen", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.listen; }, "HOST:PORT",
+       "listens for peers there"},
+      {"fleet.reached_at", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.reached_at; }, "HOST:PORT",
+       "peers connect to it; empty: listen"},
+      {"fleet.keepers", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.keepers; },
+       "a list of three, five or seven HOST:PORT", "the acceptors, the same in every file"},
+      {"fleet.folder", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.folder; }, "a path",
+       "an acceptor's durable state; empty: memory only"},
+      {"fleet.lease_ms",
+       [](OperatorConfig& c) -> FieldTarget { return &c.fleet.lease_ms; },
+       "ms",
+       "a lease lasts without renewal",
+       {500, 60000}},
+      {"fleet.duties", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.duties; },
+       "a list of KIND:NAME or KIND:*", "leases that it may hold"},
+      {"fleet.trusted_network", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.trusted_network; },
+       "true or false", "peers may be off the loopback"},
+      {"log.level",
+       [](OperatorConfig& c) -> FieldTarget { return &c.log.level; },
+       "",
+       "the least that is written",
+       {},
+       {"debug", "info", "warning", "error"}},
+      {"log.form",
+       [](OperatorConfig& c) -> FieldTarget { return &c.log.form; },
+       "",
+       "the form of a line",
+       {},
+       {"logfmt", "json"}},
+  };
+}
+
+// The Levenshtein distance: how many letters must change for one word to become the other.
+size_t edit_distance(std::string_view one, std::string_view other) {
+  std::vector<size_t> row(other.size() + 1);
+  std::iota(row.begin(), row.end(), size_t{0});
+  for (size_t i = 0; i < one.size(); ++i) {
+    size_t diagonal = row[0]++;
+    for (size_t j = 0; j < other.size(); ++j) {
+      const size_t substituted = diagonal + (one[i] != other[j]);
+      diagonal = row[j + 1];
+      row[j + 1] = std::min({row[j + 1] + 1, row[j] + 1, substituted});
+    }
+  }
+  return row[other.size()];
+}
+
+}  // namespace
+
+std::string Field::expectation() const {
+  if (range.max > range.min)
+    return fmt::format("{}{}{} to {}: {}", unit, unit.empty() ? "" : ", ", range.min, range.max, purpose);
+  if (!allowed_words.empty()) return fmt::format("{}: one of {}", purpose, fmt::join(allowed_words, ", "));
+  return fmt::format("{}: {}", unit, purpose);
+}
+
+const std::vector<Field>& all_fields() {
+  static const std::vector<Field> fields = make_fields();
+  return fields;
+}
+
+const Field* find_field(std::string_view path) {
+  for (const Field& field : all_fields())
+    if (field.path == path) return &field;
+  return nullptr;
+}
+
+bool is_section(std::string_view path) {
+  const std::string prefix = std::string(path) + ".";
+  return std::any_of(all_fields().begin(), all_fields().end(),
+                     [&](const Field& field) { return field.path.starts_with(prefix); });
+}
+
+const Field* closest_field(std::string_view path) {
+  const Field* closest = nullptr;
+  size_t least = SIZE_MAX;
+  for (const Field& field : all_fields()) {
+    const size_t distance = edit_distance(path, field.path);
+    if (distance >= least) continue;
+    closest = &field;
+    least = distance;
+  }
+  return least <= std::max<size_t>(3, path.size() / 3) ? closest : nullptr;
+}
+
+std::string describe(const OperatorConfig& values) {
+  OperatorConfig copy = values;
+  std::string all;
+  for (const Field& field : all_fields()) {
+    const std::string value = std::visit(
+        [](auto* target) {
+          using Value = std::remove_pointer_t<decltype(target)>;
+          if constexpr (std::is_same_v<Value, std::string>)
+            return fmt::format("\"{}\"", *target);
+          else if constexpr (std::is_same_v<Value, std::vector<std::string>>)
+            return target->empty() ? std::string("[]")
+                                   : fmt::format("[\"{}\"]", fmt::join(*target, "\", \""));
+          else
+            return fmt::format("{}", *target);
+        },
+        field.target(copy));
+    all += fmt::format("{} = {}  # {}\n", field.path, value, field.expectation());
+  }
+  return all;
+}
+
+}  // namespace firvalve::config
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 int check(const std::string& file) {
-  const firvalve::config::Reading reading = firvalve::config::read_operator_file(file);
-  for (const auto& fault : reading.faults)
-    std::fprintf(stderr, "%s\n", firvalve::config::line_of(file, fault).c_str());
-  if (!reading.good()) return 1;
-  std::fputs(firvalve::config::described(reading.values).c_str(), stdout);
+  const firvalve::config::ParsedConfig parsed = firvalve::config::load_operator_config(file);
+  for (const auto& diagnostic : parsed.diagnostics)
+    std::fprintf(stderr, "%s\n", firvalve::config::format_diagnostic(file, diagnostic).c_str());
+  if (!parsed.is_valid()) return 1;
+  std::fputs(firvalve::config::describe(parsed.values).c_str(), stdout);
   return 0;
 }
 
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -126,11 +126,11 @@
 
 config::OperatorConfig read_wishes(const std::string& file) {
   if (file.empty()) return {};
-  const config::Reading reading = config::read_operator_file(file);
-  if (reading.good()) return reading.values;
+  const config::ParsedConfig parsed = config::load_operator_config(file);
+  if (parsed.is_valid()) return parsed.values;
   std::string all;
-  for (const config::Fault& fault : reading.faults)
-    all += (all.empty() ? "" : "; ") + config::line_of(file, fault);
+  for (const config::Diagnostic& diagnostic : parsed.diagnostics)
+    all += (all.empty() ? "" : "; ") + config::format_diagnostic(file, diagnostic);
   throw ConfigError(all);
 }
 
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -59,11 +59,11 @@
   if (!options.reached_at.empty()) text += fmt::format(R"("reached_at":"{}",)", options.reached_at);
   if (!options.folder.empty()) text += fmt::format(R"("folder":"{}",)", options.folder);
   text += fmt::format(R"("lease_ms":{},"duties":{}}}}})", options.lease, json_list(options.duties));
-  const config::Reading reading = config::read_operator(text);
-  if (!reading.good())
-    throw ScaleError(fmt::format("hollow gateway {}: {}: {}", options.address, reading.faults[0].path,
-                                 reading.faults[0].text));
-  return reading.values.fleet;
+  const config::ParsedConfig parsed = config::parse_operator_config(text);
+  if (!parsed.is_valid())
+    throw ScaleError(fmt::format("hollow gateway {}: {}: {}", options.address, parsed.diagnostics[0].path,
+                                 parsed.diagnostics[0].message));
+  return parsed.values.fleet;
 }
 
 class NoClients : public ResponseSink {
--- a/tests/config/operator_config_test.cpp
+++ b/tests/config/operator_config_test.cpp
@@ -5,27 +5,29 @@
 namespace firvalve::config {
 namespace {
 
-std::vector<std::string> faults(std::string_view text) {
+std::vector<std::string> diagnostics(std::string_view text) {
   std::vector<std::string> all;
-  for (const Fault& f : read_operator(text).faults) all.push_back(line_of("f", f));
+  for (const Diagnostic& diagnostic : parse_operator_config(text).diagnostics)
+    all.push_back(format_diagnostic("f", diagnostic));
   return all;
 }
 
 TEST(OperatorConfig, EmptyIsAllDefaults) {
-  EXPECT_TRUE(read_operator("{}").good());
-  EXPECT_FALSE(read_operator("{}").values.clients.marks);
+  EXPECT_TRUE(parse_operator_config("{}").is_valid());
+  EXPECT_FALSE(parse_operator_config("{}").values.clients.marks);
 }
 
 TEST(OperatorConfig, CommentsAndTrailingCommasAreRead) {
-  const Reading r = read_operator("// a file\n{ \"clients\": { \"marks\": true, /* on */ }, }");
-  EXPECT_TRUE(r.good()) << line_of("f", r.faults[0]);
-  EXPECT_TRUE(r.values.clients.marks);
+  const ParsedConfig parsed =
+      parse_operator_config("// a file\n{ \"clients\": { \"marks\": true, /* on */ }, }");
+  EXPECT_TRUE(parsed.is_valid()) << format_diagnostic("f", parsed.diagnostics[0]);
+  EXPECT_TRUE(parsed.values.clients.marks);
 }
 
-TEST(OperatorConfig, AMisspeltFieldIsToldWithItsLineAndTheNearest) {
-  EXPECT_EQ(faults("{\n\"clients\": {\n\"mark\": true}}"),
+TEST(OperatorConfig, AMisspeltFieldIsReportedWithItsLineAndTheNearest) {
+  EXPECT_EQ(diagnostics("{\n\"clients\": {\n\"mark\": true}}"),
             std::vector<std::string>{"f:3: clients.mark: no such field; the nearest is clients.marks"});
-  EXPECT_EQ(faults("{\"zzzzzzzzzzzzzz\": 1}"),
+  EXPECT_EQ(diagnostics("{\"zzzzzzzzzzzzzz\": 1}"),
             std::vector<std::string>{"f:1: zzzzzzzzzzzzzz: no such field"});
 }
 
@@ -39,59 +41,78 @@
   return text.replace(text.find(from), from.size(), to);
 }
 
-TEST(OperatorConfig, AFleetIsReadWhole) {
-  const Reading r = read_operator(kFleet);
-  ASSERT_TRUE(r.good()) << line_of("f", r.faults[0]);
-  EXPECT_EQ(r.values.fleet.keepers.size(), 3u);
-  EXPECT_EQ(r.values.fleet.name(), "127.0.0.1:7001");
-  EXPECT_NE(described(r.values).find("fleet.duties = [\"trial:*\"]"), std::string::npos);
+TEST(OperatorConfig, AClusterSectionIsReadCompletely) {
+  const ParsedConfig parsed = parse_operator_config(kFleet);
+  ASSERT_TRUE(parsed.is_valid()) << format_diagnostic("f", parsed.diagnostics[0]);
+  EXPECT_EQ(parsed.values.fleet.keepers.size(), 3u);
+  EXPECT_EQ(parsed.values.fleet.advertised_address(), "127.0.0.1:7001");
+  EXPECT_NE(describe(parsed.values).find("fleet.duties = [\"trial:*\"]"), std::string::npos);
 }
 
-TEST(OperatorConfig, EachFaultOfAFleetIsToldWithItsLineAndAWayOut) {
+TEST(OperatorConfig, EachMistakeInAClusterSectionIsReportedWithItsLineAndARemedy) {
   const auto only = [](const std::string& text) {
-    const auto all = faults(text);
-    return all.size() == 1 ? all[0] : std::to_string(all.size()) + " faults";
+    const auto all = diagnostics(text);
+    return all.size() == 1 ? all[0] : std::to_string(all.size()) + " diagnostics";
   };
   const auto has = [&](const std::string& text, const std::string& part) {
     EXPECT_NE(only(text).find(part), std::string::npos) << only(text);
   };
   has(fleet_with(R"(, "127.0.0.1:7003")", ""), "f:2: fleet.keepers: 2 are listed: three, five or seven");
-  has(fleet_with("127.0.0.1:7003", "127.0.0.1:7002"), "127.0.0.1:7002 stands there twice");
+  has(fleet_with("127.0.0.1:7003", "127.0.0.1:7002"), "127.0.0.1:7002 is listed twice");
   has(fleet_with(R"("listen": "127.0.0.1:7001",)", ""), "f:1: fleet.listen: is missing");
   has(fleet_with(R"("folder": "/tmp/x", )", R"("reached_at": "127.0.0.1:7009", "folder": "/tmp/x", )"),
-      "127.0.0.1:7009 is no keeper and keeps nothing");
+      "127.0.0.1:7009 is not one of fleet.keepers and stores nothing");
   has(fleet_with("127.0.0.1:7003", "10.0.0.3:7003"), "off the loopback");
   has(fleet_with("127.0.0.1:7003", "somewhere:7003"), "is not HOST:PORT");
   has(fleet_with(R"("site": "here")", R"("site": "")"), "fleet.site: is missing");
-  has(fleet_with(R"("trial:*")", R"("trial")"), "is no duty");
-  has(fleet_with(R"("trial:*")", R"(7)"), "wants a list of duties that it is willing to hold, of strings");
+  has(fleet_with(R"("trial:*")", R"("trial")"), "is not KIND:NAME, or KIND:* for all of a kind");
+  has(fleet_with(R"("trial:*")", R"(7)"),
+      "wants a list of KIND:NAME or KIND:*: leases that it may hold, of strings");
   has(fleet_with(R"("site": "here")", R"("site": "here", "lease_ms": 20)"), "20 is not within 500 to 60000");
   has(fleet_with(R"("site": "here")", R"("site": ["here"])"), "fleet.site: wants no list");
   EXPECT_TRUE(
-      read_operator(fleet_with("127.0.0.1:7003\"]", "10.0.0.3:7003\"], \"trusted_network\": true")).good());
+      parse_operator_config(fleet_with("127.0.0.1:7003\"]", "10.0.0.3:7003\"], \"trusted_network\": true"))
+          .is_valid());
   // What is off is not looked at.
-  EXPECT_TRUE(read_operator(R"({"fleet": {"on": false, "keepers": ["x"]}})").good());
+  EXPECT_TRUE(parse_operator_config(R"({"fleet": {"on": false, "keepers": ["x"]}})").is_valid());
 }
 
-TEST(OperatorConfig, AllFaultsAreToldAtOnce) {
-  EXPECT_EQ(faults("{\"clients\": {\"marks\": 1, \"marks\": false, \"x\": [1, {\"y\": 2}]}}").size(), 3u);
+TEST(OperatorConfig, AllMistakesAreReportedAtOnce) {
+  EXPECT_EQ(diagnostics("{\"clients\": {\"marks\": 1, \"marks\": false, \"x\": [1, {\"y\": 2}]}}").size(),
+            3u);
 }
 
-TEST(OperatorConfig, WhatIsNoObjectOrIsCutAnywhereIsRefused) {
-  EXPECT_FALSE(read_operator("").good());
-  EXPECT_FALSE(read_operator("7").good());
-  EXPECT_FALSE(read_operator("[]").good());
-  EXPECT_FALSE(read_operator("{\"clients\": 7}").good());
-  EXPECT_FALSE(read_operator("{\"clients\": {\"marks\": {}}}").good());
+TEST(OperatorConfig, WhatIsNoObjectOrIsTruncatedAnywhereIsRefused) {
+  EXPECT_FALSE(parse_operator_config("").is_valid());
+  EXPECT_FALSE(parse_operator_config("7").is_valid());
+  EXPECT_FALSE(parse_operator_config("[]").is_valid());
+  EXPECT_FALSE(parse_operator_config("{\"clients\": 7}").is_valid());
+  EXPECT_FALSE(parse_operator_config("{\"clients\": {\"marks\": {}}}").is_valid());
   const std::string whole = "{ \"clients\": { \"marks\": true } }";
-  for (size_t n = 0; n < whole.size(); ++n) EXPECT_FALSE(read_operator(whole.substr(0, n)).good()) << n;
-  EXPECT_FALSE(read_operator_file("/nowhere").good());
+  for (size_t n = 0; n < whole.size(); ++n)
+    EXPECT_FALSE(parse_operator_config(whole.substr(0, n)).is_valid()) << n;
+  EXPECT_FALSE(load_operator_config("/nowhere").is_valid());
 }
 
-TEST(OperatorConfig, TheFileThatShipsIsGoodAndAllDefaults) {
-  const Reading r = read_operator_file(FIRVALVE_OPERATOR_FILE);
-  ASSERT_TRUE(r.good()) << line_of("f", r.faults[0]);
-  EXPECT_EQ(described(r.values), described(OperatorConfig{}));
+TEST(OperatorConfig, ADiagnosticHasACodeAPathAndALine) {
+  const auto only = [](std::string_view text) {
+    const auto all = parse_operator_config(text).diagnostics;
+    return all.size() == 1 ? all[0] : Diagnostic{};
+  };
+  EXPECT_EQ(only("{\"clients\": {\n\"mark\": true}}").code, DiagnosticCode::kUnknownField);
+  EXPECT_EQ(only("{\"clients\": {\"marks\": 1}}").code, DiagnosticCode::kWrongType);
+  EXPECT_EQ(only("{\"log\": {\"level\": \"loud\"}}").code, DiagnosticCode::kNotAllowed);
+  const Diagnostic range = only("{\"spool\": {\n\"results\": 1.5}}");
+  EXPECT_EQ(range.code, DiagnosticCode::kOutOfRange);
+  EXPECT_EQ(range.path, "spool.results");
+  EXPECT_EQ(range.line, 2);
+  EXPECT_EQ(load_operator_config("/nowhere").diagnostics.at(0).line, std::nullopt);
+}
+
+TEST(OperatorConfig, TheFileThatShipsIsValidAndAllDefaults) {
+  const ParsedConfig parsed = load_operator_config(FIRVALVE_OPERATOR_FILE);
+  ASSERT_TRUE(parsed.is_valid()) << format_diagnostic("f", parsed.diagnostics[0]);
+  EXPECT_EQ(describe(parsed.values), describe(OperatorConfig{}));
 }
 
 }  // namespace
