--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -50,7 +50,8 @@
                                                                    {"warning", Level::kWarning},
                                                                    {"error", Level::kError}};
   for (const auto& [name, level] : kLevels)
-    if (name == wish.level) logger.set(wish.form == "json" ? log::Form::kJson : log::Form::kLogfmt, level);
+    if (name == wish.level)
+      logger.configure(wish.form == "json" ? log::Form::kJson : log::Form::kLogfmt, level);
 }
 
 struct ConfigError : std::runtime_error {
@@ -159,7 +160,7 @@
     files = std::make_unique<results::SegmentFiles>(files_options, time_point_of(loop.now()),
                                                     [w = waker.get()] { w->wake(); });
     if (files->truncated_segments() + files->corrupt_results() > 0)
-      logger.write(loop.now(), Level::kWarning, "parts of the spool's folder left out",
+      logger.write(time_point_of(loop.now()), Level::kWarning, "parts of the spool's folder left out",
                    {{"component", "spool"},
                     {"torn_tails_cut", std::to_string(files->truncated_segments())},
                     {"results_broken", std::to_string(files->corrupt_results())}});
@@ -197,7 +198,7 @@
 
 void tell_command_event(log::Log& logger, TimePoint now, const CommandEvent& event) {
   logger.write(
-      to_ms(now), Level::kDebug, name_of(event.kind),
+      now, Level::kDebug, name_of(event.kind),
       {{"component", "command"},
        {"command", std::string(event.command)},
        {"profile", std::string(event.profile)},
@@ -217,7 +218,7 @@
   const auto told_as = [&logger](const char* component) {
     return [&logger, component](Ms now, const net::ConnectionEnded& ended) {
       if (logger.level() != Level::kDebug) return;
-      logger.write(now, Level::kDebug, "connection ended",
+      logger.write(time_point_of(now), Level::kDebug, "connection ended",
                    {{"component", component},
                     {"peer", std::string(ended.peer)},
                     {"why", std::string(name_of(ended.why))},
@@ -261,7 +262,7 @@
   clients.read_marks(wishes.clients.marks);
   net::EngineConnections engines(loop, counters, {connect, idle});
   const auto say = [&](Level level, std::string_view event, log::Fields fields) {
-    logger.write(loop.now(), level, event, fields);
+    logger.write(time_point_of(loop.now()), level, event, fields);
   };
   std::unique_ptr<cluster::ClusterService> peers;
   if (wishes.fleet.on)
@@ -343,7 +344,7 @@
   loop.on_turn = [&](Ms now) {
     watch_clock(now);
     bus.due(now);
-    logger.due(now);
+    logger.write_suppressed(time_point_of(now));
     engines.due(now);
     if (shelving.spool) shelving.spool->handle_due(time_point_of(now));
     clients.due(now);
@@ -359,7 +360,9 @@
     const Ms fleet_due = peers ? peers->next_due(now) : 0;
     const std::optional<TimePoint> results_due = shelving.spool ? shelving.spool->next_due() : std::nullopt;
     const Ms spooled = results_due ? to_ms(*results_due) : 0;
-    return sooner(sooner(sooner(spooled, fleet_due), logger.next_due()),
+    const std::optional<TimePoint> log_due = logger.next_due();
+    const Ms logged = log_due ? to_ms(*log_due) : 0;
+    return sooner(sooner(sooner(spooled, fleet_due), logged),
                   sooner(sooner(bus.next_due(), clients.next_due()),
                          sooner(engines.next_due(), to_ms(core.next_due().value_or(TimePoint{})))));
   };
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -16,74 +16,74 @@
 namespace firvalve::log {
 namespace {
 
-constexpr Ms kBurst = 1000;  // the same line within it is counted, not written
+constexpr Duration kRepeatWindow{1000};
 constexpr std::string_view kLevels[] = {"debug", "info", "warning", "error"};
 
-std::string time_of(Ms unix_now) {
-  const auto seconds = static_cast<std::time_t>(unix_now / 1000);
-  const int ms = static_cast<int>(unix_now - 1000.0 * static_cast<double>(seconds));
+std::string format_time(Ms unix_ms) {
+  const auto seconds = static_cast<std::time_t>(unix_ms / 1000);
+  const int ms = static_cast<int>(unix_ms - 1000.0 * static_cast<double>(seconds));
   return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z", fmt::gmtime(seconds), std::clamp(ms, 0, 999));
 }
 
-std::string json_text(std::string_view text) {
+std::string json_string(std::string_view text) {
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
   writer.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
   return buffer.GetString();
 }
 
-// A value stands bare where nothing in it could be taken for the form's own signs.
+// A value is quoted unless nothing in it could be taken for a sign of the format.
 std::string logfmt_value(const std::string& value) {
-  const bool bare = !value.empty() && std::all_of(value.begin(), value.end(), [](char c) {
+  const bool needs_no_quotes = !value.empty() && std::all_of(value.begin(), value.end(), [](char c) {
     return c > ' ' && c != '"' && c != '=' && c != '\\' && c != 127;
   });
-  return bare ? value : json_text(value);
+  return needs_no_quotes ? value : json_string(value);
 }
 
 }  // namespace
 
-std::string line_of(Form form, Ms unix_now, Level level, std::string_view event,
-                    const std::vector<Field>& fields) {
+std::string format_line(Form form, Ms unix_ms, Level level, std::string_view event,
+                        const std::vector<Field>& fields) {
   const std::string_view name = kLevels[static_cast<size_t>(level)];
   if (form == Form::kJson) {
-    std::string line =
-        fmt::format(R"({{"time":"{}","level":"{}","event":{})", time_of(unix_now), name, json_text(event));
-    for (const Field& f : fields) line += fmt::format(R"(,"{}":{})", f.name, json_text(f.value));
+    std::string line = fmt::format(R"({{"time":"{}","level":"{}","event":{})", format_time(unix_ms), name,
+                                   json_string(event));
+    for (const Field& field : fields)
+      line += fmt::format(R"(,"{}":{})", field.name, json_string(field.value));
     return line + "}";
   }
-  std::string line = fmt::format("time={} level={} event={}", time_of(unix_now), name, json_text(event));
-  for (const Field& f : fields) line += fmt::format(" {}={}", f.name, logfmt_value(f.value));
+  std::string line = fmt::format("time={} level={} event={}", format_time(unix_ms), name, json_string(event));
+  for (const Field& field : fields) line += fmt::format(" {}={}", field.name, logfmt_value(field.value));
   return line;
 }
 
-bool Bursts::handle(Ms now, const std::string& line) {
+bool RepeatSuppressor::admit(TimePoint now, const std::string& line) {
   const auto at = seen_.find(line);
   if (at != seen_.end()) {
-    ++at->second.unwritten;
+    ++at->second.suppressed;
     return false;
   }
-  if (seen_.size() < kMost) seen_[line] = {now, 0};
+  if (seen_.size() < kMaxLines) seen_[line] = {now, 0};
   return true;
 }
 
-std::vector<std::pair<std::string, uint64_t>> Bursts::over(Ms now) {
-  std::vector<std::pair<std::string, uint64_t>> all;
+std::vector<RepeatSuppressor::Suppressed> RepeatSuppressor::expire(TimePoint now) {
+  std::vector<Suppressed> expired;
   for (auto at = seen_.begin(); at != seen_.end();) {
     if (now < at->second.since + window_) {
       ++at;
       continue;
     }
-    if (at->second.unwritten > 0) all.emplace_back(at->first, at->second.unwritten);
+    if (at->second.suppressed > 0) expired.push_back({at->first, at->second.suppressed});
     at = seen_.erase(at);
   }
-  return all;
+  return expired;
 }
 
-Ms Bursts::next_due() const {
-  Ms due = 0;
-  for (const auto& [line, seen] : seen_)
-    due = due == 0 ? seen.since + window_ : std::min(due, seen.since + window_);
-  return due;
+std::optional<TimePoint> RepeatSuppressor::next_expiry() const {
+  std::optional<TimePoint> next;
+  for (const auto& [line, seen] : seen_) next = earlier_of(next, std::optional(seen.since + window_));
+  return next;
 }
 
 struct Log::Sink {
@@ -96,32 +96,33 @@
 };
 
 Log::Log(Form form, Level level)
-    : form_(form), level_(level), bursts_(kBurst), sink_(std::make_unique<Sink>()) {}
+    : form_(form), level_(level), repeats_(kRepeatWindow), sink_(std::make_unique<Sink>()) {}
 Log::~Log() = default;
 
 void Log::put(Level level, std::string_view event, const std::vector<Field>& fields) {
-  static constexpr spdlog::level::level_enum kTo[] = {spdlog::level::debug, spdlog::level::info,
-                                                      spdlog::level::warn, spdlog::level::err};
-  sink_->logger.log(kTo[static_cast<size_t>(level)], line_of(form_, wall_clock_ms(), level, event, fields));
+  static constexpr spdlog::level::level_enum kSpdlogLevels[] = {spdlog::level::debug, spdlog::level::info,
+                                                                spdlog::level::warn, spdlog::level::err};
+  sink_->logger.log(kSpdlogLevels[static_cast<size_t>(level)],
+                    format_line(form_, wall_clock_ms(), level, event, fields));
 }
 
-void Log::write(Ms now, Level level, std::string_view event, Fields fields) {
+void Log::write(TimePoint now, Level level, std::string_view event, Fields fields) {
   if (level < level_) return;
-  std::string same(event);
-  for (const Field& f : fields) same.append(" ").append(f.name).append("=").append(f.value);
-  if (!bursts_.handle(now, same)) {
-    levels_[same] = level;
+  std::string line(event);
+  for (const Field& field : fields) line.append(" ").append(field.name).append("=").append(field.value);
+  if (!repeats_.admit(now, line)) {
+    suppressed_levels_[line] = level;
     return;
   }
   put(level, event, fields);
 }
 
-void Log::due(Ms now) {
-  for (const auto& [line, count] : bursts_.over(now)) {
-    const auto level = levels_.find(line);
-    put(level == levels_.end() ? Level::kInfo : level->second, "repeated",
-        {{"line", line}, {"times", std::to_string(count)}});
-    if (level != levels_.end()) levels_.erase(level);
+void Log::write_suppressed(TimePoint now) {
+  for (const auto& [line, times] : repeats_.expire(now)) {
+    const auto level = suppressed_levels_.find(line);
+    put(level == suppressed_levels_.end() ? Level::kInfo : level->second, "repeated",
+        {{"line", line}, {"times", std::to_string(times)}});
+    if (level != suppressed_levels_.end()) suppressed_levels_.erase(level);
   }
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,15 +1,19 @@
-// Structured logs: one line an event, as logfmt or JSON, on standard error. The same line in a burst is
-// written once and then counted. One thread.
+// Structured logs on standard error: one event a line, as logfmt or JSON. A line that repeats within a second
+// is written once and then counted.
+//
+// One thread: the event loop's.
 #pragma once
 
+#include <cstdint>
 #include <initializer_list>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "base/units.h"
+#include "base/time.h"
 
 namespace firvalve::log {
 
@@ -22,29 +26,36 @@
 };
 using Fields = std::initializer_list<Field>;
 
-// `time=2026-12-01T18:10:29.123Z level=info event="serving" ...`, or the same as a JSON object. Times are
-// UTC.
-std::string line_of(Form form, Ms unix_now, Level level, std::string_view event,
-                    const std::vector<Field>& fields);
+// `time=2026-12-01T18:10:29.123Z level=info event="serving" ...`, or the same as a JSON object, without a
+// line feed. `unix_ms`: milliseconds since the Unix epoch; the time is written in UTC.
+std::string format_line(Form form, Ms unix_ms, Level level, std::string_view event,
+                        const std::vector<Field>& fields);
 
-// Which lines of a burst are written. No clock, bounded: lines beyond those it remembers are written each
-// time.
-class Bursts {
+// Decides which of the lines that repeat within a window are written. No clock. Memory is bounded: a line
+// beyond those it remembers is written each time.
+class RepeatSuppressor {
  public:
-  explicit Bursts(Ms window) : window_(window) {}
-  // False: the same has been written within the window; it is counted.
-  bool handle(Ms now, const std::string& line);
-  // Lines whose window is over, with how often they came unwritten.
-  std::vector<std::pair<std::string, uint64_t>> over(Ms now);
-  Ms next_due() const;  // 0: nothing is due
+  explicit RepeatSuppressor(Duration window) : window_(window) {}
+
+  // Whether the line is to be written. If not, the same was written within the window, and it is counted.
+  bool admit(TimePoint now, const std::string& line);
+
+  struct Suppressed {
+    std::string line;
+    uint64_t times = 0;
+    auto operator<=>(const Suppressed&) const = default;
+  };
+  // Forgets lines whose window has passed. Gives those that were suppressed meanwhile, with how often.
+  std::vector<Suppressed> expire(TimePoint now);
+  std::optional<TimePoint> next_expiry() const;
 
  private:
   struct Seen {
-    Ms since = 0;
-    uint64_t unwritten = 0;
+    TimePoint since;
+    uint64_t suppressed = 0;
   };
-  static constexpr size_t kMost = 256;
-  Ms window_;
+  static constexpr size_t kMaxLines = 256;
+  Duration window_;
   std::map<std::string, Seen> seen_;
 };
 
@@ -52,23 +63,29 @@
  public:
   explicit Log(Form form = Form::kLogfmt, Level level = Level::kInfo);
   ~Log();
-  void set(Form form, Level level) {
+
+  void configure(Form form, Level level) {
     form_ = form;
     level_ = level;
   }
-  Level level() const { return level_; }
-  // `now` measures bursts alone; the time of a line is the wall clock's.
-  void write(Ms now, Level level, std::string_view event, Fields fields = {});
-  void due(Ms now);  // tells the counts of bursts that are over
-  Ms next_due() const { return bursts_.next_due(); }
+  Level level() const { return level_; }  // the least that is written
+
+  // `now` only measures how long a line has been repeating; the line has the wall clock's time.
+  void write(TimePoint now, Level level, std::string_view event, Fields fields = {});
+  // Writes an event `repeated`, with the line and how often, for each line that was suppressed and whose
+  // window has passed.
+  void write_suppressed(TimePoint now);
+  // When write_suppressed() is to be called. Nothing: no line is waiting.
+  std::optional<TimePoint> next_due() const { return repeats_.next_expiry(); }
 
  private:
   struct Sink;
   void put(Level level, std::string_view event, const std::vector<Field>& fields);
+
   Form form_;
   Level level_;
-  Bursts bursts_;
-  std::map<std::string, Level> levels_;  // of lines in bursts
+  RepeatSuppressor repeats_;
+  std::map<std::string, Level> suppressed_levels_;  // by line
   std::unique_ptr<Sink> sink_;
 };
 
