--- a/tests/compatibility/stored_data_test.cpp
+++ b/tests/compatibility/stored_data_test.cpp
@@ -22,11 +22,12 @@
 #include "fakes/fake_deployment.h"
 #include "fakes/fault_script.h"
 #include "fakes/process.h"
-#include "lab/scale/capacity_file.h"
-#include "lab/scale/fit.h"
 #include "lease/lease_record.h"
 #include "lease/run_once_jobs.h"
+#include "loadtest/capacity_file.h"
+#include "loadtest/fit.h"
 #include "results/paged_result_store.h"
+#include "results/segment_files.h"
 #include "schema/registry.h"
 #include "soon.h"
 
@@ -361,52 +362,56 @@
 constexpr const char* kShortToken = "cbe33ae5478b23ad9adbab8002900f3b";
 constexpr const char* kStatement = "select 1 /*! rows=40 pages=3 row-bytes=60 */";
 
-std::vector<results::Record> records_of(const std::string& segment) {
-  std::vector<results::Record> all;
-  results::Record record;
-  for (size_t at = results::kSegmentHead.size(), next = 0;; at = next) {
-    const results::ReadRecord read = results::read_record(segment, at, record, next);
-    EXPECT_TRUE(read == results::ReadRecord::kRecord || read == results::ReadRecord::kEnd) << at;
-    if (read != results::ReadRecord::kRecord) return all;
+std::vector<results::SegmentRecord> records_of(const std::string& segment) {
+  std::vector<results::SegmentRecord> all;
+  results::SegmentRecord record;
+  for (size_t at = results::kSegmentHeader.size(), next = 0;; at = next) {
+    const results::RecordStatus status = results::read_record(segment, at, record, next);
+    EXPECT_TRUE(status == results::RecordStatus::kRecord || status == results::RecordStatus::kEndOfSegment)
+        << at;
+    if (status != results::RecordStatus::kRecord) return all;
     all.push_back(record);
   }
 }
 
 TEST(StoredPages, ASegmentIsWrittenAgainToTheSameBytes) {
   const std::string segment = content_of(kFixtures + "spool/segment-0000000001");
-  ASSERT_TRUE(segment.starts_with(results::kSegmentHead));
-  std::string again(results::kSegmentHead);
-  std::map<results::Record::Kind, int> kinds;
-  for (const results::Record& record : records_of(segment)) {
+  ASSERT_TRUE(segment.starts_with(results::kSegmentHeader));
+  std::string again(results::kSegmentHeader);
+  std::map<results::SegmentRecord::Kind, int> kinds;
+  for (const results::SegmentRecord& record : records_of(segment)) {
     ++kinds[record.kind];
     results::append_record(again, record);
   }
   EXPECT_EQ(hex(again), hex(segment));
-  EXPECT_EQ(kinds[results::Record::Kind::kPage], 6);
-  EXPECT_EQ(kinds[results::Record::Kind::kWhole], 3);
-  EXPECT_EQ(kinds[results::Record::Kind::kGone], 1);
+  EXPECT_EQ(kinds[results::SegmentRecord::Kind::kPage], 6);
+  EXPECT_EQ(kinds[results::SegmentRecord::Kind::kManifest], 3);
+  EXPECT_EQ(kinds[results::SegmentRecord::Kind::kTombstone], 1);
 }
 
 // The spool over a copy of the stored folder, at a moment of the boot in which it was written.
 class StoredSpool : public testing::Test {
  protected:
   StoredSpool() : copy_("spool") {
-    for (const results::Record& record : records_of(content_of(copy_.path() + "/segment-0000000001")))
-      if (record.kind == results::Record::Kind::kWhole)
-        first_lease_until_ = std::min(first_lease_until_, record.whole.lease_until);
+    for (const results::SegmentRecord& record : records_of(content_of(copy_.path() + "/segment-0000000001")))
+      if (record.kind == results::SegmentRecord::Kind::kManifest)
+        first_lease_expiry_ms_ = std::min(first_lease_expiry_ms_, to_ms(record.manifest.lease_expiry));
     std::ifstream(copy_.path() + "/clock") >> boot_ >> offset_;
   }
   // So long before the first lease's end. The wall clock is stepped by a day: leases must not care.
   void open(Ms before_end) {
-    const Ms since_boot = first_lease_until_ - before_end - offset_;
-    now_ = first_lease_until_ + 86400000;
+    const Ms since_boot = first_lease_expiry_ms_ - before_end - offset_;
+    now_ = time_point_of(first_lease_expiry_ms_ + 86400000);
     files_ = std::make_unique<results::SegmentFiles>(
-        results::SegmentFiles::Options{copy_.path(), size_t{16} << 20, results::BootTime{kBoot, since_boot}},
+        results::SegmentFiles::Options{copy_.path(), size_t{16} << 20,
+                                       results::BootTime{kBoot, time_point_of<BootClock>(since_boot)}},
         now_, [] {});
     results::PagedResultStoreOptions options;
-    options.keeping.disk = 10e6;
+    options.retention.disk_bytes = 10e6;
     spool_ = std::make_unique<results::PagedResultStore>(options, 7, [](std::string_view) {});
-    spool_->use(now_, *files_, files_->found, files_->lease_offset());
+    const std::vector<results::RecoveredResult> recovered = files_->take_recovered_results();
+    recovered_ = recovered.size();
+    spool_->attach_storage(now_, *files_, recovered, files_->lease_offset());
   }
   std::string read(const char* token, const char* key, uint64_t page) {
     std::string got = "never";
@@ -414,9 +419,9 @@
     const auto callback = [&](TimePoint, Status status, std::string_view rows, uint64_t) {
       got = status == Status::kRows ? std::string(rows) : status == Status::kGone ? "gone" : "no page";
     };
-    spool_->read_page(time_point_of(now_), token, key, page, callback);
+    spool_->read_page(now_, token, key, page, callback);
     soon([&] {
-      spool_->due(now_);
+      spool_->handle_due(now_);
       return got != "never";
     });
     return got;
@@ -427,7 +432,9 @@
 
   FolderCopy copy_;
   std::string boot_;
-  Ms first_lease_until_ = 1e300, offset_ = 0, now_ = 0;
+  Ms first_lease_expiry_ms_ = 1e300, offset_ = 0;
+  TimePoint now_;
+  size_t recovered_ = 0;                          // results
   std::unique_ptr<results::SegmentFiles> files_;  // outlives the spool
   std::unique_ptr<results::PagedResultStore> spool_;
 };
@@ -435,8 +442,8 @@
 TEST_F(StoredSpool, RowsAreServedPageByPage) {
   EXPECT_EQ(boot_, kBoot);
   open(10000);
-  EXPECT_EQ(files_->found.size(), 2u);  // the third was released
-  EXPECT_EQ(files_->broken + files_->cut, 0u);
+  EXPECT_EQ(recovered_, 2u);  // the third was released
+  EXPECT_EQ(files_->corrupt_results() + files_->truncated_segments(), 0u);
   for (int page = 0; page < 3; ++page)
     EXPECT_EQ(read(kToken, "mine", static_cast<uint64_t>(page + 1)),
               fakes::rows_of(fakes::script_of(kStatement), page));
@@ -447,24 +454,24 @@
 
 TEST_F(StoredSpool, ARepeatFindsItsResultByKeyProfileAndStatement) {
   open(10000);
-  const auto found = spool_->find(time_point_of(now_), repeat("mine"));
+  const auto found = spool_->find(now_, repeat("mine"));
   ASSERT_TRUE(found.has_value());
   EXPECT_EQ(spool_->answer_of(*found).token, kToken);
   EXPECT_EQ(spool_->answer_of(*found).pages, 3u);
   EXPECT_EQ(spool_->answer_of(*found).rows, 120u);
-  EXPECT_EQ(spool_->find(time_point_of(now_), repeat("another's")), std::nullopt);
+  EXPECT_EQ(spool_->find(now_, repeat("another's")), std::nullopt);
 }
 
 TEST_F(StoredSpool, AfterItsLeaseNothingIsServed) {
   open(-3600000);
-  EXPECT_EQ(files_->found.size(), 0u);
+  EXPECT_EQ(recovered_, 0u);
   EXPECT_EQ(read(kToken, "mine", 1), "gone");
 }
 
 // ---- The capacity file ---------------------------------------------------------------------------
 
 TEST(StoredCapacity, AFileIsReadAndWrittenAgainToTheSameBytes) {
-  using namespace lab::scale;
+  using namespace loadtest;
   const std::string text = content_of(kFixtures + "capacity.json");
   const CapacityFile file = read_capacity_file(kFixtures + "capacity.json");
   EXPECT_EQ(capacity_text(file), text);
@@ -570,18 +577,22 @@
   return frame;
 }
 
-results::Record some_record(results::Record::Kind kind) {
-  results::Record r;
+results::SegmentRecord some_record(results::SegmentRecord::Kind kind) {
+  results::SegmentRecord r;
   r.kind = kind;
-  r.life = 7;
-  r.result = 8;
-  if (kind == results::Record::Kind::kPage) {
-    r.page = 2;
-    r.stored = results::pack("x\ty\n");  // too short to be compressed: no bytes of the compressor's
+  r.key = {7, 8};
+  if (kind == results::SegmentRecord::Kind::kPage) {
+    r.page_index = 2;
+    r.page = results::compress("x\ty\n");  // too short to be compressed: no bytes of the compressor's
   }
-  if (kind == results::Record::Kind::kWhole)
-    r.whole = {
-        *results::token_of("000102030405060708090a0b0c0d0e0f"), 11, 12, 1796217798258.5, 3, 120, "office"};
+  if (kind == results::SegmentRecord::Kind::kManifest)
+    r.manifest = {*results::parse_token("000102030405060708090a0b0c0d0e0f"),
+                  11,
+                  12,
+                  time_point_of<results::LeaseClock>(1796217798258.5),
+                  3,
+                  120,
+                  "office"};
   return r;
 }
 
@@ -591,10 +602,10 @@
     {"load_answered", lease::RunOnceJob::Stage::kAnswered},
     {"load_failed", lease::RunOnceJob::Stage::kFailed},
     {"load_unknown", lease::RunOnceJob::Stage::kUnknown}};
-const std::vector<std::pair<const char*, results::Record::Kind>> kRecords = {
-    {"record_page", results::Record::Kind::kPage},
-    {"record_whole", results::Record::Kind::kWhole},
-    {"record_gone", results::Record::Kind::kGone}};
+const std::vector<std::pair<const char*, results::SegmentRecord::Kind>> kRecords = {
+    {"record_page", results::SegmentRecord::Kind::kPage},
+    {"record_whole", results::SegmentRecord::Kind::kManifest},
+    {"record_gone", results::SegmentRecord::Kind::kTombstone}};
 
 const cluster::Owned kStanding{{5, true, {5, 6, 7}, {1, 2, 3}}, kKeepers[0], 99};
 const lease::LeaseRecord kHeld{3, kKeepers[0], 9, 2000.5, false, "state"},
@@ -663,24 +674,24 @@
 TEST(StoredValues, RecordsOfASegmentAreReadFieldByField) {
   auto stored = stored_values();
   for (const auto& [name, kind] : kRecords) {
-    const results::Record expected = some_record(kind);
-    results::Record record;
+    const results::SegmentRecord expected = some_record(kind);
+    results::SegmentRecord record;
     size_t next = 0;
-    ASSERT_EQ(results::read_record(stored[name], 0, record, next), results::ReadRecord::kRecord) << name;
+    ASSERT_EQ(results::read_record(stored[name], 0, record, next), results::RecordStatus::kRecord) << name;
     EXPECT_EQ(next, stored[name].size()) << name;
     EXPECT_EQ(record.kind, kind) << name;
-    EXPECT_EQ(record.life, expected.life) << name;
-    EXPECT_EQ(record.result, expected.result) << name;
-    EXPECT_EQ(record.page, expected.page) << name;
-    EXPECT_EQ(record.stored.raw, expected.stored.raw) << name;
-    EXPECT_EQ(record.stored.bytes, expected.stored.bytes) << name;
-    EXPECT_EQ(record.whole.token, expected.whole.token) << name;
-    EXPECT_EQ(record.whole.key_hash, expected.whole.key_hash) << name;
-    EXPECT_EQ(record.whole.chain_hash, expected.whole.chain_hash) << name;
-    EXPECT_EQ(record.whole.lease_until, expected.whole.lease_until) << name;
-    EXPECT_EQ(record.whole.pages, expected.whole.pages) << name;
-    EXPECT_EQ(record.whole.rows, expected.whole.rows) << name;
-    EXPECT_EQ(record.whole.owner, expected.whole.owner) << name;
+    EXPECT_EQ(record.key.incarnation, expected.key.incarnation) << name;
+    EXPECT_EQ(record.key.result, expected.key.result) << name;
+    EXPECT_EQ(record.page_index, expected.page_index) << name;
+    EXPECT_EQ(record.page.uncompressed_bytes, expected.page.uncompressed_bytes) << name;
+    EXPECT_EQ(record.page.bytes, expected.page.bytes) << name;
+    EXPECT_EQ(record.manifest.token, expected.manifest.token) << name;
+    EXPECT_EQ(record.manifest.key_hash, expected.manifest.key_hash) << name;
+    EXPECT_EQ(record.manifest.chain_hash, expected.manifest.chain_hash) << name;
+    EXPECT_EQ(record.manifest.lease_expiry, expected.manifest.lease_expiry) << name;
+    EXPECT_EQ(record.manifest.pages, expected.manifest.pages) << name;
+    EXPECT_EQ(record.manifest.rows, expected.manifest.rows) << name;
+    EXPECT_EQ(record.manifest.owner, expected.manifest.owner) << name;
   }
 }
 
