--- /dev/null
+++ b/src/client/callback_thread.h
@@ -0,0 +1,52 @@
+// Runs the user's code: callbacks of ended calls and log lines, one at a time, on a thread of its own.
+#pragma once
+
+#include <atomic>
+#include <condition_variable>
+#include <deque>
+#include <functional>
+#include <memory>
+#include <mutex>
+#include <string>
+#include <string_view>
+#include <thread>
+#include <utility>
+
+#include "client/call_state.h"
+#include "client/client.h"
+
+namespace firvalve::client {
+
+class CallbackThread {
+ public:
+  using Log = std::function<void(LogLevel, std::string_view)>;
+  // `log` may be empty: then lines are dropped. `on_returned` is called on the thread after each callback.
+  CallbackThread(Log log, std::function<void()> on_returned)
+      : log_(std::move(log)), on_returned_(std::move(on_returned)) {}
+
+  // `owner` is kept alive until the thread has ended.
+  void start(std::shared_ptr<void> owner);
+  // From any thread. Calls come back in the order in which they were posted.
+  void post(CallStatePtr ended_call);
+  void post_log(LogLevel level, std::string line);
+  void finish();  // the thread ends when all that was posted has been run
+  void join() { thread_.join(); }
+  void detach() { thread_.detach(); }
+  bool is_current() const { return std::this_thread::get_id() == thread_id_; }
+
+ private:
+  void run();
+
+  const Log log_;
+  const std::function<void()> on_returned_;
+  std::thread thread_;
+  std::atomic<std::thread::id> thread_id_{};
+
+  std::mutex mutex_;  // guards what follows
+  std::condition_variable posted_;
+  std::deque<CallStatePtr> calls_;
+  std::deque<std::pair<LogLevel, std::string>> logs_;
+  bool is_finished_ = false;
+};
+
+}  // namespace firvalve::client
--- a/src/client/client.h
+++ b/src/client/client.h
@@ -24,17 +24,9 @@
 #include <string_view>
 #include <vector>
 
-namespace firvalve::client {
+#include "client/outcome.h"
 
-// How a call ended. Exactly one of them comes for each call.
-enum class Outcome {
-  kAnswered,  // all rows are here
-  kRefused,   // it never ran; the same call is harmless later, `come_back_ms` says when
-  kFailed,    // a gateway said that it failed; a command that changes something may have done so
-  kUnknown,   // it may have run, and its answer is lost
-  kExpired,   // its time was over, or it was cancelled; nothing that may run only once was under way
-};
-std::string_view name_of(Outcome outcome);
+namespace firvalve::client {
 
 // Whether running it twice does harm. What is not known to be replayable is not.
 enum class Effect { kNonReplayable, kReplayable };
@@ -118,8 +110,8 @@
   uint64_t open = 0;  // now
 };
 
-class Driver;   // the sockets and threads of a client
-struct Shared;  // what its handles and the driver know of a call
+class Driver;      // the sockets and threads of a client
+struct CallState;  // what the handles and the driver know of a call
 
 // One call under way. Copies share it; it may outlive its client.
 class Handle {
@@ -137,7 +129,7 @@
 
  private:
   friend class Client;
-  std::shared_ptr<Shared> shared_;
+  std::shared_ptr<CallState> state_;
 };
 
 class Client {
@@ -189,6 +181,8 @@
   Stats stats() const;
 
  private:
+  Handle submit(Command command, const std::function<void(CallState&)>& set_request, Callback done);
+
   std::shared_ptr<Driver> driver_;
 };
 
@@ -202,10 +196,10 @@
     double give_up_ms = 120000;     // without any page, through outages: then next() gives kFailed
   };
   // After a paged command was answered.
-  Pages(Client& client, const Result& result, std::string key, Options terms);
+  Pages(Client& client, const Result& result, std::string key, Options options);
   // With the token alone, from page `from` on; `gateways` are asked in turn which of them has it.
   Pages(Client& client, std::vector<std::string> gateways, std::string token, std::string key, uint64_t from,
-        Options terms);
+        Options options);
   ~Pages();
 
   enum class Next { kPage, kEnd, kGone, kFailed };
@@ -217,16 +211,19 @@
   uint64_t pages() const { return pages_; }  // 0: not known yet
 
  private:
-  void fill();
+  void ask_ahead();
+  void cancel_ahead();
 
   Client& client_;
   std::vector<std::string> gateways_;
-  std::string token_, key_, first_;
+  std::string token_, key_;
+  std::string first_;  // the first page's rows, which came with the answer
   bool has_first_ = false;
-  Options terms_;
-  uint64_t at_ = 0, pages_ = 0, asked_ = 0;
-  size_t gateway_ = 0, gone_at_ = 0;
-  std::vector<Handle> ahead_;
+  Options options_;
+  uint64_t at_ = 0, pages_ = 0;
+  uint64_t asked_ = 0;                // the last page asked for
+  size_t gateway_ = 0, gone_at_ = 0;  // that is asked; how many said that the result is not there
+  std::vector<Handle> ahead_;         // pages asked for and not given yet, in order
 };
 
 // Asks one gateway for a heartbeat, over a connection of its own, and blocks for at most `timeout_ms`.
--- /dev/null
+++ b/src/client/connection.cpp
@@ -0,0 +1,109 @@
+#include "client/connection.h"
+
+#include <Poco/Exception.h>
+#include <Poco/Net/StreamSocketImpl.h>
+#include <sys/socket.h>
+
+#include <cerrno>
+
+namespace firvalve::client {
+namespace {
+
+using Poco::Net::PollSet;
+
+constexpr size_t kReadBytes = size_t{64} * 1024;  // at once
+
+}  // namespace
+
+Connection::~Connection() {
+  if (descriptor_) poll_set_.remove(socket_);
+  socket_.close();
+}
+
+bool Connection::connect(const Poco::Net::SocketAddress& address) {
+  try {
+    socket_.connectNB(address);
+    socket_.setNoDelay(true);
+    descriptor_ = socket_.impl()->sockfd();
+    poll_set_.add(socket_, PollSet::POLL_WRITE | PollSet::POLL_ERROR);
+    return true;
+  } catch (const Poco::Exception&) {
+    return false;
+  }
+}
+
+std::optional<LossCause> Connection::finish_connect() {
+  int error = 0;
+  socklen_t size = sizeof error;
+  if (::getsockopt(*descriptor_, SOL_SOCKET, SO_ERROR, &error, &size) != 0) error = errno;
+  if (error != 0) return error == ECONNREFUSED ? LossCause::kRefused : LossCause::kConnectTimeout;
+  is_up_ = true;
+  poll_set_.update(socket_, PollSet::POLL_READ | PollSet::POLL_ERROR);
+  return std::nullopt;
+}
+
+void Connection::set_writing(bool writing) {
+  if (is_writing_ == writing) return;
+  is_writing_ = writing;
+  const int events = PollSet::POLL_READ | PollSet::POLL_ERROR;
+  poll_set_.update(socket_, writing ? events | PollSet::POLL_WRITE : events);
+}
+
+void Connection::message_appended(size_t bytes, std::optional<RequestId> attempt) {
+  queued_bytes_ += bytes;
+  if (attempt) attempts_.push_back({queued_bytes_, *attempt});
+}
+
+bool Connection::flush() {
+  while (out_sent_ < out_.size()) {
+    const ssize_t sent = ::send(*descriptor_, out_.data() + out_sent_, out_.size() - out_sent_, MSG_NOSIGNAL);
+    if (sent >= 0) {
+      out_sent_ += static_cast<size_t>(sent);
+      sent_bytes_ += static_cast<uint64_t>(sent);
+    } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
+      set_writing(true);
+      break;
+    } else if (errno != EINTR) {
+      return false;
+    }
+  }
+  while (!attempts_.empty() && attempts_.front().offset <= sent_bytes_) attempts_.pop_front();
+  if (out_sent_ == out_.size()) {
+    out_.clear();
+    if (out_.capacity() > kReadBytes) std::string().swap(out_);
+    out_sent_ = 0;
+    set_writing(false);
+  }
+  return true;
+}
+
+std::set<RequestId> Connection::unsent() const {
+  std::set<RequestId> requests;
+  for (const MessageEnd& attempt : attempts_)
+    if (attempt.offset > sent_bytes_) requests.insert(attempt.request);
+  return requests;
+}
+
+std::optional<LossCause> Connection::receive() {
+  const auto room = inbox_.room(kReadBytes);
+  const ssize_t got = ::recv(*descriptor_, room.data(), room.size(), 0);
+  if (got > 0) {
+    inbox_.filled(static_cast<size_t>(got));
+    return std::nullopt;
+  }
+  if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return std::nullopt;
+  return got == 0 ? LossCause::kClosed : LossCause::kReset;
+}
+
+Connection::Next Connection::next_message(std::span<char>& body) {
+  switch (frames_.next(inbox_, body)) {
+    case proto::Read::kMore:
+      return Next::kNone;
+    case proto::Read::kBroken:
+      return Next::kUnreadable;
+    default:
+      return Next::kMessage;
+  }
+}
+
+}  // namespace firvalve::client
--- /dev/null
+++ b/src/client/gateway_health.cpp
@@ -0,0 +1,63 @@
+#include "client/gateway_health.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace firvalve::client {
+
+const char* describe(LossCause cause) {
+  switch (cause) {
+    case LossCause::kRefused:
+      return "connection refused";
+    case LossCause::kConnectTimeout:
+      return "connect timeout";
+    case LossCause::kClosed:
+      return "closed";
+    case LossCause::kReset:
+      return "reset";
+    case LossCause::kUnreadable:
+      return "unreadable";
+    case LossCause::kUnresponsive:
+      return "unresponsive";
+  }
+  return "lost";
+}
+
+bool is_outage(const ConnectionLoss& loss, const OutageOptions& options) {
+  switch (loss.cause) {
+    case LossCause::kUnresponsive:
+      return true;
+    case LossCause::kRefused:
+    case LossCause::kConnectTimeout:
+      return loss.other_connections == 0;
+    case LossCause::kClosed:
+      if (loss.open_calls > 0) return true;
+      return loss.idle < options.idle_close && loss.other_connections == 0;
+    case LossCause::kReset:
+    case LossCause::kUnreadable:
+      return loss.open_calls >= options.many_calls || loss.is_gateway_losing || loss.are_others_losing;
+  }
+  return true;
+}
+
+Duration GatewayHealth::spread_after(int failures) const {
+  constexpr int kMaxDoublings = 16;
+  return std::min(options_.spread * std::pow(2.0, std::min(failures - 1, kMaxDoublings)),
+                  options_.max_spread);
+}
+
+void GatewayHealth::eject(TimePoint now, double draw) {
+  // A gateway that was reinstated and failed at once had not recovered: its failures go on counting.
+  if (is_available() && failures_ > 0 && now - reinstated_at_.value_or(TimePoint()) > spread_after(failures_))
+    failures_ = 0;
+  failures_ += 1;
+  state_ = State::kEjected;
+  probe_at_ = now + draw * spread_after(failures_);
+}
+
+void GatewayHealth::reinstate(TimePoint now) {
+  state_ = State::kAvailable;
+  reinstated_at_ = now;
+}
+
+}  // namespace firvalve::client
--- /dev/null
+++ b/src/client/request_scheduler.h
@@ -0,0 +1,230 @@
+// Everything that a client decides: which gateway, when to connect, send, retry, and give up. No I/O, no
+// clock, no thread: events and the time come in, actions go out; the same seed and events give the same
+// actions.
+//
+// A call is in one of three places: backing off until a time, in its profile's queue, or in flight on a
+// connection. decide() moves calls between them and is the only function that sends; end_call() is the only
+// one that ends a call. The implementation is in four files:
+//   request_scheduler.cpp    events, and the order of what decide() does
+//   scheduler_calls.cpp      the places of a call, its retries and its end
+//   scheduler_gateways.cpp   connections, their losses, and the health of gateways
+//   scheduler_dispatch.cpp   which call is sent next, and where
+//
+// What holds whatever the gateways do (tests/client/request_scheduler_property_test.cpp):
+//   - a call ends exactly once;
+//   - a non-replayable call is sent again only if each earlier attempt was refused, or was not completely
+//     handed to the system before its connection ended;
+//   - nothing is sent at or after its deadline, and the timeout sent is the time left;
+//   - nothing of a profile is sent to a gateway within the Retry-After time of that gateway and profile;
+//   - retries stay within the budget, except one a call that crosses a gateway's close of an idle connection.
+#pragma once
+
+#include <cstdint>
+#include <list>
+#include <map>
+#include <optional>
+#include <pcg_random.hpp>
+#include <set>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <utility>
+#include <vector>
+
+#include "base/time.h"
+#include "client/gateway_health.h"
+#include "client/retry_budget.h"
+#include "client/scheduler_actions.h"
+#include "client/throttle.h"
+
+namespace firvalve::client {
+
+struct SchedulerOptions {
+  size_t gateways = 1;
+  uint64_t seed = 0;                                   // of all random draws
+  int max_connections = 4;                             // to one gateway
+  int max_calls_per_connection = 32;                   // in flight at once, by the protocol
+  RequestId max_requests_per_connection = 1000000000;  // then a new one is made: request ids are never reused
+  size_t max_open_calls = 10000;
+  int max_attempts = 3;      // of one call
+  double retry_share = 0.1;  // retries as a share of first attempts
+  Duration retry_window{10000};
+  Duration backoff{50}, max_backoff{2000};  // full jitter over it, doubled with each attempt
+  Duration max_retry_after{30000};          // a longer Retry-After is cut to it
+  Duration connect_timeout{1000};
+  Duration silence_timeout{1000};  // without a byte while calls are open: a heartbeat is asked for; as long
+                                   // again, and the gateway is ejected
+  Duration idle_timeout{3500};     // an idle connection is closed, before the gateway would close it
+  Duration throttle_window{3000};  // after an overload, what is sent doubles in less than it
+  bool sends_retry_markers = true;
+  OutageOptions outage;
+};
+
+// Counts since the start; see client.h.
+struct SchedulerStats {
+  uint64_t calls = 0, answered = 0, refused = 0, failed = 0, unknown = 0, expired = 0;
+  uint64_t cancelled = 0;       // of the ended calls
+  uint64_t refused_unsent = 0;  // of the refused: without an attempt
+  uint64_t attempts = 0, retries = 0, crossing_retries = 0, revoked = 0, late_answers = 0;
+  uint64_t connects = 0, connects_failed = 0, connections_lost = 0, outages = 0, reconnects = 0;
+};
+
+class RequestScheduler {
+ public:
+  explicit RequestScheduler(const SchedulerOptions& options);
+
+  // Events.
+  void start_call(TimePoint now, CallId call, const CallRequest& request);
+  void cancel_call(TimePoint now, CallId call);  // nothing happens where it has ended
+  void handle_connected(TimePoint now, ConnectionId connection);
+  // `unsent`: requests that were not completely handed to the system.
+  void handle_connection_lost(TimePoint now, ConnectionId connection, LossCause cause,
+                              const std::set<RequestId>& unsent = {});
+  // Gives the call that this reply has ended; nothing: none (late, refused and to be retried, a heartbeat).
+  std::optional<CallId> handle_reply(TimePoint now, ConnectionId connection, const Reply& reply);
+
+  // After the events of one moment: appends what they call for.
+  void decide(TimePoint now, Actions& actions);
+  // When decide() is to be called at the latest, if nothing happens before. Nothing: no need.
+  std::optional<TimePoint> next_due() const;
+
+  const SchedulerStats& stats() const { return stats_; }
+  size_t open_calls() const { return calls_.size(); }
+  bool has_connection(ConnectionId connection) const { return connections_.count(connection) > 0; }
+
+ private:
+  using QueueIndex = size_t;
+  enum class Place { kNone, kBackingOff, kQueued, kInFlight };
+  struct Call {
+    QueueIndex queue = 0;
+    std::optional<GatewayIndex> only_gateway;
+    bool is_replayable = false, may_have_run = false;
+    bool has_crossed = false;           // a close of an idle connection; once a call
+    bool is_next_attempt_free = false;  // because of that: not counted against the retry budget
+    bool has_retry_reserved = false;    // its next attempt has a place in the retry budget
+    Place place = Place::kNone;
+    TimePoint deadline;
+    TimePoint backoff_until;                     // kBackingOff
+    std::list<CallId>::iterator queue_position;  // kQueued
+    // Of its latest attempt:
+    ConnectionId connection{};
+    RequestId request = 0;
+    std::optional<GatewayIndex> gateway;
+    TimePoint sent_at;
+    Duration connection_idle{0};  // how long its connection had been idle
+    int attempts = 0;
+    uint64_t first_attempt_id = 0, attempt_id = 0;
+  };
+  using Calls = std::unordered_map<CallId, Call>;
+  struct Connection {
+    GatewayIndex gateway = 0;
+    bool is_up = false;
+    bool is_probe = false;         // of an ejected gateway; carries no calls
+    bool is_unresponsive = false;  // carries no further calls
+    TimePoint opened_at;
+    TimePoint active_at;    // something was sent or received
+    TimePoint received_at;  // something was received
+    TimePoint busy_since;   // calls have been open without a gap
+    RequestId last_request = 0;
+    std::optional<RequestId> heartbeat;  // asked for and not answered
+    TimePoint heartbeat_at;
+    std::map<RequestId, CallId> open;
+  };
+  struct Gateway {
+    explicit Gateway(const OutageOptions& options) : health(options) {}
+    GatewayHealth health;
+    int open_calls = 0, connections = 0, connecting = 0;
+    std::optional<Duration> latency;   // running mean over answers
+    std::optional<TimePoint> lost_at;  // a connection, other than by an idle close
+    std::optional<TimePoint> no_connect_before;
+    bool reads_retry_markers = false, was_asked_for_markers = false;
+    std::map<QueueIndex, TimePoint> retry_after;  // nothing of the queue is sent there before
+  };
+  // Calls of one profile that wait to be sent, the next one first.
+  struct Queue {
+    std::string name;
+    std::list<CallId> calls;
+    Throttle throttle;
+  };
+  // Where a call may be sent.
+  struct Choice {
+    GatewayIndex best = 0;
+    std::optional<GatewayIndex> alternative;
+  };
+
+  double draw() { return static_cast<double>(random_()) / 4294967296.0; }  // in [0, 1)
+
+  // Calls (scheduler_calls.cpp).
+  std::optional<QueueIndex> queue_of(const std::string& name);
+  void enqueue(Call& call, CallId id, bool at_front);
+  void back_off_until(Call& call, CallId id, TimePoint until);
+  void leave_place(Call& call, CallId id);
+  bool retry(TimePoint now, Calls::iterator call, TimePoint not_before);
+  void retry_or_refuse(TimePoint now, Calls::iterator call, TimePoint not_before, const char* reason);
+  void end_without_attempt(TimePoint now, Calls::iterator call, const char* reason);
+  void give_up(Calls::iterator call, bool cancelled, const char* reason);
+  void end_call(Calls::iterator call, Outcome outcome, std::string reason, bool cancelled = false,
+                std::optional<Duration> retry_after = std::nullopt);
+  void revoke(const Call& call);
+  Duration draw_backoff(const Call& call);
+  TimePoint usable_at(TimePoint now, const Call& call) const;
+  bool is_hopeless(TimePoint now, const Call& call) const;
+  void expire_calls(TimePoint now);
+  void end_backoffs(TimePoint now);
+  void refuse_hopeless_calls(TimePoint now);
+
+  // Connections and gateways (scheduler_gateways.cpp).
+  ConnectionId open_connection(TimePoint now, GatewayIndex gateway, bool is_probe);
+  void close(ConnectionId connection);
+  void ask_for_heartbeat(TimePoint now, ConnectionId id, Connection& connection);
+  void handle_heartbeat(TimePoint now, Connection& connection, const Reply& reply);
+  void handle_refusal(TimePoint now, Calls::iterator call, Gateway& gateway, const Reply& reply);
+  void drop_connection(TimePoint now, ConnectionId id, LossCause cause, const std::set<RequestId>& unsent);
+  ConnectionLoss describe_loss(TimePoint now, const Connection& connection, LossCause cause) const;
+  bool is_crossing(TimePoint now, const Call& call, const Connection& connection, LossCause cause) const;
+  void end_lost_attempt(TimePoint now, CallId id, const Connection& connection, LossCause cause,
+                        bool was_unsent, bool is_outage);
+  void eject(TimePoint now, GatewayIndex gateway, const char* reason);
+  enum class Check { kFine, kConnectTimeout, kIdle, kUnresponsive, kNeedsHeartbeat };
+  Check check_connection(TimePoint now, const Connection& connection) const;
+  void watch_connections(TimePoint now);
+  void close_idle(ConnectionId id);
+  void handle_unresponsive(TimePoint now, ConnectionId id);
+  void move_replayable_calls(TimePoint now, const Connection& connection);
+  void probe_ejected_gateways(TimePoint now);
+  TimePoint heartbeat_overdue_at(const Connection& connection) const;
+  TimePoint silent_at(const Connection& connection) const;
+  std::optional<TimePoint> next_due_of(const Connection& connection) const;
+
+  // Dispatch (scheduler_dispatch.cpp).
+  void dispatch(TimePoint now);
+  bool dispatch_next(TimePoint now, QueueIndex queue);
+  std::vector<GatewayIndex> usable_gateways(TimePoint now, const Call& call) const;
+  std::optional<Choice> choose_gateway(TimePoint now, const Call& call);
+  std::optional<ConnectionId> connection_for(TimePoint now, const Choice& choice);
+  std::optional<ConnectionId> connection_with_room(GatewayIndex gateway) const;
+  bool may_connect(TimePoint now, GatewayIndex gateway) const;
+  bool back_off_for_retry_after(TimePoint now, CallId id, Call& call);
+  double load_score(const Gateway& gateway) const;
+  void send(TimePoint now, CallId id, Call& call, ConnectionId connection);
+
+  SchedulerOptions options_;
+  pcg32 random_;
+  pcg64 attempt_ids_;
+  RetryBudget retry_budget_;
+  uint64_t reserved_retries_ = 0;  // allowed by the budget and not sent yet
+  Calls calls_;
+  std::set<std::pair<TimePoint, CallId>> deadlines_, backoffs_;
+  std::vector<Queue> queues_;
+  QueueIndex next_queue_ = 0;  // that is served first
+  std::map<ConnectionId, Connection> connections_;
+  std::vector<Gateway> gateways_;
+  uint64_t last_connection_ = 0;
+  std::optional<TimePoint> last_call_at_;
+  TimePoint decided_at_;
+  bool must_check_hopeless_ = false;  // a gateway was ejected, or asked to be left alone
+  Actions pending_;
+  SchedulerStats stats_;
+};
+
+}  // namespace firvalve::client
--- /dev/null
+++ b/src/client/scheduler_dispatch.cpp
@@ -0,0 +1,155 @@
+// Which call is sent next, and where.
+#include <algorithm>
+#include <utility>
+
+#include "client/request_scheduler.h"
+#include "client/scheduler_limits.h"
+
+namespace firvalve::client {
+namespace {
+
+// Jitter behind a Retry-After time: at least so long, or this share of the time if that is longer.
+constexpr Duration kMinJitterAfter{100};
+constexpr double kJitterShareAfter = 0.5;
+
+}  // namespace
+
+// Calls in flight there times recent latency. An unknown gateway is taken to be as quick as the quickest.
+double RequestScheduler::load_score(const Gateway& gateway) const {
+  constexpr Duration kMinAssumedLatency{1};
+  std::optional<Duration> quickest;
+  for (const Gateway& other : gateways_) quickest = earlier_of(quickest, other.latency);
+  const Duration latency =
+      gateway.latency.value_or(std::max(quickest.value_or(Duration(0)), kMinAssumedLatency));
+  return (gateway.open_calls + 1) * to_ms(latency);
+}
+
+std::optional<ConnectionId> RequestScheduler::connection_with_room(GatewayIndex gateway) const {
+  const auto max_calls = static_cast<size_t>(options_.max_calls_per_connection);
+  std::optional<ConnectionId> best;
+  size_t fewest = SIZE_MAX;
+  for (const auto& [id, connection] : connections_) {
+    if (connection.gateway != gateway || !connection.is_up || connection.is_probe ||
+        connection.is_unresponsive || connection.last_request >= options_.max_requests_per_connection)
+      continue;
+    const size_t open = connection.open.size();
+    if (open >= max_calls) continue;
+    if (open * 2 < max_calls) return id;
+    if (open >= fewest) continue;
+    best = id;
+    fewest = open;
+  }
+  return best;
+}
+
+// Whether there are more queued calls than connections under way can carry.
+bool RequestScheduler::may_connect(TimePoint now, GatewayIndex index) const {
+  const Gateway& gateway = gateways_[index];
+  if (!gateway.health.is_available() || gateway.connections >= options_.max_connections) return false;
+  if (gateway.no_connect_before && now < *gateway.no_connect_before) return false;
+  size_t queued = 0;
+  for (const Queue& queue : queues_) queued += queue.calls.size();
+  return static_cast<size_t>(gateway.connecting) * static_cast<size_t>(options_.max_calls_per_connection) <
+         queued;
+}
+
+// Those that are available and did not ask to be left alone for now.
+std::vector<GatewayIndex> RequestScheduler::usable_gateways(TimePoint now, const Call& call) const {
+  std::vector<GatewayIndex> usable;
+  for (GatewayIndex i = 0; i < gateways_.size(); ++i) {
+    if (call.only_gateway && i != *call.only_gateway) continue;
+    const Gateway& gateway = gateways_[i];
+    const auto held_off = gateway.retry_after.find(call.queue);
+    const bool is_held_off = held_off != gateway.retry_after.end() && now < held_off->second;
+    if (gateway.health.is_available() && !is_held_off) usable.push_back(i);
+  }
+  return usable;
+}
+
+// The power of two choices: the less loaded of two gateways drawn at random. Nothing: none is usable.
+std::optional<RequestScheduler::Choice> RequestScheduler::choose_gateway(TimePoint now, const Call& call) {
+  const std::vector<GatewayIndex> usable = usable_gateways(now, call);
+  if (usable.empty()) return std::nullopt;
+  if (usable.size() == 1) return Choice{usable[0], std::nullopt};
+  const auto size = static_cast<uint32_t>(usable.size());
+  const uint32_t first = random_(size);
+  uint32_t second = random_(size - 1);
+  second += second >= first;
+  GatewayIndex best = usable[first], alternative = usable[second];
+  if (load_score(gateways_[alternative]) < load_score(gateways_[best])) std::swap(best, alternative);
+  if (!connection_with_room(best) && !connection_with_room(alternative))
+    for (const GatewayIndex gateway : usable)
+      if (connection_with_room(gateway)) alternative = gateway;
+  return Choice{best, alternative};
+}
+
+// A connection to the best gateway, or else to the alternative. Where there is none, one is begun.
+std::optional<ConnectionId> RequestScheduler::connection_for(TimePoint now, const Choice& choice) {
+  if (const auto connection = connection_with_room(choice.best)) return connection;
+  if (may_connect(now, choice.best)) open_connection(now, choice.best, false);
+  if (!choice.alternative) return std::nullopt;
+  if (const auto connection = connection_with_room(*choice.alternative)) return connection;
+  if (may_connect(now, *choice.alternative)) open_connection(now, *choice.alternative, false);
+  return std::nullopt;
+}
+
+// No gateway is usable. If available ones asked to be left alone, the call backs off until a random moment
+// behind the earliest of these times, so that calls do not come back all at once. False: no gateway is
+// available.
+bool RequestScheduler::back_off_for_retry_after(TimePoint now, CallId id, Call& call) {
+  std::optional<TimePoint> earliest;
+  for (GatewayIndex i = 0; i < gateways_.size(); ++i) {
+    if (call.only_gateway && i != *call.only_gateway) continue;
+    const Gateway& gateway = gateways_[i];
+    const auto held_off = gateway.retry_after.find(call.queue);
+    if (gateway.health.is_available() && held_off != gateway.retry_after.end())
+      earliest = earlier_of(earliest, std::optional(held_off->second));
+  }
+  if (!earliest) return false;
+  const Duration jitter = std::max(kMinJitterAfter, kJitterShareAfter * (*earliest - now));
+  const Duration time_left = std::max(Duration(0), call.deadline - kMinUsefulTime - *earliest);
+  const TimePoint until = *earliest + draw() * std::min(jitter, time_left);
+  leave_place(call, id);
+  back_off_until(call, id, until);
+  must_check_hopeless_ = true;
+  return true;
+}
+
+// Sends the first call of a queue, or moves it out of the queue. False: it has to wait, and so have those
+// behind it.
+bool RequestScheduler::dispatch_next(TimePoint now, QueueIndex index) {
+  const Queue& queue = queues_[index];
+  if (queue.calls.empty()) return false;
+  const CallId id = queue.calls.front();
+  const auto at = calls_.find(id);
+  Call& call = at->second;
+  if (call.deadline - now < kMinUsefulTime) {
+    give_up(at, false, "deadline exceeded");
+    return true;
+  }
+  const auto choice = choose_gateway(now, call);
+  if (!choice) return back_off_for_retry_after(now, id, call);
+  const auto connection = connection_for(now, *choice);
+  if (!connection) return false;
+  if (call.attempts > 0 && !call.is_next_attempt_free &&
+      !retry_budget_.allows_retry(now, reserved_retries_ - 1)) {
+    // The first attempts that its place in the budget came from have left the window meanwhile.
+    end_without_attempt(now, at, "no retries left");
+    return true;
+  }
+  send(now, id, call, *connection);
+  return true;
+}
+
+// One call from each queue in turn, so that the calls of one profile do not keep the others out.
+void RequestScheduler::dispatch(TimePoint now) {
+  if (queues_.empty()) return;
+  for (bool was_any_dispatched = true; was_any_dispatched;) {
+    was_any_dispatched = false;
+    for (size_t i = 0; i < queues_.size(); ++i)
+      was_any_dispatched |= dispatch_next(now, (next_queue_ + i) % queues_.size());
+  }
+  next_queue_ = (next_queue_ + 1) % queues_.size();
+}
+
+}  // namespace firvalve::client
--- /dev/null
+++ b/src/client/scheduler_gateways.cpp
@@ -0,0 +1,288 @@
+// Connections, their losses, and the health of gateways.
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "client/request_scheduler.h"
+#include "client/scheduler_limits.h"
+
+namespace firvalve::client {
+namespace {
+
+// The protocol's: a call that was sent so shortly before a close was received may be sent again, once.
+constexpr Duration kCrossingTime{50};
+// A connection that was idle for less was not closed by the gateway for that.
+constexpr Duration kMinIdleForCrossing{1000};
+// Ejected gateways are probed so long after the last call.
+constexpr Duration kProbesAfterCall{5000};
+
+}  // namespace
+
+// ---- Connections --------------------------------------------------------------------------------
+
+ConnectionId RequestScheduler::open_connection(TimePoint now, GatewayIndex index, bool is_probe) {
+  Gateway& gateway = gateways_[index];
+  const ConnectionId id{++last_connection_};
+  Connection& connection = connections_[id];
+  connection.gateway = index;
+  connection.is_probe = is_probe;
+  connection.opened_at = connection.active_at = connection.received_at = now;
+  gateway.connections += 1;
+  gateway.connecting += 1;
+  ++stats_.connects;
+  stats_.reconnects += gateway.lost_at.has_value();
+  pending_.emplace_back(Connect{id, index});
+  return id;
+}
+
+void RequestScheduler::close(ConnectionId id) { pending_.emplace_back(CloseConnection{id}); }
+
+void RequestScheduler::ask_for_heartbeat(TimePoint now, ConnectionId id, Connection& connection) {
+  connection.heartbeat = ++connection.last_request;
+  connection.heartbeat_at = connection.active_at = now;
+  gateways_[connection.gateway].was_asked_for_markers = true;
+  pending_.emplace_back(SendHeartbeat{id, *connection.heartbeat});
+}
+
+void RequestScheduler::handle_heartbeat(TimePoint now, Connection& connection, const Reply& reply) {
+  if (connection.heartbeat != reply.request) return;
+  Gateway& gateway = gateways_[connection.gateway];
+  connection.heartbeat.reset();
+  gateway.reads_retry_markers = reply.reads_retry_markers;
+  gateway.was_asked_for_markers = true;
+  if (!reply.is_healthy) {
+    connection.is_probe = false;  // it is closed once it has been idle
+    eject(now, connection.gateway, "it says that it is not healthy");
+  } else if (connection.is_probe) {
+    connection.is_probe = false;
+    gateway.health.reinstate(now);
+    pending_.emplace_back(LogGatewayChange{connection.gateway, "reinstated"});
+  }
+}
+
+void RequestScheduler::handle_refusal(TimePoint now, Calls::iterator at, Gateway& gateway,
+                                      const Reply& reply) {
+  auto& [id, call] = *at;
+  queues_[call.queue].throttle.record_refused(now);
+  leave_place(call, id);
+  if (reply.retry_after) {
+    const TimePoint until = now + std::min(*reply.retry_after, options_.max_retry_after);
+    const auto [held_off, is_new] = gateway.retry_after.try_emplace(call.queue, until);
+    if (!is_new) held_off->second = std::max(held_off->second, until);
+    must_check_hopeless_ = true;
+  }
+  retry_or_refuse(now, at, now + draw_backoff(call), "refused");
+}
+
+// ---- Losses -------------------------------------------------------------------------------------
+
+ConnectionLoss RequestScheduler::describe_loss(TimePoint now, const Connection& connection,
+                                               LossCause cause) const {
+  const auto has_just_lost = [&](const Gateway& gateway) {
+    return gateway.lost_at && now - *gateway.lost_at <= options_.outage.same_event;
+  };
+  const Gateway& gateway = gateways_[connection.gateway];
+  ConnectionLoss loss;
+  loss.cause = cause;
+  loss.open_calls = static_cast<int>(connection.open.size());
+  for (const auto& [id, other] : connections_)
+    loss.other_connections += other.gateway == connection.gateway && other.is_up;
+  loss.is_gateway_losing = has_just_lost(gateway);
+  for (const Gateway& other : gateways_) loss.are_others_losing |= &other != &gateway && has_just_lost(other);
+  loss.idle = now - connection.active_at;
+  return loss;
+}
+
+void RequestScheduler::drop_connection(TimePoint now, ConnectionId id, LossCause cause,
+                                       const std::set<RequestId>& unsent) {
+  const auto at = connections_.find(id);
+  const Connection connection = std::move(at->second);
+  connections_.erase(at);
+  Gateway& gateway = gateways_[connection.gateway];
+  gateway.connections -= 1;
+  gateway.connecting -= !connection.is_up;
+  const ConnectionLoss loss = describe_loss(now, connection, cause);
+  const bool is_idle_close =
+      cause == LossCause::kClosed && connection.open.empty() && loss.idle >= options_.outage.idle_close;
+  if (!is_idle_close) gateway.lost_at = now;
+  connection.is_up ? ++stats_.connections_lost : ++stats_.connects_failed;
+  // What answers next may be another program.
+  if (loss.other_connections == 0) gateway.was_asked_for_markers = gateway.reads_retry_markers = false;
+  if (!connection.is_up && loss.other_connections > 0)
+    gateway.no_connect_before = now + draw() * options_.outage.spread;
+  const bool is_outage = connection.is_probe || client::is_outage(loss, options_.outage);
+  const bool is_failed_probe =
+      connection.is_probe && gateway.health.state() == GatewayHealth::State::kProbing;
+  if (is_failed_probe || (is_outage && gateway.health.is_available()))
+    eject(now, connection.gateway, describe(cause));
+  for (const auto& [request, call] : connection.open) {
+    gateway.open_calls -= 1;
+    end_lost_attempt(now, call, connection, cause, unsent.count(request) > 0, is_outage);
+  }
+}
+
+// Guards against a close of an idle connection that crosses the call, which the gateway then has not read. A
+// gateway that read the call and died looks the same, so no non-replayable call is retried for it.
+bool RequestScheduler::is_crossing(TimePoint now, const Call& call, const Connection& connection,
+                                   LossCause cause) const {
+  return (cause == LossCause::kClosed || cause == LossCause::kReset) && connection.open.size() == 1 &&
+         now - call.sent_at <= kCrossingTime && call.connection_idle >= kMinIdleForCrossing &&
+         connection.received_at < call.sent_at && !call.has_crossed;
+}
+
+// The connection of a call's attempt is gone.
+void RequestScheduler::end_lost_attempt(TimePoint now, CallId id, const Connection& connection,
+                                        LossCause cause, bool was_unsent, bool is_outage) {
+  const auto at = calls_.find(id);
+  Call& call = at->second;
+  call.place = Place::kNone;
+  const TimePoint not_before = is_outage ? now + draw_backoff(call) : now;
+  if (was_unsent)
+    return retry_or_refuse(now, at, not_before, "its connection ended before it was sent completely");
+  call.may_have_run = true;
+  if (call.is_replayable && is_crossing(now, call, connection, cause))
+    call.has_crossed = call.is_next_attempt_free = true;
+  if (call.is_replayable && retry(now, at, not_before)) return;
+  call.is_next_attempt_free = false;
+  end_call(at, Outcome::kUnknown, fmt::format("connection {}", describe(cause)));
+}
+
+// ---- Health -------------------------------------------------------------------------------------
+
+void RequestScheduler::eject(TimePoint now, GatewayIndex index, const char* reason) {
+  Gateway& gateway = gateways_[index];
+  // Further losses belong to the same outage; only a failed probe makes it worse.
+  if (gateway.health.is_ejected()) return;
+  gateway.health.eject(now, draw());
+  gateway.reads_retry_markers = gateway.was_asked_for_markers = false;
+  ++stats_.outages;
+  must_check_hopeless_ = true;
+  pending_.emplace_back(LogGatewayChange{index, fmt::format("ejected: {}; probed in {:.0f} ms", reason,
+                                                            to_ms(gateway.health.probe_at() - now))});
+}
+
+void RequestScheduler::probe_ejected_gateways(TimePoint now) {
+  const bool is_wanted = !calls_.empty() || (last_call_at_ && now - *last_call_at_ < kProbesAfterCall);
+  if (!is_wanted) return;
+  for (GatewayIndex i = 0; i < gateways_.size(); ++i) {
+    GatewayHealth& health = gateways_[i].health;
+    if (!health.is_ejected() || now < health.probe_at()) continue;
+    health.start_probe();
+    open_connection(now, i, true);
+  }
+}
+
+// ---- Watching connections -----------------------------------------------------------------------
+
+// An unanswered heartbeat shows by then that the gateway is unresponsive.
+TimePoint RequestScheduler::heartbeat_overdue_at(const Connection& connection) const {
+  const TimePoint since = connection.is_probe ? connection.heartbeat_at
+                                              : std::max(connection.heartbeat_at, connection.received_at);
+  return since + options_.silence_timeout;
+}
+
+// By then nothing came for so long, with calls open, that a heartbeat is asked for.
+TimePoint RequestScheduler::silent_at(const Connection& connection) const {
+  return std::max(connection.received_at, connection.busy_since) + options_.silence_timeout;
+}
+
+RequestScheduler::Check RequestScheduler::check_connection(TimePoint now,
+                                                           const Connection& connection) const {
+  if (!connection.is_up)
+    return now >= connection.opened_at + options_.connect_timeout ? Check::kConnectTimeout : Check::kFine;
+  if (connection.open.empty() && !connection.is_probe) {
+    const bool is_used_up = connection.last_request >= options_.max_requests_per_connection;
+    const bool is_idle = now >= connection.active_at + options_.idle_timeout && !connection.heartbeat;
+    if (connection.is_unresponsive || is_used_up || is_idle) return Check::kIdle;
+  }
+  if (connection.is_unresponsive) return Check::kFine;  // known already
+  if (connection.heartbeat)
+    return now >= heartbeat_overdue_at(connection) ? Check::kUnresponsive : Check::kFine;
+  if (!connection.open.empty() && now >= silent_at(connection)) return Check::kNeedsHeartbeat;
+  return Check::kFine;
+}
+
+std::optional<TimePoint> RequestScheduler::next_due_of(const Connection& connection) const {
+  if (!connection.is_up) return connection.opened_at + options_.connect_timeout;
+  if (connection.heartbeat) {
+    if (connection.is_unresponsive) return std::nullopt;
+    return heartbeat_overdue_at(connection);
+  }
+  if (connection.open.empty()) return connection.active_at + options_.idle_timeout;
+  if (connection.is_unresponsive) return std::nullopt;
+  return silent_at(connection);
+}
+
+// Ends connections that do not come up, that are idle, or over which nothing comes.
+void RequestScheduler::watch_connections(TimePoint now) {
+  std::vector<ConnectionId> timed_out, idle, unresponsive;
+  for (auto& [id, connection] : connections_) {
+    switch (check_connection(now, connection)) {
+      case Check::kFine:
+        break;
+      case Check::kConnectTimeout:
+        timed_out.push_back(id);
+        break;
+      case Check::kIdle:
+        idle.push_back(id);
+        break;
+      case Check::kUnresponsive:
+        unresponsive.push_back(id);
+        break;
+      case Check::kNeedsHeartbeat:
+        ask_for_heartbeat(now, id, connection);
+        break;
+    }
+  }
+  for (const ConnectionId id : timed_out) {
+    close(id);
+    drop_connection(now, id, LossCause::kConnectTimeout, {});
+  }
+  for (const ConnectionId id : idle) close_idle(id);
+  for (const ConnectionId id : unresponsive) handle_unresponsive(now, id);
+}
+
+void RequestScheduler::close_idle(ConnectionId id) {
+  close(id);
+  const auto at = connections_.find(id);
+  gateways_[at->second.gateway].connections -= 1;
+  connections_.erase(at);
+}
+
+void RequestScheduler::handle_unresponsive(TimePoint now, ConnectionId id) {
+  Connection& connection = connections_.at(id);
+  if (connection.is_probe || connection.open.empty()) {
+    close(id);
+    connection.is_probe = true;  // it counts as a failed probe
+    GatewayHealth& health = gateways_[connection.gateway].health;
+    if (health.is_available()) health.start_probe();
+    return drop_connection(now, id, LossCause::kUnresponsive, {});
+  }
+  connection.is_unresponsive = true;
+  eject(now, connection.gateway, describe(LossCause::kUnresponsive));
+  move_replayable_calls(now, connection);
+}
+
+// Retries replayable calls elsewhere, if there is an elsewhere. The others wait for an answer that may still
+// come.
+void RequestScheduler::move_replayable_calls(TimePoint now, const Connection& connection) {
+  std::vector<CallId> movable;
+  for (const auto& [request, id] : connection.open) {
+    const Call& call = calls_.at(id);
+    if (call.is_replayable && usable_at(now, call) + kMinUsefulTime < call.deadline &&
+        call.attempts < options_.max_attempts &&
+        retry_budget_.allows_retry(now, reserved_retries_ + movable.size()))
+      movable.push_back(id);
+  }
+  for (const CallId id : movable) {
+    const auto at = calls_.find(id);
+    Call& call = at->second;
+    revoke(call);
+    call.may_have_run = true;
+    leave_place(call, id);
+    if (!retry(now, at, now)) end_call(at, Outcome::kUnknown, "gateway unresponsive");
+  }
+}
+
+}  // namespace firvalve::client
--- /dev/null
+++ b/src/client/validation.cpp
@@ -0,0 +1,98 @@
+#include "client/validation.h"
+
+#include <Poco/Exception.h>
+#include <fmt/format.h>
+
+#include <cmath>
+#include <random>
+#include <stdexcept>
+#include <string_view>
+
+namespace firvalve::client {
+namespace {
+
+void require(bool is_valid, const char* option, const char* range) {
+  if (!is_valid) throw std::invalid_argument(fmt::format("option {}: must be {}", option, range));
+}
+
+// False also for what is not a number.
+bool is_within(double value, double min, double max) { return value >= min && value <= max; }
+
+bool is_valid_amount(double value) { return value >= 0 && std::isfinite(value); }
+
+}  // namespace
+
+void check(const Options& options) {
+  require(!options.gateways.empty(), "gateways", "one HOST:PORT at least");
+  require(is_within(options.links_most, 1, 1000), "links_most", "1 to 1,000");
+  require(options.open_most >= 1, "open_most", "1 at least");
+  require(options.answer_most >= 1024, "answer_most", "1,024 bytes at least");
+  require(is_within(options.retry_share, 0, 1), "retry_share", "0 to 1");
+  require(is_within(options.retry_window_ms, 100, kMaxTimeoutMs), "retry_window_ms", "100 ms to a day");
+  require(is_within(options.sends_most, 1, 100), "sends_most", "1 to 100");
+  require(is_within(options.backoff_ms, 0, options.backoff_most_ms), "backoff_ms", "0 to backoff_most_ms");
+  require(is_within(options.backoff_most_ms, 0, kMaxTimeoutMs), "backoff_most_ms", "0 ms to a day");
+  require(is_within(options.holdoff_most_ms, 0, kMaxTimeoutMs), "holdoff_most_ms", "0 ms to a day");
+  require(is_within(options.spread_ms, 0, options.spread_most_ms), "spread_ms", "0 to spread_most_ms");
+  require(is_within(options.spread_most_ms, 0, kMaxTimeoutMs), "spread_most_ms", "0 ms to a day");
+  require(is_within(options.connect_ms, 1, kMaxTimeoutMs), "connect_ms", "1 ms to a day");
+  require(is_within(options.silence_ms, 1, kMaxTimeoutMs), "silence_ms", "1 ms to a day");
+  require(is_within(options.idle_ms, 1, kMaxTimeoutMs), "idle_ms", "1 ms to a day");
+}
+
+void check(const Command& command) {
+  const auto require_that = [](bool is_valid, std::string_view problem) {
+    if (!is_valid) throw std::invalid_argument(fmt::format("command: {}", problem));
+  };
+  require_that(!command.profile.empty(), "no profile");
+  require_that(command.profile != "heartbeat" && command.profile != "revoke",
+               "the profile's name is the protocol's own");
+  require_that(command.profile.size() <= 256, "the profile's name is longer than 256 bytes");
+  require_that(!command.statement.empty(), "the statement is empty");
+  if (command.statement.size() > kStatementMost)
+    throw std::invalid_argument(fmt::format("command: the statement has {} bytes; a gateway reads {}",
+                                            command.statement.size(), kStatementMost));
+  require_that(command.timeout_ms > 0 && command.timeout_ms <= kMaxTimeoutMs,
+               "timeout_ms must be above 0, and a day at most");
+  require_that(is_valid_amount(command.estimate_ms), "estimate_ms must be 0 or more");
+  require_that(is_valid_amount(command.memory_mb), "memory_mb must be 0 or more");
+}
+
+Poco::Net::SocketAddress parse_address(const std::string& address) {
+  const size_t colon = address.rfind(':');
+  if (colon == std::string::npos || colon == 0 || colon + 1 == address.size())
+    throw std::invalid_argument(fmt::format("gateway \"{}\": not of the form HOST:PORT", address));
+  try {
+    return Poco::Net::SocketAddress(address);
+  } catch (const Poco::Exception& error) {
+    throw std::invalid_argument(fmt::format("gateway \"{}\": {}", address, error.displayText()));
+  }
+}
+
+SchedulerOptions scheduler_options(const Options& options) {
+  SchedulerOptions out;
+  out.gateways = options.gateways.size();
+  out.seed = options.seed;
+  if (out.seed == 0) {
+    std::random_device device;
+    out.seed = (static_cast<uint64_t>(device()) << 32) | device();
+  }
+  out.max_connections = options.links_most;
+  out.max_open_calls = options.open_most;
+  out.max_attempts = options.sends_most;
+  out.retry_share = options.retry_share;
+  out.retry_window = duration_of(options.retry_window_ms);
+  out.backoff = duration_of(options.backoff_ms);
+  out.max_backoff = duration_of(options.backoff_most_ms);
+  out.max_retry_after = duration_of(options.holdoff_most_ms);
+  out.connect_timeout = duration_of(options.connect_ms);
+  out.silence_timeout = duration_of(options.silence_ms);
+  out.idle_timeout = duration_of(options.idle_ms);
+  out.sends_retry_markers = options.marks;
+  out.outage.spread = duration_of(options.spread_ms);
+  out.outage.max_spread = duration_of(options.spread_most_ms);
+  out.outage.idle_close = duration_of(options.idle_ms);
+  return out;
+}
+
+}  // namespace firvalve::client
