--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -21,6 +21,7 @@
 #include "fakes/process.h"
 #include "proto/jsonrpc/reply.h"
 #include "results/paged_result_store.h"
+#include "results/segment_files.h"
 
 namespace {
 
@@ -89,37 +90,37 @@
 void run_through(int mb, bool disk) {
   Folder folder;
   results::PagedResultStoreOptions options;
-  options.keeping.memory = 16e6;
-  options.keeping.disk = disk ? 4e9 : 0;
-  options.keeping.lease = 1e6;
-  results::PagedResultStore spool(options, 1, [](std::string_view) {});
+  options.retention.memory_bytes = 16e6;
+  options.retention.disk_bytes = disk ? 4e9 : 0;
+  options.retention.lease = Duration(1e6);
+  const TimePoint now = time_point_of(1000);
+  results::PagedResultStore store(options, 1, [](std::string_view) {});
   std::unique_ptr<results::SegmentFiles> files;
   if (disk) {
-    files = std::make_unique<results::SegmentFiles>(results::SegmentFiles::Options{folder.path}, 1000, [] {});
-    spool.use(1000, *files, {});
+    files = std::make_unique<results::SegmentFiles>(results::SegmentFiles::Options{folder.path}, now, [] {});
+    store.attach_storage(now, *files, {});
   }
   const std::string rows = passenger_rows(64000, 1);
   const int pages = static_cast<int>(mb * 1e6 / static_cast<double>(rows.size()));
   const auto start = Clock::now();
-  Ms now = 1000;
-  ResultHandle no = 0;
+  std::optional<ResultHandle> id;
   std::vector<std::string> tokens;
   for (int i = 0; i < pages; ++i) {
     if (i % 100 == 0) {
-      if (no) spool.complete(time_point_of(now), no), tokens.push_back(spool.answer_of(no).token);
-      no = spool.reserve(time_point_of(now), {"x", "", "report", "select 1", "00000000000000a1", 1})
-               .value_or(0);
+      if (id) store.complete(now, *id), tokens.push_back(store.answer_of(*id).token);
+      id = store.reserve(now, {"x", "", "report", "select 1", "00000000000000a1", 1});
     }
-    while (spool.append_page(time_point_of(now), no, rows) == ResultStore::AppendResult::kStoredSlowDown) {
-      while (files->backlog() > 1000000) spool.due(now), std::this_thread::yield();
+    while (store.append_page(now, id.value_or(0), rows) == ResultStore::AppendResult::kStoredSlowDown) {
+      while (files->backlog_bytes() > 1000000) store.handle_due(now), std::this_thread::yield();
       break;
     }
-    spool.due(now);
+    store.handle_due(now);
   }
-  spool.complete(time_point_of(now), no);
+  store.complete(now, id.value_or(0));
   const double in = ms_since(start);
   fmt::print("{}: {} MB of rows in at {:.0f} MB/s, {:.1f} MB of spool memory\n",
-             disk ? "with disk" : "memory alone", mb, 1000.0 * mb / in, spool.keeping().memory() / 1e6);
+             disk ? "with disk" : "memory alone", mb, 1000.0 * mb / in,
+             store.retention().memory_bytes() / 1e6);
   if (!disk) return;
   const auto read_start = Clock::now();
   double got = 0;
@@ -127,14 +128,14 @@
   for (const std::string& token : tokens)
     for (uint64_t page = 1; page <= 100; ++page) {
       ++wanted;
-      spool.read_page(time_point_of(now), token, "", page,
+      store.read_page(now, token, "", page,
                       [&](TimePoint, ResultStore::ReadStatus, std::string_view text, uint64_t) {
                         ++came;
                         got += static_cast<double>(text.size());
                       });
-      while (wanted - came > 32) spool.due(now), std::this_thread::yield();
+      while (wanted - came > 32) store.handle_due(now), std::this_thread::yield();
     }
-  while (came < wanted) spool.due(now), std::this_thread::yield();
+  while (came < wanted) store.handle_due(now), std::this_thread::yield();
   fmt::print("with disk: {:.0f} MB out at {:.0f} MB/s\n", got / 1e6, got / 1000 / ms_since(read_start));
 }
 
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -24,6 +24,7 @@
 #include "net/waker.h"
 #include "proto/term.h"
 #include "results/paged_result_store.h"
+#include "results/segment_files.h"
 
 namespace firvalve {
 namespace {
@@ -49,7 +50,8 @@
                                                                    {"warning", Level::kWarning},
                                                                    {"error", Level::kError}};
   for (const auto& [name, level] : kLevels)
-    if (name == wish.level) logger.set(wish.form == "json" ? log::Form::kJson : log::Form::kLogfmt, level);
+    if (name == wish.level)
+      logger.configure(wish.form == "json" ? log::Form::kJson : log::Form::kLogfmt, level);
 }
 
 struct ConfigError : std::runtime_error {
@@ -125,11 +127,11 @@
 
 config::OperatorConfig read_wishes(const std::string& file) {
   if (file.empty()) return {};
-  const config::Reading reading = config::read_operator_file(file);
-  if (reading.good()) return reading.values;
+  const config::ParsedConfig parsed = config::load_operator_config(file);
+  if (parsed.is_valid()) return parsed.values;
   std::string all;
-  for (const config::Fault& fault : reading.faults)
-    all += (all.empty() ? "" : "; ") + config::line_of(file, fault);
+  for (const config::Diagnostic& diagnostic : parsed.diagnostics)
+    all += (all.empty() ? "" : "; ") + config::format_diagnostic(file, diagnostic);
   throw ConfigError(all);
 }
 
@@ -139,13 +141,13 @@
                     log::Log& logger) {
     if (!wish.on) return;
     results::PagedResultStoreOptions options;
-    options.keeping.memory = wish.memory_mb * 1e6;
-    options.keeping.disk = wish.folder.empty() ? 0 : wish.disk_mb * 1e6;
-    options.keeping.result_most = wish.result_mb * 1e6;
-    options.keeping.lease = wish.lease_s * 1000;
-    options.keeping.results_most = static_cast<size_t>(wish.results);
-    options.first_expected = wish.first_expected_kb * 1000;
-    options.backlog_most = options.keeping.memory / 4;
+    options.retention.memory_bytes = wish.memory_mb * 1e6;
+    options.retention.disk_bytes = wish.folder.empty() ? 0 : wish.disk_mb * 1e6;
+    options.retention.max_result_bytes = wish.result_mb * 1e6;
+    options.retention.lease = duration_of(wish.lease_s * 1000);
+    options.retention.max_results = static_cast<size_t>(wish.results);
+    options.initial_expected_bytes = wish.first_expected_kb * 1000;
+    options.max_backlog_bytes = options.retention.memory_bytes / 4;
     std::random_device device;
     const uint64_t life = (static_cast<uint64_t>(device()) << 32) | device();
     spool = std::make_unique<results::PagedResultStore>(
@@ -154,16 +156,16 @@
     waker = std::make_unique<net::Waker>(loop);  // the turn that follows looks at what the files have done
     results::SegmentFiles::Options files_options;
     files_options.folder = wish.folder;
-    files_options.boot = results::boot_time();
-    files =
-        std::make_unique<results::SegmentFiles>(files_options, loop.now(), [w = waker.get()] { w->wake(); });
-    if (files->cut + files->broken > 0)
-      logger.write(loop.now(), Level::kWarning, "parts of the spool's folder left out",
+    files_options.boot = results::read_boot_time();
+    files = std::make_unique<results::SegmentFiles>(files_options, time_point_of(loop.now()),
+                                                    [w = waker.get()] { w->wake(); });
+    if (files->truncated_segments() + files->corrupt_results() > 0)
+      logger.write(time_point_of(loop.now()), Level::kWarning, "parts of the spool's folder left out",
                    {{"component", "spool"},
-                    {"torn_tails_cut", std::to_string(files->cut)},
-                    {"results_broken", std::to_string(files->broken)}});
-    spool->use(loop.now(), *files, files->found, files->lease_offset());
-    files->found.clear();
+                    {"torn_tails_cut", std::to_string(files->truncated_segments())},
+                    {"results_broken", std::to_string(files->corrupt_results())}});
+    spool->attach_storage(time_point_of(loop.now()), *files, files->take_recovered_results(),
+                          files->lease_offset());
   }
   std::unique_ptr<net::Waker> waker;
   std::unique_ptr<results::SegmentFiles> files;
@@ -196,7 +198,7 @@
 
 void tell_command_event(log::Log& logger, TimePoint now, const CommandEvent& event) {
   logger.write(
-      to_ms(now), Level::kDebug, name_of(event.kind),
+      now, Level::kDebug, name_of(event.kind),
       {{"component", "command"},
        {"command", std::string(event.command)},
        {"profile", std::string(event.profile)},
@@ -216,7 +218,7 @@
   const auto told_as = [&logger](const char* component) {
     return [&logger, component](Ms now, const net::ConnectionEnded& ended) {
       if (logger.level() != Level::kDebug) return;
-      logger.write(now, Level::kDebug, "connection ended",
+      logger.write(time_point_of(now), Level::kDebug, "connection ended",
                    {{"component", component},
                     {"peer", std::string(ended.peer)},
                     {"why", std::string(name_of(ended.why))},
@@ -260,7 +262,7 @@
   clients.read_marks(wishes.clients.marks);
   net::EngineConnections engines(loop, counters, {connect, idle});
   const auto say = [&](Level level, std::string_view event, log::Fields fields) {
-    logger.write(loop.now(), level, event, fields);
+    logger.write(time_point_of(loop.now()), level, event, fields);
   };
   std::unique_ptr<cluster::ClusterService> peers;
   if (wishes.fleet.on)
@@ -285,7 +287,7 @@
     engines.limit_page(static_cast<size_t>(wishes.spool.page_kb * 1000));
     core.set_result_store(*shelving.spool);
     clients.read_pages(*shelving.spool);
-    shelving.spool->on_room = [&core](Ms now) { core.result_space_available(time_point_of(now)); };
+    shelving.spool->on_space_freed = [&core](TimePoint now) { core.result_space_available(now); };
   }
   observe(core, clients, engines, logger);
   net::EndpointWatcher bus(loop, counters, told.bus, connect, kFirstPart * number(settings, "drain grace"),
@@ -345,21 +347,25 @@
   loop.on_turn = [&](Ms now) {
     watch_clock(now);
     bus.due(now);
-    logger.due(now);
+    logger.write_suppressed(time_point_of(now));
     engines.due(now);
-    if (shelving.spool) shelving.spool->due(now);
+    if (shelving.spool) shelving.spool->handle_due(time_point_of(now));
     clients.due(now);
     if (peers) peers->due(now);
     core.decide(time_point_of(now));
     const bool settled = ended_at > 0 && now >= ended_at + proto::kComingOn &&
                          core.unanswered_call_count() == 0 && clients.unsent() == 0 &&
-                         (!shelving.spool || shelving.spool->settled()) && (!peers || peers->left(now));
+                         (!shelving.spool || !shelving.spool->has_pending_reads()) &&
+                         (!peers || peers->left(now));
     if (settled && clients.leave(now)) loop.stop();
     if (ended_at > 0 && now >= ended_at + proto::leaving_end(longest)) loop.stop();
     if (ended_at > 0) return now + kEndLook;
     const Ms fleet_due = peers ? peers->next_due(now) : 0;
-    const Ms spooled = shelving.spool ? shelving.spool->next_due() : 0;
-    return sooner(sooner(sooner(spooled, fleet_due), logger.next_due()),
+    const std::optional<TimePoint> results_due = shelving.spool ? shelving.spool->next_due() : std::nullopt;
+    const Ms spooled = results_due ? to_ms(*results_due) : 0;
+    const std::optional<TimePoint> log_due = logger.next_due();
+    const Ms logged = log_due ? to_ms(*log_due) : 0;
+    return sooner(sooner(sooner(spooled, fleet_due), logged),
                   sooner(sooner(bus.next_due(), clients.next_due()),
                          sooner(engines.next_due(), to_ms(core.next_due().value_or(TimePoint{})))));
   };
--- a/src/results/segment_files.cpp
+++ b/src/results/segment_files.cpp
@@ -8,209 +8,214 @@
 
 #include <algorithm>
 #include <cerrno>
-#include <cstring>
 #include <filesystem>
-#include <stdexcept>
+#include <span>
+#include <system_error>
 #include <utility>
 
 namespace firvalve::results {
 
 namespace {
 
-std::runtime_error unusable(const std::string& folder, const std::string& why) {
-  return std::runtime_error(fmt::format("spool folder {}: {}", folder, why));
-}
+std::string last_error() { return std::generic_category().message(errno); }
 
-bool write_all(int fd, std::string_view bytes) {
+bool write_all(int file, std::string_view bytes) {
   while (!bytes.empty()) {
-    const ssize_t n = ::write(fd, bytes.data(), bytes.size());
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return false;
-    bytes.remove_prefix(static_cast<size_t>(n));
+    const ssize_t written = ::write(file, bytes.data(), bytes.size());
+    if (written < 0 && errno == EINTR) continue;
+    if (written <= 0) return false;
+    bytes.remove_prefix(static_cast<size_t>(written));
   }
   return true;
 }
 
-std::string read_whole(int fd) {
-  struct stat about {};
-  if (::fstat(fd, &about) != 0) return {};
-  std::string all(static_cast<size_t>(about.st_size), '\0');
-  size_t got = 0;
-  while (got < all.size()) {
-    const ssize_t n = ::pread(fd, all.data() + got, all.size() - got, static_cast<off_t>(got));
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) break;
-    got += static_cast<size_t>(n);
+// Reads from `offset` until the buffer is full or the file ends. Gives how many bytes were read.
+size_t read_at(int file, size_t offset, std::span<char> buffer) {
+  size_t done = 0;
+  while (done < buffer.size()) {
+    const ssize_t got =
+        ::pread(file, buffer.data() + done, buffer.size() - done, static_cast<off_t>(offset + done));
+    if (got < 0 && errno == EINTR) continue;
+    if (got <= 0) break;
+    done += static_cast<size_t>(got);
   }
-  all.resize(got);
-  return all;
+  return done;
+}
+
+std::string read_file(int file) {
+  struct stat status {};
+  if (::fstat(file, &status) != 0) return {};
+  std::string contents(static_cast<size_t>(status.st_size), '\0');
+  contents.resize(read_at(file, 0, contents));
+  return contents;
+}
+
+std::optional<size_t> segment_number(const std::string& file_name) {
+  constexpr std::string_view kPrefix = "segment-";
+  if (!file_name.starts_with(kPrefix) || file_name.size() != 18 ||
+      file_name.find_first_not_of("0123456789", kPrefix.size()) != std::string::npos)
+    return std::nullopt;
+  return std::stoull(file_name.substr(kPrefix.size()));
 }
 
 }  // namespace
 
+StorageError::StorageError(const std::string& folder, const std::string& reason)
+    : std::runtime_error(fmt::format("spool folder {}: {}", folder, reason)) {}
+
 std::string SegmentFiles::path_of(size_t segment) const {
   return fmt::format("{}/segment-{:010}", options_.folder, segment);
 }
 
-SegmentFiles::SegmentFiles(const Options& options, Ms now, std::function<void()> wake)
+SegmentFiles::SegmentFiles(const Options& options, TimePoint now, std::function<void()> wake)
     : options_(options), wake_(std::move(wake)) {
-  std::error_code error;
-  std::filesystem::create_directories(options_.folder, error);
-  if (error) throw unusable(options_.folder, error.message());
-  lock_ = ::open((options_.folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock_ < 0) throw unusable(options_.folder, std::strerror(errno));
-  if (::flock(lock_, LOCK_EX | LOCK_NB) != 0) {
-    ::close(lock_);
-    throw unusable(options_.folder, "another gateway uses it");
-  }
-  std::vector<size_t> numbers;
-  for (const auto& entry : std::filesystem::directory_iterator(options_.folder, error)) {
-    const std::string name = entry.path().filename();
-    if (name.starts_with("segment-") && name.find_first_not_of("0123456789", 8) == std::string::npos &&
-        name.size() == 18)
-      numbers.push_back(std::stoull(name.substr(8)));
-  }
-  std::sort(numbers.begin(), numbers.end());
-  Recovery recovery;
-  for (const size_t number : numbers) {
-    const int fd = ::open(path_of(number).c_str(), O_RDWR | O_CLOEXEC);
-    if (fd < 0) {
-      ++broken;
-      continue;
-    }
-    const size_t end = recovery.handle(number, read_whole(fd));
-    if (end != std::string_view::npos && ::ftruncate(fd, static_cast<off_t>(end)) == 0) ++cut;
-    ::close(fd);
-  }
-  if (options_.boot) {
-    const Ms offset = lease_clock_offset(options_.folder, *options_.boot, now);
-    lease_offset_ = options_.boot->since_boot + offset - now;
-  }
-  found = recovery.found(now + lease_offset_, broken);
-  if (!numbers.empty()) {
-    first_ = numbers.front();
-    current_ = numbers.back();
-  }
-  if (!open_segment()) {
-    const std::string why = std::strerror(errno);
-    ::close(lock_);
-    throw unusable(options_.folder, why);
+  lock_folder();
+  const std::vector<size_t> segments = list_segments();
+  recover(segments, now);
+  if (!segments.empty()) {
+    first_segment_ = segments.front();
+    current_segment_ = segments.back();
   }
+  if (!open_next_segment()) throw StorageError(options_.folder, last_error());
   thread_ = std::thread([this] { run(); });
 }
 
 SegmentFiles::~SegmentFiles() {
   {
     const std::lock_guard lock(mutex_);
-    ending_ = true;
+    is_ending_ = true;
   }
-  wanted_.notify_all();
+  task_posted_.notify_all();
   thread_.join();
-  if (segment_fd_ >= 0) ::close(segment_fd_);
-  ::close(lock_);
 }
 
-bool SegmentFiles::open_segment() {
-  const int fd = ::open(path_of(current_ + 1).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-  if (fd < 0) return false;
-  if (!write_all(fd, kSegmentHead)) {
-    ::close(fd);
-    return false;
+void SegmentFiles::lock_folder() {
+  std::error_code error;
+  std::filesystem::create_directories(options_.folder, error);
+  if (error) throw StorageError(options_.folder, error.message());
+  lock_ = FileDescriptor(::open((options_.folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
+  if (!lock_) throw StorageError(options_.folder, last_error());
+  if (::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0)
+    throw StorageError(options_.folder, "another gateway uses it");
+}
+
+std::vector<size_t> SegmentFiles::list_segments() const {
+  std::vector<size_t> segments;
+  std::error_code error;
+  for (const auto& entry : std::filesystem::directory_iterator(options_.folder, error))
+    if (const auto number = segment_number(entry.path().filename())) segments.push_back(*number);
+  std::sort(segments.begin(), segments.end());
+  return segments;
+}
+
+void SegmentFiles::recover(const std::vector<size_t>& segments, TimePoint now) {
+  Recovery recovery;
+  for (const size_t segment : segments) {
+    const FileDescriptor file(::open(path_of(segment).c_str(), O_RDWR | O_CLOEXEC));
+    if (!file) continue;
+    const auto torn_at = recovery.add_segment(segment, read_file(file.get()));
+    if (torn_at && ::ftruncate(file.get(), static_cast<off_t>(*torn_at)) == 0) ++truncated_segments_;
+  }
+  if (options_.boot) {
+    const Duration offset = load_or_create_lease_clock_offset(options_.folder, *options_.boot, now);
+    lease_offset_ = options_.boot->now.time_since_epoch() + offset - now.time_since_epoch();
   }
-  if (segment_fd_ >= 0) ::close(segment_fd_);
-  segment_fd_ = fd;
-  written_ = kSegmentHead.size();
+  recovered_ = recovery.outcome(to_lease_time(now, lease_offset_));
+}
+
+bool SegmentFiles::open_next_segment() {
+  FileDescriptor file(
+      ::open(path_of(current_segment_ + 1).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+  if (!file || !write_all(file.get(), kSegmentHeader)) return false;
+  segment_file_ = std::move(file);
+  segment_size_ = kSegmentHeader.size();
   const std::lock_guard lock(mutex_);
-  ++current_;
+  ++current_segment_;
   return true;
 }
 
 void SegmentFiles::post(Task task) {
   {
     const std::lock_guard lock(mutex_);
-    backlog_ += task.bytes;
+    backlog_bytes_ += task.backlog_bytes;
     tasks_.push_back(std::move(task));
   }
-  wanted_.notify_one();
+  task_posted_.notify_one();
 }
 
-void SegmentFiles::append(uint64_t tag, Record record) {
-  Task t;
-  t.tag = tag;
-  t.bytes = kRecordHead + record.stored.bytes.size();
-  t.record = std::move(record);
-  post(std::move(t));
+void SegmentFiles::append(std::optional<RequestId> request_id, SegmentRecord record) {
+  Task task;
+  task.request_id = request_id;
+  task.backlog_bytes = kRecordHeadBytes + record.page.bytes.size();
+  task.record = std::move(record);
+  post(std::move(task));
 }
 
-void SegmentFiles::read(uint64_t tag, const Found::Place& place) {
-  Task t;
-  t.kind = Task::Kind::kRead;
-  t.tag = tag;
-  t.place = place;
-  post(std::move(t));
+void SegmentFiles::read(RequestId request_id, const RecordLocation& location) {
+  Task task;
+  task.kind = Task::Kind::kRead;
+  task.request_id = request_id;
+  task.location = location;
+  post(std::move(task));
 }
 
-void SegmentFiles::drop_until(size_t segment) {
-  Task t;
-  t.kind = Task::Kind::kDrop;
-  t.place.segment = segment;
-  post(std::move(t));
+void SegmentFiles::delete_segments_before(size_t segment) {
+  Task task;
+  task.kind = Task::Kind::kDelete;
+  task.location.segment = segment;
+  post(std::move(task));
 }
 
-std::vector<Storage::Done> SegmentFiles::done() {
+std::vector<Storage::Completion> SegmentFiles::take_completions() {
   const std::lock_guard lock(mutex_);
-  return std::exchange(done_, {});
+  return std::exchange(completions_, {});
 }
 
-size_t SegmentFiles::backlog() const {
+size_t SegmentFiles::backlog_bytes() const {
   const std::lock_guard lock(mutex_);
-  return backlog_;
+  return backlog_bytes_;
 }
 
-size_t SegmentFiles::current() const {
+size_t SegmentFiles::current_segment() const {
   const std::lock_guard lock(mutex_);
-  return current_;
+  return current_segment_;
 }
 
-Storage::Done SegmentFiles::write(const Task& task) {
-  Done d;
-  d.tag = task.tag;
+Storage::Completion SegmentFiles::write(const Task& task) {
+  Completion completion;
   std::string bytes;
   append_record(bytes, task.record);
-  if (written_ + bytes.size() > options_.segment_bytes && written_ > kSegmentHead.size()) open_segment();
-  // Guards against a disk that is full in the middle of a record: what follows would be behind a torn one,
-  // and lost with it. The record goes again whole, or not at all.
-  if (!write_all(segment_fd_, bytes)) {
-    if (::ftruncate(segment_fd_, static_cast<off_t>(written_)) != 0 ||
-        ::lseek(segment_fd_, static_cast<off_t>(written_), SEEK_SET) < 0)
-      open_segment();
-    return d;
-  }
-  d.good = true;
-  const std::lock_guard lock(mutex_);
-  d.place = {current_, written_ + kRecordHead, task.record.stored.bytes.size(), task.record.stored.raw,
-             task.record.stored.sum};
-  written_ += bytes.size();
-  return d;
-}
-
-Storage::Done SegmentFiles::fetch(const Task& task) {
-  Done d;
-  d.tag = task.tag;
-  const int fd = ::open(path_of(task.place.segment).c_str(), O_RDONLY | O_CLOEXEC);
-  if (fd < 0) return d;
-  d.bytes.resize(task.place.length);
-  size_t got = 0;
-  while (got < d.bytes.size()) {
-    const ssize_t n =
-        ::pread(fd, d.bytes.data() + got, d.bytes.size() - got, static_cast<off_t>(task.place.offset + got));
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) break;
-    got += static_cast<size_t>(n);
+  const bool is_full =
+      segment_size_ + bytes.size() > options_.segment_bytes && segment_size_ > kSegmentHeader.size();
+  if (is_full) open_next_segment();
+  // Guards against a disk that fills up in the middle of a record: whatever followed a torn record would be
+  // lost with it. So the segment is cut back to its last intact record, or a new one is begun.
+  if (!write_all(segment_file_.get(), bytes)) {
+    if (::ftruncate(segment_file_.get(), static_cast<off_t>(segment_size_)) != 0 ||
+        ::lseek(segment_file_.get(), static_cast<off_t>(segment_size_), SEEK_SET) < 0)
+      open_next_segment();
+    return completion;
   }
-  ::close(fd);
-  d.good = got == d.bytes.size();
-  return d;
+  const StoredPage& page = task.record.page;
+  completion.succeeded = true;
+  completion.location = {current_segment_, segment_size_ + kRecordHeadBytes, page.bytes.size(),
+                         page.uncompressed_bytes, page.checksum};
+  segment_size_ += bytes.size();
+  return completion;
+}
+
+Storage::Completion SegmentFiles::fetch(const Task& task) const {
+  Completion completion;
+  const FileDescriptor file(::open(path_of(task.location.segment).c_str(), O_RDONLY | O_CLOEXEC));
+  if (!file) return completion;
+  completion.bytes.resize(task.location.length);
+  completion.succeeded =
+      read_at(file.get(), task.location.offset, completion.bytes) == completion.bytes.size();
+  return completion;
+}
+
+void SegmentFiles::delete_segments(size_t end) {
+  for (; first_segment_ < end; ++first_segment_) ::unlink(path_of(first_segment_).c_str());
 }
 
 void SegmentFiles::run() {
@@ -218,26 +223,27 @@
     Task task;
     {
       std::unique_lock lock(mutex_);
-      wanted_.wait(lock, [&] { return ending_ || !tasks_.empty(); });
+      task_posted_.wait(lock, [this] { return is_ending_ || !tasks_.empty(); });
       if (tasks_.empty()) return;
       task = std::move(tasks_.front());
       tasks_.pop_front();
     }
-    if (task.kind == Task::Kind::kDrop) {
-      for (; first_ < task.place.segment; ++first_) ::unlink(path_of(first_).c_str());
+    if (task.kind == Task::Kind::kDelete) {
+      delete_segments(task.location.segment);
       continue;
     }
-    Done d = task.kind == Task::Kind::kAppend ? write(task) : fetch(task);
-    bool wake = false;
+    Completion completion = task.kind == Task::Kind::kAppend ? write(task) : fetch(task);
+    bool is_first = false;
     {
       const std::lock_guard lock(mutex_);
-      backlog_ -= task.bytes;
-      if (d.tag != 0) {
-        wake = done_.empty();
-        done_.push_back(std::move(d));
+      backlog_bytes_ -= task.backlog_bytes;
+      if (task.request_id) {
+        completion.request_id = *task.request_id;
+        is_first = completions_.empty();
+        completions_.push_back(std::move(completion));
       }
     }
-    if (wake) wake_();
+    if (is_first) wake_();
   }
 }
 
