--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -15,7 +15,7 @@
 
 #include "fakes/load_clients.h"
 #include "simulation/fleet_world.h"
-#include "simulation/judge.h"
+#include "simulation/invariant_checker.h"
 
 namespace {
 
@@ -61,7 +61,7 @@
     const auto& last = h.held.back();
     out.push_back(last.from - (from_span ? h.held[h.held.size() - 2].until : began));
     mend(first);
-    if (!simulation::judge(h).empty()) fmt::print("a rule was broken\n");
+    if (!simulation::check_invariants(h).empty()) fmt::print("a rule was broken\n");
   }
   return out;
 }
--- a/src/loadtest/capacity_page.cpp
+++ b/src/loadtest/capacity_page.cpp
@@ -143,7 +143,7 @@
 std::string print_lines(const CapacityFile& file) {
   std::vector<Row> rows;
   for (const Check& check : planned_checks()) {
-    const Verdict verdict = judge(check, file, file.fleet);
+    const Verdict verdict = evaluate_check(check, file, file.fleet);
     rows.push_back({planned_line_text(check.line, file.fleet.planned), check.what,
                     value_text(verdict.evaluation, check.unit), limit_text(check, verdict.limit),
                     verdict_text(check, verdict)});
@@ -187,7 +187,7 @@
   for (const auto& [check, size] : all) {
     const bool is_known = size.kind != BreakingSize::Kind::kUnknown;
     const FleetSize fleet = is_known ? file.fleet.with_gateways(size.gateways) : file.fleet;
-    const Verdict verdict = judge(*check, file, fleet);
+    const Verdict verdict = evaluate_check(*check, file, fleet);
     rows.push_back(
         {breaking_text(size), check->what, limit_text(*check, verdict.limit),
          is_known ? basis_text(verdict.evaluation) : fmt::format("{} would tell", check->would_tell),
--- a/src/loadtest/command.cpp
+++ b/src/loadtest/command.cpp
@@ -66,7 +66,7 @@
 // This process's command line without where it writes to, as it may be repeated anywhere.
 std::string repeatable_command() {
   std::ifstream file("/proc/self/cmdline", std::ios::binary);
-  std::string out = "firvalve-lab scale";
+  std::string out = "firvalve-loadtest scale";
   std::string argument;
   for (int i = 0; std::getline(file, argument, '\0'); ++i) {
     if (i < 2) continue;  // the program and "scale"
@@ -165,7 +165,7 @@
     deliver(options, measure(options.scale));
   } catch (const ScaleError&) {
     if (!is_interrupted()) throw;
-    std::fputs("firvalve-lab scale: interrupted, nothing was written\n", stderr);
+    std::fputs("firvalve-loadtest scale: interrupted, nothing was written\n", stderr);
     return kExitInterrupted;
   }
   return 0;
@@ -199,7 +199,7 @@
   if (app.count("--regions") > 0) planned.regions = options.scale.regions;
   if (app.count("--zones") > 0) planned.zones = options.scale.zones;
   if (app.count("--keepers") > 0) file.fleet.assumed.keepers = options.scale.keepers;
-  if (app.count("--duties") > 0) file.fleet.assumed.duties = options.scale.duties;
+  if (app.count("--duties") > 0) file.fleet.assumed.leases = options.scale.leases;
   const std::string fault = contradiction(file.fleet);
   if (!fault.empty()) throw BadOptions(fault);
   std::fputs(print_tables(file).c_str(), stdout);
@@ -218,7 +218,7 @@
 
 int run(const CommandOptions& options, const CLI::App& app) {
   const auto fail = [](const std::exception& error, int exit_code) {
-    std::fprintf(stderr, "firvalve-lab scale: %s\n", error.what());
+    std::fprintf(stderr, "firvalve-loadtest scale: %s\n", error.what());
     return exit_code;
   };
   try {
@@ -242,7 +242,7 @@
   app.add_option("--regions", options.regions)->capture_default_str();
   app.add_option("--zones", options.zones, "over all regions")->capture_default_str();
   app.add_option("--keepers", options.keepers)->check(CLI::IsMember({3, 5, 7}))->capture_default_str();
-  app.add_option("--duties", options.duties)->capture_default_str();
+  app.add_option("--duties", options.leases)->capture_default_str();
 }
 
 void add_measuring(CLI::App& app, ScaleOptions& options) {
--- a/src/loadtest/command.h
+++ b/src/loadtest/command.h
@@ -1,4 +1,4 @@
-// `firvalve-lab scale`: what each role costs by size, and what a fleet of another size would need.
+// `firvalve-loadtest scale`: what each role costs by size, and what a fleet of another size would need.
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/src/loadtest/control_changes.cpp
+++ b/src/loadtest/control_changes.cpp
@@ -1,4 +1,4 @@
-// Changes: of the engine list, followed by hollow gateways; of the configuration, read by real ones.
+// Changes: of the engine list, followed by simulated gateways; of the configuration, read by real ones.
 #include <fmt/format.h>
 #include <signal.h>
 
@@ -61,35 +61,35 @@
   double bus_cpu_us = 0;         // the same at the bus, for all gateways
 };
 
-std::vector<double> wait_in_force(HollowFleet& fleet, uint64_t updates, Watch& watch) {
-  const Ms began = hollow_clock();
+std::vector<double> wait_in_force(SimulatedFleet& fleet, uint64_t updates, Watch& watch) {
+  const Ms began = read_report_clock();
   for (;;) {
     watch.sleep(kBetweenChanges);
-    const HollowFleet::Snapshot now = fleet.snapshot();
+    const SimulatedFleet::Snapshot now = fleet.snapshot();
     const bool all = std::all_of(now.gateways.begin(), now.gateways.end(),
                                  [&](const auto& gateway) { return gateway.list_updates == updates; });
-    if (!all && hollow_clock() > began + kInForceMost)
+    if (!all && read_report_clock() > began + kInForceMost)
       throw ScaleError(
           fmt::format("a change of the list is not in force at all of {} gateways after {:.0f} s",
                       fleet.size(), kInForceMost / 1000));
     if (!all) continue;
     std::vector<double> times;
-    for (const HollowGatewayReport& gateway : now.gateways)
+    for (const SimulatedGatewayReport& gateway : now.gateways)
       times.push_back(gateway.list_updated_at - now.bus.accepted_at);
     return times;
   }
 }
 
-double gateways_cpu_us(const HollowFleet::Snapshot& snapshot) {
+double gateways_cpu_us(const SimulatedFleet::Snapshot& snapshot) {
   double total = 0;
-  for (const HollowGatewayReport& gateway : snapshot.gateways) total += gateway.cpu_us;
+  for (const SimulatedGatewayReport& gateway : snapshot.gateways) total += gateway.cpu_us;
   return total;
 }
 
 // `change(i)` gives the listings of the i-th change; its first one has been announced `before` times.
 template <class Change>
-ListChange measure_list_change(HollowFleet& fleet, int changes, bool whole, uint64_t& updates, Watch& watch,
-                               const Change& change) {
+ListChange measure_list_change(SimulatedFleet& fleet, int changes, bool whole, uint64_t& updates,
+                               Watch& watch, const Change& change) {
   ListChange out;
   for (int i = 0; i < changes; ++i) {
     fleet.announce(change(i), whole);
@@ -97,16 +97,16 @@
   }
   // The costs are of changes alone: no look in between, against the same span without any.
   const Ms span = changes * kBetweenChanges;
-  const HollowFleet::Snapshot begun = fleet.snapshot();
+  const SimulatedFleet::Snapshot begun = fleet.snapshot();
   watch.sleep(span);
-  const HollowFleet::Snapshot rested = fleet.snapshot();
+  const SimulatedFleet::Snapshot rested = fleet.snapshot();
   const uint64_t lines_before = rested.bus.lines_out, bytes_before = rested.bus.bytes_out;
   for (int i = 0; i < changes; ++i) {
     fleet.announce(change(i), whole);
     ++updates;
     watch.sleep(kBetweenChanges);
   }
-  const HollowFleet::Snapshot changed = fleet.snapshot();
+  const SimulatedFleet::Snapshot changed = fleet.snapshot();
   wait_in_force(fleet, updates, watch);
   const auto gateways = static_cast<double>(fleet.size());
   const double rest_part = (changed.at - rested.at) / (rested.at - begun.at);
@@ -133,8 +133,8 @@
 // One engine drains, and serves again with the next change.
 std::string one_engine(int change) { return engine_listings(0, 1, change % 2 == 0 ? "DRAINING" : "SERVING"); }
 
-HollowFleetOptions fleet_options(const ScaleOptions& options, int gateways, int engines) {
-  HollowFleetOptions out;
+SimulatedFleetOptions fleet_options(const ScaleOptions& options, int gateways, int engines) {
+  SimulatedFleetOptions out;
   out.gateways = gateways;
   out.keepers = options.keepers;
   out.engines = engines;
@@ -150,7 +150,7 @@
   for (const int gateways :
        sizes_of(options.gateways, options.quick, {32, 64, 128, 256, 512, 1100}, {8, 12, 16, 20, 24, 32})) {
     Watch watch(progress, fmt::format("a change of the engine list: {} gateways", gateways));
-    HollowFleet fleet(fleet_options(options, gateways, kEnginesHeld));
+    SimulatedFleet fleet(fleet_options(options, gateways, kEnginesHeld));
     fleet.wait_settled(kSettleMost, [&] { watch.look(); });
     uint64_t updates = 0;
     add_change(series, "list_difference", gateways,
@@ -167,7 +167,7 @@
   for (const int engines :
        sizes_of(options.engines, options.quick, {50, 100, 200, 400, 800, 1100}, {10, 20, 30, 40, 50, 60})) {
     Watch watch(progress, fmt::format("a change of the engine list: {} engines", engines));
-    HollowFleet fleet(fleet_options(options, gateways, engines));
+    SimulatedFleet fleet(fleet_options(options, gateways, engines));
     fleet.wait_settled(kSettleMost, [&] { watch.look(); });
     uint64_t updates = 0;
     add_change(series, "list_difference", engines,
@@ -225,8 +225,8 @@
 };
 
 void wait_followed(const fakes::FakeEventBus& bus, size_t gateways) {
-  for (const Ms began = hollow_clock(); bus.asked_from().size() < gateways; sleep_ms(kPollEvery))
-    if (hollow_clock() > began + kInForceMost)
+  for (const Ms began = read_report_clock(); bus.asked_from().size() < gateways; sleep_ms(kPollEvery))
+    if (read_report_clock() > began + kInForceMost)
       throw ScaleError(fmt::format("{} of {} gateways have come to the event bus within {:.0f} s",
                                    bus.asked_from().size(), gateways, kInForceMost / 1000));
 }
@@ -237,13 +237,13 @@
   const fakes::FakeEventBus before(host), after(host);
   RealGateways processes(gateways, before.address(), after.address());
   wait_followed(before, static_cast<size_t>(gateways));
-  const Ms written = hollow_clock();
+  const Ms written = read_report_clock();
   processes.change_bus();
   std::vector<double> times;
   while (times.size() < static_cast<size_t>(gateways)) {
     const size_t asked = after.asked_from().size();
-    while (times.size() < asked) times.push_back(hollow_clock() - written);
-    if (hollow_clock() > written + kInForceMost) wait_followed(after, static_cast<size_t>(gateways));
+    while (times.size() < asked) times.push_back(read_report_clock() - written);
+    if (read_report_clock() > written + kInForceMost) wait_followed(after, static_cast<size_t>(gateways));
     sleep_ms(kPollEvery);
   }
   return times;
--- a/src/loadtest/control_rest.cpp
+++ b/src/loadtest/control_rest.cpp
@@ -1,4 +1,4 @@
-// Control at rest: nothing changes but the leases of duties, which are renewed.
+// Control at rest: nothing changes but leases, which are renewed.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -34,9 +34,9 @@
 };
 
 struct RestSample {
-  Rate follower;   // mean over gateways that hold no duty and are no keeper
-  Rate held_duty;  // what a duty costs its holder beyond that; mean over duties held by others than keepers
-  bool has_held_duty = false;
+  Rate follower;    // mean over gateways that hold no lease and are no keeper
+  Rate held_lease;  // what a lease costs its holder beyond that; mean over leases held by others than keepers
+  bool has_held_lease = false;
   Rate keeper;          // mean
   Rate busiest_keeper;  // by bytes sent
   Rate bus;
@@ -44,7 +44,7 @@
   double resident_mb = 0;                  // of all processes; its slope by gateways is what one needs
 };
 
-Rate rate_between(const HollowGatewayReport& before, const HollowGatewayReport& after, double seconds) {
+Rate rate_between(const SimulatedGatewayReport& before, const SimulatedGatewayReport& after, double seconds) {
   const auto per_second = [seconds](uint64_t from, uint64_t to) {
     return static_cast<double>(to - from) / seconds;
   };
@@ -57,7 +57,7 @@
   return rate;
 }
 
-Rate bus_rate_between(const HollowBusReport& before, const HollowBusReport& after, double seconds) {
+Rate bus_rate_between(const EventBusReport& before, const EventBusReport& after, double seconds) {
   Rate rate;
   rate.messages = static_cast<double>(after.lines_in + after.lines_out - before.lines_in - before.lines_out);
   rate.bytes_in = static_cast<double>(after.bytes_in - before.bytes_in);
@@ -66,21 +66,21 @@
   return rate.times(1 / seconds);
 }
 
-size_t duties_held(const HollowGatewayReport& report) {
+size_t count_held_leases(const SimulatedGatewayReport& report) {
   std::set<std::string> held;
-  for (const DutyEvent& event : report.duty_events) held.insert(event.duty);
+  for (const LeaseEvent& event : report.lease_events) held.insert(event.lease);
   return held.size();
 }
 
-void check_nothing_changed(const HollowFleet::Snapshot& before, const HollowFleet::Snapshot& after) {
+void check_nothing_changed(const SimulatedFleet::Snapshot& before, const SimulatedFleet::Snapshot& after) {
   for (size_t i = 0; i < after.gateways.size(); ++i)
     if (!after.gateways[i].is_up || after.gateways[i].links_lost != before.gateways[i].links_lost)
       throw ScaleError(
           "control at rest: links between gateways were lost meanwhile; is the machine too busy?");
 }
 
-RestSample sample_of(const HollowFleet& fleet, const HollowFleet::Snapshot& before,
-                     const HollowFleet::Snapshot& after) {
+RestSample sample_of(const SimulatedFleet& fleet, const SimulatedFleet::Snapshot& before,
+                     const SimulatedFleet::Snapshot& after) {
   check_nothing_changed(before, after);
   const double seconds = (after.at - before.at) / 1000;
   const auto keepers = static_cast<size_t>(fleet.options().keepers);
@@ -89,30 +89,30 @@
   size_t followers = 0, holder_count = 0, held = 0;
   double record_messages = 0;
   for (size_t i = 0; i < after.gateways.size(); ++i) {
-    const HollowGatewayReport& now = after.gateways[i];
+    const SimulatedGatewayReport& now = after.gateways[i];
     const Rate rate = rate_between(before.gateways[i], now, seconds);
     record_messages +=
         static_cast<double>(now.peers.messages_out - before.gateways[i].peers.messages_out) / seconds;
     if (i < keepers) {
       out.keeper += rate.times(1.0 / static_cast<double>(keepers));
       if (rate.bytes_out > out.busiest_keeper.bytes_out) out.busiest_keeper = rate;
-    } else if (const size_t duties = duties_held(now); duties > 0) {
+    } else if (const size_t leases = count_held_leases(now); leases > 0) {
       holders += rate;
       ++holder_count;
-      held += duties;
+      held += leases;
     } else {
       out.follower += rate;
       ++followers;
     }
   }
   if (followers == 0)
-    throw ScaleError(fmt::format("{} duties at {} gateways: none is left that holds none",
-                                 fleet.options().duties, after.gateways.size()));
+    throw ScaleError(fmt::format("{} leases at {} gateways: none is left that holds none",
+                                 fleet.options().leases, after.gateways.size()));
   out.follower = out.follower.times(1.0 / static_cast<double>(followers));
-  out.has_held_duty = held > 0;
-  if (out.has_held_duty) {
+  out.has_held_lease = held > 0;
+  if (out.has_held_lease) {
     holders += out.follower.times(-static_cast<double>(holder_count));
-    out.held_duty = holders.times(1.0 / static_cast<double>(held));
+    out.held_lease = holders.times(1.0 / static_cast<double>(held));
   }
   out.bus = bus_rate_between(before.bus, after.bus, seconds);
   const auto count = static_cast<double>(after.gateways.size());
@@ -125,11 +125,11 @@
   return out;
 }
 
-RestSample measure_one(const HollowFleetOptions& options, Ms span, Watch& watch) {
-  HollowFleet fleet(options);
+RestSample measure_one(const SimulatedFleetOptions& options, Ms span, Watch& watch) {
+  SimulatedFleet fleet(options);
   fleet.wait_settled(kSettleMost, [&] { watch.look(); });
   watch.sleep(kWarmUp);
-  const HollowFleet::Snapshot before = fleet.snapshot();
+  const SimulatedFleet::Snapshot before = fleet.snapshot();
   watch.sleep(span);
   return sample_of(fleet, before, fleet.snapshot());
 }
@@ -143,7 +143,7 @@
 
 void add_sample(Series& series, double size, const RestSample& sample) {
   add_rate(series, "gateway.control", size, sample.follower);
-  if (sample.has_held_duty) add_rate(series, "holder.control_per_duty", size, sample.held_duty);
+  if (sample.has_held_lease) add_rate(series, "holder.control_per_duty", size, sample.held_lease);
   add_rate(series, "keeper.control", size, sample.keeper);
   add_rate(series, "keeper.control_busiest", size, sample.busiest_keeper);
   add_rate(series, "bus.control", size, sample.bus);
@@ -151,10 +151,10 @@
   series.add("fleet.hollow_memory", "MB", size, sample.resident_mb);
 }
 
-HollowFleetOptions fleet_options(const ScaleOptions& options, int gateways, int duties, int keepers) {
-  HollowFleetOptions out;
+SimulatedFleetOptions fleet_options(const ScaleOptions& options, int gateways, int leases, int keepers) {
+  SimulatedFleetOptions out;
   out.gateways = gateways;
-  out.duties = duties;
+  out.leases = leases;
   out.keepers = keepers;
   out.engines = kEnginesListed;
   out.zones = std::min(options.zones, gateways);
@@ -162,15 +162,15 @@
   return out;
 }
 
-// All at once: every gateway claims every duty before anybody holds one.
-void add_cold_start(Series& series, HollowFleetOptions options, Watch& watch) {
+// All at once: every gateway claims every lease before anybody holds one.
+void add_cold_start(Series& series, SimulatedFleetOptions options, Watch& watch) {
   options.staged_start = false;
-  HollowFleet fleet(options);
-  const Ms started = hollow_clock();
+  SimulatedFleet fleet(options);
+  const Ms started = read_report_clock();
   fleet.wait_settled(kSettleMost, [&] { watch.look(); });
-  const HollowFleet::Snapshot settled = fleet.snapshot();
+  const SimulatedFleet::Snapshot settled = fleet.snapshot();
   uint64_t messages = 0, links_lost = 0;
-  for (const HollowGatewayReport& gateway : settled.gateways) {
+  for (const SimulatedGatewayReport& gateway : settled.gateways) {
     messages = std::max(messages, gateway.peers.messages_in);
     links_lost += gateway.links_lost;
   }
@@ -183,11 +183,11 @@
 
 std::vector<Measurement> measure_cold_start(const ScaleOptions& options, const Progress& progress) {
   Series series(options, "gateways",
-                {{"duties", options.duties}, {"keepers", options.keepers}, {"engines", kEnginesListed}});
+                {{"duties", options.leases}, {"keepers", options.keepers}, {"engines", kEnginesListed}});
   for (const int gateways :
        sizes_of(options.gateways, options.quick, {32, 64, 128, 192, 256, 384}, {8, 12, 16, 20, 24, 32})) {
     Watch watch(progress, fmt::format("a cold start: {} gateways", gateways));
-    add_cold_start(series, fleet_options(options, gateways, options.duties, options.keepers), watch);
+    add_cold_start(series, fleet_options(options, gateways, options.leases, options.keepers), watch);
   }
   return series.take();
 }
@@ -206,17 +206,17 @@
     }
     for (Measurement& one : series.take()) all.push_back(std::move(one));
   };
-  const double duties = options.duties, keepers = options.keepers, gateways = held;
+  const double leases = options.leases, keepers = options.keepers, gateways = held;
   run("gateways",
       sizes_of(options.gateways, options.quick, {32, 64, 128, 256, 512, 1100}, {24, 28, 32, 40, 48, 64}),
-      {{"duties", duties}, {"keepers", keepers}},
-      [&](int size) { return fleet_options(options, size, options.duties, options.keepers); });
+      {{"duties", leases}, {"keepers", keepers}},
+      [&](int size) { return fleet_options(options, size, options.leases, options.keepers); });
   run("duties", sizes_of({}, options.quick, {0, 5, 10, 20, 40, 80}, {0, 2, 4, 6, 8, 12}),
       {{"gateways", gateways}, {"keepers", keepers}},
       [&](int size) { return fleet_options(options, held, size, options.keepers); });
   // Three sizes are all that there are.
-  run("keepers", {3, 5, 7}, {{"gateways", gateways}, {"duties", duties}},
-      [&](int size) { return fleet_options(options, held, options.duties, size); });
+  run("keepers", {3, 5, 7}, {{"gateways", gateways}, {"duties", leases}},
+      [&](int size) { return fleet_options(options, held, options.leases, size); });
   return all;
 }
 
--- a/src/loadtest/control_run.cpp
+++ b/src/loadtest/control_run.cpp
@@ -39,9 +39,9 @@
 }
 
 std::string command_of(const ScaleOptions& options) {
-  std::string text = "firvalve-lab scale --part control";
+  std::string text = "firvalve-loadtest scale --part control";
   text += sizes_text("--gateways", options.gateways) + sizes_text("--engines", options.engines);
-  text += fmt::format(" --keepers {} --duties {} --seconds {} --seed {}", options.keepers, options.duties,
+  text += fmt::format(" --keepers {} --duties {} --seconds {} --seed {}", options.keepers, options.leases,
                       options.seconds, options.seed);
   return options.quick ? text + " --quick" : text;
 }
@@ -70,19 +70,19 @@
 
 Watch::Watch(const Progress& progress, std::string point) : progress_(progress), point_(std::move(point)) {
   progress_(point_);
-  began_ = told_at_ = hollow_clock();
+  began_ = told_at_ = read_report_clock();
 }
 
 void Watch::look() {
-  const Ms now = hollow_clock();
+  const Ms now = read_report_clock();
   if (now < told_at_ + kTellEvery) return;
   told_at_ = now;
   progress_(fmt::format("{}, {:.0f} s", point_, (now - began_) / 1000));
 }
 
 void Watch::sleep(Ms span) {
-  const Ms until = hollow_clock() + span;
-  for (Ms now = hollow_clock(); now < until; now = hollow_clock()) {
+  const Ms until = read_report_clock() + span;
+  for (Ms now = read_report_clock(); now < until; now = read_report_clock()) {
     std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(std::min(kSleepMost, until - now)));
     look();
   }
--- a/src/loadtest/control_series.h
+++ b/src/loadtest/control_series.h
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "loadtest/hollow_fleet.h"
 #include "loadtest/parts.h"
+#include "loadtest/simulated_fleet.h"
 
 namespace firvalve::loadtest {
 
@@ -38,9 +38,9 @@
   std::vector<Measurement> measurements_;
 };
 
-// What each role spends on control while nothing changes: by gateways, duties and keepers.
+// What each role spends on control while nothing changes: by gateways, leases and keepers.
 std::vector<Measurement> measure_rest(const ScaleOptions& options, const Progress& progress);
-// A fleet whose gateways all start at once: until every duty has a holder.
+// A fleet whose gateways all start at once: until every lease has a holder.
 std::vector<Measurement> measure_cold_start(const ScaleOptions& options, const Progress& progress);
 // A change of the engine list, from its acceptance at the bus to in force: by gateways and by engines.
 std::vector<Measurement> measure_list_changes(const ScaleOptions& options, const Progress& progress);
--- a/src/loadtest/cost_model.cpp
+++ b/src/loadtest/cost_model.cpp
@@ -27,7 +27,7 @@
 const Factor kCoresOfMicroseconds{"1 / 1,000,000",
                                   [](const FleetSize&) { return 1 / kMicrosecondsPerSecond; }};
 const Factor kSecondsOfMilliseconds{"1 / 1,000", [](const FleetSize&) { return 1 / kMillisecondsPerSecond; }};
-const Factor kDuties{"duties", [](const FleetSize& f) { return f.assumed.duties; }};
+const Factor kLeaseCount{"duties", [](const FleetSize& f) { return f.assumed.leases; }};
 const Factor kChanges{"changes a day / 86,400 s", [](const FleetSize& f) {
                         return f.planned.configuration_changes_per_day / kSecondsPerDay;
                       }};
@@ -35,11 +35,11 @@
                              return f.planned.gateways * f.planned.configuration_changes_per_day /
                                     kSecondsPerDay;
                            }};
-const Factor kDutiesPerGateway{"duties / gateways",
-                               [](const FleetSize& f) { return f.assumed.duties / f.planned.gateways; }};
-const Factor kCorePercentOfDuties{
+const Factor kLeasesPerGateway{"duties / gateways",
+                               [](const FleetSize& f) { return f.assumed.leases / f.planned.gateways; }};
+const Factor kCorePercentOfLeases{
     "duties / gateways x 100 / 1,000,000",
-    [](const FleetSize& f) { return f.assumed.duties / f.planned.gateways * 100 / kMicrosecondsPerSecond; }};
+    [](const FleetSize& f) { return f.assumed.leases / f.planned.gateways * 100 / kMicrosecondsPerSecond; }};
 const Factor kCorePercentOfChanges{"changes a day / 86,400 s x 100 / 1,000,000", [](const FleetSize& f) {
                                      return f.planned.configuration_changes_per_day / kSecondsPerDay * 100 /
                                             kMicrosecondsPerSecond;
@@ -101,15 +101,15 @@
 Quantity control_memory() {
   return {growth("gateway.memory", "engines"), measured("gateway.control.hollow_memory", "gateways")};
 }
-// At rest, with the gateway's part of the duties.
+// At rest, with the gateway's part of the leases.
 Quantity control_messages() {
   return {measured("gateway.control.messages", "gateways"),
-          measured("holder.control_per_duty.messages", "gateways", kDutiesPerGateway)};
+          measured("holder.control_per_duty.messages", "gateways", kLeasesPerGateway)};
 }
 Quantity control_bytes_at_rest() {
   return {measured("gateway.control.bytes_in", "gateways"), measured("gateway.control.bytes_out", "gateways"),
-          measured("holder.control_per_duty.bytes_in", "gateways", kDutiesPerGateway),
-          measured("holder.control_per_duty.bytes_out", "gateways", kDutiesPerGateway)};
+          measured("holder.control_per_duty.bytes_in", "gateways", kLeasesPerGateway),
+          measured("holder.control_per_duty.bytes_out", "gateways", kLeasesPerGateway)};
 }
 Quantity control_bytes(const char* change_bytes) {
   Quantity out = control_bytes_at_rest();
@@ -118,7 +118,7 @@
 }
 Quantity control_core_percent() {
   return {measured("gateway.control.cpu", "gateways", kPercentOfMicroseconds),
-          measured("holder.control_per_duty.cpu", "gateways", kCorePercentOfDuties),
+          measured("holder.control_per_duty.cpu", "gateways", kCorePercentOfLeases),
           measured("list_difference.gateway_cpu", "engines", kCorePercentOfChanges)};
 }
 Quantity bus_cores() {
@@ -185,7 +185,7 @@
        Resource::kState,
        "registers",
        "",
-       {arithmetic(kDuties)},
+       {arithmetic(kLeaseCount)},
        kRegisters,
        "no named loads and no bulletins"},
       {Role::kKeeper,
@@ -510,7 +510,7 @@
   return "";
 }
 
-Verdict judge(const Check& check, const CapacityFile& file, const FleetSize& fleet) {
+Verdict evaluate_check(const Check& check, const CapacityFile& file, const FleetSize& fleet) {
   Verdict out;
   out.evaluation = evaluate(check.quantity, file, fleet);
   out.limit = check.limit.value(fleet);
@@ -524,7 +524,7 @@
   BreakingSize out;
   bool is_known_last = false;
   for (double gateways = kSmallestFleet; gateways <= kLargestFleet; gateways *= kSearchStep) {
-    const Verdict verdict = judge(check, file, file.fleet.with_gateways(gateways));
+    const Verdict verdict = evaluate_check(check, file, file.fleet.with_gateways(gateways));
     is_known_last = verdict.is_kept.has_value();
     if (!is_known_last) continue;
     out.gateways = gateways;
--- a/src/loadtest/cost_model.h
+++ b/src/loadtest/cost_model.h
@@ -83,7 +83,7 @@
   std::optional<bool> is_kept;  // nothing: not known
 };
 
-Verdict judge(const Check& check, const CapacityFile& file, const FleetSize& fleet);
+Verdict evaluate_check(const Check& check, const CapacityFile& file, const FleetSize& fleet);
 
 // Gateways of the smallest and the largest fleet that is looked at.
 constexpr double kSmallestFleet = 10;
--- a/src/loadtest/fleet_size.cpp
+++ b/src/loadtest/fleet_size.cpp
@@ -22,7 +22,7 @@
   if (name == "connections" || name == "clients") return fleet.connections_per_gateway();
   if (name == "rate") return fleet.commands_per_gateway();
   if (name == "keepers") return fleet.assumed.keepers;
-  if (name == "duties") return fleet.assumed.duties;
+  if (name == "duties") return fleet.assumed.leases;
   if (name == "commands in hand") return fleet.assumed.commands_in_hand;
   return std::nullopt;
 }
--- a/src/loadtest/fleet_size.h
+++ b/src/loadtest/fleet_size.h
@@ -37,7 +37,7 @@
 // What nobody has told: chosen for the arithmetic, and marked as such in the page.
 struct AssumedSize {
   double keepers = 5;
-  double duties = 20;
+  double leases = 20;
   double commands_in_hand = 40;  // at one gateway: its rate times 30 ms
   double racks_per_zone = 10;
   double descriptors_per_process = 65536;  // the limit that a gateway or keeper is started with
@@ -100,7 +100,7 @@
 
 constexpr std::array<SizeField<AssumedSize>, 11> kAssumedFields = {{
     {"keepers", &AssumedSize::keepers},
-    {"duties", &AssumedSize::duties},
+    {"duties", &AssumedSize::leases},
     {"commands_in_hand", &AssumedSize::commands_in_hand},
     {"racks_per_zone", &AssumedSize::racks_per_zone},
     {"descriptors_per_process", &AssumedSize::descriptors_per_process},
--- a/src/loadtest/hollow_process.cpp
+++ b/src/loadtest/gateway_process.cpp
@@ -1,4 +1,4 @@
-#include "loadtest/hollow_process.h"
+#include "loadtest/gateway_process.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -14,7 +14,7 @@
 #include <filesystem>
 #include <utility>
 
-#include "loadtest/hollow_wire.h"
+#include "loadtest/gateway_process_wire.h"
 #include "loadtest/parts.h"
 
 namespace firvalve::loadtest {
@@ -39,9 +39,9 @@
   return (std::filesystem::read_symlink("/proc/self/exe").parent_path() / name).string();
 }
 
-HollowProcess::HollowProcess(HollowProcessOptions options) : options_(std::move(options)) { start(); }
+GatewayProcess::GatewayProcess(GatewayProcessOptions options) : options_(std::move(options)) { start(); }
 
-HollowProcess::~HollowProcess() {
+GatewayProcess::~GatewayProcess() {
   if (channel_ >= 0) ::close(channel_);
   if (id_ > 0 && !has_ended(id_, kEndMostMs)) {
     ::kill(id_, SIGKILL);
@@ -49,9 +49,9 @@
   }
 }
 
-void HollowProcess::start() {
+void GatewayProcess::start() {
   // All that allocates happens before the fork: other threads may hold the allocator then.
-  std::string program = sibling_program("firvalve_hollow");
+  std::string program = sibling_program("firvalve_simulated_gateways");
   std::array<char*, 2> words{program.data(), nullptr};
   int ends[2];
   if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0)
@@ -78,7 +78,7 @@
   }
 }
 
-void HollowProcess::say(const std::string& line) {
+void GatewayProcess::say(const std::string& line) {
   if (channel_ < 0) throw ScaleError("a child process has ended");
   for (size_t sent = 0; sent < line.size();) {
     const ssize_t count = ::send(channel_, line.data() + sent, line.size() - sent, MSG_NOSIGNAL);
@@ -88,7 +88,7 @@
   }
 }
 
-std::string HollowProcess::handle() {
+std::string GatewayProcess::handle() {
   if (channel_ < 0) throw ScaleError("a child process has ended");
   for (;;) {
     if (const size_t end = unread_.find('\n'); end != std::string::npos) {
@@ -107,38 +107,40 @@
   }
 }
 
-void HollowProcess::do_command(const std::string& line) {
+void GatewayProcess::do_command(const std::string& line) {
   say(line);
   read_report_line(handle());
 }
 
-void HollowProcess::wait_ready() { read_report_line(handle()); }
+void GatewayProcess::wait_ready() { read_report_line(handle()); }
 
-void HollowProcess::ask_report() { say(to_line(HollowCommand{HollowCommand::Kind::kReport, {}, {}, false})); }
-HollowProcessReport HollowProcess::read_report() { return read_report_line(handle()); }
+void GatewayProcess::ask_report() {
+  say(to_line(GatewayProcessCommand{GatewayProcessCommand::Kind::kReport, {}, {}, false}));
+}
+GatewayProcessReport GatewayProcess::read_report() { return read_report_line(handle()); }
 
-HollowProcessReport HollowProcess::report() {
+GatewayProcessReport GatewayProcess::report() {
   ask_report();
   return read_report();
 }
 
-void HollowProcess::kill_gateways(const std::vector<size_t>& which) {
-  do_command(to_line(HollowCommand{HollowCommand::Kind::kKillGateways, which, {}, false}));
+void GatewayProcess::kill_gateways(const std::vector<size_t>& which) {
+  do_command(to_line(GatewayProcessCommand{GatewayProcessCommand::Kind::kKillGateways, which, {}, false}));
 }
 
-void HollowProcess::start_gateways(const std::vector<size_t>& which) {
-  do_command(to_line(HollowCommand{HollowCommand::Kind::kStartGateways, which, {}, false}));
+void GatewayProcess::start_gateways(const std::vector<size_t>& which) {
+  do_command(to_line(GatewayProcessCommand{GatewayProcessCommand::Kind::kStartGateways, which, {}, false}));
 }
 
-void HollowProcess::end_gateways(const std::vector<size_t>& which) {
-  do_command(to_line(HollowCommand{HollowCommand::Kind::kEndGateways, which, {}, false}));
+void GatewayProcess::end_gateways(const std::vector<size_t>& which) {
+  do_command(to_line(GatewayProcessCommand{GatewayProcessCommand::Kind::kEndGateways, which, {}, false}));
 }
 
-void HollowProcess::announce(const std::string& listings, bool whole) {
-  do_command(to_line(HollowCommand{HollowCommand::Kind::kAnnounce, {}, listings, whole}));
+void GatewayProcess::announce(const std::string& listings, bool whole) {
+  do_command(to_line(GatewayProcessCommand{GatewayProcessCommand::Kind::kAnnounce, {}, listings, whole}));
 }
 
-void HollowProcess::kill() {
+void GatewayProcess::kill() {
   if (id_ > 0) {
     ::kill(id_, SIGKILL);
     ::waitpid(id_, nullptr, 0);
--- a/src/loadtest/hollow_wire.cpp
+++ b/src/loadtest/gateway_process_wire.cpp
@@ -1,4 +1,4 @@
-#include "loadtest/hollow_wire.h"
+#include "loadtest/gateway_process_wire.h"
 
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
@@ -64,12 +64,12 @@
   template <class T>
   void operator()(const char* name, T& value) {
     const auto at = object_.FindMember(name);
-    if (at == object_.MemberEnd()) throw ScaleError(std::string("hollow process: no field ") + name);
+    if (at == object_.MemberEnd()) throw ScaleError(std::string("gateway process: no field ") + name);
     get(at->value, value);
   }
 
   static void require(bool right) {
-    if (!right) throw ScaleError("hollow process: a field of another kind than expected");
+    if (!right) throw ScaleError("gateway process: a field of another kind than expected");
   }
   static void get(const Value& json, std::string& text) {
     require(json.IsString());
@@ -106,27 +106,27 @@
 template <class Same, class T>
 concept Of = std::is_same_v<std::remove_const_t<Same>, T>;
 
-template <Of<HollowGatewayOptions> T, class Fields>
+template <Of<SimulatedGatewayOptions> T, class Fields>
 void visit(T& options, Fields& field) {
   field("address", options.address);
   field("reached_at", options.reached_at);
   field("site", options.site);
   field("keepers", options.keepers);
-  field("duties", options.duties);
+  field("leases", options.leases);
   field("folder", options.folder);
-  field("lease", options.lease);
+  field("lease_ms", options.lease_ms);
   field("bus", options.bus);
   field("known_list", options.known_list);
   field("seed", options.seed);
 }
 
-template <Of<HollowProcessOptions> T, class Fields>
+template <Of<GatewayProcessOptions> T, class Fields>
 void visit(T& options, Fields& field) {
   field("gateways", options.gateways);
   field("bus_address", options.bus_address);
 }
 
-template <Of<HollowCommand> T, class Fields>
+template <Of<GatewayProcessCommand> T, class Fields>
 void visit(T& command, Fields& field) {
   field("kind", command.kind);
   field("gateways", command.gateways);
@@ -145,16 +145,16 @@
   field("connects", traffic.connects);
 }
 
-template <Of<DutyEvent> T, class Fields>
+template <Of<LeaseEvent> T, class Fields>
 void visit(T& event, Fields& field) {
   field("kind", event.kind);
-  field("duty", event.duty);
+  field("lease", event.lease);
   field("epoch", event.epoch);
   field("at", event.at);
   field("until", event.until);
 }
 
-template <Of<HollowGatewayReport> T, class Fields>
+template <Of<SimulatedGatewayReport> T, class Fields>
 void visit(T& report, Fields& field) {
   field("is_up", report.is_up);
   field("record_ready", report.record_ready);
@@ -164,10 +164,10 @@
   field("bus_links_lost", report.bus_links_lost);
   field("list_updated_at", report.list_updated_at);
   field("cpu_us", report.cpu_us);
-  field("duty_events", report.duty_events);
+  field("lease_events", report.lease_events);
 }
 
-template <Of<HollowBusReport> T, class Fields>
+template <Of<EventBusReport> T, class Fields>
 void visit(T& report, Fields& field) {
   field("connections_open", report.connections_open);
   field("connections_made", report.connections_made);
@@ -180,7 +180,7 @@
   field("cpu_us", report.cpu_us);
 }
 
-template <Of<HollowProcessReport> T, class Fields>
+template <Of<GatewayProcessReport> T, class Fields>
 void visit(T& report, Fields& field) {
   field("gateways", report.gateways);
   field("bus", report.bus);
@@ -204,9 +204,9 @@
 
 }  // namespace
 
-std::string to_line(const HollowProcessOptions& options) { return Writer().line(options); }
-std::string to_line(const HollowCommand& command) { return Writer().line(command); }
-std::string to_line(const HollowProcessReport& report) { return Writer().line(report); }
+std::string to_line(const GatewayProcessOptions& options) { return Writer().line(options); }
+std::string to_line(const GatewayProcessCommand& command) { return Writer().line(command); }
+std::string to_line(const GatewayProcessReport& report) { return Writer().line(report); }
 
 std::string error_line(const std::string& why) {
   rapidjson::StringBuffer buffer;
@@ -218,8 +218,8 @@
   return std::string(buffer.GetString(), buffer.GetSize()) + "\n";
 }
 
-HollowProcessOptions read_options(const std::string& line) { return read<HollowProcessOptions>(line); }
-HollowCommand read_command(const std::string& line) { return read<HollowCommand>(line); }
-HollowProcessReport read_report_line(const std::string& line) { return read<HollowProcessReport>(line); }
+GatewayProcessOptions read_options(const std::string& line) { return read<GatewayProcessOptions>(line); }
+GatewayProcessCommand read_command(const std::string& line) { return read<GatewayProcessCommand>(line); }
+GatewayProcessReport read_report_line(const std::string& line) { return read<GatewayProcessReport>(line); }
 
 }  // namespace firvalve::loadtest
--- a/src/loadtest/hollow_wire.h
+++ b/src/loadtest/gateway_process_wire.h
@@ -4,11 +4,11 @@
 #include <string>
 #include <vector>
 
-#include "loadtest/hollow_process.h"
+#include "loadtest/gateway_process.h"
 
 namespace firvalve::loadtest {
 
-struct HollowCommand {
+struct GatewayProcessCommand {
   enum class Kind : uint8_t { kReport, kKillGateways, kStartGateways, kEndGateways, kAnnounce };
   Kind kind = Kind::kReport;
   std::vector<size_t> gateways;  // of the three kinds that name some
@@ -17,12 +17,12 @@
 };
 
 // All of these throw ScaleError on a line that cannot be read.
-std::string to_line(const HollowProcessOptions& options);
-HollowProcessOptions read_options(const std::string& line);
-std::string to_line(const HollowCommand& command);
-HollowCommand read_command(const std::string& line);
-std::string to_line(const HollowProcessReport& report);
+std::string to_line(const GatewayProcessOptions& options);
+GatewayProcessOptions read_options(const std::string& line);
+std::string to_line(const GatewayProcessCommand& command);
+GatewayProcessCommand read_command(const std::string& line);
+std::string to_line(const GatewayProcessReport& report);
 std::string error_line(const std::string& why);
-HollowProcessReport read_report_line(const std::string& line);  // throws what an error_line() says, too
+GatewayProcessReport read_report_line(const std::string& line);  // throws what an error_line() says, too
 
 }  // namespace firvalve::loadtest
--- a/src/loadtest/gateway_run.cpp
+++ b/src/loadtest/gateway_run.cpp
@@ -202,7 +202,7 @@
     m.unit = unit;
     m.varied = varied;
     m.fixed = std::move(fixed);
-    m.command = "firvalve-lab scale --part gateway";
+    m.command = "firvalve-loadtest scale --part gateway";
     m.seed = seed_;
     measured_.push_back(std::move(m));
     return measured_.back();
--- a/src/loadtest/duty_view.cpp
+++ b/src/loadtest/lease_view.cpp
@@ -1,4 +1,4 @@
-#include "loadtest/duty_view.h"
+#include "loadtest/lease_view.h"
 
 #include <tuple>
 
@@ -6,13 +6,13 @@
 
 namespace firvalve::loadtest {
 
-DutyView::DutyView(std::vector<std::string> duties, size_t members)
-    : duties_(std::move(duties)), members_(members) {
-  for (size_t i = 0; i < duties_.size(); ++i) numbers_[duties_[i]] = i;
-  for (Member& member : members_) member.seen.resize(duties_.size());
+LeaseView::LeaseView(std::vector<std::string> leases, size_t members)
+    : leases_(std::move(leases)), members_(members) {
+  for (size_t i = 0; i < leases_.size(); ++i) numbers_[leases_[i]] = i;
+  for (Member& member : members_) member.seen.resize(leases_.size());
 }
 
-void DutyView::take_answer(size_t member, const consensus::Message& message, Ms now) {
+void LeaseView::take_answer(size_t member, const consensus::Message& message, Ms now) {
   if (message.say != consensus::MessageType::kChanges) return;
   const std::lock_guard lock(mutex_);
   members_[member].told_at = now;
@@ -27,40 +27,40 @@
   }
 }
 
-void DutyView::forget(size_t member) {
+void LeaseView::forget(size_t member) {
   const std::lock_guard lock(mutex_);
-  members_[member] = {0, std::vector<Seen>(duties_.size())};
+  members_[member] = {0, std::vector<Seen>(leases_.size())};
 }
 
-const DutyView::Seen* DutyView::newest(size_t duty) const {
+const LeaseView::Seen* LeaseView::newest(size_t lease) const {
   const Seen* newest = nullptr;
   for (const Member& member : members_) {
-    const Seen& seen = member.seen[duty];
+    const Seen& seen = member.seen[lease];
     if (!newest || std::tie(seen.epoch, seen.released) > std::tie(newest->epoch, newest->released))
       newest = &seen;
   }
   return newest;
 }
 
-bool DutyView::is_served(const std::vector<size_t>& members, const std::map<std::string, size_t>& holders,
-                         Ms since) const {
+bool LeaseView::is_served(const std::vector<size_t>& members, const std::map<std::string, size_t>& holders,
+                          Ms since) const {
   const std::lock_guard lock(mutex_);
   for (const size_t member : members)
     if (members_[member].told_at < since) return false;
-  for (size_t duty = 0; duty < duties_.size(); ++duty) {
-    const Seen* const held = newest(duty);
+  for (size_t lease = 0; lease < leases_.size(); ++lease) {
+    const Seen* const held = newest(lease);
     if (held->epoch == 0 || held->released || !holders.contains(held->holder)) return false;
     for (const size_t member : members) {
-      const Seen& seen = members_[member].seen[duty];
+      const Seen& seen = members_[member].seen[lease];
       if (seen.epoch != held->epoch || seen.holder != held->holder) return false;
     }
   }
   return true;
 }
 
-std::optional<std::string> DutyView::holder(const std::string& duty) const {
+std::optional<std::string> LeaseView::holder(const std::string& lease) const {
   const std::lock_guard lock(mutex_);
-  const Seen* const held = newest(numbers_.at(duty));
+  const Seen* const held = newest(numbers_.at(lease));
   if (!held || held->epoch == 0 || held->released) return {};
   return held->holder;
 }
--- a/src/loadtest/duty_view.h
+++ b/src/loadtest/lease_view.h
@@ -1,4 +1,4 @@
-// What each gateway of a fleet has been told of who holds which duty, as keepers told it.
+// What each gateway of a fleet has been told of who holds which lease, as keepers told it.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +14,21 @@
 namespace firvalve::loadtest {
 
 // From any thread.
-class DutyView {
+class LeaseView {
  public:
-  DutyView(std::vector<std::string> duties, size_t members);
+  LeaseView(std::vector<std::string> leases, size_t members);
 
   // An answer of a keeper that came to this member.
   void take_answer(size_t member, const consensus::Message& message, Ms now);
   // A new process there knows nothing yet.
   void forget(size_t member);
 
-  // Whether all of them have been told something since `since`, agree on who holds each duty, and each holder
-  // is one of `holders`, which has an entry a name.
+  // Whether all of them have been told something since `since`, agree on who holds each lease, and each
+  // holder is one of `holders`, which has an entry a name.
   bool is_served(const std::vector<size_t>& members, const std::map<std::string, size_t>& holders,
                  Ms since) const;
-  // The holder of a duty as the newest claim that any member saw names it; none: nobody holds it.
-  std::optional<std::string> holder(const std::string& duty) const;
+  // The holder of a lease as the newest claim that any member saw names it; none: nobody holds it.
+  std::optional<std::string> holder(const std::string& lease) const;
 
  private:
   struct Seen {
@@ -38,12 +38,12 @@
   };
   struct Member {
     Ms told_at = 0;
-    std::vector<Seen> seen;  // by duty
+    std::vector<Seen> seen;  // by lease
   };
-  const Seen* newest(size_t duty) const;
+  const Seen* newest(size_t lease) const;
 
-  const std::vector<std::string> duties_;
-  std::map<std::string, size_t> numbers_;  // of duties
+  const std::vector<std::string> leases_;
+  std::map<std::string, size_t> numbers_;  // of leases
   mutable std::mutex mutex_;
   std::vector<Member> members_;
 };
--- a/src/loadtest/load.cpp
+++ b/src/loadtest/load.cpp
@@ -272,7 +272,7 @@
     try {
       exit_code = run_load(*o);
     } catch (const std::invalid_argument& e) {
-      std::fprintf(stderr, "firvalve-lab load: %s\n", e.what());
+      std::fprintf(stderr, "firvalve-loadtest load: %s\n", e.what());
       exit_code = 2;
     }
   });
--- a/src/loadtest/load.h
+++ b/src/loadtest/load.h
@@ -1,4 +1,4 @@
-// `firvalve-lab load`: asks gateways at stated rates, open or closed loop, through the client library.
+// `firvalve-loadtest load`: asks gateways at stated rates, open or closed loop, through the client library.
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/src/loadtest/loss_fleet.cpp
+++ b/src/loadtest/loss_fleet.cpp
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-#include "loadtest/hollow_fleet.h"
+#include "loadtest/simulated_fleet.h"
 
 namespace firvalve::loadtest {
 namespace {
@@ -26,7 +26,7 @@
     throw ScaleError(fmt::format("{} descriptors for the proxies, of {}", wanted, limit.rlim_max));
 }
 
-std::vector<std::string> duty_names(int count) {
+std::vector<std::string> lease_names(int count) {
   std::vector<std::string> names;
   for (int i = 0; i < count; ++i) names.push_back(fmt::format("trial:s-{:08x}", i));
   return names;
@@ -50,10 +50,10 @@
 
 LossFleet::LossFleet(const LossFleetOptions& options, const Progress& progress)
     : topology_(options.topology),
-      duties_(duty_names(options.duties)),
+      leases_(lease_names(options.leases)),
       places_(topology_.keepers()),
-      view_(duties_, topology_.keepers().size() + topology_.gateways().size()) {
-  if (options.duties < 1) throw ScaleError("no duty that could be lost");
+      view_(leases_, topology_.keepers().size() + topology_.gateways().size()) {
+  if (options.leases < 1) throw ScaleError("no lease that could be lost");
   places_.insert(places_.end(), topology_.gateways().begin(), topology_.gateways().end());
   check_descriptors(places_.size() * keepers() * 2 + kDescriptorsBeside);
   for (size_t member = 0; member < places_.size(); ++member) {
@@ -64,7 +64,7 @@
     keeper_addresses_.push_back(loopback_address(places_.size() + keeper));
   plan_processes(options);
   start_proxies();
-  // First the keepers, then who shall hold the duties, then everybody else.
+  // First the keepers, then who shall hold the leases, then everybody else.
   const size_t first_holders = topology_.regions();
   launch(0, keepers());
   launch(keepers(), first_holders);
@@ -102,14 +102,14 @@
   process.members = members;
   for (const size_t member : members) {
     process_of_[member] = processes_.size();
-    HollowGatewayOptions gateway;
+    SimulatedGatewayOptions gateway;
     const bool is_keeper = member < keepers();
     gateway.address = is_keeper ? keeper_addresses_[member] : names_[member];
     if (is_keeper) gateway.reached_at = names_[member];
-    if (!is_keeper) gateway.duties = duties_;
+    if (!is_keeper) gateway.leases = leases_;
     gateway.site = fmt::format("z{}", places_[member].zone);
     gateway.keepers.assign(names_.begin(), names_.begin() + static_cast<ptrdiff_t>(keepers()));
-    gateway.lease = options.lease;
+    gateway.lease_ms = options.lease_ms;
     gateway.seed = options.seed * 1000003 + member;
     process.options.gateways.push_back(std::move(gateway));
   }
@@ -129,7 +129,7 @@
     };
     options.region_of = [this](size_t member) { return places_[member].region; };
     options.on_answer = [this](size_t member, const consensus::Message& message) {
-      view_.take_answer(member, message, hollow_clock());
+      view_.take_answer(member, message, read_report_clock());
     };
     proxies_.push_back(std::make_unique<RegionProxy>(std::move(options)));
   }
@@ -137,7 +137,7 @@
 
 void LossFleet::launch(size_t first, size_t count) {
   for (size_t i = first; i < first + count; ++i)
-    processes_[i].child = std::make_unique<HollowProcess>(processes_[i].options);
+    processes_[i].child = std::make_unique<GatewayProcess>(processes_[i].options);
   for (size_t i = first; i < first + count; ++i) processes_[i].child->wait_ready();
 }
 
@@ -174,8 +174,8 @@
 
 std::vector<size_t> LossFleet::holders() const {
   std::vector<size_t> out;
-  for (const std::string& duty : duties_) {
-    const std::optional<std::string> holder = view_.holder(duty);
+  for (const std::string& lease : leases_) {
+    const std::optional<std::string> holder = view_.holder(lease);
     if (holder && members_.contains(*holder)) out.push_back(members_.at(*holder));
   }
   return out;
@@ -193,14 +193,14 @@
 }
 
 size_t LossFleet::busiest_of(const std::function<bool(size_t member)>& is_wanted) const {
-  std::map<size_t, int> held;  // duties, by member
+  std::map<size_t, int> held;  // leases, by member
   for (const size_t member : holders()) {
     const size_t gateway = member - keepers();
     if (gateway < topology_.regions() && is_wanted(member)) ++held[member];
   }
   const auto most = std::max_element(held.begin(), held.end(),
                                      [](const auto& a, const auto& b) { return a.second < b.second; });
-  if (most == held.end()) throw ScaleError("no process of one gateway holds a duty");
+  if (most == held.end()) throw ScaleError("no process of one gateway holds a lease");
   return most->first;
 }
 
@@ -220,7 +220,7 @@
     processes_[process].child->kill();
     processes_[process].child.reset();
   }
-  const Ms killed_at = hollow_clock();
+  const Ms killed_at = read_report_clock();
   for (const size_t member : members) {
     if (member < keepers()) proxies_[member]->set_listening(false);
     for (simulation::HeldSpan& span : history_.held)
@@ -235,7 +235,7 @@
     if (member < keepers()) proxies_[member]->set_listening(true);
     Process& process = processes_[process_of_[member]];
     if (process.child) continue;
-    process.child = std::make_unique<HollowProcess>(process.options);
+    process.child = std::make_unique<GatewayProcess>(process.options);
     started.push_back(process_of_[member]);
   }
   for (const size_t process : started) processes_[process].child->wait_ready();
@@ -243,7 +243,7 @@
 
 bool LossFleet::keeper_ready(size_t keeper) {
   Process& process = processes_[process_of_[keeper]];
-  const HollowProcessReport report = process.child->report();
+  const GatewayProcessReport report = process.child->report();
   return report.gateways.at(0).record_ready;
 }
 
@@ -255,14 +255,14 @@
 }
 
 void LossFleet::wait_served(Ms longest, const Progress& progress) {
-  const Ms began = hollow_clock();
+  const Ms began = read_report_clock();
   Ms tell_at = began + kProgressEvery;
   while (!is_served(gateways_up(), holders_up(), began)) {
-    if (hollow_clock() > began + longest)
+    if (read_report_clock() > began + longest)
       throw ScaleError(fmt::format("a fleet of {} has not settled within {:.0f} s", size(), longest / 1000));
-    if (hollow_clock() >= tell_at) {
+    if (read_report_clock() >= tell_at) {
       progress(fmt::format("loss: a fleet of {} settles", size()));
-      tell_at = hollow_clock() + kProgressEvery;
+      tell_at = read_report_clock() + kProgressEvery;
     }
     ::usleep(kLookEveryUs);
   }
@@ -283,34 +283,34 @@
 }
 
 void LossFleet::collect(Process& process) {
-  const HollowProcessReport report = process.child->report();
+  const GatewayProcessReport report = process.child->report();
   for (size_t i = 0; i < report.gateways.size() && i < process.members.size(); ++i)
-    for (const DutyEvent& event : report.gateways[i].duty_events) note(process.members[i], event);
+    for (const LeaseEvent& event : report.gateways[i].lease_events) note(process.members[i], event);
 }
 
-void LossFleet::note(size_t member, const DutyEvent& event) {
-  using Kind = DutyEvent::Kind;
+void LossFleet::note(size_t member, const LeaseEvent& event) {
+  using Kind = LeaseEvent::Kind;
   const bool acts = event.kind == Kind::kTaken || event.kind == Kind::kRenewed;
   for (simulation::HeldSpan& span : history_.held) {
-    if (span.holder != names_[member] || span.duty != event.duty || span.epoch != event.epoch) continue;
+    if (span.holder != names_[member] || span.lease != event.lease || span.epoch != event.epoch) continue;
     span.until = acts ? event.until : std::min(span.until, event.at);
     return;
   }
-  if (acts) history_.held.push_back({event.duty, names_[member], event.epoch, event.at, event.until});
+  if (acts) history_.held.push_back({event.lease, names_[member], event.epoch, event.at, event.until});
 }
 
 std::vector<size_t> LossFleet::holders_now() {
   collect_history();
-  const Ms now = hollow_clock();
+  const Ms now = read_report_clock();
   std::vector<size_t> out;
   for (const simulation::HeldSpan& span : history_.held)
     if (span.from <= now && now < span.until) out.push_back(members_.at(span.holder));
   return out;
 }
 
-std::vector<simulation::FleetViolation> LossFleet::breaches() {
+std::vector<simulation::FleetViolation> LossFleet::violations() {
   collect_history();
-  return simulation::judge(history_);
+  return simulation::check_invariants(history_);
 }
 
 std::vector<pid_t> LossFleet::process_ids() const {
@@ -321,7 +321,7 @@
 }
 
 void TrafficMeter::sample() {
-  const Ms now = hollow_clock();
+  const Ms now = read_report_clock();
   if (!samples_.empty() && now < samples_.back().at + kSampleEvery) return;
   samples_.push_back({now, fleet_.traffic()});
   sums_.push_back({now, sum_of(samples_.back().keepers)});
@@ -346,7 +346,7 @@
 void TrafficMeter::restart() {
   peak_ = {};
   sums_.clear();
-  samples_.push_back({hollow_clock(), fleet_.traffic()});
+  samples_.push_back({read_report_clock(), fleet_.traffic()});
   sums_.push_back({samples_.back().at, sum_of(samples_.back().keepers)});
 }
 
--- a/src/loadtest/loss_fleet.h
+++ b/src/loadtest/loss_fleet.h
@@ -1,4 +1,4 @@
-// A fleet of hollow gateways that parts can be taken from: processes that are killed, and regions that are
+// A fleet of simulated gateways that parts can be taken from: processes that are killed, and regions that are
 // cut apart by the proxies through which all keepers are reached.
 #pragma once
 
@@ -9,27 +9,27 @@
 #include <string>
 #include <vector>
 
-#include "loadtest/duty_view.h"
-#include "loadtest/hollow_process.h"
+#include "loadtest/gateway_process.h"
+#include "loadtest/lease_view.h"
 #include "loadtest/parts.h"
 #include "loadtest/region_proxy.h"
 #include "loadtest/topology.h"
-#include "simulation/judge.h"
+#include "simulation/invariant_checker.h"
 
 namespace firvalve::loadtest {
 
 struct LossFleetOptions {
   TopologyOptions topology;
-  int duties = 20;  // that every gateway is willing to hold, and no keeper
-  Ms lease = 3000;
+  int leases = 20;  // that every gateway is willing to hold, and no keeper
+  Ms lease_ms = 3000;
   uint64_t seed = 1;
 };
 
 // Members are numbered: keepers first, then gateways. Gateways of one zone share a process. One gateway a
-// region has a process to itself and holds duties first; the others of its rack have one, too.
+// region has a process to itself and holds leases first; the others of its rack have one, too.
 class LossFleet {
  public:
-  // Starts all and waits until every duty is held and every gateway has been told so. Throws ScaleError.
+  // Starts all and waits until every lease is held and every gateway has been told so. Throws ScaleError.
   LossFleet(const LossFleetOptions& options, const Progress& progress);
   ~LossFleet();
   LossFleet(const LossFleet&) = delete;
@@ -46,8 +46,8 @@
   // All members in the rack or the zone of a gateway that has a process to itself.
   std::vector<size_t> rack_of(size_t holder) const;
   std::vector<size_t> zone_of(size_t holder) const;
-  std::vector<size_t> holders() const;  // by duty, as the newest claims name them; free duties left out
-  // The gateway with a process of its own that holds the most duties. Throws ScaleError: none holds any.
+  std::vector<size_t> holders() const;  // by lease, as the newest claims name them; free leases left out
+  // The gateway with a process of its own that holds the most leases. Throws ScaleError: none holds any.
   size_t busiest_holder() const;
   // Of those in whose zone a keeper stands.
   size_t busiest_holder_beside_keeper() const;
@@ -58,7 +58,7 @@
   bool keeper_ready(size_t keeper);  // it takes part in the record
   void set_cut(size_t region, size_t other_region, bool cut);
 
-  // Whether all of these gateways see every duty held by one of the holders, told since then.
+  // Whether all of these gateways see every lease held by one of the holders, told since then.
   bool is_served(const std::vector<size_t>& members, const std::map<std::string, size_t>& holders,
                  Ms since) const {
     return view_.is_served(members, holders, since);
@@ -68,16 +68,16 @@
 
   // Takes in what all members have reported since the last time.
   void collect_history();
-  // Members that may act for some duty at this moment, by their own reports.
+  // Members that may act for some lease at this moment, by their own reports.
   std::vector<size_t> holders_now();
-  std::vector<simulation::FleetViolation> breaches();
+  std::vector<simulation::FleetViolation> violations();
   std::vector<pid_t> process_ids() const;
 
  private:
   struct Process {
     std::vector<size_t> members;
-    HollowProcessOptions options;
-    std::unique_ptr<HollowProcess> child;  // none: it is down
+    GatewayProcessOptions options;
+    std::unique_ptr<GatewayProcess> child;  // none: it is down
   };
   size_t busiest_of(const std::function<bool(size_t member)>& is_wanted) const;
   void plan_processes(const LossFleetOptions& options);
@@ -85,15 +85,15 @@
   void start_proxies();
   void launch(size_t first, size_t count);
   void collect(Process& process);
-  void note(size_t member, const DutyEvent& event);
+  void note(size_t member, const LeaseEvent& event);
 
   const Topology topology_;
-  std::vector<std::string> duties_;
+  std::vector<std::string> leases_;
   std::vector<std::string> names_;         // of members
   std::map<std::string, size_t> members_;  // by name
   std::vector<Place> places_;
   std::vector<std::string> keeper_addresses_;  // where they listen themselves
-  DutyView view_;
+  LeaseView view_;
   std::vector<std::unique_ptr<RegionProxy>> proxies_;  // by keeper
   std::vector<Process> processes_;                     // of keepers, of first holders, of all others
   std::vector<size_t> process_of_;                     // by member
--- a/src/loadtest/loss_run.cpp
+++ b/src/loadtest/loss_run.cpp
@@ -13,7 +13,7 @@
 namespace firvalve::loadtest {
 namespace {
 
-// The last, largest size of each is held out from the fit. More gateways than these contend for a lost duty
+// The last, largest size of each is held out from the fit. More gateways than these contend for a lost lease
 // with more messages than one machine carries beside them; a keeper alone can be lost at any size.
 const std::vector<int> kGateways = {40, 64, 96, 128, 192, 256};
 const std::vector<int> kQuickGateways = {20, 24, 28, 32, 36, 40};
@@ -24,7 +24,7 @@
 
 std::vector<LossKind> losses_of(const ScaleOptions& options) {
   using Kind = LossKind;
-  // In this order: a duty that its first holder has lost goes to any gateway, and the zone, the rack and the
+  // In this order: a lease that its first holder has lost goes to any gateway, and the zone, the rack and the
   // holder that are lost are to hold some.
   static const std::vector<std::pair<std::string, std::vector<Kind>>> kAll = {
       {"zone", {Kind::kZone}},
@@ -62,9 +62,10 @@
 }
 
 std::string command_of(const ScaleOptions& options) {
-  std::string command = fmt::format("firvalve-lab scale --part loss --regions {} --zones {} --keepers {}",
-                                    options.regions, options.zones, options.keepers);
-  command += fmt::format(" --duties {} --seed {}", options.duties, options.seed);
+  std::string command =
+      fmt::format("firvalve-loadtest scale --part loss --regions {} --zones {} --keepers {}", options.regions,
+                  options.zones, options.keepers);
+  command += fmt::format(" --duties {} --seed {}", options.leases, options.seed);
   if (!options.gateways.empty()) command += fmt::format(" --gateways {}", fmt::join(options.gateways, " "));
   if (!options.losses.empty()) command += fmt::format(" --lose {}", fmt::join(options.losses, " "));
   return options.quick ? command + " --quick" : command;
@@ -105,7 +106,7 @@
     series.add(prefix + what, unit, gateways, value);
   };
   add("lost", "count", static_cast<double>(result.members_lost));
-  add("duties_lost", "count", static_cast<double>(result.duties_lost));
+  add("duties_lost", "count", static_cast<double>(result.leases_lost));
   add("recovery", "ms", result.recovery);
   add("keeper.rest_messages", "messages/s", result.rest.messages);
   add("keeper.rest_bytes", "bytes/s", result.rest.bytes);
@@ -127,7 +128,7 @@
 void measure_fleet(const ScaleOptions& options, int gateways, const std::vector<LossKind>& losses,
                    LossSeries& series, const Progress& progress) {
   progress(fmt::format("loss: a fleet of {} gateways starts", gateways));
-  LossFleet fleet({topology_of(options, gateways), options.duties, kLease, options.seed}, progress);
+  LossFleet fleet({topology_of(options, gateways), options.leases, kLease, options.seed}, progress);
   for (const LossKind loss : losses) {
     progress(fmt::format("loss: {} gateways lose a {}", gateways, name_of(loss)));
     const LossResult result = try_loss(fleet, loss, {}, progress);
@@ -135,8 +136,8 @@
                          name_of(loss), gateways, result.recovery, result.return_recovery));
     add_result(series, gateways, result);
   }
-  const std::vector<simulation::FleetViolation> breaches = fleet.breaches();
-  if (!breaches.empty()) throw ScaleError(fmt::format("{}: {}", breaches[0].rule, breaches[0].text));
+  const std::vector<simulation::FleetViolation> violations = fleet.violations();
+  if (!violations.empty()) throw ScaleError(fmt::format("{}: {}", violations[0].rule, violations[0].text));
 }
 
 void measure_clients(const ScaleOptions& options, LossSeries& series, const Progress& progress) {
@@ -168,7 +169,7 @@
   series.vary("gateways", {{"regions", options.regions},
                            {"zones", options.zones},
                            {"keepers", options.keepers},
-                           {"duties", options.duties},
+                           {"duties", options.leases},
                            {"lease_ms", kLease}});
   for (const int gateways : sizes) measure_fleet(options, gateways, losses, series, progress);
   if (std::find(losses.begin(), losses.end(), LossKind::kZone) != losses.end()) {
--- a/src/loadtest/loss_trial.cpp
+++ b/src/loadtest/loss_trial.cpp
@@ -17,7 +17,7 @@
   return span > 0 ? static_cast<double>(after - before) / span : 0;
 }
 
-// What is lost, and what may still hold duties while it is.
+// What is lost, and what may still hold leases while it is.
 struct Loss {
   std::vector<size_t> killed;                   // members
   std::vector<std::pair<size_t, size_t>> cuts;  // regions
@@ -76,23 +76,23 @@
 
  private:
   void watch_for(Ms span) {
-    const Ms until = hollow_clock() + span;
-    while (hollow_clock() < until) look();
+    const Ms until = read_report_clock() + span;
+    while (read_report_clock() < until) look();
   }
   void look() {
     ::usleep(kLookEveryUs);
     meter_.sample();
-    if (hollow_clock() < tell_at_) return;
+    if (read_report_clock() < tell_at_) return;
     if (tell_at_ > 0)
       progress_(
           fmt::format("loss: {} in a fleet of {} members, watched", name_of(result_.kind), fleet_.size()));
-    tell_at_ = hollow_clock() + kProgressEvery;
+    tell_at_ = read_report_clock() + kProgressEvery;
   }
   template <class Condition>
   void watch_until(const char* what, Ms longest, Condition&& is_reached) {
-    const Ms began = hollow_clock();
+    const Ms began = read_report_clock();
     while (!is_reached()) {
-      if (hollow_clock() > began + longest) {
+      if (read_report_clock() > began + longest) {
         fleet_.collect_history();  // says so where a process has died
         throw ScaleError(fmt::format("after a loss ({}) a fleet of {} was not {} within {:.0f} s",
                                      name_of(result_.kind), fleet_.size(), what, longest / 1000));
@@ -109,19 +109,19 @@
   void lose() {
     const std::vector<size_t> holders_before = fleet_.holders();
     meter_.restart();
-    const Ms lost_at = hollow_clock();
+    const Ms lost_at = read_report_clock();
     if (!loss_.killed.empty()) fleet_.kill(loss_.killed);
     for (const auto& [region, other] : loss_.cuts) fleet_.set_cut(region, other, true);
     const std::map<std::string, size_t> holders = fleet_.holders_up(loss_.serving_regions);
     std::vector<size_t> serving;
     for (const auto& [name, member] : holders) serving.push_back(member);
     for (const size_t holder : holders_before)
-      result_.duties_lost += std::find(serving.begin(), serving.end(), holder) == serving.end();
+      result_.leases_lost += std::find(serving.begin(), serving.end(), holder) == serving.end();
     watch_until("served", times_.recovery_longest,
                 [&] { return fleet_.is_served(serving, holders, lost_at); });
-    result_.recovery = hollow_clock() - lost_at;
+    result_.recovery = read_report_clock() - lost_at;
     watch_for(times_.after);
-    if (!loss_.cuts.empty()) watch_for(std::max(0.0, lost_at + times_.cut - hollow_clock()));
+    if (!loss_.cuts.empty()) watch_for(std::max(0.0, lost_at + times_.cut - read_report_clock()));
     result_.peak = meter_.peak();
     if (result_.kind == LossKind::kSplit) look_at_split(holders);
   }
@@ -139,13 +139,13 @@
 
   void give_back() {
     meter_.restart();
-    const Ms back_at = hollow_clock();
+    const Ms back_at = read_report_clock();
     if (!loss_.killed.empty()) fleet_.start(loss_.killed);
     for (const auto& [region, other] : loss_.cuts) fleet_.set_cut(region, other, false);
     watch_until("whole again", times_.recovery_longest, [&] {
       return fleet_.is_served(fleet_.gateways_up(), fleet_.holders_up(), back_at) && all_keepers_ready();
     });
-    result_.return_recovery = hollow_clock() - back_at;
+    result_.return_recovery = read_report_clock() - back_at;
     watch_for(std::max(times_.back - result_.return_recovery, times_.new_rest));
     result_.return_peak = meter_.peak();
     count_return();
--- a/src/loadtest/loss_trial.h
+++ b/src/loadtest/loss_trial.h
@@ -28,10 +28,10 @@
 struct LossResult {
   LossKind kind = LossKind::kHolder;
   size_t members_lost = 0;
-  size_t duties_lost = 0;  // that were held by who cannot serve any more
+  size_t leases_lost = 0;  // that were held by who cannot serve any more
   TrafficRate rest, peak;  // at the keeper that has most of it
-  Ms recovery = 0;         // from the loss until all who are left see every duty held by one who is left
-  Ms return_recovery = 0;  // from the return until all see every duty held
+  Ms recovery = 0;         // from the loss until all who are left see every lease held by one who is left
+  Ms return_recovery = 0;  // from the return until all see every lease held
   Ms return_rest = 0;      // and until the keepers' messages are what they stay at
   double return_messages = 0, return_bytes = 0;  // at all keepers until then, past what they stay at
   TrafficRate return_peak;
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -1,10 +1,10 @@
-// firvalve-lab: the project's laboratory. None of it is linked into the gateway.
+// firvalve-loadtest: load generator, simulation and scale runs. None of it is linked into the gateway.
 #include "loadtest/command.h"
 #include "loadtest/load.h"
 #include "simulation/run.h"
 
 int main(int argc, char** argv) {
-  CLI::App app("The laboratory of firvalve.", "firvalve-lab");
+  CLI::App app("Load tests and simulations of firvalve.", "firvalve-loadtest");
   int exit_code = 0;
   app.require_subcommand(1);
   app.failure_message(
--- a/src/loadtest/options.h
+++ b/src/loadtest/options.h
@@ -1,4 +1,4 @@
-// Options of `firvalve-lab scale`, shared by its parts.
+// Options of `firvalve-loadtest scale`, shared by its parts.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
   std::vector<int> gateways, engines, connections;
   std::vector<double> rates;  // commands a second, at one gateway
   int regions = 6, zones = 20;
-  int keepers = 5, duties = 20;
+  int keepers = 5, leases = 20;
   std::vector<std::string> losses;   // of "holder", "keeper", "rack", "zone", "region"; empty: all
   std::vector<std::string> changes;  // of "list", "configuration"; empty: all
   double seconds = 10;               // that each point is measured for
--- a/src/loadtest/parts.h
+++ b/src/loadtest/parts.h
@@ -21,9 +21,9 @@
 
 // A real gateway before scripted engines: processor time, memory, descriptors, start.
 std::vector<Measurement> measure_gateway(const ScaleOptions& options, const Progress& progress);
-// Hollow gateways: control traffic at rest, and changes of the engine list and the configuration.
+// Simulated gateways: control traffic at rest, and changes of the engine list and the configuration.
 std::vector<Measurement> measure_control(const ScaleOptions& options, const Progress& progress);
-// Hollow gateways: a holder, a keeper, a rack, a zone lost; two regions cut apart and joined again.
+// Simulated gateways: a holder, a keeper, a rack, a zone lost; two regions cut apart and joined again.
 std::vector<Measurement> measure_loss(const ScaleOptions& options, const Progress& progress);
 
 }  // namespace firvalve::loadtest
--- a/src/loadtest/hollow_fleet.cpp
+++ b/src/loadtest/simulated_fleet.cpp
@@ -1,4 +1,4 @@
-#include "loadtest/hollow_fleet.h"
+#include "loadtest/simulated_fleet.h"
 
 #include <fmt/format.h>
 #include <stdlib.h>
@@ -20,7 +20,7 @@
 constexpr int kPort = 7400;
 constexpr size_t kHostDigits = 150;  // 100 to 249: all three digits long
 constexpr int kSettleLookMs = 100;
-constexpr Ms kFirstGroupMost = 60000;  // until the first group holds all duties
+constexpr Ms kFirstGroupMost = 60000;  // until the first group holds all leases
 
 int raise_descriptor_limit() {
   rlimit limit{};
@@ -30,20 +30,20 @@
   return static_cast<int>(std::min<rlim_t>(limit.rlim_cur, 1 << 30));
 }
 
-void check_sizes(const HollowFleetOptions& options) {
+void check_sizes(const SimulatedFleetOptions& options) {
   if (options.gateways <= 0) throw ScaleError("a fleet of no gateways");
   if (options.keepers > options.gateways)
     throw ScaleError(fmt::format("{} keepers of {} gateways", options.keepers, options.gateways));
   if (options.zones <= 0 || options.zones > options.gateways)
     throw ScaleError(fmt::format("{} zones for {} gateways", options.zones, options.gateways));
   if (options.gateways_per_process <= 0) throw ScaleError("no gateways to a process");
-  if (options.duties < 0 || options.engines < 0 || options.keepers < 0) throw ScaleError("a size below zero");
+  if (options.leases < 0 || options.engines < 0 || options.keepers < 0) throw ScaleError("a size below zero");
   const int processes = options.keepers + 1 + options.gateways / options.gateways_per_process + 1;
   if (processes > kProcessesMost)
     throw ScaleError(fmt::format("{} processes, more than {}", processes, kProcessesMost));
 }
 
-void check_descriptors(const HollowFleetOptions& options) {
+void check_descriptors(const SimulatedFleetOptions& options) {
   const int most = raise_descriptor_limit();
   const int together = std::min(options.gateways_per_process, options.gateways);
   const int at_group = together * (options.keepers + kDescriptorsPerGateway) + kDescriptorsPerProcess;
@@ -70,29 +70,29 @@
   return out;
 }
 
-HollowFleet::HollowFleet(const HollowFleetOptions& options) : options_(options) {
+SimulatedFleet::SimulatedFleet(const SimulatedFleetOptions& options) : options_(options) {
   check_sizes(options);
   check_descriptors(options);
   const auto keepers = static_cast<size_t>(options.keepers);
   if (options.keeper_folders) {
-    char name[] = "/tmp/firvalve-hollow-XXXXXX";
+    char name[] = "/tmp/firvalve-simulated-XXXXXX";
     if (!::mkdtemp(name)) throw ScaleError("no folder for the keepers");
     folder_.path = name;
   }
-  HollowGatewayOptions common;
-  common.lease = options.lease;
+  SimulatedGatewayOptions common;
+  common.lease_ms = options.lease_ms;
   if (options.engines > 0) common.known_list = fakes::topology(1, true, engine_listings(0, options.engines));
-  for (int i = 0; i < options.duties; ++i) common.duties.push_back(fmt::format("trial:s-{:08x}", i));
+  for (int i = 0; i < options.leases; ++i) common.leases.push_back(fmt::format("trial:s-{:08x}", i));
   for (size_t i = 0; i < keepers; ++i) common.keepers.push_back(loopback_address(i));
   if (options.bus) common.bus = bus_address_ = loopback_address(static_cast<size_t>(options.gateways));
 
-  std::vector<HollowProcessOptions> plan;
+  std::vector<GatewayProcessOptions> plan;
   for (size_t i = 0; i < static_cast<size_t>(options.gateways); ++i) {
     const bool keeper = i < keepers;  // each alone: it holds a connection to every gateway
     const bool full =
         !plan.empty() && plan.back().gateways.size() >= static_cast<size_t>(options.gateways_per_process);
     if (keeper || i == keepers || full) plan.emplace_back();
-    HollowGatewayOptions gateway = common;
+    SimulatedGatewayOptions gateway = common;
     gateway.address = loopback_address(i);
     gateway.site = fmt::format("z{}", zone(i));
     gateway.seed = options.seed * 1000003 + i;
@@ -107,18 +107,18 @@
   start_processes(std::move(plan));
 }
 
-HollowFleet::Folder::~Folder() {
+SimulatedFleet::Folder::~Folder() {
   std::error_code ignored;
   if (!path.empty()) std::filesystem::remove_all(path, ignored);
 }
 
-void HollowFleet::start_group(std::vector<HollowProcessOptions>& plan, size_t first, size_t end) {
-  for (size_t i = first; i < end; ++i) processes_[i] = std::make_unique<HollowProcess>(std::move(plan[i]));
+void SimulatedFleet::start_group(std::vector<GatewayProcessOptions>& plan, size_t first, size_t end) {
+  for (size_t i = first; i < end; ++i) processes_[i] = std::make_unique<GatewayProcess>(std::move(plan[i]));
   for (size_t i = first; i < end; ++i) processes_[i]->wait_ready();
 }
 
 // The bus first: who finds none comes again up to a second later.
-void HollowFleet::start_processes(std::vector<HollowProcessOptions> plan) {
+void SimulatedFleet::start_processes(std::vector<GatewayProcessOptions> plan) {
   processes_.resize(plan.size());
   const size_t of_gateways = plan.size() - (options_.bus ? 1 : 0);
   start_group(plan, of_gateways, plan.size());
@@ -130,16 +130,16 @@
   start_group(plan, at_first, of_gateways);
 }
 
-size_t HollowFleet::gateways_started() const {
+size_t SimulatedFleet::gateways_started() const {
   return static_cast<size_t>(std::count_if(members_.begin(), members_.end(), [this](const Member& member) {
     return processes_[member.process] != nullptr;
   }));
 }
 
-HollowFleet::Snapshot HollowFleet::snapshot() {
+SimulatedFleet::Snapshot SimulatedFleet::snapshot() {
   Snapshot out;
   out.gateways.resize(members_.size());
-  std::vector<HollowProcessReport> reports(processes_.size());
+  std::vector<GatewayProcessReport> reports(processes_.size());
   for (const auto& process : processes_)
     if (process && process->is_up()) process->ask_report();
   for (size_t i = 0; i < processes_.size(); ++i) {
@@ -151,41 +151,41 @@
   }
   if (options_.bus) out.bus = reports.back().bus;
   for (size_t i = 0; i < members_.size(); ++i) {
-    std::vector<HollowGatewayReport>& of_process = reports[members_[i].process].gateways;
+    std::vector<SimulatedGatewayReport>& of_process = reports[members_[i].process].gateways;
     if (members_[i].place < of_process.size()) out.gateways[i] = std::move(of_process[members_[i].place]);
   }
-  out.at = hollow_clock();
+  out.at = read_report_clock();
   return out;
 }
 
-void HollowFleet::wait_settled(Ms longest, const std::function<void()>& each_look) {
-  const Ms began = hollow_clock();
+void SimulatedFleet::wait_settled(Ms longest, const std::function<void()>& each_look) {
+  const Ms began = read_report_clock();
   for (;;) {
     if (each_look) each_look();
     const Snapshot now = snapshot();
     size_t ready_keepers = 0;
-    for (const HollowGatewayReport& gateway : now.gateways) {
+    for (const SimulatedGatewayReport& gateway : now.gateways) {
       ready_keepers += gateway.record_ready;
-      for (const DutyEvent& event : gateway.duty_events)
-        if (event.until > 0) held_until_[event.duty] = std::max(held_until_[event.duty], event.until);
+      for (const LeaseEvent& event : gateway.lease_events)
+        if (event.until > 0) held_until_[event.lease] = std::max(held_until_[event.lease], event.until);
     }
     const auto held = std::count_if(held_until_.begin(), held_until_.end(),
-                                    [&](const auto& duty) { return duty.second > now.at; });
+                                    [&](const auto& lease) { return lease.second > now.at; });
     const bool all_follow = !options_.bus || now.bus.connections_open >= gateways_started();
-    if (ready_keepers == static_cast<size_t>(options_.keepers) && held == options_.duties && all_follow)
+    if (ready_keepers == static_cast<size_t>(options_.keepers) && held == options_.leases && all_follow)
       return;
-    if (hollow_clock() > began + longest)
+    if (read_report_clock() > began + longest)
       throw ScaleError(fmt::format(
-          "a fleet of {} has not settled within {:.0f} s: {} of {} keepers ready, {} of {} duties held, {} "
+          "a fleet of {} has not settled within {:.0f} s: {} of {} keepers ready, {} of {} leases held, {} "
           "follow the bus",
-          members_.size(), longest / 1000, ready_keepers, options_.keepers, held, options_.duties,
+          members_.size(), longest / 1000, ready_keepers, options_.keepers, held, options_.leases,
           now.bus.connections_open));
     ::usleep(kSettleLookMs * 1000);
   }
 }
 
-void HollowFleet::for_each_process(const std::vector<size_t>& which,
-                                   void (HollowProcess::*act)(const std::vector<size_t>&)) {
+void SimulatedFleet::for_each_process(const std::vector<size_t>& which,
+                                      void (GatewayProcess::*act)(const std::vector<size_t>&)) {
   std::map<size_t, std::vector<size_t>> places;  // by process
   for (const size_t gateway : which) {
     if (gateway >= members_.size()) throw ScaleError("no such gateway in the fleet");
@@ -194,17 +194,17 @@
   for (const auto& [process, in_it] : places) ((*processes_[process]).*act)(in_it);
 }
 
-void HollowFleet::kill_gateways(const std::vector<size_t>& which) {
-  for_each_process(which, &HollowProcess::kill_gateways);
+void SimulatedFleet::kill_gateways(const std::vector<size_t>& which) {
+  for_each_process(which, &GatewayProcess::kill_gateways);
 }
-void HollowFleet::start_gateways(const std::vector<size_t>& which) {
-  for_each_process(which, &HollowProcess::start_gateways);
+void SimulatedFleet::start_gateways(const std::vector<size_t>& which) {
+  for_each_process(which, &GatewayProcess::start_gateways);
 }
-void HollowFleet::end_gateways(const std::vector<size_t>& which) {
-  for_each_process(which, &HollowProcess::end_gateways);
+void SimulatedFleet::end_gateways(const std::vector<size_t>& which) {
+  for_each_process(which, &GatewayProcess::end_gateways);
 }
 
-void HollowFleet::announce(const std::string& listings, bool whole) {
+void SimulatedFleet::announce(const std::string& listings, bool whole) {
   if (!options_.bus) throw ScaleError("a fleet without an event bus");
   processes_.back()->announce(listings, whole);
 }
--- a/src/loadtest/hollow_fleet.h
+++ b/src/loadtest/simulated_fleet.h
@@ -1,4 +1,4 @@
-// A fleet of hollow gateways over child processes, with their keepers and one event bus.
+// A fleet of simulated gateways over child processes, with their keepers and one event bus.
 #pragma once
 
 #include <functional>
@@ -7,41 +7,41 @@
 #include <string>
 #include <vector>
 
-#include "loadtest/hollow_process.h"
+#include "loadtest/gateway_process.h"
 #include "loadtest/parts.h"
 
 namespace firvalve::loadtest {
 
-struct HollowFleetOptions {
+struct SimulatedFleetOptions {
   int gateways = 0;             // the keepers among them
   int keepers = 3;              // 0: no fleet, the event bus alone
-  int duties = 0;               // that every gateway is willing to hold
+  int leases = 0;               // that every gateway is willing to hold
   int engines = 0;              // in the list that gateways know at their start
   int zones = 1;                // gateway i stands in zone i % zones
   bool bus = true;              // an event bus that all follow
   bool keeper_folders = false;  // keepers keep what they promised on disk
-  Ms lease = 3000;
-  // The keepers and a first group are started before all others, who come once every duty has a holder.
-  // False: all at once, and all claim all duties at once.
+  Ms lease_ms = 3000;
+  // The keepers and a first group are started before all others, who come once every lease has a holder.
+  // False: all at once, and all claim all leases at once.
   bool staged_start = true;
   int gateways_per_process = 64;
   uint64_t seed = 1;
 };
 
-class HollowFleet {
+class SimulatedFleet {
  public:
   // Plans the processes, raises the limit of descriptors to what the machine allows, starts all. Throws
   // ScaleError: sizes that contradict one another, a port in use, too few descriptors.
-  explicit HollowFleet(const HollowFleetOptions& options);
+  explicit SimulatedFleet(const SimulatedFleetOptions& options);
 
-  // Until every keeper takes part, every duty has a holder and every gateway follows the bus; throws
+  // Until every keeper takes part, every lease has a holder and every gateway follows the bus; throws
   // ScaleError when it takes longer than that. `each_look` is called some times a second meanwhile.
   void wait_settled(Ms longest, const std::function<void()>& each_look = {});
 
   struct Snapshot {
     Ms at = 0;
-    std::vector<HollowGatewayReport> gateways;  // in the fleet's order, the keepers first
-    HollowBusReport bus;
+    std::vector<SimulatedGatewayReport> gateways;  // in the fleet's order, the keepers first
+    EventBusReport bus;
     double resident_mb = 0;  // of all processes
     double cpu_us = 0;       // of all processes
     size_t processes = 0;
@@ -57,9 +57,9 @@
   const std::string& address(size_t gateway) const { return members_[gateway].address; }
   const std::string& bus_address() const { return bus_address_; }
   int zone(size_t gateway) const { return static_cast<int>(gateway) % options_.zones; }
-  const HollowFleetOptions& options() const { return options_; }
+  const SimulatedFleetOptions& options() const { return options_; }
   size_t process_of(size_t gateway) const { return members_[gateway].process; }
-  HollowProcess& process(size_t i) { return *processes_[i]; }
+  GatewayProcess& process(size_t i) { return *processes_[i]; }
   size_t processes() const { return processes_.size(); }
 
  private:
@@ -68,12 +68,12 @@
     size_t process = 0, place = 0;  // its place in that process's options
   };
   void for_each_process(const std::vector<size_t>& which,
-                        void (HollowProcess::*act)(const std::vector<size_t>&));
-  void start_processes(std::vector<HollowProcessOptions> plan);
-  void start_group(std::vector<HollowProcessOptions>& plan, size_t first, size_t end);
+                        void (GatewayProcess::*act)(const std::vector<size_t>&));
+  void start_processes(std::vector<GatewayProcessOptions> plan);
+  void start_group(std::vector<GatewayProcessOptions>& plan, size_t first, size_t end);
   size_t gateways_started() const;
 
-  const HollowFleetOptions options_;
+  const SimulatedFleetOptions options_;
   struct Folder {  // of keepers, with all in it; no path: none
     Folder() = default;
     Folder(const Folder&) = delete;
@@ -83,8 +83,8 @@
   } folder_;
   std::string bus_address_;
   std::vector<Member> members_;
-  std::vector<std::unique_ptr<HollowProcess>> processes_;  // the bus's last
-  std::map<std::string, Ms> held_until_;                   // duties, by what wait_settled() has seen
+  std::vector<std::unique_ptr<GatewayProcess>> processes_;  // the bus's last
+  std::map<std::string, Ms> held_until_;                    // leases, by what wait_settled() has seen
 };
 
 // The address of the n-th process of this run, all of one length: 127.x.y.z:port.
--- a/src/loadtest/hollow_gateway.cpp
+++ b/src/loadtest/simulated_gateway.cpp
@@ -1,4 +1,4 @@
-#include "loadtest/hollow_gateway.h"
+#include "loadtest/simulated_gateway.h"
 
 #include <Poco/Exception.h>
 #include <fmt/format.h>
@@ -53,15 +53,15 @@
 }
 
 // The section of the operator's file that a real gateway would have, by the real reader.
-config::OperatorConfig::Fleet read_fleet_section(const HollowGatewayOptions& options) {
+config::OperatorConfig::Fleet read_fleet_section(const SimulatedGatewayOptions& options) {
   std::string text = fmt::format(R"({{"fleet":{{"on":true,"site":"{}","listen":"{}","keepers":{},)",
                                  options.site, options.address, json_list(options.keepers));
   if (!options.reached_at.empty()) text += fmt::format(R"("reached_at":"{}",)", options.reached_at);
   if (!options.folder.empty()) text += fmt::format(R"("folder":"{}",)", options.folder);
-  text += fmt::format(R"("lease_ms":{},"duties":{}}}}})", options.lease, json_list(options.duties));
+  text += fmt::format(R"("lease_ms":{},"duties":{}}}}})", options.lease_ms, json_list(options.leases));
   const config::Reading reading = config::read_operator(text);
   if (!reading.good())
-    throw ScaleError(fmt::format("hollow gateway {}: {}: {}", options.address, reading.faults[0].path,
+    throw ScaleError(fmt::format("simulated gateway {}: {}: {}", options.address, reading.faults[0].path,
                                  reading.faults[0].text));
   return reading.values.fleet;
 }
@@ -89,10 +89,10 @@
 
 }  // namespace
 
-Ms hollow_clock() { return boot_clock_ms(); }
+Ms read_report_clock() { return boot_clock_ms(); }
 
-struct HollowGateway::Running {
-  explicit Running(const HollowGatewayOptions& options)
+struct SimulatedGateway::Running {
+  explicit Running(const SimulatedGatewayOptions& options)
       : settings(read_settings()),
         engines(loop, counters, {kConnectMost, kIdleClose}),
         fleet(make_fleet(options)),
@@ -111,10 +111,10 @@
     thread.join();
   }
 
-  HollowGatewayReport report() {
-    std::promise<HollowGatewayReport> promise;
+  SimulatedGatewayReport report() {
+    std::promise<SimulatedGatewayReport> promise;
     post([&] { promise.set_value(report_now()); });
-    HollowGatewayReport out = promise.get_future().get();
+    SimulatedGatewayReport out = promise.get_future().get();
     out.cpu_us = thread_cpu_us(thread.native_handle());
     return out;
   }
@@ -131,7 +131,7 @@
   }
 
  private:
-  std::unique_ptr<cluster::ClusterService> make_fleet(const HollowGatewayOptions& options) {
+  std::unique_ptr<cluster::ClusterService> make_fleet(const SimulatedGatewayOptions& options) {
     if (options.keepers.empty()) return nullptr;
     const config::OperatorConfig::Fleet section = read_fleet_section(options);
     cluster::ClusterOptions terms = cluster::options_from(section);
@@ -141,12 +141,12 @@
         [this](log::Level, std::string_view event, log::Fields fields) { note(event, fields); });
   }
 
-  void follow_list(const HollowGatewayOptions& options) {
+  void follow_list(const SimulatedGatewayOptions& options) {
     int64_t last = 0;
     if (!options.known_list.empty()) {
       std::string line = options.known_list;
       std::optional<proto::BusEvent> event = proto::read_bus_line(line);
-      if (!event) throw ScaleError("hollow gateway: its engine list cannot be read");
+      if (!event) throw ScaleError("simulated gateway: its engine list cannot be read");
       last = event->offset;
       net::tell_roster(core, loop.now(), std::move(*event));
     }
@@ -163,13 +163,13 @@
     if (fleet) fleet->due(now);
     if (const uint64_t updates = counters.counts["bus events"]; updates != list_updates) {
       list_updates = updates;
-      list_updated_at = hollow_clock();
+      list_updated_at = read_report_clock();
     }
     return sooner(sooner(bus ? bus->next_due() : 0, fleet ? fleet->next_due(now) : 0), engines.next_due());
   }
 
   void note(std::string_view event, log::Fields fields) {
-    using Kind = DutyEvent::Kind;
+    using Kind = LeaseEvent::Kind;
     static constexpr std::pair<std::string_view, Kind> kKinds[] = {{"duty.taken", Kind::kTaken},
                                                                    {"duty.renewed", Kind::kRenewed},
                                                                    {"duty.left", Kind::kLeft},
@@ -177,19 +177,19 @@
     if (event == "record.ready") record_ready = true;
     for (const auto& [name, kind] : kKinds) {
       if (event != name) continue;
-      DutyEvent& duty_event = duty_events.emplace_back();
-      duty_event.kind = kind;
+      LeaseEvent& lease_event = lease_events.emplace_back();
+      lease_event.kind = kind;
       for (const log::Field& field : fields) {
-        if (field.name == "duty") duty_event.duty = field.value;
-        if (field.name == "epoch") duty_event.epoch = std::strtoull(field.value.c_str(), nullptr, 10);
-        if (field.name == "at_ms") duty_event.at = std::strtod(field.value.c_str(), nullptr);
-        if (field.name == "until_ms") duty_event.until = std::strtod(field.value.c_str(), nullptr);
+        if (field.name == "duty") lease_event.lease = field.value;
+        if (field.name == "epoch") lease_event.epoch = std::strtoull(field.value.c_str(), nullptr, 10);
+        if (field.name == "at_ms") lease_event.at = std::strtod(field.value.c_str(), nullptr);
+        if (field.name == "until_ms") lease_event.until = std::strtod(field.value.c_str(), nullptr);
       }
     }
   }
 
-  HollowGatewayReport report_now() {
-    HollowGatewayReport out;
+  SimulatedGatewayReport report_now() {
+    SimulatedGatewayReport out;
     out.is_up = true;
     out.record_ready = record_ready;
     if (fleet) {
@@ -201,7 +201,7 @@
     out.list_updates = list_updates;
     out.list_updated_at = list_updated_at;
     out.bus_links_lost = counters.counts["bus connections lost"];
-    out.duty_events = std::exchange(duty_events, {});
+    out.lease_events = std::exchange(lease_events, {});
     return out;
   }
 
@@ -224,7 +224,7 @@
   bool record_ready = false;
   uint64_t list_updates = 0;
   Ms list_updated_at = 0;
-  std::vector<DutyEvent> duty_events;
+  std::vector<LeaseEvent> lease_events;
   net::Loop loop;
   Metrics counters;
   NoClients no_clients;
@@ -238,36 +238,38 @@
   std::thread thread;
 };
 
-HollowGateway::HollowGateway(HollowGatewayOptions options) : options_(std::move(options)) {}
+SimulatedGateway::SimulatedGateway(SimulatedGatewayOptions options) : options_(std::move(options)) {}
 
-HollowGateway::~HollowGateway() { kill(); }
+SimulatedGateway::~SimulatedGateway() { kill(); }
 
-void HollowGateway::start() {
+void SimulatedGateway::start() {
   if (running_) return;
   try {
     running_ = std::make_unique<Running>(options_);
   } catch (const ScaleError&) {
     throw;
   } catch (const Poco::Exception& error) {
-    throw ScaleError(fmt::format("hollow gateway {}: {}", options_.address, error.displayText()));
+    throw ScaleError(fmt::format("simulated gateway {}: {}", options_.address, error.displayText()));
   } catch (const std::exception& error) {
-    throw ScaleError(fmt::format("hollow gateway {}: {}", options_.address, error.what()));
+    throw ScaleError(fmt::format("simulated gateway {}: {}", options_.address, error.what()));
   }
 }
 
-void HollowGateway::begin_end() {
+void SimulatedGateway::begin_end() {
   if (running_) running_->begin_end();
 }
 
-void HollowGateway::wait_ended() {
-  const Ms began = hollow_clock();
-  while (running_ && !running_->has_left() && hollow_clock() < began + kEndMost)
+void SimulatedGateway::wait_ended() {
+  const Ms began = read_report_clock();
+  while (running_ && !running_->has_left() && read_report_clock() < began + kEndMost)
     std::this_thread::sleep_for(kEndLook);
   kill();
 }
 
-void HollowGateway::kill() { running_.reset(); }
+void SimulatedGateway::kill() { running_.reset(); }
 
-HollowGatewayReport HollowGateway::report() { return running_ ? running_->report() : HollowGatewayReport{}; }
+SimulatedGatewayReport SimulatedGateway::report() {
+  return running_ ? running_->report() : SimulatedGatewayReport{};
+}
 
 }  // namespace firvalve::loadtest
--- a/src/loadtest/hollow_main.cpp
+++ b/src/loadtest/simulated_gateways_main.cpp
@@ -1,5 +1,5 @@
-// firvalve_hollow: a child process of the scale run. It is told what to be over its standard input, a socket
-// to its parent, and answers there; the end of that stream is its own end.
+// firvalve_simulated_gateways: a child process of the scale run. It is told what to be over its standard
+// input, a socket to its parent, and answers there; the end of that stream is its own end.
 #include <Poco/Exception.h>
 #include <fmt/format.h>
 #include <signal.h>
@@ -16,7 +16,7 @@
 #include <optional>
 
 #include "fakes/fake_event_bus.h"
-#include "loadtest/hollow_wire.h"
+#include "loadtest/gateway_process_wire.h"
 #include "loadtest/parts.h"
 
 namespace firvalve::loadtest {
@@ -51,11 +51,11 @@
   explicit EventBus(const std::string& address)
       : bus_(std::make_unique<fakes::FakeEventBus>(host_, 1, address)) {}
   void announce(const std::string& listings, bool whole) {
-    report_.accepted_at = hollow_clock();
+    report_.accepted_at = read_report_clock();
     ++report_.updates;
     bus_->announce(listings, whole);
   }
-  HollowBusReport report() {
+  EventBusReport report() {
     const fakes::BusTraffic traffic = bus_->traffic();
     report_.connections_open = traffic.connections_open;
     report_.connections_made = traffic.connections_made;
@@ -70,12 +70,12 @@
  private:
   fakes::FakeHost host_;
   std::unique_ptr<fakes::FakeEventBus> bus_;
-  HollowBusReport report_;
+  EventBusReport report_;
 };
 
 class Child {
  public:
-  explicit Child(const HollowProcessOptions& options) {
+  explicit Child(const GatewayProcessOptions& options) {
     if (!options.bus_address.empty()) {
       try {
         bus_.emplace(options.bus_address);
@@ -83,49 +83,49 @@
         throw ScaleError(fmt::format("event bus {}: {}", options.bus_address, error.displayText()));
       }
     }
-    for (const HollowGatewayOptions& one : options.gateways)
-      gateways_.push_back(std::make_unique<HollowGateway>(one));
+    for (const SimulatedGatewayOptions& one : options.gateways)
+      gateways_.push_back(std::make_unique<SimulatedGateway>(one));
     for (const auto& gateway : gateways_) gateway->start();
   }
 
-  HollowProcessReport carry_out(const HollowCommand& command) {
-    using Kind = HollowCommand::Kind;
+  GatewayProcessReport carry_out(const GatewayProcessCommand& command) {
+    using Kind = GatewayProcessCommand::Kind;
     if (command.kind == Kind::kReport) return report();
     if (command.kind == Kind::kAnnounce) {
       if (!bus_) throw ScaleError("no event bus in this process");
       bus_->announce(command.listings, command.whole);
       return {};
     }
-    std::vector<HollowGateway*> meant;
+    std::vector<SimulatedGateway*> meant;
     for (const size_t place : command.gateways) {
-      if (place >= gateways_.size()) throw ScaleError("no such hollow gateway in this process");
+      if (place >= gateways_.size()) throw ScaleError("no such simulated gateway in this process");
       meant.push_back(gateways_[place].get());
     }
     if (command.kind == Kind::kStartGateways)
-      for (HollowGateway* const gateway : meant) gateway->start();
+      for (SimulatedGateway* const gateway : meant) gateway->start();
     if (command.kind == Kind::kEndGateways)
-      for (HollowGateway* const gateway : meant) gateway->begin_end();
+      for (SimulatedGateway* const gateway : meant) gateway->begin_end();
     if (command.kind == Kind::kEndGateways)
-      for (HollowGateway* const gateway : meant) gateway->wait_ended();
+      for (SimulatedGateway* const gateway : meant) gateway->wait_ended();
     if (command.kind == Kind::kKillGateways)
-      for (HollowGateway* const gateway : meant) gateway->kill();
+      for (SimulatedGateway* const gateway : meant) gateway->kill();
     return {};
   }
 
  private:
-  HollowProcessReport report() {
-    HollowProcessReport out;
+  GatewayProcessReport report() {
+    GatewayProcessReport out;
     for (const auto& gateway : gateways_) out.gateways.push_back(gateway->report());
     if (bus_) out.bus = bus_->report();
     out.cpu_us = process_cpu_us();
     out.resident_mb = resident_mb();
     out.descriptors = open_descriptors();
-    out.at = hollow_clock();
+    out.at = read_report_clock();
     return out;
   }
 
   std::optional<EventBus> bus_;
-  std::vector<std::unique_ptr<HollowGateway>> gateways_;
+  std::vector<std::unique_ptr<SimulatedGateway>> gateways_;
 };
 
 class Channel {
@@ -165,7 +165,7 @@
   if (!first) return 0;
   try {
     Child child(read_options(*first));
-    channel.write(to_line(HollowProcessReport{}));
+    channel.write(to_line(GatewayProcessReport{}));
     while (const std::optional<std::string> line = channel.read_line())
       channel.write(to_line(child.carry_out(read_command(*line))));
   } catch (const std::exception& error) {
--- a/src/loadtest/sizes_check.cpp
+++ b/src/loadtest/sizes_check.cpp
@@ -49,8 +49,8 @@
       series_fault("--regions", std::vector{options.regions}, kMostRegions),
       series_fault("--zones", std::vector{options.zones}, kMostZones),
       series_fault("--seconds", std::vector{options.seconds}, kMostSeconds),
-      options.duties < 0 ? fmt::format("--duties: {} is less than zero", options.duties) : "",
-      options.duties > kMostDuties ? fmt::format("--duties: {} is past {}", options.duties, kMostDuties) : "",
+      options.leases < 0 ? fmt::format("--duties: {} is less than zero", options.leases) : "",
+      options.leases > kMostLeases ? fmt::format("--duties: {} is past {}", options.leases, kMostLeases) : "",
       need_fault(options, are_zones_given),
   };
   const auto fault =
--- a/src/loadtest/sizes_check.h
+++ b/src/loadtest/sizes_check.h
@@ -14,7 +14,7 @@
 constexpr double kMostRate = 1e5;        // commands a second at one gateway
 constexpr int kMostRegions = 64;
 constexpr int kMostZones = 512;
-constexpr int kMostDuties = 1000;
+constexpr int kMostLeases = 1000;
 constexpr double kMostSeconds = 3600;
 
 // One line that names the size at fault; empty: a run may begin. `are_zones_given`: zones were asked for and
--- a/src/simulation/engine_model.h
+++ b/src/simulation/engine_model.h
@@ -1,6 +1,6 @@
-// One engine of the lab's world: cores shared by all that runs (processor sharing), a bounded number of slots
-// and a bounded queue before them, a table of connections and a queue of those that want one. Virtual time
-// comes in with every call; it schedules nothing itself: after a change, ask `next_completion`.
+// One engine of the simulation's world: cores shared by all that runs (processor sharing), a bounded number
+// of slots and a bounded queue before them, a table of connections and a queue of those that want one.
+// Virtual time comes in with every call; it schedules nothing itself: after a change, ask `next_completion`.
 #pragma once
 
 #include <cstdint>
--- a/src/simulation/fleet_world.cpp
+++ b/src/simulation/fleet_world.cpp
@@ -11,7 +11,7 @@
 
 #include "cluster/cluster_node.h"
 #include "lease/fence.h"
-#include "simulation/queue.h"
+#include "simulation/event_queue.h"
 
 namespace firvalve::simulation {
 
@@ -458,9 +458,9 @@
       }
     for (uint32_t d = 0; d < o_.duties; ++d) out_.unheld_at_end += held.count(duty_name(d)) == 0;
     out_.merges_ended = static_cast<uint32_t>(answered_.size());
-    out_.breaches = judge(out_.history);
+    out_.violations = check_invariants(out_.history);
     std::map<std::string, std::vector<HeldSpan>> spans;
-    for (const HeldSpan& s : out_.history.held) spans[s.duty].push_back(s);
+    for (const HeldSpan& s : out_.history.held) spans[s.lease].push_back(s);
     for (auto& [duty, all] : spans) {
       std::sort(all.begin(), all.end(), [](const HeldSpan& a, const HeldSpan& b) { return a.from < b.from; });
       for (size_t i = 1; i < all.size(); ++i) out_.gaps.push_back(all[i].from - all[i - 1].until);
@@ -496,7 +496,7 @@
 FleetOptions cut_down(const FleetOptions& options, const std::string& rule) {
   const auto breaks = [&rule](const FleetOptions& o) {
     const FleetOutcome out = play(o);
-    return std::any_of(out.breaches.begin(), out.breaches.end(),
+    return std::any_of(out.violations.begin(), out.violations.end(),
                        [&](const FleetViolation& b) { return b.rule == rule; });
   };
   FleetOptions best = options;
--- a/src/simulation/fleet_world.h
+++ b/src/simulation/fleet_world.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "simulation/judge.h"
+#include "simulation/invariant_checker.h"
 
 namespace firvalve::simulation {
 
@@ -51,7 +51,7 @@
 struct FleetOutcome {
   std::vector<FleetHeard> heard;  // by gateway
   FleetHistory history;
-  std::vector<FleetViolation> breaches;
+  std::vector<FleetViolation> violations;
   uint64_t hash = 0;  // of the whole history
   uint64_t messages = 0, events = 0, taken = 0, acts = 0, refused = 0, refused_changes = 0;
   std::vector<Ms> gaps;            // between the end of one holder's say and the next one's beginning
--- a/src/simulation/history.h
+++ b/src/simulation/history.h
@@ -1,6 +1,6 @@
 // What happened in a run, as an outside observer saw it: the input of the rules checker and of reports.
-// Written by the lab's worlds, never by the module; its own words and types, so that a mistake in the core
-// cannot hide in its record.
+// Written by the simulation's worlds, never by the module; its own words and types, so that a mistake in the
+// core cannot hide in its record.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace firvalve::simulation {
 
-struct Happening {
+struct HistoryEvent {
   enum class Kind : uint8_t {
     kTold,      // a gateway was told of an engine: `engine`, `state`; `at` is when it counts as told
     kStarted,   // an engine came up: cold from now on, unless `state` says that it is warm
@@ -39,7 +39,8 @@
   uint64_t key = 0;  // 0: none
   Ms until = 0;
 };
-using History = std::vector<Happening>;  // by time; what happens at one moment in the order in which it did
+using History =
+    std::vector<HistoryEvent>;  // by time; what happens at one moment in the order in which it did
 
 // What a run's rules are. Ids of engines are places in `engines`.
 struct RunRules {
--- a/src/simulation/checker.cpp
+++ b/src/simulation/history_checker.cpp
@@ -1,4 +1,4 @@
-#include "simulation/checker.h"
+#include "simulation/history_checker.h"
 
 #include <fmt/format.h>
 
@@ -10,11 +10,11 @@
 namespace firvalve::simulation {
 namespace {
 
-using Kind = Happening::Kind;
-using State = Happening::State;
-using How = Happening::How;
+using Kind = HistoryEvent::Kind;
+using State = HistoryEvent::State;
+using How = HistoryEvent::How;
 
-constexpr size_t kFirst = 5;  // breaches of a rule that are told one by one
+constexpr size_t kFirst = 5;  // violations of a rule that are told one by one
 
 struct Sending {
   uint64_t command = 0;
@@ -33,11 +33,11 @@
   uint32_t risked_on = 0;
 };
 
-class Judge {
+class HistoryChecker {
  public:
-  Judge(const RunRules& rules, Ms end) : rules_(rules), end_(end) {}
+  HistoryChecker(const RunRules& rules, Ms end) : rules_(rules), end_(end) {}
 
-  void handle(const Happening& h) {
+  void handle(const HistoryEvent& h) {
     switch (h.kind) {
       case Kind::kTold:
         told_[{h.gateway, h.engine}] = {h.state, h.at};
@@ -45,7 +45,7 @@
       case Kind::kStarted:
         break;
       case Kind::kFell:
-        breach(Rule::kCold, h, "fell over while cold");
+        report_violation(Rule::kCold, h, "fell over while cold");
         break;
       case Kind::kTaken:
         take(h);
@@ -74,11 +74,11 @@
   Verdict end() {
     for (const auto& [id, c] : commands_) {
       if (c.answered || c.gone || end_ <= c.until + rules_.answer_grace) continue;
-      Happening h;
+      HistoryEvent h;
       h.at = c.until;
       h.command = id;
       h.gateway = c.gateway;
-      breach(Rule::kOneAnswer, h, "had no final answer");
+      report_violation(Rule::kOneAnswer, h, "had no final answer");
     }
     return verdict_;
   }
@@ -97,15 +97,15 @@
     Ms rests_until = 0;
   };
 
-  void breach(Rule rule, const Happening& h, std::string what) {
+  void report_violation(Rule rule, const HistoryEvent& h, std::string what) {
     if (++verdict_.counts[static_cast<size_t>(rule)] <= kFirst)
       verdict_.first.push_back({rule, h.at, h.command, h.gateway, h.engine, std::move(what)});
   }
 
-  Command* find(const Happening& h) {
+  Command* find(const HistoryEvent& h) {
     const auto at = commands_.find(h.command);
     if (at != commands_.end()) return &at->second;
-    breach(Rule::kHistory, h, "of a command that nobody has taken");
+    report_violation(Rule::kHistory, h, "of a command that nobody has taken");
     return nullptr;
   }
 
@@ -114,11 +114,11 @@
   }
   bool ordered(const Command& c) const { return c.key != 0 && profile_of(c).in_order; }
 
-  void take(const Happening& h) {
+  void take(const HistoryEvent& h) {
     if (h.profile < 0 || static_cast<size_t>(h.profile) >= rules_.profiles.size())
-      return breach(Rule::kHistory, h, "of no profile");
+      return report_violation(Rule::kHistory, h, "of no profile");
     const auto [at, added] = commands_.try_emplace(h.command);
-    if (!added) return breach(Rule::kHistory, h, "taken twice");
+    if (!added) return report_violation(Rule::kHistory, h, "taken twice");
     Command& c = at->second;
     c.profile = h.profile;
     c.gateway = h.gateway;
@@ -129,15 +129,15 @@
     if (ordered(c)) keys_[{h.gateway, h.key}].waiting.push_back(h.command);
   }
 
-  void send(const Happening& h) {
+  void send(const HistoryEvent& h) {
     Command* const c = find(h);
     if (!c) return;
     ++verdict_.sends;
-    if (h.engine >= rules_.engines.size()) return breach(Rule::kHistory, h, "to no engine");
+    if (h.engine >= rules_.engines.size()) return report_violation(Rule::kHistory, h, "to no engine");
     if (!sendings_.emplace(h.send, Sending{h.command, h.engine}).second)
-      return breach(Rule::kHistory, h, "the same send twice");
+      return report_violation(Rule::kHistory, h, "the same send twice");
     const RunRules::Profile& p = profile_of(*c);
-    if (c->answered) breach(Rule::kOneAnswer, h, "sent after its final answer");
+    if (c->answered) report_violation(Rule::kOneAnswer, h, "sent after its final answer");
     check_again(h, *c, p);
     check_place(h, p);
     check_drain(h);
@@ -151,46 +151,49 @@
     }
   }
 
-  void check_again(const Happening& h, const Command& c, const RunRules::Profile& p) {
+  void check_again(const HistoryEvent& h, const Command& c, const RunRules::Profile& p) {
     const bool may_run = c.risked || c.out > 0;
     if (!may_run) return;
-    if (p.effect == RunRules::Effect::kNonReplayable) breach(Rule::kNotTwice, h, "may run a second time");
+    if (p.effect == RunRules::Effect::kNonReplayable)
+      report_violation(Rule::kNotTwice, h, "may run a second time");
     if (p.effect != RunRules::Effect::kUniqued) return;
     if (h.at > c.risked_at + p.window)
-      breach(Rule::kWindow, h,
-             fmt::format("again {:.0f} ms after the first, past its window", h.at - c.risked_at));
+      report_violation(Rule::kWindow, h,
+                       fmt::format("again {:.0f} ms after the first, past its window", h.at - c.risked_at));
     const RunRules::Engine &was = rules_.engines[c.risked_on], &is = rules_.engines[h.engine];
     const bool same = p.group == RunRules::Group::kAll || was.zone == is.zone;
     if (!same || (p.group == RunRules::Group::kCell && was.cell != is.cell))
-      breach(Rule::kWindow, h, "again outside its group");
+      report_violation(Rule::kWindow, h, "again outside its group");
   }
 
-  void check_place(const Happening& h, const RunRules::Profile& p) {
+  void check_place(const HistoryEvent& h, const RunRules::Profile& p) {
     const RunRules::Engine& e = rules_.engines[h.engine];
     const auto in = [](const std::vector<std::string>& all, const std::string& one) {
       return all.empty() || std::find(all.begin(), all.end(), one) != all.end();
     };
-    if (!in(p.zones, e.zone)) breach(Rule::kPlacement, h, fmt::format("in zone {}", e.zone));
-    if (!in(p.machines, e.machine)) breach(Rule::kPlacement, h, fmt::format("on machine {}", e.machine));
+    if (!in(p.zones, e.zone)) report_violation(Rule::kPlacement, h, fmt::format("in zone {}", e.zone));
+    if (!in(p.machines, e.machine))
+      report_violation(Rule::kPlacement, h, fmt::format("on machine {}", e.machine));
   }
 
-  void check_drain(const Happening& h) {
+  void check_drain(const HistoryEvent& h) {
     const auto told = told_.find({h.gateway, h.engine});
-    if (told == told_.end()) return breach(Rule::kDrain, h, "to an engine that it was never told of");
+    if (told == told_.end())
+      return report_violation(Rule::kDrain, h, "to an engine that it was never told of");
     if (told->second.state != State::kServing && h.at > told->second.at + rules_.drain_grace)
-      breach(Rule::kDrain, h, fmt::format("{:.0f} ms after it was told", h.at - told->second.at));
+      report_violation(Rule::kDrain, h, fmt::format("{:.0f} ms after it was told", h.at - told->second.at));
   }
 
-  void check_order(const Happening& h) {
+  void check_order(const HistoryEvent& h) {
     Key& key = keys_[{h.gateway, commands_.at(h.command).key}];
-    if (key.out > 0) breach(Rule::kOrder, h, "beside another of its key");
+    if (key.out > 0) report_violation(Rule::kOrder, h, "beside another of its key");
     if (!key.waiting.empty() && key.waiting.front() != h.command)
-      breach(Rule::kOrder, h, "ahead of one of its key that came before");
-    if (h.at < key.rests_until) breach(Rule::kOrder, h, "while its key rests");
+      report_violation(Rule::kOrder, h, "ahead of one of its key that came before");
+    if (h.at < key.rests_until) report_violation(Rule::kOrder, h, "while its key rests");
     key.out += 1;
   }
 
-  void check_budget(const Happening& h) {
+  void check_budget(const HistoryEvent& h) {
     if (rules_.budget_window <= 0) return;
     Budget& b = budgets_[h.gateway];
     b.further.push_back(h.at);
@@ -199,12 +202,13 @@
       while (!all->empty() && all->front() < from) all->pop_front();
     const double most = rules_.budget_free + rules_.budget_share * static_cast<double>(b.taken.size());
     if (static_cast<double>(b.further.size()) > most)
-      breach(Rule::kBudget, h, fmt::format("{} further sends, {:.1f} allowed", b.further.size(), most));
+      report_violation(Rule::kBudget, h,
+                       fmt::format("{} further sends, {:.1f} allowed", b.further.size(), most));
   }
 
-  void over(const Happening& h) {
+  void over(const HistoryEvent& h) {
     const auto sending = sendings_.find(h.send);
-    if (sending == sendings_.end()) return breach(Rule::kHistory, h, "the end of no send");
+    if (sending == sendings_.end()) return report_violation(Rule::kHistory, h, "the end of no send");
     const auto at = commands_.find(sending->second.command);
     const uint32_t engine = sending->second.engine;
     sendings_.erase(sending);
@@ -221,17 +225,17 @@
     if (h.how == How::kMayHaveRun) key.rests_until = std::max(key.rests_until, h.at + rules_.key_rest);
   }
 
-  void answer(const Happening& h) {
+  void answer(const HistoryEvent& h) {
     Command* const c = find(h);
     if (!c) return;
-    if (c->answered) return breach(Rule::kOneAnswer, h, "a second final answer");
+    if (c->answered) return report_violation(Rule::kOneAnswer, h, "a second final answer");
     if (h.at > c->until + rules_.answer_grace && !c->gone)
-      breach(Rule::kOneAnswer, h, fmt::format("{:.0f} ms late", h.at - c->until));
+      report_violation(Rule::kOneAnswer, h, fmt::format("{:.0f} ms late", h.at - c->until));
     c->answered = true;
     // Trying again is harmless only if nothing of it may run.
     if (h.kind == Kind::kRefused && (c->risked || c->out > 0) &&
         profile_of(*c).effect == RunRules::Effect::kNonReplayable)
-      breach(Rule::kNotTwice, h, "refused as harmless, and it may have run");
+      report_violation(Rule::kNotTwice, h, "refused as harmless, and it may have run");
     if (ordered(*c)) std::erase(keys_[{c->gateway, c->key}].waiting, h.command);
   }
 
@@ -271,10 +275,10 @@
   return all;
 }
 
-Verdict judge(const RunRules& rules, const History& history, Ms end) {
-  Judge judge(rules, end);
-  for (const Happening& h : history) judge.handle(h);
-  return judge.end();
+Verdict check_history(const RunRules& rules, const History& history, Ms end) {
+  HistoryChecker checker(rules, end);
+  for (const HistoryEvent& h : history) checker.handle(h);
+  return checker.end();
 }
 
 }  // namespace firvalve::simulation
--- a/src/simulation/checker.h
+++ b/src/simulation/history_checker.h
@@ -1,4 +1,4 @@
-// Judges a run by its rules, from its history alone. Written apart from the module and from the core: it
+// Checks a run against its rules, from its history alone. Written apart from the module and from the core: it
 // shares no line with them. One pass, memory by commands and engines in hand.
 #pragma once
 
@@ -41,6 +41,6 @@
 };
 
 // `end`: until when the run was watched; what its clients still wait for then is owed nothing.
-Verdict judge(const RunRules& rules, const History& history, Ms end);
+Verdict check_history(const RunRules& rules, const History& history, Ms end);
 
 }  // namespace firvalve::simulation
--- a/src/simulation/judge.cpp
+++ b/src/simulation/invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "simulation/judge.h"
+#include "simulation/invariant_checker.h"
 
 #include <fmt/format.h>
 #include <rapidjson/document.h>
@@ -18,8 +18,8 @@
   return out;
 }
 
-void judge_spans(const FleetHistory& history, std::vector<FleetViolation>& out) {
-  for (auto& [duty, spans] : by(history.held, &HeldSpan::duty)) {
+void check_spans(const FleetHistory& history, std::vector<FleetViolation>& out) {
+  for (auto& [lease, spans] : by(history.held, &HeldSpan::lease)) {
     std::stable_sort(spans.begin(), spans.end(),
                      [](const HeldSpan& a, const HeldSpan& b) { return a.from < b.from; });
     const HeldSpan* longest = nullptr;  // of those so far, the one that ends last
@@ -27,23 +27,23 @@
     for (const HeldSpan& s : spans) {
       if (longest && s.from < longest->until && (s.epoch != longest->epoch || s.holder != longest->holder))
         out.push_back({"one_holder", fmt::format("{}: {} under {} from {:.3f} while {} under {} until {:.3f}",
-                                                 duty, s.holder, s.epoch, s.from, longest->holder,
+                                                 lease, s.holder, s.epoch, s.from, longest->holder,
                                                  longest->epoch, longest->until)});
       if (s.epoch <= highest)
         out.push_back(
-            {"epochs_grow", fmt::format("{}: {} took {} after {}", duty, s.holder, s.epoch, highest)});
+            {"epochs_grow", fmt::format("{}: {} took {} after {}", lease, s.holder, s.epoch, highest)});
       highest = std::max(highest, s.epoch);
       if (!longest || s.until > longest->until) longest = &s;
     }
   }
 }
 
-void judge_acts(const FleetHistory& history, std::vector<FleetViolation>& out) {
+void check_acts(const FleetHistory& history, std::vector<FleetViolation>& out) {
   std::map<std::pair<std::string, std::string>, uint64_t> highest;
   for (const TakenAct& a : history.acts) {
-    uint64_t& h = highest[{a.duty, a.receiver}];
+    uint64_t& h = highest[{a.lease, a.receiver}];
     if (a.epoch < h)
-      out.push_back({"acts_in_order", fmt::format("{}: {} took an act of {} after one of {}", a.duty,
+      out.push_back({"acts_in_order", fmt::format("{}: {} took an act of {} after one of {}", a.lease,
                                                   a.receiver, a.epoch, h)});
     h = std::max(h, a.epoch);
   }
@@ -52,25 +52,25 @@
 // On one register that is changed by compare-and-set each operation tells its place: the version that it made
 // or read. They can be put in one order exactly where each version was made once, on top of the one before,
 // and no operation that ended before another began has a later place.
-void judge_ops(const FleetHistory& history, std::vector<FleetViolation>& out) {
+void check_ops(const FleetHistory& history, std::vector<FleetViolation>& out) {
   for (auto& [key, ops] : by(history.ops, &RecordOp::key)) {
-    const auto breach = [&, k = key](std::string text) {
+    const auto report_violation = [&, k = key](std::string text) {
       out.push_back({"linearizable", k + ": " + std::move(text)});
     };
     std::map<uint64_t, uint64_t> made;  // the change of each version
     for (const RecordOp& op : ops) {
       const auto [at, first] = made.emplace(op.version, op.id);
       if (!first && at->second != op.id)
-        breach(fmt::format("version {} is {:x} and {:x}", op.version, at->second, op.id));
+        report_violation(fmt::format("version {} is {:x} and {:x}", op.version, at->second, op.id));
     }
     std::map<uint64_t, uint64_t> changes;
     for (const RecordOp& op : ops) {
       if (op.kind != RecordOp::Kind::kChange) continue;
       const auto before = made.find(op.version - 1);
       if (before != made.end() && before->second != op.on)
-        breach(fmt::format("version {} was to build on {:x} and stands on {:x}", op.version, op.on,
-                           before->second));
-      if (op.version == 1 && op.on != 0) breach("the first version was to build on another");
+        report_violation(fmt::format("version {} was to build on {:x} and stands on {:x}", op.version, op.on,
+                                     before->second));
+      if (op.version == 1 && op.on != 0) report_violation("the first version was to build on another");
     }
     // In the order of their ends: the highest place that had ended when each began.
     std::vector<const RecordOp*> ended, asked;
@@ -86,18 +86,18 @@
         place = std::max(place, ended[next]->version);
       const bool change = op->kind == RecordOp::Kind::kChange;
       if (op->version < place || (change && op->version == place && place > 0))
-        breach(fmt::format("{} asked at {:.3f} has place {} after {} had ended",
-                           change ? "a change" : "a reading", op->asked, op->version, place));
+        report_violation(fmt::format("{} asked at {:.3f} has place {} after {} had ended",
+                                     change ? "a change" : "a reading", op->asked, op->version, place));
     }
   }
 }
 
 }  // namespace
 
-std::vector<FleetViolation> judge(const FleetHistory& history) {
+std::vector<FleetViolation> check_invariants(const FleetHistory& history) {
   std::vector<FleetViolation> out;
-  judge_spans(history, out);
-  judge_acts(history, out);
+  check_spans(history, out);
+  check_acts(history, out);
   for (const auto& [name, all] : by(history.begun, &Begun::name))
     if (all.size() > 1)
       out.push_back(
@@ -109,7 +109,7 @@
           if (!fields.count(field))
             out.push_back({"compatible", fmt::format("{} at {:.3f}: version {} has no {}, which {} reads",
                                                      b.name, b.at, version, field, subscriber)});
-  judge_ops(history, out);
+  check_ops(history, out);
   return out;
 }
 
@@ -137,8 +137,8 @@
 void read_spans(const std::string& holder, const std::string& log, FleetHistory& into) {
   std::map<std::string, HeldSpan> open;
   std::istringstream lines(log);
-  const auto close = [&](const std::string& duty) {
-    const auto at = open.find(duty);
+  const auto close = [&](const std::string& lease) {
+    const auto at = open.find(lease);
     if (at == open.end()) return;
     into.held.push_back(at->second);
     open.erase(at);
@@ -152,17 +152,17 @@
       return at != d.MemberEnd() && at->value.IsString() ? at->value.GetString() : "";
     };
     const auto number = [&](const char* name) { return std::strtod(text(name).c_str(), nullptr); };
-    const std::string event = text("event"), duty = text("duty");
-    if (!event.starts_with("duty.") || duty.empty()) continue;
+    const std::string event = text("event"), lease = text("duty");
+    if (!event.starts_with("duty.") || lease.empty()) continue;
     const uint64_t epoch = std::strtoull(text("epoch").c_str(), nullptr, 10);
     if (event == "duty.taken") {
-      close(duty);
-      open[duty] = {duty, holder, epoch, number("at_ms"), number("until_ms")};
-    } else if (const auto at = open.find(duty); at != open.end() && at->second.epoch == epoch) {
+      close(lease);
+      open[lease] = {lease, holder, epoch, number("at_ms"), number("until_ms")};
+    } else if (const auto at = open.find(lease); at != open.end() && at->second.epoch == epoch) {
       if (event == "duty.renewed") at->second.until = number("until_ms");
       if (event == "duty.left" || event == "duty.lost") {
         at->second.until = std::min(at->second.until, number("at_ms"));
-        close(duty);
+        close(lease);
       }
     }
   }
--- a/src/simulation/judge.h
+++ b/src/simulation/invariant_checker.h
@@ -1,10 +1,10 @@
-// Judges what many gateways did together, from their histories alone. It knows nothing of how the record,
-// the duties or the merges work and shares no line with them; times are those of one clock that all histories
+// Checks what many gateways did together, from their histories alone. It knows nothing of how the record,
+// the leases or the merges work and shares no line with them; times are those of one clock that all histories
 // were taken with.
 //
 // Rules, by the names that a verdict gives:
-//  one_holder    never two that may act for one duty at one moment
-//  epochs_grow   each new holder of a duty has a greater epoch than all before
+//  one_holder    never two that may act for one lease at one moment
+//  epochs_grow   each new holder of a lease has a greater epoch than all before
 //  acts_in_order whoever receives acts takes none of an older epoch than one it has taken
 //  once          a named load is begun at most once
 //  compatible    every version of a bulletin that is published has each field that a declaration of that
@@ -23,13 +23,13 @@
 namespace firvalve::simulation {
 
 struct HeldSpan {  // a gateway may act
-  std::string duty, holder;
+  std::string lease, holder;
   uint64_t epoch = 0;
   Ms from = 0, until = 0;
 };
 
 struct TakenAct {  // at whoever receives it, in the order of time
-  std::string duty, receiver;
+  std::string lease, receiver;
   uint64_t epoch = 0;
   Ms at = 0;
 };
@@ -68,7 +68,7 @@
   std::string rule, text;
 };
 
-std::vector<FleetViolation> judge(const FleetHistory& history);
+std::vector<FleetViolation> check_invariants(const FleetHistory& history);
 
 // Reads the logs of processes, JSON a line: `duty.taken`, `duty.renewed`, `duty.left` and `duty.lost` with
 // `duty`, `epoch`, `at_ms` and, of the first two, `until_ms`, into spans. Lines of other events are passed
--- a/src/simulation/run.cpp
+++ b/src/simulation/run.cpp
@@ -157,7 +157,7 @@
       if (words[0] < 0 || words[1] < 0 || words[2] < 0 || engines < 1 ||
           words[2] + engines > o->options.engines) {
         std::fprintf(stderr,
-                     "firvalve-lab run: a trouble before the start, or of engines that there are not\n");
+                     "firvalve-loadtest run: a trouble before the start, or of engines that there are not\n");
         exit_code = 2;
         return false;
       }
--- a/src/simulation/run.h
+++ b/src/simulation/run.h
@@ -1,4 +1,4 @@
-// `firvalve-lab run`: a world in virtual time, told on the line.
+// `firvalve-loadtest run`: a world in virtual time, told on the line.
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 
 #include "core/core.h"
-#include "simulation/queue.h"
+#include "simulation/event_queue.h"
 
 namespace firvalve::simulation {
 namespace {
@@ -93,7 +93,7 @@
   void arrive(uint32_t gateway);
   void ask(uint32_t gateway, Command command);
   void ask_again(uint32_t gateway, uint64_t repeat);
-  void repeat_later(uint32_t gateway, const Command& command, Happening::Kind kind);
+  void repeat_later(uint32_t gateway, const Command& command, HistoryEvent::Kind kind);
   void turn(uint32_t gateway);
   void start(uint64_t attempt);
   void stop(uint64_t attempt);
@@ -126,8 +126,8 @@
     return std::exponential_distribution<double>(rate_factor_ * options_.rate / 1000 /
                                                  options_.gateways)(chance_);
   }
-  void note(Happening h);
-  void finish(uint32_t gateway, CallRef call, Happening::Kind kind);
+  void note(HistoryEvent h);
+  void finish(uint32_t gateway, CallRef call, HistoryEvent::Kind kind);
   double busy() const;
   std::string zone_of(uint32_t engine) const;
   NamedEngineInfo listing_of(uint32_t engine, uint32_t id) const;
@@ -176,10 +176,12 @@
     text.ends_with("trusted again") ? ejected.erase(engine) : ejected.insert(engine).second;
   }
   void answer(CallRef call, std::string_view) override {
-    world.finish(number, call, Happening::Kind::kAnswered);
+    world.finish(number, call, HistoryEvent::Kind::kAnswered);
+  }
+  void shed(CallRef call, Ms) override { world.finish(number, call, HistoryEvent::Kind::kRefused); }
+  void fail(CallRef call, std::string_view) override {
+    world.finish(number, call, HistoryEvent::Kind::kFailed);
   }
-  void shed(CallRef call, Ms) override { world.finish(number, call, Happening::Kind::kRefused); }
-  void fail(CallRef call, std::string_view) override { world.finish(number, call, Happening::Kind::kFailed); }
   void answer_paged(CallRef, ResultHandle) override {}
 
   void start(Ms, const AttemptRequest& order) override {
@@ -197,8 +199,8 @@
     a.threads = world.options_.profiles[static_cast<size_t>(command.profile)].threads;
     ++world.outcome_.attempts;
     ++world.this_second().attempts;
-    Happening h;
-    h.kind = Happening::Kind::kSent;
+    HistoryEvent h;
+    h.kind = HistoryEvent::Kind::kSent;
     h.gateway = number;
     h.command = a.command;
     h.send = attempt;
@@ -272,8 +274,8 @@
     for (uint32_t i = 0; i < engines_.size(); ++i) {
       gateways_[g]->place[engines_[i].id] = i;
       all.push_back(listing_of(i, engines_[i].id));
-      Happening h;
-      h.kind = Happening::Kind::kTold;
+      HistoryEvent h;
+      h.kind = HistoryEvent::Kind::kTold;
       h.gateway = g;
       h.engine = engines_[i].id - 1;
       note(h);
@@ -329,7 +331,7 @@
   return a;
 }
 
-void World::note(Happening h) {
+void World::note(HistoryEvent h) {
   h.at = now_;
   const uint64_t parts[] = {
       outcome_.hash, static_cast<uint64_t>(h.at * 1e6),      static_cast<uint64_t>(h.kind), h.command,
@@ -391,8 +393,8 @@
   commands_[number] = command;
   ++outcome_.commands;
   ++outcome_.profiles[static_cast<size_t>(command.profile)].asked;
-  Happening h;
-  h.kind = Happening::Kind::kTaken;
+  HistoryEvent h;
+  h.kind = HistoryEvent::Kind::kTaken;
   h.gateway = g;
   h.command = number;
   h.profile = static_cast<int16_t>(command.profile);
@@ -408,7 +410,7 @@
   asked.estimate = profile.estimated ? std::min(command.work * guess, profile.timeout) : 0;
   asked.memory_mb = 10;
   if (gateway.core.admit(now_, call, std::move(asked)) != AdmissionResult::kTaken)
-    finish(g, call, Happening::Kind::kFailed);
+    finish(g, call, HistoryEvent::Kind::kFailed);
 }
 
 void World::ask_again(uint32_t g, uint64_t repeat) {
@@ -419,12 +421,12 @@
   ask(g, command);
 }
 
-void World::repeat_later(uint32_t g, const Command& command, Happening::Kind kind) {
+void World::repeat_later(uint32_t g, const Command& command, HistoryEvent::Kind kind) {
   const ClientRetryOptions& retries = options_.client_retries;
   if (!command.may_repeat || command.asks > retries.most) return;
   const bool is_replayable =
       options_.profiles[static_cast<size_t>(command.profile)].effect == RunRules::Effect::kReplayable;
-  if (kind == Happening::Kind::kFailed && !is_replayable) return;
+  if (kind == HistoryEvent::Kind::kFailed && !is_replayable) return;
   const Ms backoff = retries.first_backoff * std::ldexp(1.0, command.asks - 1);
   const uint64_t repeat = ++last_repeat_;
   repeats_[repeat] = command;
@@ -433,7 +435,7 @@
          std::uniform_real_distribution<double>(backoff / 2, backoff)(chance_));
 }
 
-void World::finish(uint32_t g, CallRef call, Happening::Kind kind) {
+void World::finish(uint32_t g, CallRef call, HistoryEvent::Kind kind) {
   Gateway& gateway = *gateways_[g];
   const auto at = gateway.calls.find(call);
   if (at == gateway.calls.end()) return;
@@ -444,19 +446,19 @@
   const WorldProfile& profile = options_.profiles[static_cast<size_t>(command.profile)];
   const Ms target = profile.target + profile.target_stretch * command.work / profile.threads;
   const Ms took = now_ - command.at;
-  if (kind == Happening::Kind::kAnswered) {
+  if (kind == HistoryEvent::Kind::kAnswered) {
     out.latency.add(took);
     (took <= target ? out.in_target : out.late) += 1;
     WorldSecond& first = second_at(command.first_at);
     first.served += 1;
     first.in_target += now_ - command.first_at <= target;
   } else {
-    (kind == Happening::Kind::kRefused ? out.shed : out.failed) += 1;
+    (kind == HistoryEvent::Kind::kRefused ? out.shed : out.failed) += 1;
     ++shed_;
     shed_idle_ += busy() < 0.5;
     repeat_later(g, command, kind);
   }
-  Happening h;
+  HistoryEvent h;
   h.kind = kind;
   h.gateway = g;
   h.command = number;
@@ -564,15 +566,15 @@
   second.timed_out += outcome == Outcome::kTimedOut;
   second.cancelled += outcome == Outcome::kCancelled;
   second.answered += outcome == Outcome::kOk;
-  Happening h;
-  h.kind = Happening::Kind::kSendOver;
+  HistoryEvent h;
+  h.kind = HistoryEvent::Kind::kSendOver;
   h.gateway = a.gateway;
   h.command = a.command;
   h.send = attempt;
-  h.how = outcome == Outcome::kOk ? Happening::How::kDone
+  h.how = outcome == Outcome::kOk ? HistoryEvent::How::kDone
           : outcome == Outcome::kConnectFailed || outcome == Outcome::kFull || outcome == Outcome::kMoot
-              ? Happening::How::kNeverRan
-              : Happening::How::kMayHaveRun;
+              ? HistoryEvent::How::kNeverRan
+              : HistoryEvent::How::kMayHaveRun;
   note(h);
   Gateway& gateway = *gateways_[a.gateway];
   gateway.by_send.erase(a.of_gateway);
@@ -703,11 +705,11 @@
     gateway.place[id] = engine;
   else
     gateway.ejected.erase(l.name);
-  Happening h;
-  h.kind = Happening::Kind::kTold;
+  HistoryEvent h;
+  h.kind = HistoryEvent::Kind::kTold;
   h.gateway = g;
   h.engine = id - 1;
-  h.state = listed ? Happening::State::kServing : Happening::State::kDeleted;
+  h.state = listed ? HistoryEvent::State::kServing : HistoryEvent::State::kDeleted;
   note(h);
   gateway.core.roster(now_, false, {l});
 }
@@ -849,7 +851,7 @@
   now_ = end;
   close_seconds();
   outcome_.idle_shed = shed_ == 0 ? 0 : static_cast<double>(shed_idle_) / static_cast<double>(shed_);
-  if (options_.keep_history) outcome_.verdict = judge(rules_, history_, end);
+  if (options_.keep_history) outcome_.verdict = check_history(rules_, history_, end);
   return std::move(outcome_);
 }
 
--- a/src/simulation/world.h
+++ b/src/simulation/world.h
@@ -28,10 +28,10 @@
 #include <string>
 #include <vector>
 
-#include "simulation/checker.h"
 #include "simulation/engine_model.h"
 #include "simulation/histogram.h"
 #include "simulation/history.h"
+#include "simulation/history_checker.h"
 
 namespace firvalve::simulation {
 
@@ -123,7 +123,7 @@
   std::vector<std::string> names;
   std::vector<WorldSecond> timeline;
   uint64_t commands = 0, attempts = 0, events = 0;
-  uint64_t hash = 0;  // of every happening, in order
+  uint64_t hash = 0;  // of every event, in order
   double idle_shed =
       0;            // share of what was shed or failed while half of the engines' cores or more were idle
   Verdict verdict;  // of no history: empty
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -1,6 +1,6 @@
 // Several processes of the program, with faults between them and in them. Each test is named after its
-// failure, and each ends before the judge, who knows nothing of the program's code: never two that may act
-// for one duty, epochs that only grow, a named load begun once at most.
+// failure, and each ends before the invariant checker, which knows nothing of the program's code: never two
+// that may act for one duty, epochs that only grow, a named load begun once at most.
 #include <Poco/Net/StreamSocket.h>
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 #include "client/client.h"
 #include "cluster/wire.h"
 #include "fakes/load_clients.h"
-#include "simulation/judge.h"
+#include "simulation/invariant_checker.h"
 #include "soon.h"
 
 namespace firvalve {
@@ -37,7 +37,7 @@
     simulation::FleetHistory history;
     for (size_t i = 0; i < crowd_->size(); ++i)
       simulation::read_spans(fmt::format("g{}", i), crowd_->log(i), history);
-    for (const simulation::FleetViolation& b : simulation::judge(history))
+    for (const simulation::FleetViolation& b : simulation::check_invariants(history))
       ADD_FAILURE() << b.rule << ": " << b.text;
     EXPECT_GT(history.held.size(), 0u);
     for (const auto& [statement, most] : once_)
@@ -429,13 +429,13 @@
     }
     return *c;
   }
-  // What stands, as any gateway tells it, before the judge.
+  // What stands, as any gateway tells it, before the invariant checker.
   std::string stands(size_t gateway) {
     const client::Result r = at(gateway).ask("bulletin", "cabins", "{}", 8000).wait();
     EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.why;
     simulation::FleetHistory h;
     h.bulletins.push_back(simulation::read_agreed("cabins", 0, r.rows));
-    for (const simulation::FleetViolation& b : simulation::judge(h))
+    for (const simulation::FleetViolation& b : simulation::check_invariants(h))
       ADD_FAILURE() << b.rule << ": " << b.text;
     return r.rows;
   }
--- a/tests/cluster/world_test.cpp
+++ b/tests/cluster/world_test.cpp
@@ -1,4 +1,5 @@
-// The fleet in virtual time, with drawn faults, under the judge; and the judge under is_injected faults.
+// The fleet in virtual time, with drawn faults, under the invariant checker; and the checker under
+// is_injected faults.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,12 +27,12 @@
 
 std::string told(const FleetOutcome& out) {
   std::string all;
-  for (const FleetViolation& b : out.breaches) all += b.rule + ": " + b.text + "\n";
+  for (const FleetViolation& b : out.violations) all += b.rule + ": " + b.text + "\n";
   return all;
 }
 
 bool breaks(const FleetOutcome& out, const std::string& rule) {
-  return std::any_of(out.breaches.begin(), out.breaches.end(),
+  return std::any_of(out.violations.begin(), out.violations.end(),
                      [&](const FleetViolation& b) { return b.rule == rule; });
 }
 
@@ -96,7 +97,7 @@
   EXPECT_EQ(told(out), "");
   EXPECT_EQ(out.unheld_at_end, 0u);
   for (const HeldSpan& s : out.history.held)
-    EXPECT_FALSE(s.from < 8000 && s.until > 8000 + o.lease && s.until <= 14000) << s.duty;
+    EXPECT_FALSE(s.from < 8000 && s.until > 8000 + o.lease && s.until <= 14000) << s.lease;
 }
 
 TEST(FleetWorld, AThousandGatewaysAndAMajorityThatComesAndGoes) {
@@ -112,7 +113,7 @@
   EXPECT_GE(out.taken, 10u);
 }
 
-// Each flaw, is_injected into the real machines, is found by the judge on some of a few seeds.
+// Each flaw, is_injected into the real machines, is found by the invariant checker on some of a few seeds.
 class Planted : public testing::TestWithParam<std::pair<InjectedBug, const char*>> {};
 
 TEST_P(Planted, IsFound) {
@@ -170,7 +171,7 @@
   EXPECT_LE(cut.span, o.span);
 }
 
-TEST(Judge, FindsEachBreachAndNothingInAGoodHistory) {
+TEST(InvariantChecker, FindsEachViolationAndNothingInAGoodHistory) {
   FleetHistory h;
   h.held = {{"d", "a", 1, 0, 100}, {"d", "b", 2, 101, 200}, {"e", "b", 1, 50, 150}};
   h.acts = {{"d", "r", 1, 10}, {"d", "r", 2, 110}, {"e", "r", 1, 120}};
@@ -182,11 +183,11 @@
   h.ops = {{Kind::kChange, "k", 0, 5, 1, 11, 0},
            {Kind::kRead, "k", 3, 6, 0, 0, 0},
            {Kind::kChange, "k", 6, 9, 2, 12, 11}};
-  EXPECT_TRUE(judge(h).empty());
+  EXPECT_TRUE(check_invariants(h).empty());
   const auto rule = [&](auto change) {
     FleetHistory bad = h;
     change(bad);
-    const auto all = judge(bad);
+    const auto all = check_invariants(bad);
     return all.empty() ? std::string() : all.front().rule;
   };
   EXPECT_EQ(rule([](FleetHistory& b) { b.held[1].from = 99; }), "one_holder");
@@ -207,7 +208,7 @@
             "linearizable");
 }
 
-TEST(Judge, ReadsSpansFromTheLogsOfProcesses) {
+TEST(InvariantChecker, ReadsSpansFromTheLogsOfProcesses) {
   FleetHistory h;
   read_spans("a",
              "not json\n"
--- a/tests/loadtest/capacity_test.cpp
+++ b/tests/loadtest/capacity_test.cpp
@@ -214,13 +214,13 @@
   const BreakingSize breaking = breaking_size(check, sample_file());
   EXPECT_EQ(breaking.kind, BreakingSize::Kind::kAt);
   EXPECT_NEAR(breaking.gateways, 500, 6);
-  EXPECT_EQ(judge(check, sample_file(), FleetSize{}).is_kept, false);
+  EXPECT_EQ(evaluate_check(check, sample_file(), FleetSize{}).is_kept, false);
 }
 
 TEST(CostModel, WhatWasNotMeasuredIsNotKnown) {
   const Check& check = check_of("a keeper lost: until served as before");
   EXPECT_EQ(breaking_size(check, sample_file()).kind, BreakingSize::Kind::kUnknown);
-  EXPECT_FALSE(judge(check, sample_file(), FleetSize{}).is_kept);
+  EXPECT_FALSE(evaluate_check(check, sample_file(), FleetSize{}).is_kept);
 }
 
 TEST(Troubles, ClientsOfALostZoneGoToTheOthers) {
@@ -274,7 +274,7 @@
   const std::string folder = std::string(FIRVALVE_SOURCE) + "/docs/";
   const std::string page = read_text_file(folder + "CAPACITY.md");
   EXPECT_EQ(page, fill_page(page, read_capacity_file(folder + "capacity.json")))
-      << "firvalve-lab scale --page docs/CAPACITY.md prints the tables anew";
+      << "firvalve-loadtest scale --page docs/CAPACITY.md prints the tables anew";
 }
 
 TEST(CapacityPage, TheFileIsWrittenAsItIsRead) {
--- a/tests/loadtest/scale_command_test.cpp
+++ b/tests/loadtest/scale_command_test.cpp
@@ -1,4 +1,4 @@
-// The program `firvalve-lab scale`: what it refuses, and that Ctrl-C ends all that it started.
+// The program `firvalve-loadtest scale`: what it refuses, and that Ctrl-C ends all that it started.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -17,7 +17,7 @@
 namespace firvalve {
 namespace {
 
-constexpr const char* kProgram = FIRVALVE_BINARIES "/firvalve-lab";
+constexpr const char* kProgram = FIRVALVE_BINARIES "/firvalve-loadtest";
 
 struct Ended {
   int exit_code = -1;
@@ -63,7 +63,7 @@
 const std::string kCapacity = std::string("--capacity ") + FIRVALVE_SOURCE + "/docs/capacity.json ";
 
 TEST(ScaleCommand, SizesThatCannotBeAreRefusedInOneLine) {
-  const std::string prefix = "firvalve-lab scale: ";
+  const std::string prefix = "firvalve-loadtest scale: ";
   expect_refused("--gateways 0", 2, prefix + "--gateways: 0 is not more than zero");
   expect_refused("--part gateway --engines 5000", 2,
                  prefix + "--engines: 5000 is past what one machine measures, 4096");
@@ -79,14 +79,14 @@
   const ScratchFolder folder;
   const std::string path = folder.file("capacity.json");
   std::ofstream(path) << "{\n  \"planned\": {\n    \"gateways\": \"many\"\n  }\n}\n";
-  const std::string fault = "firvalve-lab scale: " + path + ": line 3: \"gateways\" is not a number";
+  const std::string fault = "firvalve-loadtest scale: " + path + ": line 3: \"gateways\" is not a number";
   expect_refused("--predict --capacity " + path, 1, fault);
   expect_refused("--part gateway --merge-into " + path, 1, fault);
   expect_refused(
       "--quick --merge-into " + path, 2,
-      "firvalve-lab scale: --quick gives no figures to plan with: --merge-into takes none of them");
+      "firvalve-loadtest scale: --quick gives no figures to plan with: --merge-into takes none of them");
   expect_refused("--page " + folder.file("none.md") + " " + kCapacity, 1,
-                 "firvalve-lab scale: " + folder.file("none.md") + ": cannot be read");
+                 "firvalve-loadtest scale: " + folder.file("none.md") + ": cannot be read");
 }
 
 TEST(ScaleCommand, APredictionPrintsTheTablesOfAnotherFleet) {
@@ -131,7 +131,7 @@
     ::kill(process_, SIGINT);
     std::string last;
     for (std::string line = next_line(); !line.empty(); line = next_line()) last = line;
-    EXPECT_EQ(last, "firvalve-lab scale: interrupted, nothing was written\n");
+    EXPECT_EQ(last, "firvalve-loadtest scale: interrupted, nothing was written\n");
     int status = 0;
     ::waitpid(process_, &status, 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
--- a/tests/loadtest/scale_control_test.cpp
+++ b/tests/loadtest/scale_control_test.cpp
@@ -13,7 +13,7 @@
 #include "fakes/fake_deployment.h"
 #include "fakes/fault_proxy.h"
 #include "fakes/process.h"
-#include "loadtest/hollow_fleet.h"
+#include "loadtest/simulated_fleet.h"
 #include "simulation/fleet_world.h"
 #include "soon.h"
 
@@ -22,7 +22,7 @@
 
 constexpr Ms kSettleMost = 60000;
 
-// What comes to a gateway that holds no duty in ten seconds of virtual time, once the fleet has settled.
+// What comes to a gateway that holds no lease in ten seconds of virtual time, once the fleet has settled.
 simulation::FleetHeard heard_at_rest(uint32_t gateways) {
   simulation::FleetOptions options;
   options.gateways = gateways;
@@ -61,14 +61,14 @@
 // Bytes that the bus wrote for an update, its word of each second left out.
 uint64_t bytes_of_update(int engines, bool whole) {
   constexpr size_t kGateways = 16;
-  HollowFleetOptions options;
+  SimulatedFleetOptions options;
   options.gateways = kGateways;
   options.keepers = 0;
   options.engines = engines;
-  HollowFleet fleet(options);
+  SimulatedFleet fleet(options);
   fleet.wait_settled(kSettleMost);
   fleet.announce(engine_listings(0, whole ? engines : 1, "DRAINING"), whole);
-  HollowFleet::Snapshot now;
+  SimulatedFleet::Snapshot now;
   EXPECT_TRUE(soon([&] {
     now = fleet.snapshot();
     return std::all_of(now.gateways.begin(), now.gateways.end(),
@@ -89,7 +89,8 @@
   EXPECT_GT(bytes_of_update(400, true), 100 * of_many);
 }
 
-// A subject that joins three keepers, holds a duty and follows a bus; a program of its own or a hollow one.
+// A subject that joins three keepers, holds a lease and follows a bus; a program of its own or a simulated
+// one.
 class Subject {
  public:
   virtual ~Subject() = default;
@@ -114,19 +115,19 @@
 constexpr size_t kKeepers = 3, kSubject = 3;
 constexpr uint64_t kVersions = 3;  // the subject's claim and two renewals
 
-HollowGatewayOptions gateway_at(const Addresses& at, size_t i) {
-  HollowGatewayOptions options;
+SimulatedGatewayOptions gateway_at(const Addresses& at, size_t i) {
+  SimulatedGatewayOptions options;
   options.address = at.real[i];
   options.reached_at = at.name[i];
   options.site = "here";
   options.keepers.assign(at.name.begin(), at.name.begin() + kKeepers);
-  options.lease = 1000;
+  options.lease_ms = 1000;
   return options;
 }
 
-class HollowAgainstReal : public testing::Test {
+class SimulatedAgainstReal : public testing::Test {
  protected:
-  HollowAgainstReal() {
+  SimulatedAgainstReal() {
     const std::vector<std::string> free = fakes::free_addresses(10);
     at_.real.assign(free.begin(), free.begin() + 4);
     at_.name.assign(free.begin() + 4, free.begin() + 8);
@@ -147,9 +148,9 @@
     };
     for (size_t i = 0; i <= kSubject; ++i) between->stand_before(at_.real[i], at_.name[i]);
     auto bus = std::make_unique<fakes::FakeEventBus>(host, 1, at_.bus);
-    std::vector<std::unique_ptr<HollowGateway>> keepers;
+    std::vector<std::unique_ptr<SimulatedGateway>> keepers;
     for (size_t i = 0; i < kKeepers; ++i) {
-      keepers.push_back(std::make_unique<HollowGateway>(gateway_at(at_, i)));
+      keepers.push_back(std::make_unique<SimulatedGateway>(gateway_at(at_, i)));
       keepers.back()->start();
     }
     {
@@ -187,7 +188,7 @@
 
 struct RealGateway {
   RealGateway(const Addresses& at, const fakes::FakeDeployment& engines)
-      : file(testing::TempDir() + "hollow_real.json5") {
+      : file(testing::TempDir() + "simulated_real.json5") {
     std::ofstream(file) << fmt::format(
         R"({{"fleet":{{"on":true,"site":"here","listen":"{}","reached_at":"{}","keepers":["{}"],)"
         R"("lease_ms":1000,"duties":["trial:a"]}}}})",
@@ -202,30 +203,30 @@
   std::optional<fakes::Process> process;
 };
 
-TEST_F(HollowAgainstReal, TheSameBytesForTheSameEvents) {
-  const Subject hollow = play([&] {
-    HollowGatewayOptions options = gateway_at(at_, kSubject);
-    options.duties = {"trial:a"};
+TEST_F(SimulatedAgainstReal, TheSameBytesForTheSameEvents) {
+  const Subject simulated = play([&] {
+    SimulatedGatewayOptions options = gateway_at(at_, kSubject);
+    options.leases = {"trial:a"};
     options.bus = at_.bus;
     options.known_list = fakes::topology(1, true, engine_listings(0, 2));
-    auto gateway = std::make_unique<HollowGateway>(options);
+    auto gateway = std::make_unique<SimulatedGateway>(options);
     gateway->start();
     return gateway;
   });
   const fakes::FakeDeployment engines(2);
   const Subject real = play([&] { return std::make_unique<RealGateway>(at_, engines); });
 
-  EXPECT_EQ(hollow.asked_from, real.asked_from);
-  EXPECT_EQ(hollow.bus_lines, real.bus_lines);
-  EXPECT_EQ(hollow.bus_bytes, real.bus_bytes);
+  EXPECT_EQ(simulated.asked_from, real.asked_from);
+  EXPECT_EQ(simulated.bus_lines, real.bus_lines);
+  EXPECT_EQ(simulated.bus_bytes, real.bus_bytes);
   using consensus::MessageType;
   for (uint64_t version = 1; version <= kVersions; ++version) {
     const Subject::Kind accept{MessageType::kAccept, "trial:a", version, false};
-    ASSERT_EQ(hollow.sizes.count(accept), 1u) << version;
+    ASSERT_EQ(simulated.sizes.count(accept), 1u) << version;
     ASSERT_EQ(real.sizes.count(accept), 1u) << version;
   }
   size_t compared = 0;
-  for (const auto& [kind, sizes] : hollow.sizes) {
+  for (const auto& [kind, sizes] : simulated.sizes) {
     const auto same = real.sizes.find(kind);
     if (same == real.sizes.end()) continue;  // it went together with another this time
     ++compared;
@@ -236,17 +237,17 @@
   EXPECT_GE(compared, 3 + kVersions);
 }
 
-std::string refusal(const HollowFleetOptions& options) {
+std::string refusal(const SimulatedFleetOptions& options) {
   try {
-    HollowFleet fleet(options);
+    SimulatedFleet fleet(options);
   } catch (const ScaleError& error) {
     return error.what();
   }
   return "none";
 }
 
-HollowFleetOptions fleet_of(int gateways, int keepers) {
-  HollowFleetOptions options;
+SimulatedFleetOptions fleet_of(int gateways, int keepers) {
+  SimulatedFleetOptions options;
   options.gateways = gateways;
   options.keepers = keepers;
   return options;
@@ -255,10 +256,10 @@
 TEST(ScaleControl, SizesThatContradictOneAnotherAreRefused) {
   EXPECT_EQ(refusal(fleet_of(0, 0)), "a fleet of no gateways");
   EXPECT_EQ(refusal(fleet_of(4, 5)), "5 keepers of 4 gateways");
-  HollowFleetOptions zones = fleet_of(4, 3);
+  SimulatedFleetOptions zones = fleet_of(4, 3);
   zones.zones = 5;
   EXPECT_EQ(refusal(zones), "5 zones for 4 gateways");
-  HollowFleetOptions processes = fleet_of(1000, 3);
+  SimulatedFleetOptions processes = fleet_of(1000, 3);
   processes.gateways_per_process = 1;
   EXPECT_EQ(refusal(processes), "1005 processes, more than 290");
 }
@@ -274,7 +275,7 @@
 
 TEST(ScaleControl, AChildThatDiesIsToldAndNothingIsLeftRunning) {
   {
-    HollowFleet fleet(fleet_of(8, 3));
+    SimulatedFleet fleet(fleet_of(8, 3));
     ::kill(fleet.process(0).id(), SIGKILL);
     EXPECT_THROW(fleet.snapshot(), ScaleError);
   }
--- a/tests/loadtest/scale_loss_test.cpp
+++ b/tests/loadtest/scale_loss_test.cpp
@@ -17,12 +17,12 @@
 class LossTest : public testing::Test {
  protected:
   LossTest() : fleet_(std::make_unique<LossFleet>(LossFleetOptions{kSmall, 6, 1000, 1}, kQuiet)) {}
-  // Each duty is held by one gateway that is up, every gateway knows it, and no rule was ever broken.
+  // Each lease is held by one gateway that is up, every gateway knows it, and no rule was ever broken.
   void expect_whole() {
     EXPECT_TRUE(fleet_->is_served(fleet_->gateways_up(), fleet_->holders_up(), 0));
     EXPECT_EQ(fleet_->gateways_up().size(), 12u);
-    for (const simulation::FleetViolation& breach : fleet_->breaches())
-      ADD_FAILURE() << breach.rule << ": " << breach.text;
+    for (const simulation::FleetViolation& violation : fleet_->violations())
+      ADD_FAILURE() << violation.rule << ": " << violation.text;
   }
   LossResult lose(LossKind kind) { return try_loss(*fleet_, kind, kTimes, kQuiet); }
 
@@ -32,7 +32,7 @@
 TEST_F(LossTest, HolderKilledIsFollowedByOneThatIsLeft) {
   const LossResult result = lose(LossKind::kHolder);
   EXPECT_EQ(result.members_lost, 1u);
-  EXPECT_GE(result.duties_lost, 1u);
+  EXPECT_GE(result.leases_lost, 1u);
   expect_whole();
 }
 
@@ -114,10 +114,10 @@
   EXPECT_EQ(error_of(only_zone), "the zone lost is the only one");
   only_zone.losses = {"region"};
   EXPECT_EQ(error_of(only_zone), "one region cannot be cut apart");
-  ScaleOptions no_duty;
-  no_duty.gateways = {24};
-  no_duty.duties = 0;
-  EXPECT_EQ(error_of(no_duty), "no duty that could be lost");
+  ScaleOptions no_lease;
+  no_lease.gateways = {24};
+  no_lease.leases = 0;
+  EXPECT_EQ(error_of(no_lease), "no lease that could be lost");
 }
 
 TEST(ClientLoss, AllCallsEndAtTheGatewaysThatAreLeft) {
--- a/tests/simulation/lab_test.cpp
+++ b/tests/simulation/lab_test.cpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "simulation/checker.h"
+#include "simulation/event_queue.h"
 #include "simulation/histogram.h"
-#include "simulation/queue.h"
+#include "simulation/history_checker.h"
 #include "simulation/search.h"
 
 namespace firvalve::simulation {
@@ -102,11 +102,11 @@
   EXPECT_EQ(search.broke(), 0);
 }
 
-// ---- The rules, and a is_injected breach of each ----------------------------------------------------
+// ---- The rules, and a is_injected violation of each ----------------------------------------------------
 
-using Kind = Happening::Kind;
-using State = Happening::State;
-using How = Happening::How;
+using Kind = HistoryEvent::Kind;
+using State = HistoryEvent::State;
+using How = HistoryEvent::How;
 
 struct Rules : testing::Test {
   RunRules rules = [] {
@@ -125,8 +125,8 @@
   Rules() {
     for (uint32_t e = 0; e < 3; ++e) add(0, Kind::kTold).engine = e;
   }
-  Happening& add(Ms at, Kind kind, uint64_t command = 0) {
-    Happening h;
+  HistoryEvent& add(Ms at, Kind kind, uint64_t command = 0) {
+    HistoryEvent h;
     h.at = at;
     h.kind = kind;
     h.command = command;
@@ -134,27 +134,27 @@
     return history.back();
   }
   void take(Ms at, uint64_t command, int profile = 0, uint64_t key = 0) {
-    Happening& h = add(at, Kind::kTaken, command);
+    HistoryEvent& h = add(at, Kind::kTaken, command);
     h.profile = static_cast<int16_t>(profile);
     h.until = at + 4000;
     h.key = key;
   }
   uint64_t send(Ms at, uint64_t command, uint32_t engine = 0) {
-    Happening& h = add(at, Kind::kSent, command);
+    HistoryEvent& h = add(at, Kind::kSent, command);
     h.engine = engine;
     h.send = ++last_send;
     return last_send;
   }
   void over(Ms at, uint64_t send, How how) {
-    Happening& h = add(at, Kind::kSendOver);
+    HistoryEvent& h = add(at, Kind::kSendOver);
     h.send = send;
     h.how = how;
   }
   uint64_t broken(Rule rule, Ms end = 10000) {
-    return judge(rules, history, end).counts[static_cast<size_t>(rule)];
+    return check_history(rules, history, end).counts[static_cast<size_t>(rule)];
   }
   void expect_only(Rule rule, Ms end = 10000) {
-    const Verdict v = judge(rules, history, end);
+    const Verdict v = check_history(rules, history, end);
     for (size_t i = 0; i < kRules; ++i)
       EXPECT_EQ(v.counts[i] > 0, i == static_cast<size_t>(rule)) << name_of(static_cast<Rule>(i)) << "\n"
                                                                  << v.text();
@@ -171,7 +171,7 @@
   add(60, Kind::kRefused, 2);
   take(70, 3);
   add(80, Kind::kGone, 3);
-  const Verdict v = judge(rules, history, 10000);
+  const Verdict v = check_history(rules, history, 10000);
   EXPECT_TRUE(v.good()) << v.text();
   EXPECT_EQ(v.commands, 3u);
 }
@@ -232,7 +232,7 @@
 
 TEST_F(Rules, SentToWhatDrainsPastTheGrace) {
   take(0, 1);
-  Happening& told = add(100, Kind::kTold);
+  HistoryEvent& told = add(100, Kind::kTold);
   told.engine = 0;
   told.state = State::kDraining;
   over(599, send(590, 1), How::kNeverRan);
