--- a/tests/compatibility/stored_data_test.cpp
+++ b/tests/compatibility/stored_data_test.cpp
@@ -478,7 +478,7 @@
   EXPECT_EQ(file.fleet.planned.client_connections, 6.5e6);
   EXPECT_EQ(file.fleet.planned.region_cuts_per_year, 4);
   EXPECT_EQ(file.fleet.assumed.keepers, 5);
-  EXPECT_EQ(file.fleet.assumed.duties, 20);
+  EXPECT_EQ(file.fleet.assumed.leases, 20);
   ASSERT_EQ(file.measurements.size(), 5u);
   const Measurement& linear = file.measurements[2];
   EXPECT_EQ(linear.name, "bus.control.bytes_out");
