--- a/src/policy/actions.cpp
+++ b/src/policy/actions.cpp
@@ -19,16 +19,19 @@
 }
 
 std::string engine_health_text(EngineId engine, EngineHealth health) {
-  const std::string name = "engine " + std::to_string(to_number(engine));
+  std::string text = "engine " + std::to_string(to_number(engine));
   switch (health) {
     case EngineHealth::kReinstated:
-      return name + ": reinstated";
+      text += ": reinstated";
+      break;
     case EngineHealth::kUnresponsive:
-      return name + ": ejected: unresponsive";
+      text += ": ejected: unresponsive";
+      break;
     case EngineHealth::kFailingOrSlow:
-      return name + ": ejected: failing or slow";
+      text += ": ejected: failing or slow";
+      break;
   }
-  return name;
+  return text;
 }
 
 }  // namespace firvalve
--- a/tests/policy/helpers.h
+++ b/tests/policy/helpers.h
@@ -24,7 +24,7 @@
   return id;
 }
 
-inline Profile profile(Effect effect, int threads = 1) {
+inline Profile make_profile(Effect effect, int threads = 1) {
   Profile made;
   made.benefit = 1;
   made.latency_target = span(1000);
--- /dev/null
+++ b/tests/policy/retry_test.cpp
@@ -0,0 +1,123 @@
+#include "policy/retry.h"
+
+#include "policy/admission_queue.h"
+#include "policy/helpers.h"
+#include "policy/reconciliation.h"
+
+namespace firvalve {
+namespace {
+
+// Rule 2, no effect twice, and rule 7, the retry budget.
+
+struct RetryAfterOutcome : testing::TestWithParam<std::tuple<Outcome, bool>> {};
+
+TEST_P(RetryAfterOutcome, NonReplayableIsRetriedOnlyIfItNeverRan) {
+  const auto [outcome, again] = GetParam();
+  State state = state_with(1, {make_profile(Effect::kNonReplayable)});
+  Command& command = add_command(state);
+  start_attempt(state, command, 0, at(0));
+  handle(state, at(100), attempt_finished(command, outcome));
+  EXPECT_EQ(may_attempt(state, command, state.engines[0], at(100)), again);
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    Table, RetryAfterOutcome,
+    testing::Values(std::tuple(Outcome::kFailed, false), std::tuple(Outcome::kQueueFull, true),
+                    std::tuple(Outcome::kTimedOut, false), std::tuple(Outcome::kConnectFailed, true),
+                    std::tuple(Outcome::kReset, false), std::tuple(Outcome::kCancelled, false),
+                    std::tuple(Outcome::kCancelledBeforeStart, true)));
+
+TEST(Retry, NonReplayableThatMayHaveRunFailsAndIsNotShed) {
+  State state = state_with(1, {make_profile(Effect::kNonReplayable)});
+  Command& command = add_command(state);
+  command.attempts = 1;
+  command.possible_run = PossibleRun{};
+  review_queue(state, at(100));
+  EXPECT_EQ(command.desired, DesiredState::kFailed);
+}
+
+TEST(Retry, DeduplicatedStaysInItsScopeAndWindow) {
+  Profile profile = make_profile(Effect::kDeduplicated);
+  profile.deduplication_scope = DeduplicationScope::kZone;
+  profile.deduplication_window = span(5000);
+  State state = state_with(2, {profile});
+  put_in_zone(state, 0, "a");
+  put_in_zone(state, 1, "b");
+  Command& command = add_command(state);
+  command.attempts = 1;
+  command.possible_run = PossibleRun{0, at(100)};
+  EXPECT_TRUE(may_attempt(state, command, state.engines[0], at(4000)));
+  EXPECT_FALSE(may_attempt(state, command, state.engines[1], at(4000)));
+  EXPECT_FALSE(may_attempt(state, command, state.engines[0], at(5050)));
+}
+
+// A refusal says that trying again is harmless: so it is while the engines will still recognize it then.
+TEST(Retry, DeduplicatedThatMayHaveRunIsShedEarlyInItsWindowAndFailsLater) {
+  Profile profile = make_profile(Effect::kDeduplicated);
+  profile.deduplication_window = span(4000);
+  for (const auto& [now, want] :
+       {std::pair<Ms, DesiredState>{1000, DesiredState::kShed}, {2500, DesiredState::kFailed}}) {
+    State state = state_with(1, {profile});
+    Command& command = add_command(state);
+    command.attempts = state.options.max_attempts;
+    command.possible_run = PossibleRun{0, at(100)};
+    review_queue(state, at(now));
+    EXPECT_EQ(command.desired, want) << now;
+  }
+}
+
+TEST(Retry, DeduplicatedPastItsWindowEndsAtOnce) {
+  Profile profile = make_profile(Effect::kDeduplicated);
+  profile.deduplication_window = span(1000);
+  State state = state_with(1, {profile});
+  Command& command = add_command(state);
+  command.attempts = 1;
+  command.possible_run = PossibleRun{0, at(100)};
+  review_queue(state, at(1000));
+  EXPECT_EQ(command.desired, DesiredState::kFailed);
+  command.desired = DesiredState::kInFlight;
+  command.attempt.state = AttemptState::kInFlight;
+  command.attempt.engine = command.desired_engine = 0;
+  EXPECT_TRUE(may_start_attempt(state, command.request.id, at(800)));
+  EXPECT_FALSE(may_start_attempt(state, command.request.id, at(1000)));  // its connection came up too late
+}
+
+TEST(Retry, OneAttemptAtATimeAndNoMoreThanAllowed) {
+  State state = state_with(1, {make_profile(Effect::kReplayable)});
+  Command& command = add_command(state);
+  start_attempt(state, command, 0, at(0));
+  EXPECT_FALSE(may_attempt(state, command, state.engines[0], at(10)));
+  command.attempt.state = AttemptState::kNone;
+  EXPECT_TRUE(may_attempt(state, command, state.engines[0], at(10)));
+  command.attempts = state.options.max_attempts;
+  EXPECT_FALSE(may_attempt(state, command, state.engines[0], at(10)));
+}
+
+TEST(RetryBudget, SlidesWithTheWindow) {
+  State state = state_with(1, {make_profile(Effect::kReplayable)});
+  state.options.retry_budget.is_limited = true;
+  state.options.retry_budget.allowance = 1;
+  state.options.retry_budget.share = 0.1;
+  state.options.retry_budget.window = span(5000);
+  for (int i = 0; i < 10; ++i) state.retry_budget.admitted.add(at(100));
+  EXPECT_TRUE(has_retry_budget(state, at(100)));
+  state.retry_budget.retries.add(at(100));
+  state.retry_budget.retries.add(at(200));
+  EXPECT_FALSE(has_retry_budget(state, at(5000)));  // 2 of 1 + 1
+  EXPECT_TRUE(has_retry_budget(state, at(5250)));   // all have slid out
+}
+
+TEST(RetryBudget, RetriesOfOneMomentCountForEachOther) {
+  State state = state_with(4, {make_profile(Effect::kReplayable)});
+  state.options.retry_budget.is_limited = true;
+  state.options.retry_budget.allowance = 1;
+  state.options.retry_budget.window = span(5000);
+  for (int i = 0; i < 3; ++i) add_command(state).attempts = 1;
+  review_queue(state, at(10));
+  Actions actions;
+  append_actions(state, at(10), actions);
+  EXPECT_EQ(count_of(actions, Action::Kind::kStartAttempt), 1);
+}
+
+}  // namespace
+}  // namespace firvalve
