--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/loadtest/hollow_gateway.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/hollow_gateway.h"
+#include "loadtest/hollow_gateway.h"
 
 #include <Poco/Exception.h>
 #include <fmt/format.h>
@@ -17,12 +17,12 @@
 #include "cluster/cluster_service.h"
 #include "config/operator_config.h"
 #include "core/settings.h"
-#include "lab/scale/parts.h"
+#include "loadtest/parts.h"
 #include "net/endpoint_watcher.h"
 #include "net/engine_connections.h"
 #include "net/waker.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 // As the program itself has them where its settings do not say otherwise (gateway/serve.cpp).
@@ -68,10 +68,10 @@
 
 class NoClients : public ResponseSink {
  public:
-  void answer(CallRef, std::string_view) override {}
-  void shed(CallRef, Ms) override {}
-  void fail(CallRef, std::string_view) override {}
-  void answer_paged(CallRef, ResultHandle) override {}
+  void answer(CallId, std::string_view) override {}
+  void shed(CallId, std::optional<Duration>) override {}
+  void fail(CallId, std::string_view) override {}
+  void answer_paged(CallId, ResultHandle) override {}
 };
 
 // As the program draws it: no two incarnations may share it.
@@ -97,7 +97,7 @@
         engines(loop, counters, {kConnectMost, kIdleClose}),
         fleet(make_fleet(options)),
         core(settings, options.seed, fleet ? static_cast<ResponseSink&>(*fleet) : no_clients, engines,
-             counters, [](const std::string&, const std::string&) {}) {
+             counters, [](const EngineHealthChange&) {}) {
     loop.limit(kDescriptorsMost, kBufferBytesMost);
     engines.serve(core);
     if (fleet) fleet->serve(core);
@@ -270,4 +270,4 @@
 
 HollowGatewayReport HollowGateway::report() { return running_ ? running_->report() : HollowGatewayReport{}; }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
