--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -215,7 +215,7 @@
   finish(command);
 }
 
-// As the policy has decided: it has been told of all there is to know.
+// As the policy has decided, so it gets no event of it.
 void Core::end_unserved(TimePoint now, PendingCommand& command, const Action& action) {
   const bool is_shed = action.kind == Action::Kind::kShedCommand;
   metrics_.add(is_shed ? "shed" : "failed", profile_name(command));
