--- a/bench/client_bench.cpp
+++ b/bench/client_bench.cpp
@@ -241,7 +241,7 @@
       }
       if (plain) return;
       library->close(2000);
-      sends += library->stats().sends;
+      sends += library->stats().attempts;
     });
   for (std::thread& t : threads) t.join();
   if (plain) sends = PlainClient::sends.load();
@@ -305,7 +305,7 @@
   Apart gateway(false);
   {
     client::Options o = options_for(gateway.address, 1);
-    o.links_most = 1;
+    o.max_connections = 1;
     client::Client client(o);
     std::atomic<int> ended = 0, answered = 0;
     const double before = cpu_ms();
@@ -359,13 +359,13 @@
 void run_memory(int calls) {
   Apart gateway(true);
   client::Options o = options_for(gateway.address, 1);
-  o.open_most = static_cast<size_t>(calls);
-  o.silence_ms = 600000;
+  o.max_open_calls = static_cast<size_t>(calls);
+  o.silence_timeout_ms = 600000;
   client::Client client(o);
   const double before = resident_mb();
   for (int i = 0; i < calls; ++i)
     client.send(lookup(std::string(100, 'x'), 60000), [](const client::Result&) {});
-  while (client.stats().sends < 128) ::usleep(1000);
+  while (client.stats().attempts < 128) ::usleep(1000);
   const double after = resident_mb();
   fmt::print("{} calls open: {:.1f} MB more than none, {:.0f} bytes a call\n", client.stats().open,
              after - before, 1e6 * (after - before) / calls);
--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -313,7 +313,7 @@
           R"("memory_mb": 32, "disk_mb": {}, "page_kb": 1000, "result_mb": 100, "lease_s": 3600, "folder": "{}")",
           2 * mb, data.path));
   client::Options options = at.options();
-  options.spread_ms = options.spread_most_ms = 0;  // the gateway's time, not the client's
+  options.spread_ms = options.max_spread_ms = 0;  // the gateway's time, not the client's
   client::Client client(options);
   const auto bytes = [&] {
     uintmax_t all = 0;
@@ -331,9 +331,9 @@
   at.process->start();
   fakes::Process::listens(at.address);
   const double listens = ms_since(start);
-  client::Pages pages(client, {at.address}, token, "", 2, {});
+  client::PageReader pages(client, {at.address}, token, "", 2, {});
   std::string rows;
-  const bool served = pages.next(rows) == client::Pages::Next::kPage;
+  const bool served = pages.next(rows) == client::PageReader::Next::kPage;
   fmt::print("{:.0f} MB of segments: it listens after {:.0f} ms, the first page is {} after {:.0f} ms\n",
              bytes(), listens, served ? "served" : "not served", ms_since(start));
 }
--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -94,11 +94,11 @@
       std::move(done));
 }
 
-Handle Client::ask(const std::string& method, const std::string& bulletin, const std::string& params,
-                   double timeout_ms, Callback done) {
-  auto named = proto::with_bulletin(bulletin, params, timeout_ms);
+Handle Client::ask_about_topic(const std::string& method, const std::string& topic, const std::string& params,
+                               double timeout_ms, Callback done) {
+  auto named = proto::with_bulletin(topic, params, timeout_ms);
   if (!named) throw std::invalid_argument("params are no JSON object");
-  if (!proto::is_bulletin_method(method)) throw std::invalid_argument("no such method about bulletins");
+  if (!proto::is_bulletin_method(method)) throw std::invalid_argument("no such method about topics");
   return submit(
       {method, method, timeout_ms, 0, 0, Effect::kReplayable, false, {}, {}},
       [&](CallState& state) {
--- a/src/client/driver.cpp
+++ b/src/client/driver.cpp
@@ -43,7 +43,7 @@
     const std::lock_guard lock(mutex_);
     if (is_closed_) {
       reason = "the client is closed";
-    } else if (open_calls_ >= options_.open_most) {
+    } else if (open_calls_ >= options_.max_open_calls) {
       reason = "too many open calls";
       ++refused_at_submit_;
     } else {
@@ -109,7 +109,7 @@
   Stats stats = stats_;
   stats.calls += refused_at_submit_;
   stats.refused += refused_at_submit_;
-  stats.stopped_here += refused_at_submit_;
+  stats.refused_unsent += refused_at_submit_;
   stats.open = open_calls_;
   return stats;
 }
@@ -216,16 +216,16 @@
   stats_.unknown = from.unknown;
   stats_.expired = from.expired;
   stats_.cancelled = from.cancelled;
-  stats_.stopped_here = from.refused_unsent;
-  stats_.sends = from.attempts;
-  stats_.repeats = from.retries;
-  stats_.crossings = from.crossing_retries;
+  stats_.refused_unsent = from.refused_unsent;
+  stats_.attempts = from.attempts;
+  stats_.retries = from.retries;
+  stats_.crossing_retries = from.crossing_retries;
   stats_.revoked = from.revoked;
   stats_.late_answers = from.late_answers;
   stats_.connects = from.connects;
   stats_.connects_failed = from.connects_failed;
   stats_.reconnects = from.reconnects;
-  stats_.links_lost = from.connections_lost;
+  stats_.connections_lost = from.connections_lost;
   stats_.outages = from.outages;
 }
 
@@ -303,7 +303,7 @@
   result.rows = std::move(message.rows);
   result.token = std::move(message.token);
   result.pages = message.pages;
-  result.all_rows = message.all_rows;
+  result.total_rows = message.all_rows;
   result.gone = message.code == proto::kRpcGone;
   result.no_such_page = message.code == proto::kRpcNoSuchPage;
   return true;
@@ -313,7 +313,7 @@
 
 void Driver::carry_out(const Connect& action) {
   Connection& connection =
-      connections_.try_emplace(action.connection, poll_set_, options_.answer_most).first->second;
+      connections_.try_emplace(action.connection, poll_set_, options_.max_answer_bytes).first->second;
   if (connection.connect(addresses_[action.gateway]))
     by_descriptor_[*connection.descriptor()] = action.connection;
   else
@@ -344,7 +344,7 @@
   } else {
     proto::append_command(out, {action.request, command.profile, command.statement, action.attempt_id,
                                 action.first_attempt_id, to_ms(action.timeout), command.estimate_ms,
-                                command.memory_mb, command.paged, command.key, command.merge});
+                                command.memory_mb, command.paged, command.key, command.run_once_key});
   }
 }
 
@@ -381,9 +381,9 @@
   if (action.gateway) result.gateway = options_.gateways[*action.gateway];
   result.may_have_run = action.may_have_run;
   result.cancelled = action.was_cancelled;
-  result.sends = action.attempts;
+  result.attempts = action.attempts;
   result.took_ms = to_ms(MonotonicClock::now() - call->submitted_at);
-  result.come_back_ms = to_ms(action.retry_after.value_or(Duration(0)));
+  result.retry_after_ms = to_ms(action.retry_after.value_or(Duration(0)));
   if (result.outcome != Outcome::kAnswered) result.why = action.reason;
   const bool has_callback = static_cast<bool>(call->callback);
   end_call_state(*call, std::move(result));
--- a/src/client/page_reader.cpp
+++ b/src/client/page_reader.cpp
@@ -1,4 +1,4 @@
-// Pages: reads a stored result to its end.
+// PageReader: reads a stored result to its end.
 #include <algorithm>
 #include <stdexcept>
 #include <thread>
@@ -9,13 +9,13 @@
 namespace firvalve::client {
 namespace {
 
-constexpr int kMaxAhead = 32;  // pages
+constexpr int kMaxPrefetchPages = 32;  // pages
 constexpr double kMinRestMs = 20,
                  kMaxRestMs = 1000;  // after a page that failed, before it is asked for again
 
 }  // namespace
 
-Pages::Pages(Client& client, const Result& result, std::string key, Options options)
+PageReader::PageReader(Client& client, const Result& result, std::string key, Options options)
     : client_(client),
       gateways_{result.gateway},
       token_(result.token),
@@ -26,8 +26,8 @@
       pages_(result.token.empty() ? 1 : result.pages),
       asked_(1) {}
 
-Pages::Pages(Client& client, std::vector<std::string> gateways, std::string token, std::string key,
-             uint64_t from, Options options)
+PageReader::PageReader(Client& client, std::vector<std::string> gateways, std::string token, std::string key,
+                       uint64_t from, Options options)
     : client_(client),
       gateways_(std::move(gateways)),
       token_(std::move(token)),
@@ -38,46 +38,47 @@
   if (gateways_.empty()) throw std::invalid_argument("no gateway to ask for pages");
 }
 
-Pages::~Pages() {
-  for (Handle& handle : ahead_) handle.cancel();
+PageReader::~PageReader() {
+  for (Handle& handle : prefetched_) handle.cancel();
 }
 
 // Until the number of pages is known, one is asked for at a time.
-void Pages::ask_ahead() {
-  const auto ahead = static_cast<size_t>(std::clamp(options_.ahead, 0, kMaxAhead));
-  while (ahead_.size() < (pages_ == 0 ? 1 : ahead + 1) && (pages_ == 0 || asked_ < pages_))
-    ahead_.push_back(client_.page(gateways_[gateway_], token_, ++asked_, options_.page_timeout_ms, key_));
+void PageReader::prefetch() {
+  const auto prefetch_pages = static_cast<size_t>(std::clamp(options_.prefetch_pages, 0, kMaxPrefetchPages));
+  while (prefetched_.size() < (pages_ == 0 ? 1 : prefetch_pages + 1) && (pages_ == 0 || asked_ < pages_))
+    prefetched_.push_back(
+        client_.page(gateways_[gateway_], token_, ++asked_, options_.page_timeout_ms, key_));
 }
 
-void Pages::cancel_ahead() {
-  for (Handle& handle : ahead_) handle.cancel();
-  ahead_.clear();
+void PageReader::cancel_prefetched() {
+  for (Handle& handle : prefetched_) handle.cancel();
+  prefetched_.clear();
   asked_ = at_;
 }
 
-Pages::Next Pages::next(std::string& rows) {
+PageReader::Next PageReader::next(std::string& rows) {
   if (has_first_) {
     has_first_ = false;
     at_ = 1;
     rows = std::move(first_);
-    if (!token_.empty()) ask_ahead();
+    if (!token_.empty()) prefetch();
     return Next::kPage;
   }
   const TimePoint give_up_at = MonotonicClock::now() + duration_of(options_.give_up_ms);
   for (;;) {
     if (pages_ > 0 && at_ >= pages_) return Next::kEnd;
-    ask_ahead();
-    const Result result = ahead_.front().wait();
+    prefetch();
+    const Result result = prefetched_.front().wait();
     if (result.outcome == Outcome::kAnswered) {
-      ahead_.erase(ahead_.begin());
+      prefetched_.erase(prefetched_.begin());
       ++at_;
       pages_ = result.pages;
       rows = result.rows;
-      ask_ahead();
+      prefetch();
       return Next::kPage;
     }
     if (result.no_such_page) return Next::kEnd;
-    cancel_ahead();
+    cancel_prefetched();
     if (result.gone) {
       // With the token alone it is not known which gateway has the result: each is asked once.
       if (pages_ > 0 || ++gone_at_ >= gateways_.size()) return Next::kGone;
@@ -86,14 +87,14 @@
     }
     if (MonotonicClock::now() > give_up_at) return Next::kFailed;
     // Only an attempt was lost. The rest keeps a gateway that refuses at once from being asked in a loop.
-    std::this_thread::sleep_for(duration_of(std::clamp(result.come_back_ms, kMinRestMs, kMaxRestMs)));
+    std::this_thread::sleep_for(duration_of(std::clamp(result.retry_after_ms, kMinRestMs, kMaxRestMs)));
   }
 }
 
-void Pages::release() {
+void PageReader::release() {
   if (token_.empty()) return;
-  for (Handle& handle : ahead_) handle.cancel();
-  ahead_.clear();
+  for (Handle& handle : prefetched_) handle.cancel();
+  prefetched_.clear();
   client_.page(gateways_[gateway_], token_, 0, options_.page_timeout_ms, key_).wait();
   pages_ = at_;
 }
--- a/src/client/ping.cpp
+++ b/src/client/ping.cpp
@@ -68,7 +68,7 @@
     if (reply.kind != proto::RpcReply::Kind::kHeartbeat) return "no heartbeat";
     ping_.answered = true;
     ping_.healthy = reply.healthy;
-    ping_.marks = reply.marks;
+    ping_.reads_retry_markers = reply.marks;
     return "";
   }
 
--- a/src/client/scheduler_actions.h
+++ b/src/client/scheduler_actions.h
@@ -1,4 +1,4 @@
-// What the request scheduler is told and what it asks for: its ids, events and actions.
+// The ids, events and actions of the request scheduler.
 #pragma once
 
 #include <cstddef>
--- a/src/client/validation.cpp
+++ b/src/client/validation.cpp
@@ -24,20 +24,20 @@
 
 void check(const Options& options) {
   require(!options.gateways.empty(), "gateways", "one HOST:PORT at least");
-  require(is_within(options.links_most, 1, 1000), "links_most", "1 to 1,000");
-  require(options.open_most >= 1, "open_most", "1 at least");
-  require(options.answer_most >= 1024, "answer_most", "1,024 bytes at least");
+  require(is_within(options.max_connections, 1, 1000), "max_connections", "1 to 1,000");
+  require(options.max_open_calls >= 1, "max_open_calls", "1 at least");
+  require(options.max_answer_bytes >= 1024, "max_answer_bytes", "1,024 bytes at least");
   require(is_within(options.retry_share, 0, 1), "retry_share", "0 to 1");
   require(is_within(options.retry_window_ms, 100, kMaxTimeoutMs), "retry_window_ms", "100 ms to a day");
-  require(is_within(options.sends_most, 1, 100), "sends_most", "1 to 100");
-  require(is_within(options.backoff_ms, 0, options.backoff_most_ms), "backoff_ms", "0 to backoff_most_ms");
-  require(is_within(options.backoff_most_ms, 0, kMaxTimeoutMs), "backoff_most_ms", "0 ms to a day");
-  require(is_within(options.holdoff_most_ms, 0, kMaxTimeoutMs), "holdoff_most_ms", "0 ms to a day");
-  require(is_within(options.spread_ms, 0, options.spread_most_ms), "spread_ms", "0 to spread_most_ms");
-  require(is_within(options.spread_most_ms, 0, kMaxTimeoutMs), "spread_most_ms", "0 ms to a day");
-  require(is_within(options.connect_ms, 1, kMaxTimeoutMs), "connect_ms", "1 ms to a day");
-  require(is_within(options.silence_ms, 1, kMaxTimeoutMs), "silence_ms", "1 ms to a day");
-  require(is_within(options.idle_ms, 1, kMaxTimeoutMs), "idle_ms", "1 ms to a day");
+  require(is_within(options.max_attempts, 1, 100), "max_attempts", "1 to 100");
+  require(is_within(options.backoff_ms, 0, options.max_backoff_ms), "backoff_ms", "0 to max_backoff_ms");
+  require(is_within(options.max_backoff_ms, 0, kMaxTimeoutMs), "max_backoff_ms", "0 ms to a day");
+  require(is_within(options.max_retry_after_ms, 0, kMaxTimeoutMs), "max_retry_after_ms", "0 ms to a day");
+  require(is_within(options.spread_ms, 0, options.max_spread_ms), "spread_ms", "0 to max_spread_ms");
+  require(is_within(options.max_spread_ms, 0, kMaxTimeoutMs), "max_spread_ms", "0 ms to a day");
+  require(is_within(options.connect_timeout_ms, 1, kMaxTimeoutMs), "connect_timeout_ms", "1 ms to a day");
+  require(is_within(options.silence_timeout_ms, 1, kMaxTimeoutMs), "silence_timeout_ms", "1 ms to a day");
+  require(is_within(options.idle_timeout_ms, 1, kMaxTimeoutMs), "idle_timeout_ms", "1 ms to a day");
 }
 
 void check(const Command& command) {
@@ -77,21 +77,21 @@
     std::random_device device;
     out.seed = (static_cast<uint64_t>(device()) << 32) | device();
   }
-  out.max_connections = options.links_most;
-  out.max_open_calls = options.open_most;
-  out.max_attempts = options.sends_most;
+  out.max_connections = options.max_connections;
+  out.max_open_calls = options.max_open_calls;
+  out.max_attempts = options.max_attempts;
   out.retry_share = options.retry_share;
   out.retry_window = duration_of(options.retry_window_ms);
   out.backoff = duration_of(options.backoff_ms);
-  out.max_backoff = duration_of(options.backoff_most_ms);
-  out.max_retry_after = duration_of(options.holdoff_most_ms);
-  out.connect_timeout = duration_of(options.connect_ms);
-  out.silence_timeout = duration_of(options.silence_ms);
-  out.idle_timeout = duration_of(options.idle_ms);
-  out.sends_retry_markers = options.marks;
+  out.max_backoff = duration_of(options.max_backoff_ms);
+  out.max_retry_after = duration_of(options.max_retry_after_ms);
+  out.connect_timeout = duration_of(options.connect_timeout_ms);
+  out.silence_timeout = duration_of(options.silence_timeout_ms);
+  out.idle_timeout = duration_of(options.idle_timeout_ms);
+  out.sends_retry_markers = options.send_retry_markers;
   out.outage.spread = duration_of(options.spread_ms);
-  out.outage.max_spread = duration_of(options.spread_most_ms);
-  out.outage.idle_close = duration_of(options.idle_ms);
+  out.outage.max_spread = duration_of(options.max_spread_ms);
+  out.outage.idle_close = duration_of(options.idle_timeout_ms);
   return out;
 }
 
--- a/src/gateway/call.cpp
+++ b/src/gateway/call.cpp
@@ -86,9 +86,9 @@
   count("calls", s.calls);
   for (size_t i = 0; i < tally.ends.size(); ++i)
     count(std::string(client::name_of(static_cast<Outcome>(i))).c_str(), tally.ends[i]);
-  count("sends", s.sends);
-  count("repeats", s.repeats + s.crossings);
-  count("stopped_here", s.stopped_here);
+  count("sends", s.attempts);
+  count("repeats", s.retries + s.crossing_retries);
+  count("stopped_here", s.refused_unsent);
   count("connects", s.connects);
   count("reconnects", s.reconnects);
   count("late_answers", s.late_answers);
@@ -110,13 +110,13 @@
   std::string line = fmt::format("firvalve call: {}", client::name_of(r.outcome));
   if (r.cancelled) line += ", cancelled";
   if (!r.why.empty()) line += ": " + r.why;
-  if (r.come_back_ms > 0) line += fmt::format("; come back in {:.0f} ms", r.come_back_ms);
+  if (r.retry_after_ms > 0) line += fmt::format("; come back in {:.0f} ms", r.retry_after_ms);
   if (r.outcome != Outcome::kRefused) line += r.may_have_run ? "; it may have run" : "; it did not run";
   std::fprintf(stderr, "%s\n", line.c_str());
 }
 
 // Reads pages into a file, or to standard output.
-int run_pages(const CallOptions& o, client::Pages& pages) {
+int run_pages(const CallOptions& o, client::PageReader& pages) {
   std::FILE* const file = o.out.empty() ? stdout : std::fopen(o.out.c_str(), o.from > 1 ? "ab" : "wb");
   if (!file) {
     std::fprintf(stderr, "firvalve call: %s cannot be written\n", o.out.c_str());
@@ -124,7 +124,7 @@
   }
   const bool progress = !o.quiet && ::isatty(STDERR_FILENO) && !o.out.empty();
   std::string rows;
-  using Next = client::Pages::Next;
+  using Next = client::PageReader::Next;
   Next next;
   while ((next = pages.next(rows)) == Next::kPage) {
     if (std::fwrite(rows.data(), 1, rows.size(), file) != rows.size()) {
@@ -153,7 +153,7 @@
 int run_paged(const CallOptions& o) {
   client::Client client(o.client);
   if (!o.resume.empty()) {
-    client::Pages pages(client, o.client.gateways, o.resume, o.command.key, o.from, {});
+    client::PageReader pages(client, o.client.gateways, o.resume, o.command.key, o.from, {});
     return run_pages(o, pages);
   }
   const client::Result r = client.call(o.command);
@@ -164,15 +164,15 @@
   if (!o.quiet && !r.token.empty())
     std::fprintf(stderr, "firvalve call: token %s at %s, %llu pages, %llu rows\n", r.token.c_str(),
                  r.gateway.c_str(), static_cast<unsigned long long>(r.pages),
-                 static_cast<unsigned long long>(r.all_rows));
-  client::Pages pages(client, r, o.command.key, {});
+                 static_cast<unsigned long long>(r.total_rows));
+  client::PageReader pages(client, r, o.command.key, {});
   return run_pages(o, pages);
 }
 
 int run_call(const CallOptions& o) {
   using Clock = std::chrono::steady_clock;
   client::Options options = o.client;
-  options.open_most = std::max<size_t>(options.open_most, 100000);
+  options.max_open_calls = std::max<size_t>(options.max_open_calls, 100000);
   options.log = [quiet = o.quiet](client::LogLevel, std::string_view line) {
     if (!quiet) std::fprintf(stderr, "firvalve call: %.*s\n", static_cast<int>(line.size()), line.data());
   };
@@ -228,7 +228,8 @@
   call->add_option("--count", o->count, "send it so many times")->check(CLI::Range(1, 100000000));
   call->add_option("--rate", o->rate, "so many a second, whether or not those before have ended")
       ->check(CLI::PositiveNumber);
-  call->add_option("--connections", o->client.links_most, "to each gateway, at most")->capture_default_str();
+  call->add_option("--connections", o->client.max_connections, "to each gateway, at most")
+      ->capture_default_str();
   call->add_option("--seed", o->client.seed, "of its random draws; 0: from the system");
   call->add_flag("--json", o->json, "one line of JSON on standard output in place of rows");
   call->add_flag("--quiet", o->quiet, "nothing on standard error");
@@ -239,14 +240,14 @@
   call->add_option("--resume", o->resume, "read on with this token; no statement is sent");
   call->add_option("--from", o->from, "with --resume: the first page; the file is added to from 2 on")
       ->check(CLI::Range(uint64_t{1}, uint64_t{1} << 40));
-  call->add_option("--merge", o->command.merge,
+  call->add_option("--merge", o->command.run_once_key,
                    "run it once under this name, however many gateways are asked (implies replayable)");
   call->add_option("statement", o->command.statement, "what is to be run");
   call->footer(
       "Exit: 0 answered, 2 usage, 3 refused (it never ran), 4 failed, 5 unknown (it may have run).\n"
       "With --count the worst of them.");
   call->callback([o, &exit_code] {
-    o->command.effect = o->effect == "replayable" || !o->command.merge.empty()
+    o->command.effect = o->effect == "replayable" || !o->command.run_once_key.empty()
                             ? client::Effect::kReplayable
                             : client::Effect::kNonReplayable;
     try {
@@ -273,7 +274,8 @@
       try {
         const client::Ping p = client::ping(gateway, o->timeout);
         const char* const state = !p.answered ? p.why.c_str() : p.healthy ? "healthy" : "not healthy";
-        std::printf("%s: %s, %.1f ms%s\n", gateway.c_str(), state, p.took_ms, p.marks ? ", reads marks" : "");
+        std::printf("%s: %s, %.1f ms%s\n", gateway.c_str(), state, p.took_ms,
+                    p.reads_retry_markers ? ", reads marks" : "");
         if (!p.healthy) exit_code = std::max(exit_code, kExitFailed);
       } catch (const std::invalid_argument& e) {
         std::fprintf(stderr, "firvalve ping: %s\n", e.what());
--- a/src/loadtest/command_load.cpp
+++ b/src/loadtest/command_load.cpp
@@ -20,15 +20,15 @@
 client::Options client_options(const std::string& gateway, int connections, uint64_t seed) {
   client::Options options;
   options.gateways = {gateway};
-  options.links_most = connections;
-  options.open_most = 100000;
+  options.max_connections = connections;
+  options.max_open_calls = 100000;
   options.seed = seed;
   // A stutter of this machine is no outage, and a refusal after it no reason to stay away: clients that send
   // nothing for seconds would be measured instead.
-  options.holdoff_most_ms = 0;
-  options.silence_ms = kSilenceMs;
+  options.max_retry_after_ms = 0;
+  options.silence_timeout_ms = kSilenceMs;
   options.spread_ms = kSpreadMs;
-  options.spread_most_ms = kSpreadMostMs;
+  options.max_spread_ms = kSpreadMostMs;
   return options;
 }
 
--- a/src/loadtest/load.cpp
+++ b/src/loadtest/load.cpp
@@ -71,7 +71,7 @@
     for (int i = 0; i < o.threads; ++i) {
       client::Options c = o.client;
       c.seed = c.seed ? c.seed + static_cast<uint64_t>(i) : 0;
-      c.open_most = 200000;
+      c.max_open_calls = 200000;
       clients_.push_back(std::make_unique<client::Client>(c));
     }
   }
@@ -228,7 +228,7 @@
 void add_load(CLI::App& app, int& exit_code) {
   auto o = std::make_shared<LoadOptions>();
   o->command.timeout_ms = 2000;
-  o->client.links_most = 8;
+  o->client.max_connections = 8;
   CLI::App* const load =
       app.add_subcommand("load", "Asks gateways at rising rates until service breaks, or in a closed loop");
   load->add_option("--gateway", o->client.gateways, "HOST:PORT, several with commas")
@@ -263,7 +263,7 @@
   load->add_option("--threads", o->threads, "clients, with a sender each")
       ->check(CLI::Range(1, 64))
       ->capture_default_str();
-  load->add_option("--connections", o->client.links_most, "of a client to each gateway")
+  load->add_option("--connections", o->client.max_connections, "of a client to each gateway")
       ->capture_default_str();
   load->add_option("--seed", o->client.seed, "of the clients' draws");
   load->add_flag("--json", o->json, "a line of JSON a step");
--- a/tests/client/client_gateway_test.cpp
+++ b/tests/client/client_gateway_test.cpp
@@ -25,7 +25,7 @@
     o.gateways = {address};
     o.seed = 5;
     o.retry_share = 1;
-    o.spread_ms = o.spread_most_ms = 300;
+    o.spread_ms = o.max_spread_ms = 300;
     return o;
   }
   static Command command(const char* profile, const std::string& statement, Effect effect) {
--- a/tests/client/client_test.cpp
+++ b/tests/client/client_test.cpp
@@ -27,7 +27,7 @@
     o.gateways = {gateway.address()};
     o.seed = 11;
     o.retry_share = 1;
-    o.spread_ms = o.spread_most_ms = 0;  // an outage costs these tests no time
+    o.spread_ms = o.max_spread_ms = 0;  // an outage costs these tests no time
     return o;
   }
   static Command lookup(const std::string& statement, double timeout = 10000) {
@@ -70,7 +70,7 @@
   gateway.kill();
   const Result r = client.call(load("insert 1", 300));
   EXPECT_FALSE(r.may_have_run);
-  EXPECT_EQ(r.sends, 0);
+  EXPECT_EQ(r.attempts, 0);
   gateway.come_back();
   EXPECT_EQ(client.call(load("insert 1")).outcome, Outcome::kAnswered);
   EXPECT_EQ(gateway.heard("insert 1"), 1);
@@ -85,9 +85,9 @@
   deaf.listen(8);
   Options o = options();
   o.gateways = {deaf.address().toString()};
-  o.links_most = 1;
-  o.sends_most = 1;
-  o.marks = false;
+  o.max_connections = 1;
+  o.max_attempts = 1;
+  o.send_retry_markers = false;
   Client client(o);
   std::atomic<int> unrun = 0, unknown = 0;
   for (int i = 0; i < 32; ++i)
@@ -96,7 +96,7 @@
     });
   Poco::Net::StreamSocket peer = deaf.acceptConnection();
   deaf.close();
-  ASSERT_TRUE(soon([&] { return client.stats().sends == 32; }));
+  ASSERT_TRUE(soon([&] { return client.stats().attempts == 32; }));
   peer.setLinger(true, 0);
   peer.close();
   EXPECT_TRUE(soon([&] { return unrun + unknown == 32; }));
@@ -113,7 +113,7 @@
   gateway.come_back();
   const Result r = handle.wait();
   EXPECT_EQ(r.outcome, Outcome::kAnswered);
-  EXPECT_EQ(r.sends, 2);
+  EXPECT_EQ(r.attempts, 2);
   const auto heard = gateway.heard();
   ASSERT_EQ(heard.size(), 2u);
   EXPECT_GE(heard[1].at - heard[0].at, 300);
@@ -124,8 +124,8 @@
   gateway.set_mute(true);
   Options o = options();
   o.gateways = {gateway.address(), other.address()};
-  o.silence_ms = 100;
-  o.spread_ms = o.spread_most_ms = 60000;
+  o.silence_timeout_ms = 100;
+  o.spread_ms = o.max_spread_ms = 60000;
   Client client(o);
   int calls = 0;
   EXPECT_TRUE(soon([&] {
@@ -159,21 +159,21 @@
 
 TEST_F(ClientTest, AdviceThatIsNoTimeIsNone) {
   Options o = options();
-  o.sends_most = 1;
+  o.max_attempts = 1;
   Client client(o);
   for (const char* holdoff : {"0", "-5", "\"x\"", "null", "true", "[1]"}) {
     const Result r = client.call(load(std::string("insert 1 /*! answer=shed holdoff=") + holdoff + " */"));
     EXPECT_EQ(r.outcome, Outcome::kRefused) << holdoff;
-    EXPECT_EQ(r.come_back_ms, 0) << holdoff;
+    EXPECT_EQ(r.retry_after_ms, 0) << holdoff;
   }
   const Result r = client.call(load("insert 1 /*! answer=shed holdoff=1e300 */"));
   EXPECT_EQ(r.outcome, Outcome::kRefused);
-  EXPECT_NEAR(r.come_back_ms, 30000, 100);
+  EXPECT_NEAR(r.retry_after_ms, 30000, 100);
 }
 
 TEST_F(ClientTest, AnAnswerCutAnywhereIsNoAnswer) {
   Options o = options();
-  o.marks = false;
+  o.send_retry_markers = false;
   Client client(o);
   int whole = 0;
   for (int at = 0; at < 400 && whole == 0; ++at) {
@@ -227,7 +227,7 @@
       client.send(lookup("select 1 /*! answer=none */"),
                   [&](const Result& r) { lookups += r.outcome == Outcome::kExpired && r.cancelled; });
       client.send(load("insert 1 /*! answer=none */"), [&](const Result& r) {
-        loads += r.cancelled && r.outcome == (r.sends > 0 ? Outcome::kUnknown : Outcome::kExpired);
+        loads += r.cancelled && r.outcome == (r.attempts > 0 ? Outcome::kUnknown : Outcome::kExpired);
       });
     }
     ASSERT_TRUE(soon([&] { return gateway.heard().size() >= 32; }));
@@ -271,8 +271,8 @@
   for (int i = 0; i < 100; ++i) {
     Options o = options();
     o.seed = static_cast<uint64_t>(i) + 1;
-    o.spread_ms = o.spread_most_ms = 1500;
-    o.silence_ms = 20000;
+    o.spread_ms = o.max_spread_ms = 1500;
+    o.silence_timeout_ms = 20000;
     clients.push_back(std::make_unique<Client>(o));
     handles.push_back(clients.back()->send(lookup("select " + std::to_string(i), 30000)));
   }
@@ -304,7 +304,7 @@
   refuses([](Options& o) { o.gateways = {":1"}; });
   refuses([](Options& o) { o.retry_share = 1.5; });
   refuses([](Options& o) { o.retry_share = std::nan(""); });
-  refuses([](Options& o) { o.links_most = 0; });
+  refuses([](Options& o) { o.max_connections = 0; });
   Client client(options());
   const auto rejects = [&](auto&& change) {
     Command c = lookup("select 1");
@@ -337,7 +337,7 @@
   gateway.set_healthy(false);
   gateway.set_marks(true);
   const Ping p = ping(gateway.address(), 5000);
-  EXPECT_TRUE(p.answered && !p.healthy && p.marks);
+  EXPECT_TRUE(p.answered && !p.healthy && p.reads_retry_markers);
   gateway.set_mute(true);
   EXPECT_FALSE(ping(gateway.address(), 50).answered);
   gateway.kill();
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -70,7 +70,7 @@
     c.profile = "load";
     c.statement = statement;
     c.timeout_ms = timeout;
-    c.merge = name;
+    c.run_once_key = name;
     return client.call(c);
   }
   std::future<client::Result> merge_soon(size_t gateway, const std::string& name,
@@ -431,7 +431,7 @@
   }
   // What stands, as any gateway tells it, before the judge.
   std::string stands(size_t gateway) {
-    const client::Result r = at(gateway).ask("bulletin", "cabins", "{}", 8000).wait();
+    const client::Result r = at(gateway).ask_about_topic("bulletin", "cabins", "{}", 8000).wait();
     EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.why;
     simulation::FleetHistory h;
     h.bulletins.push_back(simulation::read_agreed("cabins", 0, r.rows));
@@ -454,9 +454,9 @@
     if (first.empty()) first = r.rows;
     EXPECT_EQ(r.rows, first);
   }
-  EXPECT_THROW(at(0).ask("propose", "cabins", "[1]", 5000), std::invalid_argument);
+  EXPECT_THROW(at(0).ask_about_topic("propose", "cabins", "[1]", 5000), std::invalid_argument);
   const client::Result bad =
-      at(0).ask("propose", "cabins", R"({"schema":{"fields":[{"number":"x"}]}})", 5000).wait();
+      at(0).ask_about_topic("propose", "cabins", R"({"schema":{"fields":[{"number":"x"}]}})", 5000).wait();
   EXPECT_EQ(bad.outcome, client::Outcome::kFailed);
   EXPECT_EQ(bad.why, "schema.fields[0].number is no number from 0 up");
   EXPECT_GE(c.count("schema.refused"), c.size());
--- a/tests/compatibility/stored_data_test.cpp
+++ b/tests/compatibility/stored_data_test.cpp
@@ -307,7 +307,7 @@
     command.profile = "load";
     command.statement = statement;
     command.timeout_ms = 8000;
-    command.merge = name;
+    command.run_once_key = name;
     return client_->call(command);
   }
   bool logged(const std::string& text) const {
@@ -337,7 +337,7 @@
 }
 
 TEST_F(StoredFleet, ABulletinIsToldAndASchemaThatStandsKeepsItsVersion) {
-  const client::Result cabins_told = client_->ask("bulletin", "cabins", "{}", 8000).wait();
+  const client::Result cabins_told = client_->ask_about_topic("bulletin", "cabins", "{}", 8000).wait();
   EXPECT_EQ(cabins_told.outcome, client::Outcome::kAnswered) << cabins_told.why;
   EXPECT_NE(cabins_told.rows.find(schema::written(cabins()).substr(1)), std::string::npos)
       << cabins_told.rows;
--- a/tests/gateway/spool_gateway_test.cpp
+++ b/tests/gateway/spool_gateway_test.cpp
@@ -21,8 +21,8 @@
 namespace {
 
 using client::Outcome;
-using client::Pages;
-using Next = Pages::Next;
+using client::PageReader;
+using Next = PageReader::Next;
 
 struct SpoolGateway : testing::Test {
   std::string folder = [] {
@@ -50,7 +50,7 @@
     o.gateways = {address};
     o.seed = 3;
     o.retry_share = 1;
-    o.spread_ms = o.spread_most_ms = 100;
+    o.spread_ms = o.max_spread_ms = 100;
     client = std::make_unique<client::Client>(o);
   }
   std::string on_disk() const { return R"("folder": ")" + folder + R"(/spool")"; }
@@ -68,7 +68,7 @@
     return static_cast<int>(std::count(text.begin(), text.end(), '\n'));
   }
   // Reads to the end; gives how it ended and how many rows came.
-  static std::pair<Next, int> read_all(Pages& pages) {
+  static std::pair<Next, int> read_all(PageReader& pages) {
     std::string rows;
     int all = 0;
     for (;;) {
@@ -85,12 +85,12 @@
   ASSERT_EQ(r.outcome, Outcome::kAnswered);
   EXPECT_EQ(r.token.size(), 32u);
   EXPECT_EQ(r.pages, 20u);
-  EXPECT_EQ(r.all_rows, 60u);
+  EXPECT_EQ(r.total_rows, 60u);
   EXPECT_EQ(rows_in(r.rows), 3);
-  Pages pages(*client, r, "", {});
+  PageReader pages(*client, r, "", {});
   EXPECT_EQ(read_all(pages), std::pair(Next::kEnd, 60));
   pages.release();
-  Pages again(*client, {address}, r.token, "", 1, {});
+  PageReader again(*client, {address}, r.token, "", 1, {});
   EXPECT_EQ(read_all(again), std::pair(Next::kGone, 0));
 }
 
@@ -119,7 +119,7 @@
   std::sort(held.begin(), held.end());
   EXPECT_LT(held[held.size() * 99 / 100], 1000);
   for (const client::Result& r : results) {
-    Pages pages(*client, r, "", {});
+    PageReader pages(*client, r, "", {});
     EXPECT_EQ(read_all(pages), std::pair(Next::kEnd, 200));
   }
   EXPECT_EQ(fleet.runs_most(), 1);
@@ -129,7 +129,7 @@
   start(on_disk());
   const client::Result r = ask("select 1 /*! rows=3 pages=50 */");
   ASSERT_EQ(r.outcome, Outcome::kAnswered);
-  Pages pages(*client, r, "", {});
+  PageReader pages(*client, r, "", {});
   std::string rows;
   for (int i = 0; i < 10; ++i) ASSERT_EQ(pages.next(rows), Next::kPage);
   // What a killed process had handed to the system is there: wait until it has written all.
@@ -156,7 +156,7 @@
   process->start();
   ASSERT_TRUE(fakes::Process::listens(address));
   for (const std::string& token : tokens) {
-    Pages pages(*client, {address}, token, "", 1, {});
+    PageReader pages(*client, {address}, token, "", 1, {});
     EXPECT_EQ(read_all(pages), std::pair(Next::kEnd, 1000));
   }
 }
@@ -166,18 +166,18 @@
   const client::Result r = ask("select 1 /*! pages=20 */");
   process->stop(SIGTERM);
   process->start();
-  Pages pages(*client, {address}, r.token, "", 1, {});
+  PageReader pages(*client, {address}, r.token, "", 1, {});
   EXPECT_EQ(read_all(pages), std::pair(Next::kGone, 0));
 }
 
 TEST_F(SpoolGateway, ATokenOfAnotherClientOrOfNoneIsGone) {
   start("");
   const client::Result r = ask("select 1 /*! pages=3 */", "mine");
-  Pages theirs(*client, {address}, r.token, "yours", 1, {});
+  PageReader theirs(*client, {address}, r.token, "yours", 1, {});
   EXPECT_EQ(read_all(theirs), std::pair(Next::kGone, 0));
-  Pages wrong(*client, {address}, "abc", "", 1, {});
+  PageReader wrong(*client, {address}, "abc", "", 1, {});
   EXPECT_EQ(read_all(wrong), std::pair(Next::kGone, 0));
-  Pages mine(*client, r, "mine", {});
+  PageReader mine(*client, r, "mine", {});
   EXPECT_EQ(read_all(mine), std::pair(Next::kEnd, 3));
   EXPECT_EQ(client->page(address, r.token, uint64_t{1} << 63, 1000, "mine").wait().no_such_page, true);
 }
@@ -212,7 +212,7 @@
   start("");
   const client::Result r = ask("select 1 /*! rows=2 pages=5 spoil=half spoil-times=3 */");
   ASSERT_EQ(r.outcome, Outcome::kAnswered);
-  Pages pages(*client, r, "", {});
+  PageReader pages(*client, r, "", {});
   EXPECT_EQ(read_all(pages), std::pair(Next::kEnd, 10));
   EXPECT_EQ(fleet.runs_most(), 1);
 }
@@ -221,7 +221,7 @@
   start(R"("memory_mb": 0.3, "first_expected_kb": 5)");
   const client::Result few = ask("select 0 /*! rows=3 pages=2 */", "few");
   for (int i = 0; i < 200; ++i) ask("select " + std::to_string(i) + " /*! rows=20 pages=20 */", "many");
-  Pages pages(*client, few, "few", {});
+  PageReader pages(*client, few, "few", {});
   EXPECT_EQ(read_all(pages), std::pair(Next::kEnd, 6));
 }
 
