--- a/src/results/paged_result_store.cpp
+++ b/src/results/paged_result_store.cpp
@@ -32,13 +32,13 @@
     case RemovalReason::kReleased:
       return "results released";
     case RemovalReason::kLeaseExpired:
-      return "results whose lease was over";
+      return "results expired";
     case RemovalReason::kEvicted:
       return "results evicted";
     case RemovalReason::kTooLarge:
-      return "results outgrown";
+      return "results too large";
     case RemovalReason::kAbandoned:
-      return "results given up";
+      return "results abandoned";
   }
   return "results removed";
 }
@@ -109,7 +109,7 @@
       ++live_pages_[location.segment];
     }
     add_to_indexes(*id, result);
-    count_("results read back");
+    count_("results recovered");
   }
   delete_unused_segments();
 }
@@ -120,7 +120,7 @@
   const auto id = retention_.reserve(std::string(reservation.owner),
                                      size_estimator_.estimate_bytes(profile, reservation.table_group));
   if (!id) {
-    count_("places not had");
+    count_("result reservations rejected");
     return std::nullopt;
   }
   Result& result = results_[*id];
@@ -140,7 +140,7 @@
     const Result& result = results_.at(id);
     if (!result.is_complete || result.key_hash != hash_of_key(reservation.result_key)) continue;
     if (!retention_.renew_lease(now, id)) continue;
-    count_("results found by a repeat");
+    count_("results found by a retry");
     return id;
   }
   return std::nullopt;
@@ -199,7 +199,7 @@
   for (const Page& page : result.pages) size_bytes += page.size_bytes;
   size_estimator_.add_result(result.profile, result.table_group, size_bytes);
   retention_.complete(now, id);
-  count_("results kept");
+  count_("results completed");
   is_space_freed_ = true;  // the rest of its reservation
   write_manifest(now, id);
 }
@@ -268,7 +268,7 @@
   Result& result = results_.at(id);
   Page& page = result.pages[page_index];
   if (!retention_.reserve_disk(id, page.size_bytes)) {
-    count_("pages without room on disk");
+    count_("pages refused by a full disk budget");
     return;
   }
   page.is_in_storage = true;
@@ -312,7 +312,7 @@
 }
 
 void PagedResultStore::finish_write(const PendingWrite& write, const Storage::Completion& completion) {
-  if (!completion.succeeded) count_("pages not written");
+  if (!completion.succeeded) count_("page writes failed");
   const auto at = results_.find(write.id);
   if (at == results_.end() || at->second.attempt != write.attempt) return;
   Page& page = at->second.pages[write.page_index];
@@ -361,12 +361,12 @@
 void PagedResultStore::handle_memory_evicted(ResultId id) {
   for (Page& page : results_.at(id).pages)
     if (page.is_on_disk) std::string().swap(page.stored.bytes);
-  count_("results moved to disk alone");
+  count_("results evicted from memory");
 }
 
 // A corrupt page is never served, and without it the other pages are of no use.
 void PagedResultStore::handle_corrupt_page(ResultId id) {
-  count_("pages broken");
+  count_("pages corrupt");
   retention_.remove(id, RemovalReason::kEvicted);
 }
 
--- a/tests/results/paged_result_store_test.cpp
+++ b/tests/results/paged_result_store_test.cpp
@@ -155,7 +155,7 @@
   open(true);
   std::vector<PagedAnswer> all;
   for (unsigned i = 0; i < 10; ++i) all.push_back(store->answer_of(put({noise(4000, i)})));
-  EXPECT_GT(counts["results moved to disk alone"], 0);
+  EXPECT_GT(counts["results evicted from memory"], 0);
   EXPECT_EQ(counts["results evicted"], 0);
   for (unsigned i = 0; i < 10; ++i) EXPECT_EQ(read(all[i].token, 1), noise(4000, i)) << i;
 }
@@ -168,14 +168,14 @@
   EXPECT_EQ(read(all[0].token, 1), "gone");
   storage.spoil = false;
   EXPECT_EQ(read(all[0].token, 1), "gone");
-  EXPECT_EQ(counts["pages broken"], 1);
+  EXPECT_EQ(counts["pages corrupt"], 1);
 }
 
 TEST_F(ResultStoreTest, WithAFullDiskPagesStayInMemory) {
   open(true);
   storage.full = true;
   const PagedAnswer a = store->answer_of(put({"a\tb\tc\n"}));
-  EXPECT_EQ(counts["pages not written"], 1);
+  EXPECT_EQ(counts["page writes failed"], 1);
   EXPECT_EQ(read(a.token, 1), "a\tb\tc\n");
   EXPECT_EQ(store->retention().disk_bytes(), 0);
 }
