--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -319,7 +319,7 @@
     for (const auto& e : std::filesystem::directory_iterator(data.path)) all += e.file_size();
     return static_cast<double>(all) / 1e6;
   };
-  // Rows that hardly shrink are not to be had from the stand-in: many of them, then.
+  // Rows that hardly shrink are not to be had from the fake engine: many of them, then.
   std::string token;
   for (int i = 0; bytes() < mb && i < 20000; ++i)
     token =
--- a/src/fakes/fake_host.cpp
+++ b/src/fakes/fake_host.cpp
@@ -16,7 +16,7 @@
 
 FakeHost::FakeHost() {
   loop_.limit(1 << 20, size_t{1} << 30);
-  bell_ = std::make_unique<net::Waker>(loop_, [this] { run_posted(); });
+  waker_ = std::make_unique<net::Waker>(loop_, [this] { run_posted(); });
   loop_.on_turn = [this](Ms now) { return turn(now); };
   thread_ = std::thread([this] { loop_.run(); });
 }
@@ -29,7 +29,7 @@
 void FakeHost::post(std::function<void()> task) {
   const std::lock_guard lock(mutex_);
   posted_.push_back(std::move(task));
-  bell_->wake();
+  waker_->wake();
 }
 
 void FakeHost::do_now(const std::function<void()>& task) {
--- a/src/fakes/fake_host.h
+++ b/src/fakes/fake_host.h
@@ -39,7 +39,7 @@
   std::mutex mutex_;
   std::vector<std::function<void()>> posted_;
   std::multimap<Ms, std::function<void()>> timers_;
-  std::unique_ptr<net::Waker> bell_;
+  std::unique_ptr<net::Waker> waker_;
   std::thread thread_;
 };
 
@@ -65,7 +65,7 @@
   std::string address_;
 };
 
-// The connections of one stand-in: ended by themselves or all at once.
+// The connections of one fake: ended by themselves or all at once.
 template <class Connection>
 class Connections {
  public:
--- a/src/fakes/fault_proxy.cpp
+++ b/src/fakes/fault_proxy.cpp
@@ -11,15 +11,18 @@
 using Poco::Net::SocketAddress;
 using Poco::Net::StreamSocket;
 
-// One connection: of a gateway that dialled, and on to the one that it wanted.
-class FaultProxy::Passage {
+// The two connections that stand for one: from the gateway that dialled (near), to the one it dialled (far).
+class FaultProxy::ConnectionPair {
  public:
-  class Side : public net::Connection {
+  class Socket : public net::Connection {
    public:
-    Side(FaultProxy& between, uint64_t passage, bool forth, const StreamSocket& socket)
-        : Connection(between.host_.loop(), socket), between_(between), passage_(passage), forth_(forth) {}
-    Side(FaultProxy& between, uint64_t passage, bool forth, const SocketAddress& address)
-        : Connection(between.host_.loop(), address), between_(between), passage_(passage), forth_(forth) {}
+    Socket(FaultProxy& proxy, uint64_t pair_id, bool is_forward, const StreamSocket& socket)
+        : Connection(proxy.host_.loop(), socket), proxy_(proxy), pair_id_(pair_id), is_forward_(is_forward) {}
+    Socket(FaultProxy& proxy, uint64_t pair_id, bool is_forward, const SocketAddress& address)
+        : Connection(proxy.host_.loop(), address),
+          proxy_(proxy),
+          pair_id_(pair_id),
+          is_forward_(is_forward) {}
 
    protected:
     void on_bytes() override {
@@ -27,26 +30,26 @@
       for (;;) {
         const proto::Read read = frames_.next(inbox_, body);
         if (read == proto::Read::kMore) return;
-        if (read == proto::Read::kBroken) return between_.end(passage_);
+        if (read == proto::Read::kBroken) return proxy_.end_pair(pair_id_);
         std::string frame = "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
         frame.append(body.data(), body.size());
-        between_.carry(passage_, forth_, std::move(frame));
+        proxy_.forward(pair_id_, is_forward_, std::move(frame));
         if (!open()) return;
       }
     }
-    void on_end(End) override { between_.end(passage_); }
+    void on_end(End) override { proxy_.end_pair(pair_id_); }
 
    private:
-    FaultProxy& between_;
-    const uint64_t passage_;
-    const bool forth_;
+    FaultProxy& proxy_;
+    const uint64_t pair_id_;
+    const bool is_forward_;
     proto::RpcFrames frames_{cluster::kFrameMost};
   };
 
-  std::unique_ptr<Side> near, far;
+  std::unique_ptr<Socket> near, far;
   size_t to = 0, from = SIZE_MAX;
-  Ms last_forth = 0, last_back = 0;  // when the last frame was due
-  std::deque<std::string> held_forth, held_back;
+  Ms last_due_forward = 0, last_due_backward = 0;  // when the last frame was due
+  std::deque<std::string> held_forward, held_backward;
 };
 
 FaultProxy::FaultProxy(FakeHost& host, uint64_t seed)
@@ -55,123 +58,132 @@
 FaultProxy::~FaultProxy() {
   host_.do_now([this] {
     *alive_ = false;
-    doors_.clear();
-    while (!passages_.empty()) end(passages_.begin()->first);
+    routes_.clear();
+    while (!pairs_.empty()) end_pair(pairs_.begin()->first);
   });
 }
 
-double FaultProxy::part() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
+double FaultProxy::draw_fraction() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
 
 std::string FaultProxy::stand_before(const std::string& real, const std::string& address) {
   host_.do_now([&] {
-    const size_t number = doors_.size();
-    auto door = std::make_unique<Door>();
-    door->real = real;
-    door->listener = std::make_unique<Listener>(host_, [this, number](StreamSocket socket) {
-      const uint64_t id = ++last_;
-      auto passage = std::make_unique<Passage>();
-      passage->to = number;
-      passage->near = std::make_unique<Passage::Side>(*this, id, true, socket);
-      passage->far = std::make_unique<Passage::Side>(*this, id, false, SocketAddress(doors_[number]->real));
-      const bool refused = passage->far->refused();
-      passages_[id] = std::move(passage);
-      if (refused) end(id);
+    const size_t number = routes_.size();
+    auto route = std::make_unique<Route>();
+    route->real = real;
+    route->listener = std::make_unique<Listener>(host_, [this, number](StreamSocket socket) {
+      const uint64_t id = ++last_pair_id_;
+      auto pair = std::make_unique<ConnectionPair>();
+      pair->to = number;
+      pair->near = std::make_unique<ConnectionPair::Socket>(*this, id, true, socket);
+      pair->far =
+          std::make_unique<ConnectionPair::Socket>(*this, id, false, SocketAddress(routes_[number]->real));
+      const bool refused = pair->far->refused();
+      pairs_[id] = std::move(pair);
+      if (refused) end_pair(id);
     });
-    door->listener->listen(address);
-    door->address = address;
+    route->listener->listen(address);
+    route->address = address;
     names_[address] = number;
-    doors_.push_back(std::move(door));
+    routes_.push_back(std::move(route));
   });
   return address;
 }
 
-void FaultProxy::end(uint64_t id) {
-  const auto at = passages_.find(id);
-  if (at == passages_.end()) return;
+void FaultProxy::end_pair(uint64_t id) {
+  const auto at = pairs_.find(id);
+  if (at == pairs_.end()) return;
   at->second->near->abort();
   at->second->far->abort();
   host_.loop().bury(std::move(at->second->near));
   host_.loop().bury(std::move(at->second->far));
-  passages_.erase(at);
+  pairs_.erase(at);
 }
 
-void FaultProxy::write(uint64_t id, bool forth, const std::string& frame) {
-  const auto at = passages_.find(id);
-  if (at == passages_.end()) return;
-  Passage& p = *at->second;
-  const auto pair = forth ? std::pair(p.from, p.to) : std::pair(p.to, p.from);
-  if (options_[pair].silent) return;
-  ++passed_;
-  bytes_[pair] += frame.size();
-  if (on_frame) on_frame(pair.first, pair.second, frame);
-  (forth ? *p.far : *p.near).write(frame);
+void FaultProxy::deliver(uint64_t id, bool is_forward, const std::string& frame) {
+  const auto at = pairs_.find(id);
+  if (at == pairs_.end()) return;
+  ConnectionPair& pair = *at->second;
+  const auto direction = is_forward ? std::pair(pair.from, pair.to) : std::pair(pair.to, pair.from);
+  if (options_[direction].silent) return;
+  ++frames_passed_;
+  bytes_[direction] += frame.size();
+  if (on_frame) on_frame(direction.first, direction.second, frame);
+  (is_forward ? *pair.far : *pair.near).write(frame);
 }
 
-void FaultProxy::carry(uint64_t id, bool forth, std::string frame) {
-  const auto at = passages_.find(id);
-  if (at == passages_.end()) return;
-  Passage& p = *at->second;
-  if (p.from == SIZE_MAX && forth) {
-    const char* why = "";
-    const size_t head = frame.find("\r\n\r\n") + 4;
-    const auto read = cluster::read_frame({frame.data() + head, frame.size() - head}, why);
-    const auto name = read ? names_.find(read->from) : names_.end();
-    if (name != names_.end()) p.from = name->second;
-  }
-  Options& options = options_[forth ? std::pair(p.from, p.to) : std::pair(p.to, p.from)];
-  if (options.cut) return end(id);
+// A gateway that dials names itself in its first frame.
+void FaultProxy::identify_dialer(ConnectionPair& pair, const std::string& frame) {
+  const char* why = "";
+  const size_t head = frame.find("\r\n\r\n") + 4;
+  const auto read = cluster::read_frame({frame.data() + head, frame.size() - head}, why);
+  const auto name = read ? names_.find(read->from) : names_.end();
+  if (name != names_.end()) pair.from = name->second;
+}
+
+void FaultProxy::forward(uint64_t id, bool is_forward, std::string frame) {
+  const auto at = pairs_.find(id);
+  if (at == pairs_.end()) return;
+  ConnectionPair& pair = *at->second;
+  if (pair.from == SIZE_MAX && is_forward) identify_dialer(pair, frame);
+  Options& options = options_[is_forward ? std::pair(pair.from, pair.to) : std::pair(pair.to, pair.from)];
+  if (options.cut) return end_pair(id);
   if (options.torn) {
     options.torn = false;
-    (forth ? *p.far : *p.near).write(frame.substr(0, frame.size() / 2));
+    (is_forward ? *pair.far : *pair.near).write(frame.substr(0, frame.size() / 2));
     host_.after(1, [this, id, alive = alive_] {
-      if (*alive) end(id);
+      if (*alive) end_pair(id);
     });
     return;
   }
-  if (options.silent || part() < options.lost) return;
+  if (options.silent || draw_fraction() < options.lost) return;
   if (options.held) {
-    (forth ? p.held_forth : p.held_back).push_back(std::move(frame));
+    (is_forward ? pair.held_forward : pair.held_backward).push_back(std::move(frame));
     return;
   }
-  const int copies = part() < options.repeated ? 2 : 1;
+  const int copies = draw_fraction() < options.repeated ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    if (options.delay_most <= 0) {
-      write(id, forth, frame);
-      continue;
-    }
-    const Ms now = host_.loop().now();
-    Ms due = now + options.delay_least + part() * (options.delay_most - options.delay_least);
-    Ms& last = forth ? p.last_forth : p.last_back;
-    if (!options.reordered) due = last = std::max(due, last);
-    host_.after(due - now, [this, id, forth, frame, alive = alive_] {
-      if (*alive) write(id, forth, frame);
-    });
+    if (options.delay_most > 0)
+      deliver_later(id, pair, is_forward, frame, options);
+    else
+      deliver(id, is_forward, frame);
   }
 }
 
-// What was held goes on, once nothing holds it any more.
-void FaultProxy::let_go(size_t from, size_t to) {
+void FaultProxy::deliver_later(uint64_t id, ConnectionPair& pair, bool is_forward, const std::string& frame,
+                               const Options& options) {
+  const Ms now = host_.loop().now();
+  Ms due = now + options.delay_least + draw_fraction() * (options.delay_most - options.delay_least);
+  Ms& last = is_forward ? pair.last_due_forward : pair.last_due_backward;
+  if (!options.reordered) due = last = std::max(due, last);
+  host_.after(due - now, [this, id, is_forward, frame, alive = alive_] {
+    if (*alive) deliver(id, is_forward, frame);
+  });
+}
+
+// Forwards the frames that waited, once their direction is no longer held.
+void FaultProxy::release_held(size_t from, size_t to) {
   std::vector<uint64_t> ids;
-  for (const auto& [id, p] : passages_) ids.push_back(id);
+  for (const auto& [id, pair] : pairs_) ids.push_back(id);
   for (const uint64_t id : ids) {
-    const auto at = passages_.find(id);
-    if (at == passages_.end()) continue;
-    Passage& p = *at->second;
-    const bool forth = p.from == from && p.to == to, back = p.to == from && p.from == to;
-    if (!forth && !back) continue;
+    const auto at = pairs_.find(id);
+    if (at == pairs_.end()) continue;
+    ConnectionPair& pair = *at->second;
+    const bool is_forward = pair.from == from && pair.to == to;
+    const bool is_backward = pair.to == from && pair.from == to;
+    if (!is_forward && !is_backward) continue;
     if (options_[{from, to}].cut) {
-      end(id);
+      end_pair(id);
       continue;
     }
-    for (const std::string& frame : std::exchange(forth ? p.held_forth : p.held_back, {}))
-      carry(id, forth, frame);
+    for (const std::string& frame : std::exchange(is_forward ? pair.held_forward : pair.held_backward, {}))
+      forward(id, is_forward, frame);
   }
 }
 
 void FaultProxy::set(size_t from, size_t to, const Options& options) {
   host_.do_now([&] {
     options_[{from, to}] = options;
-    if (!options.held) let_go(from, to);
+    if (!options.held) release_held(from, to);
   });
 }
 
@@ -181,19 +193,19 @@
 }
 
 void FaultProxy::set_apart(size_t one, const Options& options) {
-  for (size_t other = 0; other < doors_.size(); ++other)
+  for (size_t other = 0; other < routes_.size(); ++other)
     if (other != one) set_both(one, other, options);
 }
 
 void FaultProxy::set_all(const Options& options) {
-  for (size_t one = 0; one < doors_.size(); ++one)
-    for (size_t other = 0; other < doors_.size(); ++other)
+  for (size_t one = 0; one < routes_.size(); ++one)
+    for (size_t other = 0; other < routes_.size(); ++other)
       if (other != one) set(one, other, options);
 }
 
 uint64_t FaultProxy::passed() const {
   uint64_t all = 0;
-  host_.do_now([&] { all = passed_; });
+  host_.do_now([&] { all = frames_passed_; });
   return all;
 }
 
--- a/src/fakes/fault_proxy.h
+++ b/src/fakes/fault_proxy.h
@@ -43,26 +43,30 @@
   uint64_t bytes(size_t from, size_t to) const;
 
  private:
-  class Passage;
-  struct Door {
+  class ConnectionPair;
+  struct Route {
     std::string address, real;
     std::unique_ptr<Listener> listener;
   };
 
-  void carry(uint64_t passage, bool forth, std::string frame);
-  void write(uint64_t passage, bool forth, const std::string& frame);
-  void end(uint64_t passage);
-  void let_go(size_t from, size_t to);
-  double part();
+  // `is_forward`: from the gateway that dialled to the one it dialled.
+  void forward(uint64_t pair_id, bool is_forward, std::string frame);
+  void identify_dialer(ConnectionPair& pair, const std::string& frame);
+  void deliver_later(uint64_t pair_id, ConnectionPair& pair, bool is_forward, const std::string& frame,
+                     const Options& options);
+  void deliver(uint64_t pair_id, bool is_forward, const std::string& frame);
+  void end_pair(uint64_t pair_id);
+  void release_held(size_t from, size_t to);
+  double draw_fraction();
 
   FakeHost& host_;
   pcg32 chance_;
-  std::vector<std::unique_ptr<Door>> doors_;
+  std::vector<std::unique_ptr<Route>> routes_;
   std::map<std::string, size_t> names_;
   std::map<std::pair<size_t, size_t>, Options> options_;
   std::map<std::pair<size_t, size_t>, uint64_t> bytes_;
-  std::map<uint64_t, std::unique_ptr<Passage>> passages_;
-  uint64_t last_ = 0, passed_ = 0;
+  std::map<uint64_t, std::unique_ptr<ConnectionPair>> pairs_;
+  uint64_t last_pair_id_ = 0, frames_passed_ = 0;
   std::shared_ptr<bool> alive_;
 };
 
--- a/src/fakes/fault_script.h
+++ b/src/fakes/fault_script.h
@@ -1,4 +1,4 @@
-// What a stand-in is to do with a statement, told by the statement itself: words in its first comment that
+// What a fake is to do with a statement, told by the statement itself: words in its first comment that
 // opens with an exclamation mark, as in `select 1 /*! delay=200 rows=5 */`. A test so states the failure that
 // it causes in the line that meets it.
 #pragma once
--- a/src/fakes/load_clients.cpp
+++ b/src/fakes/load_clients.cpp
@@ -43,8 +43,8 @@
 
 LoadClients::LoadClients(std::string program, const LoadClientsOptions& options)
     : program_(std::move(program)), options_(options), engines_(options.engines) {
-  char name[] = "/tmp/firvalve-crowd-XXXXXX";
-  if (!::mkdtemp(name)) throw std::runtime_error("no folder for a crowd");
+  char name[] = "/tmp/firvalve-clients-XXXXXX";
+  if (!::mkdtemp(name)) throw std::runtime_error("no folder for load clients");
   place_ = name;
   between_ = std::make_unique<FaultProxy>(host_, options.seed);
   std::vector<std::string> keepers;
--- a/src/fakes/main.cpp
+++ b/src/fakes/main.cpp
@@ -11,7 +11,7 @@
 #include "fakes/fake_deployment.h"
 
 int main(int argc, char** argv) {
-  CLI::App app("Stand-in engines and event bus on loopback; what a statement does, it says itself.");
+  CLI::App app("Fake engines and event bus on loopback; what a statement does, it says itself.");
   int engines = 4;
   std::vector<std::string> configs, listens;
   app.add_option("--engines", engines, "how many")->check(CLI::Range(1, 1000))->capture_default_str();
