--- a/fuzz/peers_fuzz.cpp
+++ b/fuzz/peers_fuzz.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "cluster/cluster_node.h"
-#include "cluster/wire.h"
+#include "cluster/peer_codec.h"
 #include "lease/lease_record.h"
 #include "lease/run_once_jobs.h"
 #include "schema/registry.h"
@@ -19,15 +19,15 @@
     // What could be read is heard by a keeper, as a keeper's word and as anybody's.
     cluster::ClusterNodeOptions options;
     cluster::ClusterNode node(1, options);
-    for (const consensus::Message& m : frame->parts) {
+    for (const consensus::Message& m : frame->messages) {
       node.handle(1, 1, m);
       node.handle(2, 9, m);
     }
     node.due(5000);
-    node.take();
+    node.take_output();
   }
   cluster::read_slot(text);
-  cluster::read_owned(text);
+  cluster::read_metadata(text);
   lease::read_claim(text);
   lease::read_merge(text);
   std::string told;
--- /dev/null
+++ b/src/cluster/cluster_log.cpp
@@ -0,0 +1,132 @@
+#include "cluster/cluster_log.h"
+
+#include <fmt/format.h>
+
+namespace firvalve::cluster {
+
+using log::Level;
+
+namespace {
+
+std::string written_ms(Ms time) { return fmt::format("{:.3f}", time); }
+const char* yes_or_no(bool value) { return value ? "yes" : "no"; }
+
+}  // namespace
+
+void ClusterLog::record_connected(const std::string& peer) const {
+  sink_(Level::kDebug, "cluster.peer_connected", {{"component", "cluster"}, {"peer", peer}});
+}
+
+void ClusterLog::record_disconnected(std::string_view peer, std::string_view reason) const {
+  metrics_.add("cluster connections ended", reason);
+  sink_(Level::kWarning, "cluster.peer_disconnected",
+        {{"component", "cluster"}, {"peer", std::string(peer)}, {"reason", std::string(reason)}});
+}
+
+void ClusterLog::record_rejected_frame(const std::string& peer, const char* reason) const {
+  metrics_.add("cluster frames rejected", reason);
+  sink_(Level::kWarning, "cluster.frame_rejected",
+        {{"component", "cluster"}, {"peer", peer}, {"reason", reason}});
+}
+
+void ClusterLog::count_sent_frame() const { metrics_.add("cluster frames sent"); }
+
+void ClusterLog::record_failed_write(const std::string& directory, const std::string& reason,
+                                     bool is_first) const {
+  if (is_first)
+    sink_(Level::kError, "consensus.write_failed",
+          {{"component", "consensus"}, {"directory", directory}, {"reason", reason}});
+  metrics_.add("consensus writes failed");
+}
+
+void ClusterLog::record_replica_ready(size_t registers) const {
+  sink_(Level::kInfo, "consensus.replica_ready",
+        {{"component", "consensus"}, {"registers", std::to_string(registers)}});
+}
+
+void ClusterLog::record_lease_event(BootClock::time_point now, const lease::Event& event) const {
+  using Kind = lease::Event::Kind;
+  const std::string epoch = std::to_string(event.epoch), at = written_ms(to_ms(now));
+  const auto record_held = [&](Level level, const char* name) {
+    sink_(level, name,
+          {{"component", "lease"},
+           {"lease", event.duty},
+           {"epoch", epoch},
+           {"at_ms", at},
+           {"until_ms", written_ms(event.until)}});
+  };
+  const auto record_end = [&](Level level, const char* name) {
+    sink_(level, name,
+          {{"component", "lease"},
+           {"lease", event.duty},
+           {"epoch", epoch},
+           {"at_ms", at},
+           {"reason", event.why}});
+  };
+  switch (event.kind) {
+    case Kind::kTaken:
+      metrics_.add("leases acquired");
+      return record_held(Level::kInfo, "lease.acquired");
+    case Kind::kRenewed:
+      return record_held(Level::kDebug, "lease.renewed");
+    case Kind::kLeft:
+      metrics_.add("leases released");
+      return record_end(Level::kInfo, "lease.released");
+    case Kind::kLost:
+      metrics_.add("leases lost");
+      return record_end(Level::kWarning, "lease.lost");
+    case Kind::kUnreadable:
+      return sink_(Level::kWarning, "lease.unreadable", {{"component", "lease"}, {"lease", event.duty}});
+    case Kind::kStated:
+    case Kind::kSeen:
+      return;
+  }
+}
+
+void ClusterLog::record_started_job(const std::string& job) const {
+  sink_(Level::kInfo, "lease.run_once_job_started", {{"component", "lease"}, {"job", job}});
+}
+
+void ClusterLog::count_requested_job() const { metrics_.add("run-once jobs requested"); }
+
+void ClusterLog::record_topic_change(const schema::Registry::End& end) const {
+  using Kind = schema::Registry::End::Kind;
+  if (end.kind == Kind::kAgreed && end.applied.changed)
+    sink_(
+        Level::kInfo, "schema.change_agreed",
+        {{"component", "schema"}, {"topic", end.bulletin}, {"version", std::to_string(end.applied.version)}});
+  if (end.kind == Kind::kRefused)
+    sink_(Level::kWarning, "schema.change_rejected",
+          {{"component", "schema"},
+           {"topic", end.bulletin},
+           {"rule", schema::name_of(end.applied.verdict.breaches.front().rule)},
+           {"violations", std::to_string(end.applied.verdict.breaches.size())}});
+}
+
+void ClusterLog::count_topic_request(std::string_view method) const {
+  metrics_.add("topic requests", method);
+}
+
+void ClusterLog::record_replica_status(const consensus::Acceptor& acceptor) const {
+  sink_(Level::kInfo, "consensus.replica_status",
+        {{"component", "consensus"},
+         {"ready", yes_or_no(acceptor.full())},
+         {"registers", std::to_string(acceptor.slots().size())}});
+}
+
+void ClusterLog::record_peer_status(const std::string& peer, bool is_connected) const {
+  sink_(Level::kInfo, "cluster.peer_status",
+        {{"component", "cluster"}, {"peer", peer}, {"connected", yes_or_no(is_connected)}});
+}
+
+void ClusterLog::record_lease_status(const std::string& lease, const lease::LeaseRecord* record,
+                                     bool is_held_here) const {
+  sink_(Level::kInfo, "lease.status",
+        {{"component", "lease"},
+         {"lease", lease},
+         {"holder", record && !record->released ? record->holder : "nobody"},
+         {"epoch", std::to_string(record ? record->epoch : 0)},
+         {"held_here", yes_or_no(is_held_here)}});
+}
+
+}  // namespace firvalve::cluster
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Ms kLapseMost = 5000;  // for a withdrawal to be agreed; it is asked for again otherwise
+constexpr Ms kExpiryTimeout = 5000;  // for a withdrawal to be agreed; it is asked for again otherwise
 
 uint64_t mixed(uint64_t z) {
   z = (z ^ (z >> 33)) * 0xff51afd7ed558ccdull;
@@ -14,107 +14,113 @@
   return (z ^ (z >> 33)) | 1;
 }
 
-consensus::AcceptorOptions keeper_options(const ClusterNodeOptions& t) {
+consensus::AcceptorOptions acceptor_options(const ClusterNodeOptions& options) {
   consensus::AcceptorOptions out;
-  out.self = t.self;
-  out.keepers = t.keepers;
-  out.bytes_most = t.record_bytes;
+  out.self = options.self;
+  out.keepers = options.replicas;
+  out.bytes_most = options.max_register_bytes;
   return out;
 }
 
-consensus::ProposerOptions asker_options(const ClusterNodeOptions& t) {
+consensus::ProposerOptions proposer_options(const ClusterNodeOptions& options) {
   consensus::ProposerOptions out;
-  out.keepers = t.keepers;
-  out.asker = mixed(t.draw + 1);
-  out.seed = mixed(t.draw + 2);
+  out.keepers = options.replicas;
+  out.asker = mixed(options.random_seed + 1);
+  out.seed = mixed(options.random_seed + 2);
   return out;
 }
 
-lease::LeaseOptions duty_options(const ClusterNodeOptions& t) { return {t.name, mixed(t.draw + 3), t.lease}; }
+lease::LeaseOptions lease_options(const ClusterNodeOptions& options) {
+  return {options.name, mixed(options.random_seed + 3), to_ms(options.lease_duration)};
+}
 
 }  // namespace
 
 ClusterNode::ClusterNode(Ms now, const ClusterNodeOptions& options)
     : options_(options),
-      asker_(asker_options(options)),
-      follower_(options.keepers, static_cast<consensus::PeerId>(mixed(options.draw) % options.keepers)),
-      duties_(now, duty_options(options)),
-      merges_(duties_, mixed(options.draw + 4)),
-      registry_(mixed(options.draw + 6)),
-      lapses_(static_cast<double>(mixed(options.draw + 7) >> 11) / static_cast<double>(uint64_t{1} << 53)) {
-  if (options.self < options.keepers) keeper_.emplace(keeper_options(options), mixed(options.draw + 5));
+      proposer_(proposer_options(options)),
+      watcher_(options.replicas,
+               static_cast<consensus::PeerId>(mixed(options.random_seed) % options.replicas)),
+      leases_(now, lease_options(options)),
+      run_once_jobs_(leases_, mixed(options.random_seed + 4)),
+      registry_(mixed(options.random_seed + 6)),
+      declaration_expiry_(static_cast<double>(mixed(options.random_seed + 7) >> 11) /
+                          static_cast<double>(uint64_t{1} << 53)) {
+  if (options.self < options.replicas)
+    acceptor_.emplace(acceptor_options(options), mixed(options.random_seed + 5));
 }
 
 ClusterNode::ClusterNode(Ms now, const ClusterNodeOptions& options, consensus::ReplicaMetadata standing,
                          std::map<std::string, consensus::AcceptorSlot> slots)
     : ClusterNode(now, options) {
-  keeper_.emplace(keeper_options(options), std::move(standing), std::move(slots));
+  acceptor_.emplace(acceptor_options(options), std::move(standing), std::move(slots));
 }
 
-void ClusterNode::handle(Ms now, consensus::PeerId from, const consensus::Message& m) {
-  switch (m.say) {
+void ClusterNode::handle(Ms now, consensus::PeerId from, const consensus::Message& message) {
+  switch (message.say) {
     case MessageType::kPromise:
     case MessageType::kAccepted:
     case MessageType::kRefused:
-      asker_.handle(now, from, m);
+      proposer_.handle(now, from, message);
       break;
     case MessageType::kChanges:
-      follower_.handle(now, from, m);
+      watcher_.handle(now, from, message);
       break;
     default:
-      if (keeper_) keeper_->handle(now, from, m);
+      if (acceptor_) acceptor_->handle(now, from, message);
   }
-  go_on(now);
+  exchange_events(now);
 }
 
 // What one part has to tell another, until none has.
-void ClusterNode::go_on(Ms now) {
+void ClusterNode::exchange_events(Ms now) {
   for (bool more = true; more;) {
     more = false;
-    for (const consensus::ProposalResult& end : asker_.take_ends()) {
+    for (const consensus::ProposalResult& end : proposer_.take_ends()) {
       more = true;
       if (end.wish.key.starts_with(schema::Registry::kPrefix))
         registry_.ended(now, end);
-      else if (duties_.wants(end.wish.key))
-        duties_.ended(now, end);
+      else if (leases_.wants(end.wish.key))
+        leases_.ended(now, end);
       else
-        ends_.push_back(end);
+        results_.push_back(end);
     }
-    for (const auto& [key, fact] : follower_.take_seen()) see(now, key, fact);
-    if (follower_.whole()) duties_.looked(now);
-    for (consensus::Proposal& wish : duties_.take_wishes()) {
+    for (const auto& [key, fact] : watcher_.take_seen()) handle_register(now, key, fact);
+    if (watcher_.whole()) leases_.looked(now);
+    for (consensus::Proposal& wish : leases_.take_wishes()) {
       more = true;
-      asker_.ask(now, std::move(wish));
+      proposer_.ask(now, std::move(wish));
     }
     for (consensus::Proposal& wish : registry_.take_wishes()) {
       more = true;
-      asker_.ask(now, std::move(wish));
+      proposer_.ask(now, std::move(wish));
     }
-    for (lease::Event& event : duties_.take_events()) {
+    for (lease::Event& event : leases_.take_events()) {
       more = true;
-      merges_.handle(now, event);
+      run_once_jobs_.handle(now, event);
       events_.push_back(std::move(event));
     }
   }
 }
 
-void ClusterNode::see(Ms now, const std::string& key, const consensus::Register& fact) {
-  duties_.saw(now, key, fact);
+void ClusterNode::handle_register(Ms now, const std::string& key, const consensus::Register& fact) {
+  leases_.saw(now, key, fact);
   // Keepers look after declarations; that others need not read every bulletin whole is all that it is for.
-  if (!keeper_ || !key.starts_with(schema::Registry::kPrefix)) return;
+  if (!acceptor_ || !key.starts_with(schema::Registry::kPrefix)) return;
   std::string why;
   if (const auto b = schema::read_bulletin(fact.value, why))
-    lapses_.saw(now, key.substr(std::string_view(schema::Registry::kPrefix).size()), *b);
+    declaration_expiry_.saw(now, key.substr(std::string_view(schema::Registry::kPrefix).size()), *b);
 }
 
 void ClusterNode::due(Ms now) {
-  for (schema::Change& lapse : lapses_.due(now)) registry_.ask(now, std::move(lapse), now + kLapseMost);
-  if (keeper_) keeper_->due(now);
-  asker_.due(now);
-  follower_.due(now);
-  duties_.due(now);
-  merges_.due(now);
-  go_on(now);
+  for (schema::Change& withdrawal : declaration_expiry_.due(now))
+    registry_.ask(now, std::move(withdrawal), now + kExpiryTimeout);
+  if (acceptor_) acceptor_->due(now);
+  proposer_.due(now);
+  watcher_.due(now);
+  leases_.due(now);
+  run_once_jobs_.due(now);
+  exchange_events(now);
 }
 
 Ms ClusterNode::next_due() const {
@@ -122,21 +128,21 @@
   const auto sooner = [&next](Ms at) {
     if (at > 0 && (next == 0 || at < next)) next = at;
   };
-  if (keeper_) sooner(keeper_->next_due());
-  sooner(asker_.next_due());
-  sooner(follower_.next_due());
-  sooner(duties_.next_due());
-  sooner(merges_.next_due());
-  sooner(lapses_.next_due());
+  if (acceptor_) sooner(acceptor_->next_due());
+  sooner(proposer_.next_due());
+  sooner(watcher_.next_due());
+  sooner(leases_.next_due());
+  sooner(run_once_jobs_.next_due());
+  sooner(declaration_expiry_.next_due());
   return next;
 }
 
-ClusterNode::Out ClusterNode::take() {
-  Out out;
-  if (keeper_) out.keeper = keeper_->take();
-  out.sends = asker_.take_sends();
-  for (consensus::Envelope& e : follower_.take_sends()) out.sends.push_back(std::move(e));
-  return out;
+ClusterNode::Output ClusterNode::take_output() {
+  Output output;
+  if (acceptor_) output.step = acceptor_->take();
+  output.envelopes = proposer_.take_sends();
+  for (consensus::Envelope& e : watcher_.take_sends()) output.envelopes.push_back(std::move(e));
+  return output;
 }
 
 }  // namespace firvalve::cluster
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -1,6 +1,7 @@
-// One gateway's part in the fleet, all machines together, still without I/O or clock: keeper (where it is
-// one), asker, follower, duties, merges. The program's driver (fleet.h) and the world in virtual time
-// (lab/fleet_world.h) run the same.
+// One gateway's part in the cluster: its state machines together, without I/O or clock. An acceptor (where
+// the gateway is a replica), a proposer, a watcher, the leases, the run-once jobs and the registry of
+// schemas. The program (cluster_service.h) and the simulation in virtual time (lab/fleet_world.h) run the
+// same code.
 #pragma once
 
 #include <memory>
@@ -8,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include "base/time.h"
 #include "consensus/acceptor.h"
 #include "consensus/proposer.h"
 #include "consensus/register_watcher.h"
@@ -19,61 +21,62 @@
 namespace firvalve::cluster {
 
 struct ClusterNodeOptions {
-  consensus::PeerId self = 0;  // below keepers: it is that keeper
-  uint32_t keepers = 3;
-  std::string name;   // the address that its peers reach it at
-  uint64_t draw = 1;  // the chance of this start: of lives, ids and waits
-  Ms lease = 3000;
-  size_t record_bytes = 32 * 1024 * 1024;  // of values that a keeper holds
+  consensus::PeerId self = 0;  // below `replicas`: it is that replica
+  uint32_t replicas = 3;
+  std::string name;          // HOST:PORT by which peers know it
+  uint64_t random_seed = 1;  // drawn anew at each start: incarnations, ids and waits come from it
+  Duration lease_duration = Duration(3000);
+  size_t max_register_bytes = 32 * 1024 * 1024;  // of values that a replica stores
 };
 
 class ClusterNode {
  public:
-  // A keeper without a memory, or no keeper.
+  // A replica that has nothing stored, or no replica.
   ClusterNode(Ms now, const ClusterNodeOptions& options);
-  // A keeper with all that it had made durable.
+  // A replica with all that it had made durable.
   ClusterNode(Ms now, const ClusterNodeOptions& options, consensus::ReplicaMetadata standing,
               std::map<std::string, consensus::AcceptorSlot> slots);
 
-  void handle(Ms now, consensus::PeerId from, const consensus::Message& m);
+  void handle(Ms now, consensus::PeerId from, const consensus::Message& message);
   void due(Ms now);
   Ms next_due() const;
 
-  // First the keeper's writes are made durable, then everything goes out. Sends to itself come back by
-  // handle().
-  struct Out {
-    consensus::Step keeper;
-    std::vector<consensus::Envelope> sends;
+  // What the driver does next. The step's writes are made durable before its messages go out; `envelopes`
+  // wait for nothing. A message to this gateway itself comes back by handle().
+  struct Output {
+    consensus::Step step;
+    std::vector<consensus::Envelope> envelopes;
   };
-  Out take();
-  void unwritten(consensus::Step step) { keeper_->unwritten(std::move(step)); }
+  Output take_output();
+  // The step could not be written: its writes come again with a later one, its messages are dropped.
+  void put_back(consensus::Step step) { acceptor_->unwritten(std::move(step)); }
   std::vector<lease::Event> take_events() { return std::exchange(events_, {}); }
 
-  bool is_keeper() const { return keeper_.has_value(); }
-  const consensus::Acceptor* keeper() const { return keeper_ ? &*keeper_ : nullptr; }
-  consensus::Acceptor* keeper() { return keeper_ ? &*keeper_ : nullptr; }
-  lease::LeaseManager& duties() { return duties_; }
-  lease::RunOnceJobs& merges() { return merges_; }
+  bool is_replica() const { return acceptor_.has_value(); }
+  const consensus::Acceptor* acceptor() const { return acceptor_ ? &*acceptor_ : nullptr; }
+  consensus::Acceptor* acceptor() { return acceptor_ ? &*acceptor_ : nullptr; }
+  lease::LeaseManager& leases() { return leases_; }
+  lease::RunOnceJobs& run_once_jobs() { return run_once_jobs_; }
   schema::Registry& registry() { return registry_; }
   std::vector<schema::Registry::End> take_changes() { return registry_.take_ends(); }
-  consensus::Proposer& asker() { return asker_; }
-  // Ends of wishes that are not the duties'.
-  std::vector<consensus::ProposalResult> take_ends() { return std::exchange(ends_, {}); }
+  consensus::Proposer& proposer() { return proposer_; }
+  // Results of proposals that are neither the leases' nor the registry's.
+  std::vector<consensus::ProposalResult> take_results() { return std::exchange(results_, {}); }
 
  private:
-  void go_on(Ms now);
-  void see(Ms now, const std::string& key, const consensus::Register& fact);
+  void exchange_events(Ms now);
+  void handle_register(Ms now, const std::string& key, const consensus::Register& value);
 
   ClusterNodeOptions options_;
-  std::optional<consensus::Acceptor> keeper_;
-  consensus::Proposer asker_;
-  consensus::RegisterWatcher follower_;
-  lease::LeaseManager duties_;
-  lease::RunOnceJobs merges_;
+  std::optional<consensus::Acceptor> acceptor_;
+  consensus::Proposer proposer_;
+  consensus::RegisterWatcher watcher_;
+  lease::LeaseManager leases_;
+  lease::RunOnceJobs run_once_jobs_;
   schema::Registry registry_;
-  schema::DeclarationExpiry lapses_;
+  schema::DeclarationExpiry declaration_expiry_;
   std::vector<lease::Event> events_;
-  std::vector<consensus::ProposalResult> ends_;
+  std::vector<consensus::ProposalResult> results_;
 };
 
 }  // namespace firvalve::cluster
--- /dev/null
+++ b/src/cluster/cluster_options.cpp
@@ -0,0 +1,20 @@
+#include "cluster/cluster_options.h"
+
+#include <algorithm>
+
+namespace firvalve::cluster {
+
+ClusterOptions options_from(const config::OperatorConfig::Fleet& section) {
+  ClusterOptions options;
+  options.listen = section.listen;
+  options.name = section.name();
+  options.site = section.site;
+  options.replicas = section.keepers;
+  std::sort(options.replicas.begin(), options.replicas.end());
+  options.storage_directory = section.folder;
+  options.leases = section.duties;
+  options.lease_duration = duration_of(section.lease_ms);
+  return options;
+}
+
+}  // namespace firvalve::cluster
--- a/src/cluster/cluster_service.h
+++ b/src/cluster/cluster_service.h
@@ -1,131 +1,90 @@
-// A gateway's part in the fleet, in the program: its links to peers, its folder, its clock, and the merges
-// that clients ask for. What is decided, is decided in the machines of node.h.
+// A gateway's part in the cluster, in the program: it joins the state machines (cluster_node.h) with their
+// connections, storage and clock, and with the clients' requests.
 //
-// One thread, the loop's; the folder's writes go on beside it. Times within are those of the system's clock
-// of all time since it was started, which nobody sets and which goes on in sleep (CLOCK_BOOTTIME).
+// One thread, the loop's; writes to storage go on beside it. Times within are the BootClock's; the loop's
+// times, by which clients' deadlines count, are the MonotonicClock's.
 #pragma once
 
-#include <Poco/Net/ServerSocket.h>
-
-#include <functional>
-#include <map>
 #include <memory>
+#include <optional>
 #include <string>
-#include <vector>
 
+#include "base/time.h"
+#include "cluster/cluster_log.h"
 #include "cluster/cluster_node.h"
+#include "cluster/cluster_options.h"
+#include "cluster/peer_connections.h"
 #include "cluster/replica_storage.h"
-#include "cluster/wire.h"
-#include "config/operator_config.h"
+#include "cluster/run_once_requests.h"
+#include "cluster/step_writer.h"
+#include "cluster/topic_requests.h"
 #include "core/cluster_requests.h"
 #include "core/core.h"
-#include "log/log.h"
-#include "net/connection.h"
 #include "net/waker.h"
 
 namespace firvalve::cluster {
 
-struct ClusterOptions {
-  std::string listen, name;  // where it listens; the address that its peers reach it at
-  std::string site;
-  std::vector<std::string> keepers;  // names
-  std::string folder;                // of a keeper; empty: none
-  std::vector<std::string> duties;   // names, or a kind as "trial:*", that this gateway is willing to hold
-  Ms lease = 3000;
-  size_t record_bytes = 32 * 1024 * 1024;  // of values that a keeper holds
-  uint64_t draw = 1;                       // a chance of this start alone
-};
-// Of what the operator's file says; its part of the memory and its draw are the caller's to give.
-ClusterOptions options_from(const config::OperatorConfig::Fleet& section);
+// As a response sink it stands between the core and the clients: answers to commands that run a run-once job
+// are that job's end, all others pass through.
+class ClusterService : public ResponseSink, public ClusterRequests, private PeerConnections::Receiver {
+ public:
+  // `clients` get the answers to their requests. Throws a std::exception that says why in one sentence: the
+  // storage directory cannot be used, or the address is taken.
+  ClusterService(net::Loop& loop, Metrics& metrics, const ClusterOptions& options, ResponseSink& clients,
+                 LogSink log_sink);
+  void run_on(Core& core);  // which runs the commands of run-once jobs
 
-// What went over the links to peers since the start.
-struct LinkCounts {
-  uint64_t frames_in = 0, frames_out = 0;
-  uint64_t messages_in = 0, messages_out = 0;  // of the record, one or several a frame
-  uint64_t bytes_in = 0, bytes_out = 0;        // of frames with their heads
-  uint64_t connects = 0;                       // that this gateway has begun
-  uint64_t lost = 0;                           // links that were up, or frames on them that were broken
-};
+  void due(TimePoint now);  // once a turn of the loop
+  TimePoint next_due(TimePoint now) const;
 
-class ClusterService : public ResponseSink, public ClusterRequests {
- public:
-  using LogSink = std::function<void(log::Level, std::string_view event, log::Fields fields)>;
-  // Throws std::runtime_error: the folder cannot be used, or the address is taken.
-  ClusterService(net::Loop& loop, Metrics& counters, const ClusterOptions& options, ResponseSink& clients,
-                 LogSink say);
-  ~ClusterService() override;
-  void serve(Core& core);  // whose commands the merges become
+  // Graceful shutdown: leases are handed over once what was begun has ended. Run-once jobs that have not
+  // begun by the deadline fail.
+  void begin_shutdown(TimePoint now, TimePoint deadline);
+  // Nothing is open here, or the hand-over was waited for long enough. True before a shutdown, too.
+  bool is_shut_down() const;
 
-  void due(Ms now);           // once a turn
-  Ms next_due(Ms now) const;  // in the loop's time
-  // SIGTERM: what is held is handed on, once what was begun is at its end. RunOnceJobs not begun by `until`
-  // fail.
-  void leave(Ms now, Ms until);
-  bool left(Ms now) const;  // nothing is open here, or it was waited for long enough
-  void tell() const;        // duties and members, as events: for SIGUSR1
-  const LinkCounts& link_counts() const { return link_counts_; }
+  void log_status() const;  // leases and replicas, as events: for SIGUSR1
+  const ConnectionCounts& connection_counts() const { return connections_->counts(); }
 
-  // Answers of the core, for merges or else for the clients.
+  // ResponseSink, called by the core.
   void answer(CallRef call, std::string_view rows) override;
   void shed(CallRef call, Ms advice) override;
   void fail(CallRef call, std::string_view why) override;
-  void answer_paged(CallRef call, ResultHandle no) override { clients_.answer_paged(call, no); }
+  void answer_paged(CallRef call, ResultHandle handle) override { clients_.answer_paged(call, handle); }
 
-  // RunOnceJobs, as clients ask for them.
+  // ClusterRequests, called for clients.
   void merge(Ms now, CallRef call, std::string_view name, CommandRequest&& asked) override;
   void gone(Ms now, CallRef call) override;
   void bulletin(Ms now, std::string_view method, std::string_view name, const std::string& params, Ms timeout,
                 Done done) override;
 
  private:
-  class OutboundPeer;
-  class InboundPeer;
-  struct Wanted {  // a client's merge, until its end
-    std::string command, profile, statement;
-    int64_t tables = -1;
-    Ms until = 0, estimate = 0;
-    double memory_mb = 0;
-  };
+  void handle_message(BootClock::time_point now, consensus::PeerId from,
+                      const consensus::Message& message) override;
+  void handle_peer_gone(consensus::PeerId peer) override;
 
-  static Ms clock();
-  void accept_on(bool on);
-  void on_accept(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
-  void handle(net::Connection& link, consensus::PeerId& peer, std::span<char> body, bool from_keeper);
-  void flush(Ms at);
-  void send(const consensus::Envelope& e, std::map<net::Connection*, Frame>& frames);
-  void carry_out(Ms now);
-  void tell_changes();
+  void exchange_messages(BootClock::time_point now);
+  bool deliver(BootClock::time_point now, const std::vector<consensus::Envelope>& envelopes,
+               FrameBatch& batch);
+  void continue_shutdown(BootClock::time_point now);
   void log_events();
-  void ended(InboundPeer& link);
-  void fault(std::string_view peer, std::string_view why);
+  void log_readiness();
 
-  net::Loop& loop_;
-  Metrics& counters_;
   const ClusterOptions options_;
-  const uint64_t keepers_hash_;
+  const consensus::PeerId self_;  // the count of replicas where it is none
   ResponseSink& clients_;
-  Core* core_ = nullptr;
-  LogSink say_;
-  std::unique_ptr<net::Waker> waker_;
-  std::unique_ptr<ReplicaStorage> folder_;
+  const ClusterLog log_;
+  std::unique_ptr<net::Waker> waker_;        // outlives the storage, whose thread rings it
+  std::unique_ptr<ReplicaStorage> storage_;  // null: no replica, or one in memory alone
+  std::unique_ptr<StepWriter> step_writer_;  // where there is storage
   std::unique_ptr<ClusterNode> node_;
-  std::vector<std::unique_ptr<OutboundPeer>> to_;  // to each keeper, this one's own place empty
-  std::map<InboundPeer*, std::unique_ptr<InboundPeer>> from_;
-  std::map<consensus::PeerId, InboundPeer*> answers_to_;  // by whom answers go
-  Poco::Net::ServerSocket listener_;
-  bool accepting_ = false;
-  consensus::PeerId last_peer_ = 0;
-  std::map<CallRef, Wanted> wanted_;
-  std::map<CallRef, std::string> runs_;                // calls of the core that are a merge's, with its name
-  std::vector<std::pair<Done, std::string>> refused_;  // changes that cannot be read, and why
-  std::map<uint64_t, Done> changes_;                   // of bulletins, as the registry numbers them
-  CallRef last_run_ = CallRef{1} << 62;
-  Ms expected_ = 0;      // the next turn was to be by then
-  Ms writes_again_ = 0;  // the folder failed: nothing is written before
-  Ms accepts_again_ = 0;
-  Ms leaves_at_ = 0, leave_until_ = 0, quiet_since_ = 0;
-  bool was_full_ = false, unwritten_ = false;
-  LinkCounts link_counts_;
+  std::unique_ptr<PeerConnections> connections_;
+  std::unique_ptr<RunOnceRequests> run_once_requests_;
+  std::unique_ptr<TopicRequests> topic_requests_;
+  std::optional<BootClock::time_point> expected_turn_;  // the next one is to come by then
+  bool is_shutting_down_ = false;
+  std::optional<BootClock::time_point> idle_since_;  // in a shutdown: no run-once job is open
+  bool was_ready_ = false;                           // as a replica
 };
 
 }  // namespace firvalve::cluster
--- /dev/null
+++ b/src/cluster/outbound_peer.cpp
@@ -0,0 +1,101 @@
+#include "cluster/outbound_peer.h"
+
+#include "cluster/peer_limits.h"
+#include "proto/jsonrpc/rpc.h"
+
+namespace firvalve::cluster {
+
+using Poco::Net::SocketAddress;
+
+namespace {
+
+constexpr Duration kConnectTimeout(1000);
+// A replica that was asked something and stays silent for this long is not at the other end any more,
+// whatever the connection looks like: it answers a watcher's request within a second.
+constexpr Duration kSilenceTimeout(2500);
+constexpr Ms kFirstReconnectDelay = 50, kMaxReconnectDelay = 2000;
+
+}  // namespace
+
+class OutboundPeer::Connection : public net::Connection {
+ public:
+  Connection(OutboundPeer& owner, const SocketAddress& address)
+      : net::Connection(owner.loop_, address), owner_(owner) {}
+
+ protected:
+  void on_up() override {
+    owner_.backoff_.reset();
+    owner_.was_connected_ = true;
+    owner_.observer_.handle_connected(owner_);
+  }
+  void on_bytes() override {
+    owner_.unanswered_since_.reset();
+    std::span<char> body;
+    for (;;) {
+      const proto::Read read = frames_.next(inbox_, body);
+      if (read == proto::Read::kMore) return;
+      if (read == proto::Read::kBroken) return owner_.end(BootClock::now(), "broken framing");
+      owner_.observer_.handle_frame(owner_, body);
+      if (!open()) return;
+    }
+  }
+  void on_end(End end) override { owner_.end(BootClock::now(), end == End::kRefused ? "refused" : "closed"); }
+
+ private:
+  OutboundPeer& owner_;
+  proto::RpcFrames frames_{kMaxFrameBytes};
+};
+
+OutboundPeer::OutboundPeer(net::Loop& loop, Observer& observer, consensus::PeerId id, std::string address,
+                           uint64_t random_seed)
+    : loop_(loop),
+      observer_(observer),
+      id_(id),
+      address_(std::move(address)),
+      backoff_(kFirstReconnectDelay, kMaxReconnectDelay, random_seed + id) {}
+
+OutboundPeer::~OutboundPeer() = default;
+
+void OutboundPeer::write(const std::string& frame, BootClock::time_point now) {
+  if (!connection_ || connection_->unsent() + frame.size() > kMaxUnsentBytes) return;
+  connection_->write(frame);
+  if (!unanswered_since_) unanswered_since_ = now;
+}
+
+net::Connection* OutboundPeer::connection() const { return connection_.get(); }
+
+void OutboundPeer::due(BootClock::time_point now) {
+  if (connection_ && !connection_->up() && now >= connecting_since_ + kConnectTimeout)
+    end(now, "did not come up");
+  if (connection_ && unanswered_since_ && now >= *unanswered_since_ + kSilenceTimeout)
+    end(now, "says nothing");
+  if (connection_ || now < connect_at_) return;
+  connecting_since_ = now;
+  unanswered_since_.reset();
+  if (!loop_.room(false)) return end(now, "no descriptor left");
+  observer_.handle_connecting(*this);
+  connection_ = std::make_unique<Connection>(*this, SocketAddress(address_));
+  if (connection_->refused()) end(now, "refused");
+}
+
+std::optional<BootClock::time_point> OutboundPeer::next_due() const {
+  if (!connection_) return connect_at_ + Duration(1);
+  if (!connection_->up()) return connecting_since_ + kConnectTimeout;
+  if (!unanswered_since_) return {};
+  return *unanswered_since_ + kSilenceTimeout;
+}
+
+bool OutboundPeer::is_connected() const { return connection_ && connection_->up(); }
+
+void OutboundPeer::end(BootClock::time_point now, const char* reason) {
+  if (connection_) {
+    connection_->abort();
+    loop_.bury(std::move(connection_));
+  }
+  if (was_connected_) observer_.handle_disconnected(*this, reason);
+  was_connected_ = false;
+  unanswered_since_.reset();
+  connect_at_ = now + duration_of(backoff_.next_delay());
+}
+
+}  // namespace firvalve::cluster
--- a/src/cluster/wire.cpp
+++ b/src/cluster/peer_codec.cpp
@@ -1,4 +1,4 @@
-#include "cluster/wire.h"
+#include "cluster/peer_codec.h"
 
 #include <fmt/format.h>
 
@@ -73,7 +73,7 @@
 void append_frame(std::string& out, const Frame& frame) {
   FlatBufferBuilder b(1024);
   std::vector<Offset<wire::Part>> parts;
-  for (const consensus::Message& m : frame.parts) {
+  for (const consensus::Message& m : frame.messages) {
     const auto key = m.key.empty() ? 0 : b.CreateString(m.key);
     const auto fact = out_of(b, m.fact);
     const auto lives = numbers(b, m.lives), founders = numbers(b, m.founders);
@@ -97,9 +97,9 @@
     part.add_more(m.more);
     parts.push_back(part.Finish());
   }
-  const auto name = b.CreateString(frame.from);
+  const auto name = b.CreateString(frame.sender);
   const auto all = b.CreateVector(parts);
-  b.Finish(wire::CreateFrame(b, kFrameVersion, name, frame.keepers, all));
+  b.Finish(wire::CreateFrame(b, kFrameVersion, name, frame.replicas_hash, all));
   fmt::format_to(std::back_inserter(out), kHead, b.GetSize());
   out.append(reinterpret_cast<const char*>(b.GetBufferPointer()), b.GetSize());
 }
@@ -115,12 +115,12 @@
     }
     if (!in.from() || in.from()->size() == 0) return {};
     Frame out;
-    out.from = in.from()->str();
-    out.keepers = in.keepers();
+    out.sender = in.from()->str();
+    out.replicas_hash = in.keepers();
     if (!in.parts()) return out;
     for (const wire::Part* const part : *in.parts()) {
       if (part->say() < 1 || part->say() > static_cast<uint8_t>(consensus::MessageType::kState)) continue;
-      consensus::Message& m = out.parts.emplace_back();
+      consensus::Message& m = out.messages.emplace_back();
       m.say = static_cast<consensus::MessageType>(part->say());
       m.op = part->op();
       if (part->key()) m.key = part->key()->str();
@@ -141,7 +141,7 @@
   });
 }
 
-size_t size_of(const consensus::Message& m) {
+size_t estimated_size(const consensus::Message& m) {
   size_t all = 64 + m.key.size() + m.fact.value.size() + 8 * (m.fact.before.size() + m.lives.size());
   for (const auto& [key, slot] : m.entries)
     all += 96 + key.size() + slot.fact.value.size() + 8 * slot.fact.before.size();
@@ -159,28 +159,29 @@
                                   [](const wire::AcceptorSlot& in) { return std::optional(from(in)); });
 }
 
-std::string written(const Owned& owned) {
+std::string written(const OwnedMetadata& owned) {
   FlatBufferBuilder b(256);
   const auto owner = b.CreateString(owned.owner);
-  const consensus::ReplicaMetadata& s = owned.standing;
+  const consensus::ReplicaMetadata& s = owned.metadata;
   const auto lives = numbers(b, s.lives), founders = numbers(b, s.founders);
-  b.Finish(
-      wire::CreateReplicaMetadata(b, kFrameVersion, owner, owned.keepers, s.life, s.full, lives, founders));
+  b.Finish(wire::CreateReplicaMetadata(b, kFrameVersion, owner, owned.replicas_hash, s.life, s.full, lives,
+                                       founders));
   return bytes_of(b);
 }
 
-std::optional<Owned> read_owned(std::string_view bytes) {
-  return read<wire::ReplicaMetadata>(bytes, [](const wire::ReplicaMetadata& in) -> std::optional<Owned> {
-    if (in.version() != kFrameVersion || !in.owner()) return {};
-    return Owned{
-        {in.life(), in.full(), from(in.lives()), from(in.founders())}, in.owner()->str(), in.keepers()};
-  });
+std::optional<OwnedMetadata> read_metadata(std::string_view bytes) {
+  return read<wire::ReplicaMetadata>(
+      bytes, [](const wire::ReplicaMetadata& in) -> std::optional<OwnedMetadata> {
+        if (in.version() != kFrameVersion || !in.owner()) return {};
+        return OwnedMetadata{
+            {in.life(), in.full(), from(in.lives()), from(in.founders())}, in.owner()->str(), in.keepers()};
+      });
 }
 
-uint64_t hash_of(const std::vector<std::string>& keepers) {
+uint64_t hash_of_replicas(const std::vector<std::string>& replicas) {
   uint64_t h = 0xcbf29ce484222325ull;
-  for (const std::string& keeper : keepers) {
-    for (const char c : keeper) h = (h ^ static_cast<uint8_t>(c)) * 0x100000001b3ull;
+  for (const std::string& replica : replicas) {
+    for (const char c : replica) h = (h ^ static_cast<uint8_t>(c)) * 0x100000001b3ull;
     h = (h ^ 0xff) * 0x100000001b3ull;
   }
   return h;
--- /dev/null
+++ b/src/cluster/peer_limits.h
@@ -0,0 +1,13 @@
+// Sizes on connections between gateways, in bytes.
+#pragma once
+
+#include <cstddef>
+
+namespace firvalve::cluster {
+
+constexpr size_t kMaxFrameBytes = 4 * 1024 * 1024;  // of a frame's body
+constexpr size_t kTargetFrameBytes = 128 * 1024;    // a frame that has grown past it takes no more messages
+// Unsent to one peer that does not read: frames beyond are dropped.
+constexpr size_t kMaxUnsentBytes = 8 * 1024 * 1024;
+
+}  // namespace firvalve::cluster
--- a/src/cluster/replica_storage.cpp
+++ b/src/cluster/replica_storage.cpp
@@ -11,7 +11,7 @@
 #include <filesystem>
 #include <stdexcept>
 
-#include "cluster/wire.h"
+#include "cluster/peer_codec.h"
 
 namespace firvalve::cluster {
 
@@ -19,7 +19,7 @@
 
 constexpr size_t kMapBytes = size_t{1}
                              << 30;  // address space, not memory: room for 65,536 facts of 4 kB, thrice
-constexpr const char* kStandingKey = "standing";
+constexpr const char* kMetadataKey = "standing";
 
 [[noreturn]] void fail(const std::string& path, const std::string& why) {
   throw std::runtime_error(fmt::format("fleet.folder {}: {}", path, why));
@@ -50,16 +50,16 @@
 
 }  // namespace
 
-ReplicaStorage::ReplicaStorage(const std::string& path, const std::string& owner, uint64_t keepers,
+ReplicaStorage::ReplicaStorage(const std::string& path, const std::string& owner, uint64_t replicas_hash,
                                std::function<void()> wake)
-    : path_(path), owner_(owner), keepers_(keepers), wake_(std::move(wake)) {
+    : path_(path), owner_(owner), replicas_hash_(replicas_hash), wake_(std::move(wake)) {
   try {
     lock();
     open_environment();
     read();
   } catch (const std::exception& e) {
     close_environment();
-    if (lock_ >= 0) ::close(lock_);
+    if (lock_file_ >= 0) ::close(lock_file_);
     fail(path, e.what());
   }
   thread_ = std::thread([this] { run(); });
@@ -68,12 +68,12 @@
 ReplicaStorage::~ReplicaStorage() {
   {
     const std::lock_guard lock(mutex_);
-    ending_ = true;
+    is_closing_ = true;
   }
-  wanted_.notify_one();
+  work_available_.notify_one();
   thread_.join();
   close_environment();
-  ::close(lock_);
+  ::close(lock_file_);
 }
 
 void ReplicaStorage::lock() {
@@ -82,9 +82,9 @@
   if (error) throw std::runtime_error("cannot be made: " + error.message());
   // A file limit of the system is an error to be told, not an end of the process.
   ::signal(SIGXFSZ, SIG_IGN);
-  lock_ = ::open((path_ + "/used").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
-  if (lock_ < 0) throw std::runtime_error("cannot be written");
-  if (::flock(lock_, LOCK_EX | LOCK_NB) != 0) throw std::runtime_error("another process uses it");
+  lock_file_ = ::open((path_ + "/used").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
+  if (lock_file_ < 0) throw std::runtime_error("cannot be written");
+  if (::flock(lock_file_, LOCK_EX | LOCK_NB) != 0) throw std::runtime_error("another process uses it");
 }
 
 void ReplicaStorage::open_environment() {
@@ -94,12 +94,12 @@
   check(mdb_env_create(&env_));
   check(mdb_env_set_maxdbs(env_, 2));
   check(mdb_env_set_mapsize(env_, kMapBytes));
-  // The loop's thread and the folder's never hold a transaction at once; the lock above keeps others out.
+  // The loop's thread and the writing one never hold a transaction at once; the lock above keeps others out.
   check(mdb_env_open(env_, path_.c_str(), MDB_NOLOCK | MDB_NOTLS, 0644));
   Transaction t(env_, 0);
   check(t.error);
   check(mdb_dbi_open(t.txn, "slots", MDB_CREATE, &slots_db_));
-  check(mdb_dbi_open(t.txn, "standing", MDB_CREATE, &standing_db_));
+  check(mdb_dbi_open(t.txn, "standing", MDB_CREATE, &metadata_db_));
   t.commit();
   check(t.error);
 }
@@ -112,15 +112,16 @@
 void ReplicaStorage::read() {
   Transaction t(env_, MDB_RDONLY);
   if (t.error) throw std::runtime_error(mdb_strerror(t.error));
-  const std::string name = kStandingKey;
+  const std::string name = kMetadataKey;
   MDB_val key = value_of(name), value{};
-  if (mdb_get(t.txn, standing_db_, &key, &value) != 0) return;
-  const auto owned = read_owned(text_of(value));
+  if (mdb_get(t.txn, metadata_db_, &key, &value) != 0) return;
+  const auto owned = read_metadata(text_of(value));
   if (!owned) throw std::runtime_error("what lies there cannot be read");
   if (owned->owner != owner_)
     throw std::runtime_error(fmt::format("it is {}'s; this gateway is {}", owned->owner, owner_));
-  if (owned->keepers != keepers_) throw std::runtime_error("it was written under another list of keepers");
-  standing = owned->standing;
+  if (owned->replicas_hash != replicas_hash_)
+    throw std::runtime_error("it was written under another list of keepers");
+  metadata = owned->metadata;
   MDB_cursor* cursor = nullptr;
   if (const int error = mdb_cursor_open(t.txn, slots_db_, &cursor))
     throw std::runtime_error(mdb_strerror(error));
@@ -131,34 +132,34 @@
     if (slot) slots.emplace(text_of(key), std::move(*slot));
   }
   mdb_cursor_close(cursor);
-  // A promise that cannot be read is one that may be broken: the operator empties the folder, and the keeper
-  // learns all again from the others.
+  // A promise that cannot be read may be broken: the operator empties the directory, and the replica learns
+  // everything again from the others.
   if (!broken.empty()) throw std::runtime_error(fmt::format("the slot of {} cannot be read", broken));
 }
 
-void ReplicaStorage::put(consensus::Step step) {
+void ReplicaStorage::write(consensus::Step step) {
   {
     const std::lock_guard lock(mutex_);
-    waiting_.push_back(std::move(step));
-    ++out_;
+    queued_.push_back(std::move(step));
+    ++pending_;
   }
-  wanted_.notify_one();
+  work_available_.notify_one();
 }
 
-std::vector<ReplicaStorage::Done> ReplicaStorage::done() {
+std::vector<ReplicaStorage::Written> ReplicaStorage::take_written() {
   const std::lock_guard lock(mutex_);
-  out_ -= done_.size();
-  return std::exchange(done_, {});
+  pending_ -= written_.size();
+  return std::exchange(written_, {});
 }
 
-size_t ReplicaStorage::waiting() const {
+size_t ReplicaStorage::pending() const {
   const std::lock_guard lock(mutex_);
-  return out_;
+  return pending_;
 }
 
 // A disk that fills up while a commit writes its meta page leaves the environment unusable (MDB_PANIC) until
 // it is opened anew, also once the disk takes writes again.
-std::string ReplicaStorage::write(const std::vector<consensus::Step>& steps) {
+std::string ReplicaStorage::write_all(const std::vector<consensus::Step>& steps) {
   try {
     if (!env_) open_environment();
     const int error = commit(steps);
@@ -174,7 +175,8 @@
   Transaction t(env_, 0);
   for (const consensus::Step& step : steps) {
     for (const auto& [key, slot] : step.writes) t.put(slots_db_, key, written(slot));
-    if (step.standing) t.put(standing_db_, kStandingKey, written(Owned{*step.standing, owner_, keepers_}));
+    if (step.standing)
+      t.put(metadata_db_, kMetadataKey, written(OwnedMetadata{*step.standing, owner_, replicas_hash_}));
   }
   t.commit();
   return t.error;
@@ -185,14 +187,14 @@
     std::vector<consensus::Step> steps;
     {
       std::unique_lock lock(mutex_);
-      wanted_.wait(lock, [this] { return ending_ || !waiting_.empty(); });
-      if (waiting_.empty()) return;
-      steps.swap(waiting_);
+      work_available_.wait(lock, [this] { return is_closing_ || !queued_.empty(); });
+      if (queued_.empty()) return;
+      steps.swap(queued_);
     }
-    const std::string why = write(steps);
+    const std::string error = write_all(steps);
     {
       const std::lock_guard lock(mutex_);
-      for (consensus::Step& step : steps) done_.push_back({std::move(step), why});
+      for (consensus::Step& step : steps) written_.push_back({std::move(step), error});
     }
     wake_();
   }
--- a/src/cluster/replica_storage.h
+++ b/src/cluster/replica_storage.h
@@ -1,5 +1,7 @@
-// A keeper's slots on a disk that lasts: LMDB in a folder of its own, written on a thread of its own. What
-// was put is on the disk, past a power cut, once done() tells so. Steps that wait are written together.
+// A replica's slots on a disk: LMDB in a directory of its own, written on a thread of its own. A step is
+// durable, past a power cut, once take_written() returns it. Steps that wait are written in one transaction.
+//
+// All calls come from one thread, the loop's.
 #pragma once
 
 #include <condition_variable>
@@ -19,26 +21,26 @@
 
 class ReplicaStorage {
  public:
-  // Makes the folder where it is missing and locks it. Throws std::runtime_error in one sentence: it cannot
-  // be made, read or written; another process uses it; it is another gateway's, or of other keepers. `wake`
-  // is called on the folder's thread when done() has something.
-  ReplicaStorage(const std::string& path, const std::string& owner, uint64_t keepers,
+  // Creates the directory where it is missing and locks it. Throws std::runtime_error in one sentence: it
+  // cannot be created, read or written; another process uses it; it is another gateway's, or of another list
+  // of replicas. `wake` is called on the writing thread when take_written() has something.
+  ReplicaStorage(const std::string& path, const std::string& owner, uint64_t replicas_hash,
                  std::function<void()> wake);
-  ~ReplicaStorage();  // what waits is written first
+  ~ReplicaStorage();  // queued steps are written first
   ReplicaStorage(const ReplicaStorage&) = delete;
   ReplicaStorage& operator=(const ReplicaStorage&) = delete;
 
-  // What was there at the start; no standing: nothing was.
-  std::optional<consensus::ReplicaMetadata> standing;
+  // What was stored at the start; no metadata: nothing was.
+  std::optional<consensus::ReplicaMetadata> metadata;
   std::map<std::string, consensus::AcceptorSlot> slots;
 
-  void put(consensus::Step step);
-  struct Done {
+  void write(consensus::Step step);
+  struct Written {
     consensus::Step step;
-    std::string why;  // it could not be written; empty: it is on the disk
+    std::string error;  // why it could not be written; empty: it is on the disk
   };
-  std::vector<Done> done();  // in the order put
-  size_t waiting() const;
+  std::vector<Written> take_written();  // in the order of write()
+  size_t pending() const;               // steps that take_written() has not returned yet
 
  private:
   void lock();
@@ -46,21 +48,21 @@
   void close_environment();
   void read();
   void run();
-  std::string write(const std::vector<consensus::Step>& steps);  // why not; empty: they are on the disk
-  int commit(const std::vector<consensus::Step>& steps);         // LMDB's code
+  std::string write_all(const std::vector<consensus::Step>& steps);  // why not; empty: they are durable
+  int commit(const std::vector<consensus::Step>& steps);             // LMDB's code
 
   const std::string path_, owner_;
-  const uint64_t keepers_;
+  const uint64_t replicas_hash_;
   std::function<void()> wake_;
-  int lock_ = -1;
+  int lock_file_ = -1;
   MDB_env* env_ = nullptr;
-  unsigned slots_db_ = 0, standing_db_ = 0;
+  unsigned slots_db_ = 0, metadata_db_ = 0;
   mutable std::mutex mutex_;
-  std::condition_variable wanted_;
-  std::vector<consensus::Step> waiting_;
-  std::vector<Done> done_;
-  size_t out_ = 0;
-  bool ending_ = false;
+  std::condition_variable work_available_;
+  std::vector<consensus::Step> queued_;
+  std::vector<Written> written_;
+  size_t pending_ = 0;
+  bool is_closing_ = false;
   std::thread thread_;
 };
 
--- /dev/null
+++ b/src/cluster/topic_requests.cpp
@@ -0,0 +1,77 @@
+#include "cluster/topic_requests.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <utility>
+
+namespace firvalve::cluster {
+
+using schema::Change;
+using Result = schema::Registry::End;
+
+namespace {
+
+constexpr Duration kMinTimeout(1), kMaxTimeout(30000);  // of a change, whatever its client says
+
+Change::Kind kind_of(std::string_view method) {
+  using Kind = Change::Kind;
+  static constexpr std::pair<std::string_view, Kind> kMethods[] = {
+      {"bulletin", Kind::kRead}, {"propose", Kind::kPropose}, {"deprecate", Kind::kDeprecate},
+      {"retire", Kind::kRetire}, {"declare", Kind::kDeclare}, {"withdraw", Kind::kWithdraw}};
+  for (const auto& [name, kind] : kMethods)
+    if (method == name) return kind;
+  return Kind::kRead;
+}
+
+TopicRequests::Reply reply_of(const Result& result) {
+  using Kind = TopicRequests::Reply::Kind;
+  switch (result.kind) {
+    case Result::Kind::kAgreed:
+      if (result.asked == Change::Kind::kRead) return {Kind::kDone, schema::written(result.applied.after)};
+      if (result.applied.version > 0)
+        return {Kind::kDone, fmt::format(R"({{"version":{}}})", result.applied.version)};
+      return {Kind::kDone, R"({"agreed":true})"};
+    case Result::Kind::kRefused:
+      return {Kind::kRefused, schema::written(result.applied.verdict)};
+    case Result::Kind::kNoMajority:
+      return {Kind::kNoMajority, {}};
+    case Result::Kind::kUnreadable:
+      return {Kind::kBadParams, "what stands there is no bulletin that this program reads"};
+    case Result::Kind::kUnknown:
+      break;
+  }
+  return {Kind::kUnknown, {}};
+}
+
+}  // namespace
+
+void TopicRequests::request(std::string_view method, std::string_view topic, const std::string& params,
+                            Duration timeout, Done done) {
+  std::string reason;
+  std::optional<Change> change = schema::read_change(params, reason);
+  if (!change) return rejected_.push_back({std::move(done), std::move(reason)});
+  change->kind = kind_of(method);
+  reason = schema::missing(*change);
+  if (!reason.empty()) return rejected_.push_back({std::move(done), std::move(reason)});
+  change->bulletin = topic;
+  const BootClock::time_point now = BootClock::now();
+  log_.count_topic_request(method);
+  const uint64_t number = registry_.ask(to_ms(now), std::move(*change),
+                                        to_ms(now + std::clamp(timeout, kMinTimeout, kMaxTimeout)));
+  pending_[number] = std::move(done);
+}
+
+void TopicRequests::deliver_replies() {
+  for (const auto& [done, reason] : std::exchange(rejected_, {})) done({Reply::Kind::kBadParams, reason});
+  for (const Result& result : registry_.take_ends()) {
+    const auto pending = pending_.find(result.change);
+    if (pending == pending_.end()) continue;
+    const Done done = std::move(pending->second);
+    pending_.erase(pending);
+    log_.record_topic_change(result);
+    done(reply_of(result));
+  }
+}
+
+}  // namespace firvalve::cluster
--- a/src/fakes/fault_proxy.cpp
+++ b/src/fakes/fault_proxy.cpp
@@ -3,7 +3,8 @@
 #include <deque>
 #include <random>
 
-#include "cluster/wire.h"
+#include "cluster/peer_codec.h"
+#include "cluster/peer_limits.h"
 #include "proto/jsonrpc/rpc.h"
 
 namespace firvalve::fakes {
@@ -40,7 +41,7 @@
     FaultProxy& between_;
     const uint64_t passage_;
     const bool forth_;
-    proto::RpcFrames frames_{cluster::kFrameMost};
+    proto::RpcFrames frames_{cluster::kMaxFrameBytes};
   };
 
   std::unique_ptr<Side> near, far;
@@ -115,7 +116,7 @@
     const char* why = "";
     const size_t head = frame.find("\r\n\r\n") + 4;
     const auto read = cluster::read_frame({frame.data() + head, frame.size() - head}, why);
-    const auto name = read ? names_.find(read->from) : names_.end();
+    const auto name = read ? names_.find(read->sender) : names_.end();
     if (name != names_.end()) p.from = name->second;
   }
   Options& options = options_[forth ? std::pair(p.from, p.to) : std::pair(p.to, p.from)];
--- a/src/fakes/load_clients.cpp
+++ b/src/fakes/load_clients.cpp
@@ -145,10 +145,10 @@
       r.at += end + 1;
       std::istringstream lines(text.substr(0, end + 1));
       for (std::string line; std::getline(lines, line);) {
-        const std::string event = field(line, "event"), of = field(line, "duty");
-        if (event == "duty.taken" || event == "duty.renewed")
+        const std::string event = field(line, "event"), of = field(line, "lease");
+        if (event == "lease.acquired" || event == "lease.renewed")
           r.holds[of] = std::strtod(field(line, "until_ms").c_str(), nullptr);
-        else if (event == "duty.left" || event == "duty.lost")
+        else if (event == "lease.released" || event == "lease.lost")
           r.holds.erase(of);
         else if (event == "serving")
           r.holds.clear();  // another life
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -229,9 +229,9 @@
 
 cluster::ClusterOptions fleet_options(const config::OperatorConfig::Fleet& wish, double memory) {
   cluster::ClusterOptions options = cluster::options_from(wish);
-  options.record_bytes = static_cast<size_t>(kRecordPart * memory);
+  options.max_register_bytes = static_cast<size_t>(kRecordPart * memory);
   std::random_device device;
-  options.draw = (static_cast<uint64_t>(device()) << 32) | device();
+  options.random_seed = (static_cast<uint64_t>(device()) << 32) | device();
   return options;
 }
 
@@ -273,7 +273,7 @@
   core.limit(static_cast<size_t>(kStatementPart * bytes));
   engines.serve(core);
   if (peers) {
-    peers->serve(core);
+    peers->run_on(core);
     clients.ask_fleet(*peers);
   }
   ResultStoreWiring shelving(wishes.spool, loop, counters, logger);
@@ -298,7 +298,7 @@
   Ms ended_at = 0;  // SIGTERM came then
   net::Signals signals(loop, [&](int number) {
     if (number == SIGUSR1) {
-      if (peers) peers->tell();
+      if (peers) peers->log_status();
       return say(Level::kInfo, "counters", {{"component", "gateway"}, {"counts", counters.text()}});
     }
     // The event bus has moved. Everything else that a new file may say holds from the next start.
@@ -323,7 +323,7 @@
     ended_at = loop.now();
     const Ms answered_by = ended_at + proto::answers_end(longest);
     core.closing(ended_at, answered_by);
-    if (peers) peers->leave(ended_at, answered_by);
+    if (peers) peers->begin_shutdown(time_point_of(ended_at), time_point_of(answered_by));
     say(Level::kInfo, "ending: everything taken is answered first", {{"component", "gateway"}});
   });
   say(Level::kInfo, "serving", {{"component", "gateway"}, {"address", told.listen}});
@@ -345,15 +345,15 @@
     engines.due(now);
     if (shelving.spool) shelving.spool->due(now);
     clients.due(now);
-    if (peers) peers->due(now);
+    if (peers) peers->due(time_point_of(now));
     core.turn(now);
     const bool settled = ended_at > 0 && now >= ended_at + proto::kComingOn && core.unanswered() == 0 &&
                          clients.unsent() == 0 && (!shelving.spool || shelving.spool->settled()) &&
-                         (!peers || peers->left(now));
+                         (!peers || peers->is_shut_down());
     if (settled && clients.leave(now)) loop.stop();
     if (ended_at > 0 && now >= ended_at + proto::leaving_end(longest)) loop.stop();
     if (ended_at > 0) return now + kEndLook;
-    const Ms fleet_due = peers ? peers->next_due(now) : 0;
+    const Ms fleet_due = peers ? to_ms(peers->next_due(time_point_of(now))) : 0;
     const Ms spooled = shelving.spool ? shelving.spool->next_due() : 0;
     return sooner(
         sooner(sooner(spooled, fleet_due), logger.next_due()),
--- a/src/lab/fleet_world.cpp
+++ b/src/lab/fleet_world.cpp
@@ -139,10 +139,10 @@
     Gateway& g = nodes_[n];
     cluster::ClusterNodeOptions t;
     t.self = n;
-    t.keepers = o_.keepers;
+    t.replicas = o_.keepers;
     t.name = name_of(n);
-    t.draw = number();
-    t.lease = o_.lease;
+    t.random_seed = number();
+    t.lease_duration = duration_of(o_.lease);
     ++g.start;
     g.wake_at = 0;
     g.fence = {};
@@ -152,7 +152,7 @@
       g.node = std::make_unique<cluster::ClusterNode>(at, t, *g.standing, g.slots);
     else
       g.node = std::make_unique<cluster::ClusterNode>(at, t);
-    for (uint32_t d = 0; d < o_.duties; ++d) g.node->duties().want(at, duty_name(d));
+    for (uint32_t d = 0; d < o_.duties; ++d) g.node->leases().want(at, duty_name(d));
     turn(n);
   }
 
@@ -189,16 +189,16 @@
     const Ms at = local(g);
     g.node->due(at);
     for (int rounds = 0; rounds < 1000; ++rounds) {
-      cluster::ClusterNode::Out out = g.node->take();
-      std::vector<consensus::Envelope> sends = std::move(out.sends);
-      if (g.disk_full && (out.keeper.standing || !out.keeper.writes.empty())) {
-        g.node->unwritten(std::move(out.keeper));
+      cluster::ClusterNode::Output out = g.node->take_output();
+      std::vector<consensus::Envelope> sends = std::move(out.envelopes);
+      if (g.disk_full && (out.step.standing || !out.step.writes.empty())) {
+        g.node->put_back(std::move(out.step));
       } else {
         if (o_.folders) {
-          if (out.keeper.standing) g.standing = out.keeper.standing;
-          for (auto& [key, slot] : out.keeper.writes) g.slots[key] = std::move(slot);
+          if (out.step.standing) g.standing = out.step.standing;
+          for (auto& [key, slot] : out.step.writes) g.slots[key] = std::move(slot);
         }
-        for (consensus::Envelope& e : out.keeper.sends) sends.push_back(std::move(e));
+        for (consensus::Envelope& e : out.step.sends) sends.push_back(std::move(e));
       }
       if (sends.empty()) break;
       for (consensus::Envelope& e : sends) {
@@ -267,7 +267,7 @@
         close_span(g, e.duty, now_);
       }
     }
-    for (const lease::RunOnceJobs::Action& a : g.node->merges().take_actions()) {
+    for (const lease::RunOnceJobs::Action& a : g.node->run_once_jobs().take_actions()) {
       using Act = lease::RunOnceJobs::Action::Kind;
       if (a.kind == Act::kStart) {
         out_.history.begun.push_back({a.name, now_});
@@ -284,7 +284,7 @@
         out_.history.bulletins.push_back(read_agreed(end.bulletin, now_, schema::written(end.applied.after)));
       out_.refused_changes += end.kind == Kind::kRefused;
     }
-    for (const consensus::ProposalResult& end : g.node->take_ends()) {
+    for (const consensus::ProposalResult& end : g.node->take_results()) {
       using Kind = consensus::ProposalResult::Kind;
       if (end.kind == Kind::kUnknown || end.kind == Kind::kNoMajority) continue;
       RecordOp op;
@@ -345,7 +345,7 @@
         if (!up) return;
         for (uint32_t d = 0; d < o_.duties; ++d) {
           const std::string duty = duty_name(d);
-          if (const auto epoch = g.node->duties().may_act(at, duty))
+          if (const auto epoch = g.node->leases().may_act(at, duty))
             carry(e.node, (e.node + 1 + draw(o_.gateways - 1)) % o_.gateways, nullptr, duty, *epoch);
         }
         return;
@@ -360,7 +360,7 @@
           w.expected = uniform() < 0.8 ? seen_[w.key] : g.last_seen;
           w.value = fmt::format("{:x}", w.id);
         }
-        g.node->asker().ask(at, std::move(w));
+        g.node->proposer().ask(at, std::move(w));
         return turn(e.node);
       }
       case What::kBulletin:
@@ -370,11 +370,11 @@
         return turn(e.node);
       case What::kMerge:
         if (!up) return;
-        g.node->merges().ask(at, fmt::format("m{}", e.other), ++calls_, 7, at + kMergePatience);
+        g.node->run_once_jobs().ask(at, fmt::format("m{}", e.other), ++calls_, 7, at + kMergePatience);
         return turn(e.node);
       case What::kRunEnd:
         if (!up || e.number != g.start) return;
-        g.node->merges().run_ended(at, run_names_[e.other], lease::RunOnceJobs::End::kAnswered, "1\n");
+        g.node->run_once_jobs().run_ended(at, run_names_[e.other], lease::RunOnceJobs::End::kAnswered, "1\n");
         return turn(e.node);
       default:
         return;
@@ -432,7 +432,7 @@
         for (const Event& e : waiting)
           if (e.what != What::kAct) step(e);
         if (g.node) {
-          g.node->duties().stalled(local(g), (now_ - g.stalled_at) * g.rate);
+          g.node->leases().stalled(local(g), (now_ - g.stalled_at) * g.rate);
           turn(f.node);
         }
         return;
--- a/src/lab/judge.cpp
+++ b/src/lab/judge.cpp
@@ -152,15 +152,15 @@
       return at != d.MemberEnd() && at->value.IsString() ? at->value.GetString() : "";
     };
     const auto number = [&](const char* name) { return std::strtod(text(name).c_str(), nullptr); };
-    const std::string event = text("event"), duty = text("duty");
-    if (!event.starts_with("duty.") || duty.empty()) continue;
+    const std::string event = text("event"), duty = text("lease");
+    if (!event.starts_with("lease.") || duty.empty()) continue;
     const uint64_t epoch = std::strtoull(text("epoch").c_str(), nullptr, 10);
-    if (event == "duty.taken") {
+    if (event == "lease.acquired") {
       close(duty);
       open[duty] = {duty, holder, epoch, number("at_ms"), number("until_ms")};
     } else if (const auto at = open.find(duty); at != open.end() && at->second.epoch == epoch) {
-      if (event == "duty.renewed") at->second.until = number("until_ms");
-      if (event == "duty.left" || event == "duty.lost") {
+      if (event == "lease.renewed") at->second.until = number("until_ms");
+      if (event == "lease.released" || event == "lease.lost") {
         at->second.until = std::min(at->second.until, number("at_ms"));
         close(duty);
       }
--- a/src/lab/judge.h
+++ b/src/lab/judge.h
@@ -70,9 +70,9 @@
 
 std::vector<FleetViolation> judge(const FleetHistory& history);
 
-// Reads the logs of processes, JSON a line: `duty.taken`, `duty.renewed`, `duty.left` and `duty.lost` with
-// `duty`, `epoch`, `at_ms` and, of the first two, `until_ms`, into spans. Lines of other events are passed
-// over.
+// Reads the logs of processes, JSON a line: `lease.acquired`, `lease.renewed`, `lease.released` and `lease.lost`
+// with `lease`, `epoch`, `at_ms` and, of the first two, `until_ms`, into spans. Lines of other events are
+// passed over.
 void read_spans(const std::string& holder, const std::string& log, FleetHistory& into);
 
 // Reads a bulletin as gateways tell it: JSON with `versions` and `declarations`.
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -100,7 +100,7 @@
              counters, [](const std::string&, const std::string&) {}) {
     loop.limit(kDescriptorsMost, kBufferBytesMost);
     engines.serve(core);
-    if (fleet) fleet->serve(core);
+    if (fleet) fleet->run_on(core);
     follow_list(options);
     waker = std::make_unique<net::Waker>(loop, [this] { run_posted(); });
     loop.on_turn = [this](Ms now) { return turn(now); };
@@ -121,12 +121,12 @@
 
   void begin_end() {
     post([this] {
-      if (fleet) fleet->leave(loop.now(), loop.now() + kEndMost);
+      if (fleet) fleet->begin_shutdown(time_point_of(loop.now()), time_point_of(loop.now() + kEndMost));
     });
   }
   bool has_left() {
     std::promise<bool> promise;
-    post([&] { promise.set_value(!fleet || fleet->left(loop.now())); });
+    post([&] { promise.set_value(!fleet || fleet->is_shut_down()); });
     return promise.get_future().get();
   }
 
@@ -135,7 +135,7 @@
     if (options.keepers.empty()) return nullptr;
     const config::OperatorConfig::Fleet section = read_fleet_section(options);
     cluster::ClusterOptions terms = cluster::options_from(section);
-    terms.draw = draw_of_this_start();
+    terms.random_seed = draw_of_this_start();
     return std::make_unique<cluster::ClusterService>(
         loop, counters, terms, no_clients,
         [this](log::Level, std::string_view event, log::Fields fields) { note(event, fields); });
@@ -160,27 +160,27 @@
   Ms turn(Ms now) {
     if (bus) bus->due(now);
     engines.due(now);
-    if (fleet) fleet->due(now);
+    if (fleet) fleet->due(time_point_of(now));
     if (const uint64_t updates = counters.counts["bus events"]; updates != list_updates) {
       list_updates = updates;
       list_updated_at = hollow_clock();
     }
-    return sooner(sooner(bus ? bus->next_due() : 0, fleet ? fleet->next_due(now) : 0), engines.next_due());
+    return sooner(sooner(bus ? bus->next_due() : 0, fleet ? to_ms(fleet->next_due(time_point_of(now))) : 0), engines.next_due());
   }
 
   void note(std::string_view event, log::Fields fields) {
     using Kind = DutyEvent::Kind;
-    static constexpr std::pair<std::string_view, Kind> kKinds[] = {{"duty.taken", Kind::kTaken},
-                                                                   {"duty.renewed", Kind::kRenewed},
-                                                                   {"duty.left", Kind::kLeft},
-                                                                   {"duty.lost", Kind::kLost}};
-    if (event == "record.ready") record_ready = true;
+    static constexpr std::pair<std::string_view, Kind> kKinds[] = {{"lease.acquired", Kind::kTaken},
+                                                                   {"lease.renewed", Kind::kRenewed},
+                                                                   {"lease.released", Kind::kLeft},
+                                                                   {"lease.lost", Kind::kLost}};
+    if (event == "consensus.replica_ready") record_ready = true;
     for (const auto& [name, kind] : kKinds) {
       if (event != name) continue;
       DutyEvent& duty_event = duty_events.emplace_back();
       duty_event.kind = kind;
       for (const log::Field& field : fields) {
-        if (field.name == "duty") duty_event.duty = field.value;
+        if (field.name == "lease") duty_event.duty = field.value;
         if (field.name == "epoch") duty_event.epoch = std::strtoull(field.value.c_str(), nullptr, 10);
         if (field.name == "at_ms") duty_event.at = std::strtod(field.value.c_str(), nullptr);
         if (field.name == "until_ms") duty_event.until = std::strtod(field.value.c_str(), nullptr);
@@ -193,7 +193,7 @@
     out.is_up = true;
     out.record_ready = record_ready;
     if (fleet) {
-      const cluster::LinkCounts& counts = fleet->link_counts();
+      const cluster::ConnectionCounts& counts = fleet->connection_counts();
       out.peers = {counts.frames_in, counts.frames_out, counts.messages_in, counts.messages_out,
                    counts.bytes_in,  counts.bytes_out,  counts.connects};
       out.links_lost = counts.lost;
--- a/src/lab/scale/region_proxy.cpp
+++ b/src/lab/scale/region_proxy.cpp
@@ -11,7 +11,8 @@
 #include <cstring>
 #include <string_view>
 
-#include "cluster/wire.h"
+#include "cluster/peer_codec.h"
+#include "cluster/peer_limits.h"
 #include "lab/scale/parts.h"
 #include "proto/jsonrpc/rpc.h"
 
@@ -43,7 +44,7 @@
   uint32_t watched = 0;
   std::string unsent;  // to this side
   proto::Inbox inbox;  // from this side: the frame that is not whole yet
-  proto::RpcFrames frames{cluster::kFrameMost};
+  proto::RpcFrames frames{cluster::kMaxFrameBytes};
 };
 
 // A gateway's connection and the one to the keeper that belongs to it.
@@ -184,11 +185,11 @@
     const char* why = "";
     const std::optional<cluster::Frame> frame = cluster::read_frame(body, why);
     if (!frame) continue;
-    if (side.is_gateway && !connection.member) connection.member = options_.member_of(frame->from);
+    if (side.is_gateway && !connection.member) connection.member = options_.member_of(frame->sender);
     if (connection.member && cut_[options_.region_of(*connection.member)]) return;
-    messages_ += frame->parts.size();
+    messages_ += frame->messages.size();
     if (side.is_gateway || !connection.member || !options_.on_answer) continue;
-    for (const consensus::Message& message : frame->parts) options_.on_answer(*connection.member, message);
+    for (const consensus::Message& message : frame->messages) options_.on_answer(*connection.member, message);
   }
   side.inbox.rest();
 }
--- a/tests/cluster/wire_test.cpp
+++ b/tests/cluster/peer_codec_test.cpp
@@ -1,4 +1,4 @@
-#include "cluster/wire.h"
+#include "cluster/peer_codec.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -64,19 +64,19 @@
 
 RC_GTEST_PROP(PeerFrames, ComeOutAsTheyWentIn, ()) {
   Frame frame;
-  frame.from = "127.0.0.1:7000";
-  frame.keepers = 99;
-  frame.parts = *rc::gen::container<std::vector<Message>>(messages());
+  frame.sender = "127.0.0.1:7000";
+  frame.replicas_hash = 99;
+  frame.messages = *rc::gen::container<std::vector<Message>>(messages());
   const auto out = read(body_of(frame));
   RC_ASSERT(out.has_value());
-  RC_ASSERT(out->from == frame.from);
-  RC_ASSERT(out->parts == frame.parts);
+  RC_ASSERT(out->sender == frame.sender);
+  RC_ASSERT(out->messages == frame.messages);
 }
 
 RC_GTEST_PROP(PeerFrames, ChangedAnywhereGiveAFrameOrNoneAndNoHarm, ()) {
   Frame frame;
-  frame.from = "a";
-  frame.parts = {*messages()};
+  frame.sender = "a";
+  frame.messages = {*messages()};
   std::string body = body_of(frame);
   const size_t at = *rc::gen::inRange<size_t>(0, body.size());
   body[at] = *rc::gen::arbitrary<char>();
@@ -112,8 +112,8 @@
   b.Finish(wire::CreateFrame(b, kFrameVersion, from, 1, all));
   const auto frame = read({reinterpret_cast<const char*>(b.GetBufferPointer()), b.GetSize()});
   ASSERT_TRUE(frame);
-  ASSERT_EQ(frame->parts.size(), 1u);
-  EXPECT_EQ(frame->parts[0].key, "k");
+  ASSERT_EQ(frame->messages.size(), 1u);
+  EXPECT_EQ(frame->messages[0].key, "k");
 }
 
 class FolderTest : public testing::Test {
@@ -149,12 +149,12 @@
 TEST_F(FolderTest, WhatWasPutIsThereAgain) {
   {
     const auto folder = open();
-    EXPECT_FALSE(folder->standing);
-    for (uint64_t i = 1; i <= 100; ++i) folder->put(step(fmt::format("k{}", i % 10), i));
+    EXPECT_FALSE(folder->metadata);
+    for (uint64_t i = 1; i <= 100; ++i) folder->write(step(fmt::format("k{}", i % 10), i));
   }
   const auto folder = open();
-  ASSERT_TRUE(folder->standing);
-  EXPECT_EQ(*folder->standing, *step("", 0).standing);
+  ASSERT_TRUE(folder->metadata);
+  EXPECT_EQ(*folder->metadata, *step("", 0).standing);
   ASSERT_EQ(folder->slots.size(), 10u);
   EXPECT_EQ(folder->slots["k0"], step("", 100).writes[0].second);
 }
@@ -162,7 +162,7 @@
 TEST_F(FolderTest, AnothersOrAnOtherListsOrOneInUseIsRefused) {
   {
     const auto folder = open();
-    folder->put(step("k", 1));
+    folder->write(step("k", 1));
     EXPECT_NE(refused("me", 7).find("another process uses it"), std::string::npos);
   }
   EXPECT_NE(refused("you", 7).find("it is me's"), std::string::npos);
@@ -177,7 +177,7 @@
     all.standing = step("", 1).standing;
     for (uint64_t i = 0; i < 10000; ++i)
       all.writes.push_back(step("duty:" + std::to_string(i), i + 1).writes[0]);
-    folder->put(std::move(all));
+    folder->write(std::move(all));
   }
   const auto begin = std::chrono::steady_clock::now();
   const auto folder = open();
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -13,7 +13,7 @@
 #include <thread>
 
 #include "client/client.h"
-#include "cluster/wire.h"
+#include "cluster/peer_codec.h"
 #include "fakes/load_clients.h"
 #include "lab/judge.h"
 #include "soon.h"
@@ -88,7 +88,7 @@
   c.pause(first);
   EXPECT_TRUE(handed_on(first));
   c.go_on(first);
-  EXPECT_TRUE(soon([&] { return c.count(first, "duty.lost") > 0; }));
+  EXPECT_TRUE(soon([&] { return c.count(first, "lease.lost") > 0; }));
   EXPECT_NE(holder(), first);
 }
 
@@ -124,7 +124,7 @@
     if (const auto h = c.holder(duty); h && *h >= 3) cut = *h;
   if (!cut) GTEST_SKIP() << "all duties went to keepers";
   for (size_t k = 0; k < 3; ++k) c.between().set_both(*cut, k, {.silent = true});
-  EXPECT_TRUE(soon([&] { return c.count(*cut, "duty.lost") > 0; }));
+  EXPECT_TRUE(soon([&] { return c.count(*cut, "lease.lost") > 0; }));
   EXPECT_TRUE(soon([&] {
     return std::all_of(t.duties.begin(), t.duties.end(), [&](const std::string& d) {
       const auto h = c.holder(d);
@@ -140,7 +140,7 @@
     if (k != first) c.between().set(k, first, {.silent = true});
   EXPECT_TRUE(handed_on(first));
   c.between().set_all({});
-  EXPECT_TRUE(soon([&] { return c.count(first, "duty.lost") > 0; }));
+  EXPECT_TRUE(soon([&] { return c.count(first, "lease.lost") > 0; }));
 }
 
 TEST_F(Processes, LinksResetInTheMiddleOfFrames) {
@@ -150,18 +150,18 @@
     ::usleep(50000);
   }
   EXPECT_TRUE(soon([&] { return c.ready(); }));
-  EXPECT_EQ(c.count("duty.unreadable"), 0u);
+  EXPECT_EQ(c.count("lease.unreadable"), 0u);
 }
 
 TEST_F(Processes, KeeperKilledAndStartedAgainWithAndWithoutWhatItHad) {
   LoadClients& c = begin();
   EXPECT_EQ(merge({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
   for (const size_t keeper : {size_t{0}, size_t{1}, size_t{2}}) {
-    const size_t before = c.count(keeper, "record.ready");
+    const size_t before = c.count(keeper, "consensus.replica_ready");
     c.kill(keeper);
     if (keeper != 1) c.forget(keeper);
     c.start(keeper);
-    EXPECT_TRUE(soon([&] { return c.count(keeper, "record.ready") > before; })) << keeper;
+    EXPECT_TRUE(soon([&] { return c.count(keeper, "consensus.replica_ready") > before; })) << keeper;
   }
   // Every keeper has been away: what was agreed stands all the same.
   EXPECT_EQ(merge({3, 4}, "one", "insert one").outcome, client::Outcome::kAnswered);
@@ -176,7 +176,7 @@
   for (const size_t keeper : {size_t{0}, size_t{1}, size_t{2}}) {
     c.kill(keeper);
     c.start(keeper);
-    EXPECT_TRUE(soon([&] { return c.count(keeper, "record.ready") > 1; })) << keeper;
+    EXPECT_TRUE(soon([&] { return c.count(keeper, "consensus.replica_ready") > 1; })) << keeper;
   }
   EXPECT_EQ(merge({4}, "one", "insert one").outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert one"), 1);
@@ -261,13 +261,13 @@
   for (size_t i = 0; i < c.size(); ++i) {
     EXPECT_EQ(c.end(i), 0);
     c.start(i);
-    EXPECT_TRUE(soon([&] { return c.ready() && (i >= 3 || c.count(i, "record.ready") > 1); })) << i;
+    EXPECT_TRUE(soon([&] { return c.ready() && (i >= 3 || c.count(i, "consensus.replica_ready") > 1); })) << i;
   }
   over = true;
   load.join();
   EXPECT_GT(answered, 50);
   EXPECT_EQ(lost, 0);
-  EXPECT_EQ(c.count("duty.lost"), 0u);  // each handed on what it held
+  EXPECT_EQ(c.count("lease.lost"), 0u);  // each handed on what it held
 }
 
 TEST_F(Processes, ALoadAskedOfAllBeginsOnceAndAllAreToldItsEnd) {
@@ -334,7 +334,7 @@
   EXPECT_EQ(merge({4}, "one", "insert one").outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert one"), 1);
   EXPECT_EQ(c.end(0), 0);
-  EXPECT_EQ(c.count(0, "counters", "record steps not written"),
+  EXPECT_EQ(c.count(0, "counters", "consensus writes failed"),
             1u);  // its log could not be written meanwhile, either
 }
 
@@ -353,8 +353,8 @@
     }
   };
   cluster::Frame odd;
-  odd.from = "127.0.0.1:1";
-  odd.keepers = 1;  // of others
+  odd.sender = "127.0.0.1:1";
+  odd.replicas_hash = 1;  // of others
   std::string frame;
   cluster::append_frame(frame, odd);
   for (size_t k = 0; k < 3; ++k) {
@@ -366,9 +366,9 @@
     for (int i = 0; i < 20000; ++i) flood += frame;
     send(k, flood);
   }
-  EXPECT_TRUE(soon([&] { return c.count(0, "member.refused") >= 2; }));
+  EXPECT_TRUE(soon([&] { return c.count(0, "cluster.frame_rejected") >= 2; }));
   EXPECT_TRUE(c.ready());
-  EXPECT_EQ(c.count("duty.lost"), 0u);
+  EXPECT_EQ(c.count("lease.lost"), 0u);
   EXPECT_EQ(merge({0}, "one", "insert one").outcome, client::Outcome::kAnswered);
 }
 
@@ -378,9 +378,9 @@
   EXPECT_EQ(c.end(odd), 0);
   c.rewrite(odd, c.name(2), c.name(3));
   c.start(odd);
-  EXPECT_TRUE(soon([&] { return c.count(0, "member.refused", "another list of keepers") > 0; }));
+  EXPECT_TRUE(soon([&] { return c.count(0, "cluster.frame_rejected", "another list of keepers") > 0; }));
   EXPECT_TRUE(soon([&] { return c.ready() && holder() != odd; }));
-  EXPECT_EQ(c.count(odd, "duty.taken", "\"epoch\":\"9"), 0u);
+  EXPECT_EQ(c.count(odd, "lease.acquired", "\"epoch\":\"9"), 0u);
   // Its clients are still served: only what needs the record is not to be had there.
   client::Options o;
   o.gateways = {c.clients(odd)};
@@ -457,7 +457,7 @@
       at(0).ask("propose", "cabins", R"({"schema":{"fields":[{"number":"x"}]}})", 5000).wait();
   EXPECT_EQ(bad.outcome, client::Outcome::kFailed);
   EXPECT_EQ(bad.why, "schema.fields[0].number is no number from 0 up");
-  EXPECT_GE(c.count("schema.refused"), c.size());
+  EXPECT_GE(c.count("schema.change_rejected"), c.size());
 }
 
 TEST_F(Bulletins, ProposalsAndDeclarationsThatCrossACutAndLossAndAKilledKeeper) {
--- a/tests/cluster/replica_storage_test.cpp
+++ b/tests/cluster/replica_storage_test.cpp
@@ -33,7 +33,7 @@
   static void put(ReplicaStorage& folder, int number) {
     consensus::Step step;
     step.writes.emplace_back(fmt::format("key {}", number % 8), consensus::AcceptorSlot{});
-    folder.put(std::move(step));
+    folder.write(std::move(step));
   }
   std::string path_;
 };
@@ -53,26 +53,26 @@
   });
   for (int i = 0; i < kWrites; ++i) {
     put(folder, i);
-    while (folder.waiting() > 0) folder.done();
+    while (folder.pending() > 0) folder.take_written();
   }
   ending = true;
   disk.join();
   put(folder, 0);  // may meet what the last one left behind
   put(folder, 1);
-  std::vector<ReplicaStorage::Done> done;
+  std::vector<ReplicaStorage::Written> done;
   EXPECT_TRUE(soon([&] {
-    for (ReplicaStorage::Done& one : folder.done()) done.push_back(std::move(one));
+    for (ReplicaStorage::Written& one : folder.take_written()) done.push_back(std::move(one));
     return done.size() >= 2;
   }));
   ASSERT_GE(done.size(), 2u);
   put(folder, 2);
   done.clear();
   EXPECT_TRUE(soon([&] {
-    for (ReplicaStorage::Done& one : folder.done()) done.push_back(std::move(one));
+    for (ReplicaStorage::Written& one : folder.take_written()) done.push_back(std::move(one));
     return !done.empty();
   }));
   ASSERT_FALSE(done.empty());
-  EXPECT_EQ(done.back().why, "");
+  EXPECT_EQ(done.back().error, "");
 }
 
 }  // namespace
--- a/tests/cluster/world_test.cpp
+++ b/tests/cluster/world_test.cpp
@@ -211,13 +211,13 @@
   FleetHistory h;
   read_spans("a",
              "not json\n"
-             R"({"event":"duty.taken","duty":"d","epoch":"3","at_ms":"100.5","until_ms":"1000"})"
+             R"({"event":"lease.acquired","lease":"d","epoch":"3","at_ms":"100.5","until_ms":"1000"})"
              "\n"
-             R"({"event":"duty.renewed","duty":"d","epoch":"3","at_ms":"500","until_ms":"1400"})"
+             R"({"event":"lease.renewed","lease":"d","epoch":"3","at_ms":"500","until_ms":"1400"})"
              "\n"
-             R"({"event":"duty.left","duty":"d","epoch":"3","at_ms":"700","why":"x"})"
+             R"({"event":"lease.released","lease":"d","epoch":"3","at_ms":"700","reason":"x"})"
              "\n"
-             R"({"event":"duty.taken","duty":"d","epoch":"5","at_ms":"900","until_ms":"1800"})"
+             R"({"event":"lease.acquired","lease":"d","epoch":"5","at_ms":"900","until_ms":"1800"})"
              "\n",
              h);
   ASSERT_EQ(h.held.size(), 2u);
--- a/tests/lab/scale_control_test.cpp
+++ b/tests/lab/scale_control_test.cpp
@@ -9,7 +9,7 @@
 #include <mutex>
 #include <set>
 
-#include "cluster/wire.h"
+#include "cluster/peer_codec.h"
 #include "fakes/fake_deployment.h"
 #include "fakes/fault_proxy.h"
 #include "fakes/process.h"
@@ -176,8 +176,8 @@
     const char* why = "";
     const auto frame = cluster::read_frame({bytes.data() + head, bytes.size() - head}, why);
     ASSERT_TRUE(frame) << why;
-    if (frame->parts.size() != 1) return;  // what goes together is chance
-    const consensus::Message& m = frame->parts[0];
+    if (frame->messages.size() != 1) return;  // what goes together is chance
+    const consensus::Message& m = frame->messages[0];
     if (m.fact.version <= kVersions)
       out.sizes[{m.say, m.key, m.fact.version, m.since > 0}].insert(bytes.size());
   }
