--- a/fuzz/peers_fuzz.cpp
+++ b/fuzz/peers_fuzz.cpp
@@ -9,7 +9,7 @@
 #include "cluster/peer_codec.h"
 #include "lease/lease_record.h"
 #include "lease/run_once_jobs.h"
-#include "schema/registry.h"
+#include "schema/topic_codec.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using namespace firvalve;
@@ -31,7 +31,7 @@
   lease::read_claim(text);
   lease::read_merge(text);
   std::string told;
-  if (const auto bulletin = schema::read_bulletin(text, told)) schema::written(*bulletin);
-  if (const auto change = schema::read_change(text, told)) schema::apply({}, *change);
+  if (const auto topic = schema::decode_topic(text, told)) schema::encode(*topic);
+  if (const auto change = schema::decode_change(text, told)) schema::apply({}, *change);
   return 0;
 }
--- a/src/cluster/cluster_log.cpp
+++ b/src/cluster/cluster_log.cpp
@@ -89,18 +89,19 @@
 
 void ClusterLog::count_requested_job() const { metrics_.add("run-once jobs requested"); }
 
-void ClusterLog::record_topic_change(const schema::Registry::End& end) const {
-  using Kind = schema::Registry::End::Kind;
-  if (end.kind == Kind::kAgreed && end.applied.changed)
-    sink_(
-        Level::kInfo, "schema.change_agreed",
-        {{"component", "schema"}, {"topic", end.bulletin}, {"version", std::to_string(end.applied.version)}});
-  if (end.kind == Kind::kRefused)
+void ClusterLog::record_topic_change(const schema::Registry::Result& result) const {
+  using Kind = schema::Registry::Result::Kind;
+  if (result.kind == Kind::kAgreed && result.applied.has_changed)
+    sink_(Level::kInfo, "schema.change_agreed",
+          {{"component", "schema"},
+           {"topic", result.topic},
+           {"version", std::to_string(result.applied.version)}});
+  if (result.kind == Kind::kRejected)
     sink_(Level::kWarning, "schema.change_rejected",
           {{"component", "schema"},
-           {"topic", end.bulletin},
-           {"rule", schema::name_of(end.applied.verdict.breaches.front().rule)},
-           {"violations", std::to_string(end.applied.verdict.breaches.size())}});
+           {"topic", result.topic},
+           {"rule", schema::name_of(result.applied.verdict.violations.front().rule)},
+           {"violations", std::to_string(result.applied.verdict.violations.size())}});
 }
 
 void ClusterLog::count_topic_request(std::string_view method) const {
--- a/src/cluster/cluster_log.h
+++ b/src/cluster/cluster_log.h
@@ -41,7 +41,7 @@
   void count_requested_job() const;
 
   // schema.change_agreed, schema.change_rejected; other results and readings are not logged.
-  void record_topic_change(const schema::Registry::End& end) const;
+  void record_topic_change(const schema::Registry::Result& result) const;
   void count_topic_request(std::string_view method) const;
 
   // The present state, for SIGUSR1: consensus.replica_status, cluster.peer_status, lease.status.
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -1,5 +1,7 @@
 #include "cluster/cluster_node.h"
 
+#include "schema/topic_codec.h"
+
 namespace firvalve::cluster {
 
 using consensus::MessageType;
@@ -78,8 +80,8 @@
     more = false;
     for (const consensus::ProposalResult& end : proposer_.take_ends()) {
       more = true;
-      if (end.wish.key.starts_with(schema::Registry::kPrefix))
-        registry_.ended(now, end);
+      if (end.wish.key.starts_with(schema::Registry::kKeyPrefix))
+        registry_.handle_result(end);
       else if (leases_.wants(end.wish.key))
         leases_.ended(now, end);
       else
@@ -91,7 +93,7 @@
       more = true;
       proposer_.ask(now, std::move(wish));
     }
-    for (consensus::Proposal& wish : registry_.take_wishes()) {
+    for (consensus::Proposal& wish : registry_.take_proposals()) {
       more = true;
       proposer_.ask(now, std::move(wish));
     }
@@ -105,16 +107,17 @@
 
 void ClusterNode::handle_register(Ms now, const std::string& key, const consensus::Register& fact) {
   leases_.saw(now, key, fact);
-  // Keepers look after declarations; that others need not read every bulletin whole is all that it is for.
-  if (!acceptor_ || !key.starts_with(schema::Registry::kPrefix)) return;
+  // Only replicas watch declarations, so that the others need not decode every topic.
+  if (!acceptor_ || !key.starts_with(schema::Registry::kKeyPrefix)) return;
   std::string why;
-  if (const auto b = schema::read_bulletin(fact.value, why))
-    declaration_expiry_.saw(now, key.substr(std::string_view(schema::Registry::kPrefix).size()), *b);
+  if (const auto topic = schema::decode_topic(fact.value, why))
+    declaration_expiry_.observe(time_point_of<BootClock>(now),
+                                key.substr(std::string_view(schema::Registry::kKeyPrefix).size()), *topic);
 }
 
 void ClusterNode::due(Ms now) {
-  for (schema::Change& withdrawal : declaration_expiry_.due(now))
-    registry_.ask(now, std::move(withdrawal), now + kExpiryTimeout);
+  for (schema::Change& withdrawal : declaration_expiry_.due(time_point_of<BootClock>(now)))
+    registry_.submit(std::move(withdrawal), time_point_of<BootClock>(now + kExpiryTimeout));
   if (acceptor_) acceptor_->due(now);
   proposer_.due(now);
   watcher_.due(now);
@@ -133,7 +136,7 @@
   sooner(watcher_.next_due());
   sooner(leases_.next_due());
   sooner(run_once_jobs_.next_due());
-  sooner(declaration_expiry_.next_due());
+  if (const auto at = declaration_expiry_.next_due()) sooner(to_ms(*at));
   return next;
 }
 
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -58,7 +58,7 @@
   lease::LeaseManager& leases() { return leases_; }
   lease::RunOnceJobs& run_once_jobs() { return run_once_jobs_; }
   schema::Registry& registry() { return registry_; }
-  std::vector<schema::Registry::End> take_changes() { return registry_.take_ends(); }
+  std::vector<schema::Registry::Result> take_topic_results() { return registry_.take_results(); }
   consensus::Proposer& proposer() { return proposer_; }
   // Results of proposals that are neither the leases' nor the registry's.
   std::vector<consensus::ProposalResult> take_results() { return std::exchange(results_, {}); }
--- a/src/cluster/topic_requests.cpp
+++ b/src/cluster/topic_requests.cpp
@@ -5,10 +5,12 @@
 #include <algorithm>
 #include <utility>
 
+#include "schema/topic_codec.h"
+
 namespace firvalve::cluster {
 
 using schema::Change;
-using Result = schema::Registry::End;
+using Result = schema::Registry::Result;
 
 namespace {
 
@@ -28,12 +30,12 @@
   using Kind = TopicRequests::Reply::Kind;
   switch (result.kind) {
     case Result::Kind::kAgreed:
-      if (result.asked == Change::Kind::kRead) return {Kind::kDone, schema::written(result.applied.after)};
+      if (result.requested == Change::Kind::kRead) return {Kind::kDone, schema::encode(result.applied.after)};
       if (result.applied.version > 0)
         return {Kind::kDone, fmt::format(R"({{"version":{}}})", result.applied.version)};
       return {Kind::kDone, R"({"agreed":true})"};
-    case Result::Kind::kRefused:
-      return {Kind::kRefused, schema::written(result.applied.verdict)};
+    case Result::Kind::kRejected:
+      return {Kind::kRefused, schema::encode(result.applied.verdict)};
     case Result::Kind::kNoMajority:
       return {Kind::kNoMajority, {}};
     case Result::Kind::kUnreadable:
@@ -49,22 +51,22 @@
 void TopicRequests::request(std::string_view method, std::string_view topic, const std::string& params,
                             Duration timeout, Done done) {
   std::string reason;
-  std::optional<Change> change = schema::read_change(params, reason);
+  std::optional<Change> change = schema::decode_change(params, reason);
   if (!change) return rejected_.push_back({std::move(done), std::move(reason)});
   change->kind = kind_of(method);
-  reason = schema::missing(*change);
+  reason = schema::find_missing_parameter(*change);
   if (!reason.empty()) return rejected_.push_back({std::move(done), std::move(reason)});
-  change->bulletin = topic;
+  change->topic = topic;
   const BootClock::time_point now = BootClock::now();
   log_.count_topic_request(method);
-  const uint64_t number = registry_.ask(to_ms(now), std::move(*change),
-                                        to_ms(now + std::clamp(timeout, kMinTimeout, kMaxTimeout)));
+  const uint64_t number =
+      registry_.submit(std::move(*change), now + std::clamp(timeout, kMinTimeout, kMaxTimeout));
   pending_[number] = std::move(done);
 }
 
 void TopicRequests::deliver_replies() {
   for (const auto& [done, reason] : std::exchange(rejected_, {})) done({Reply::Kind::kBadParams, reason});
-  for (const Result& result : registry_.take_ends()) {
+  for (const Result& result : registry_.take_results()) {
     const auto pending = pending_.find(result.change);
     if (pending == pending_.end()) continue;
     const Done done = std::move(pending->second);
--- a/src/lab/fleet_world.cpp
+++ b/src/lab/fleet_world.cpp
@@ -12,6 +12,7 @@
 #include "cluster/cluster_node.h"
 #include "lab/queue.h"
 #include "lease/fence.h"
+#include "schema/topic_codec.h"
 
 namespace firvalve::lab {
 
@@ -222,7 +223,7 @@
   // Five fields that come and go, five screens that read some of them.
   schema::Change drawn_change() {
     schema::Change c;
-    c.bulletin = "cabins";
+    c.topic = "cabins";
     const double kind = uniform();
     if (kind < 0.4) {
       c.kind = schema::Change::Kind::kPropose;
@@ -240,7 +241,7 @@
     for (uint32_t v = 1; v <= 20; ++v) c.declaration.versions.insert(v);
     for (uint32_t n = 1; n <= 5; ++n)
       if (uniform() < 0.3) c.declaration.reads.insert(n);
-    if (kind < 0.5) c.declaration.holds_ms = 2000;
+    if (kind < 0.5) c.declaration.expires_after_ms = 2000;
     return c;
   }
 
@@ -278,11 +279,11 @@
         answered_.insert(a.name);
       }
     }
-    for (const schema::Registry::End& end : g.node->take_changes()) {
-      using Kind = schema::Registry::End::Kind;
-      if (end.kind == Kind::kAgreed && end.applied.changed)
-        out_.history.bulletins.push_back(read_agreed(end.bulletin, now_, schema::written(end.applied.after)));
-      out_.refused_changes += end.kind == Kind::kRefused;
+    for (const schema::Registry::Result& end : g.node->take_topic_results()) {
+      using Kind = schema::Registry::Result::Kind;
+      if (end.kind == Kind::kAgreed && end.applied.has_changed)
+        out_.history.bulletins.push_back(read_agreed(end.topic, now_, schema::encode(end.applied.after)));
+      out_.refused_changes += end.kind == Kind::kRejected;
     }
     for (const consensus::ProposalResult& end : g.node->take_results()) {
       using Kind = consensus::ProposalResult::Kind;
@@ -366,7 +367,7 @@
       case What::kBulletin:
         put(now_ + kProposeEvery * (0.5 + uniform()), e);
         if (!up) return;
-        g.node->registry().ask(at, drawn_change(), at + 2000);
+        g.node->registry().submit(drawn_change(), time_point_of<BootClock>(at + 2000));
         return turn(e.node);
       case What::kMerge:
         if (!up) return;
--- a/src/schema/topic_codec.cpp
+++ b/src/schema/topic_codec.cpp
@@ -1,4 +1,5 @@
-// Bulletins as JSON: in the record, and as clients tell them.
+#include "schema/topic_codec.h"
+
 #include <fmt/format.h>
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
@@ -7,7 +8,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "schema/registry.h"
+#include "schema/field_values.h"
 
 namespace firvalve::schema {
 
@@ -16,336 +17,363 @@
 using Json = rapidjson::Value;
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-constexpr const char* kTypes[] = {"bool", "int32", "int64", "float32", "float64", "text", "choice"};
 constexpr const char* kStates[] = {"live", "deprecated", "gone"};
 
-// Reads fields of one object; the first fault is kept, and names where it stands.
-class Reading {
+// Reads the members of one object; the first fault is kept, and names where it is. A member that is missing
+// leaves the target as it is.
+class ObjectReader {
  public:
-  Reading(const Json& of, std::string path, std::string& why) : of_(of), path_(std::move(path)), why_(why) {
-    if (!of.IsObject()) fail("", "is no object");
+  enum class Presence : uint8_t { kOptional, kRequired };
+
+  ObjectReader(const Json& object, std::string path, std::string& fault)
+      : object_(object), path_(std::move(path)), fault_(fault) {
+    if (!object.IsObject()) fail("", "is no object");
   }
-  bool good() const { return why_.empty(); }
+  bool is_good() const { return fault_.empty(); }
   void fail(const std::string& name, const char* what) {
-    if (why_.empty()) why_ = path_ + (path_.empty() || name.empty() ? "" : ".") + name + " " + what;
+    if (fault_.empty()) fault_ = path_ + (path_.empty() || name.empty() ? "" : ".") + name + " " + what;
   }
-  const Json* find(const char* name) const {
-    if (!of_.IsObject()) return nullptr;
-    const auto at = of_.FindMember(name);
-    return at == of_.MemberEnd() ? nullptr : &at->value;
+  const Json* find(const char* name) const {  // null: missing
+    if (!object_.IsObject()) return nullptr;
+    const auto member = object_.FindMember(name);
+    return member == object_.MemberEnd() ? nullptr : &member->value;
   }
-  void text(const char* name, std::string& to, bool wanted = false) {
-    const Json* const v = find(name);
-    if (!v && wanted) return fail(name, "is missing");
-    if (!v) return;
-    if (!v->IsString()) return fail(name, "is no text");
-    to.assign(v->GetString(), v->GetStringLength());
+  void read_text(const char* name, std::string& target, Presence presence = Presence::kOptional) {
+    const Json* const value = find(name, presence);
+    if (!value) return;
+    if (!value->IsString()) return fail(name, "is no text");
+    target.assign(value->GetString(), value->GetStringLength());
   }
-  void flag(const char* name, bool& to) {
-    const Json* const v = find(name);
-    if (!v) return;
-    if (!v->IsBool()) return fail(name, "is neither true nor false");
-    to = v->GetBool();
+  void read_bool(const char* name, bool& target) {
+    const Json* const value = find(name);
+    if (!value) return;
+    if (!value->IsBool()) return fail(name, "is neither true nor false");
+    target = value->GetBool();
   }
   template <class Number>
-  void whole(const char* name, Number& to, bool wanted = false) {
-    const Json* const v = find(name);
-    if (!v && wanted) return fail(name, "is missing");
-    if (!v) return;
-    if (!v->IsUint64() || v->GetUint64() > std::numeric_limits<Number>::max())
+  void read_unsigned(const char* name, Number& target, Presence presence = Presence::kOptional) {
+    const Json* const value = find(name, presence);
+    if (!value) return;
+    if (!value->IsUint64() || value->GetUint64() > std::numeric_limits<Number>::max())
       return fail(name, "is no number from 0 up");
-    to = static_cast<Number>(v->GetUint64());
+    target = static_cast<Number>(value->GetUint64());
   }
-  void amount(const char* name, std::optional<double>& to) {
-    const Json* const v = find(name);
-    if (!v) return;
-    if (!v->IsNumber()) return fail(name, "is no number");
-    to = v->GetDouble();
+  void read_number(const char* name, std::optional<double>& target) {
+    const Json* const value = find(name);
+    if (!value) return;
+    if (!value->IsNumber()) return fail(name, "is no number");
+    target = value->GetDouble();
   }
+  // The place of the member's word among `words`.
   template <size_t N>
-  size_t word(const char* name, const char* const (&words)[N], size_t otherwise) {
+  size_t read_word(const char* name, const char* const (&words)[N], size_t otherwise) {
     std::string text;
-    this->text(name, text);
+    read_text(name, text);
     if (text.empty()) return otherwise;
-    for (size_t i = 0; i < N; ++i)
-      if (text == words[i]) return i;
+    for (size_t place = 0; place < N; ++place)
+      if (text == words[place]) return place;
     fail(name, "is none of the words that it may be");
     return otherwise;
   }
-  void numbers(const char* name, std::set<uint32_t>& to) {
-    each(name, [&](const Json& v, const std::string&) {
-      if (!v.IsUint()) return fail(name, "is no list of numbers from 0 up");
-      to.insert(v.GetUint());
+  void read_numbers(const char* name, std::set<uint32_t>& target) {
+    read_each(name, [&](const Json& value, const std::string&) {
+      if (!value.IsUint()) return fail(name, "is no list of numbers from 0 up");
+      target.insert(value.GetUint());
     });
   }
+  // visit(element, its path), until the first fault.
   template <class Visit>
-  void each(const char* name, Visit&& visit) {
-    const Json* const v = find(name);
-    if (!v) return;
-    if (!v->IsArray()) return fail(name, "is no list");
-    for (rapidjson::SizeType i = 0; i < v->Size() && good(); ++i)
-      visit((*v)[i], fmt::format("{}{}{}[{}]", path_, path_.empty() ? "" : ".", name, i));
+  void read_each(const char* name, Visit&& visit) {
+    const Json* const value = find(name);
+    if (!value) return;
+    if (!value->IsArray()) return fail(name, "is no list");
+    for (rapidjson::SizeType i = 0; i < value->Size() && is_good(); ++i)
+      visit((*value)[i], fmt::format("{}{}{}[{}]", path_, path_.empty() ? "" : ".", name, i));
   }
 
  private:
-  const Json& of_;
+  const Json* find(const char* name, Presence presence) {
+    const Json* const value = find(name);
+    if (!value && presence == Presence::kRequired) fail(name, "is missing");
+    return value;
+  }
+
+  const Json& object_;
   const std::string path_;
-  std::string& why_;
+  std::string& fault_;
 };
 
-std::optional<Value> value_of(const Json& v, Type type) {
+constexpr auto kRequired = ObjectReader::Presence::kRequired;
+
+std::optional<Value> value_of(const Json& json, Type type) {
   switch (type) {
     case Type::kBool:
-      return v.IsBool() ? std::optional<Value>(v.GetBool()) : std::nullopt;
+      return json.IsBool() ? std::optional<Value>(json.GetBool()) : std::nullopt;
     case Type::kText:
-      return v.IsString() ? std::optional<Value>(std::string(v.GetString(), v.GetStringLength()))
-                          : std::nullopt;
+      return json.IsString() ? std::optional<Value>(std::string(json.GetString(), json.GetStringLength()))
+                             : std::nullopt;
     case Type::kFloat32:
     case Type::kFloat64:
-      return v.IsNumber() ? std::optional<Value>(v.GetDouble()) : std::nullopt;
+      return json.IsNumber() ? std::optional<Value>(json.GetDouble()) : std::nullopt;
     default:
-      return v.IsInt64() ? std::optional<Value>(int64_t{v.GetInt64()}) : std::nullopt;
+      return json.IsInt64() ? std::optional<Value>(int64_t{json.GetInt64()}) : std::nullopt;
   }
 }
 
-Schema schema_of(const Json& json, const std::string& path, std::string& why) {
-  Schema s;
-  Reading r(json, path, why);
-  r.text("order", s.order);
-  r.each("fields", [&](const Json& v, const std::string& at) {
-    Field f;
-    Reading in(v, at, why);
-    in.whole("number", f.number, true);
-    in.text("name", f.name, true);
-    f.type = static_cast<Type>(in.word("type", kTypes, static_cast<size_t>(Type::kText)));
-    in.text("unit", f.unit);
-    in.flag("required", f.required);
-    in.amount("least", f.least);
-    in.amount("most", f.most);
-    in.each("choices", [&](const Json& c, const std::string& where) {
-      Reading choice(c, where, why);
-      uint32_t value = 0;
-      std::string name;
-      choice.whole("value", value, true);
-      choice.text("name", name, true);
-      if (!f.choices.emplace(value, name).second) choice.fail("value", "stands there twice");
-    });
-    if (const Json* const preset = in.find("preset")) {
-      f.preset = value_of(*preset, f.type);
-      if (!f.preset) in.fail("preset", "is not of the field's type");
-    }
-    s.fields.push_back(std::move(f));
-    if (s.fields.size() > kFieldsMost) in.fail("", "is one field too many");
+void read_choice(const Json& json, const std::string& path, std::string& fault, Field& field) {
+  ObjectReader reader(json, path, fault);
+  uint32_t value = 0;
+  std::string name;
+  reader.read_unsigned("value", value, kRequired);
+  reader.read_text("name", name, kRequired);
+  if (!field.choices.emplace(value, name).second) reader.fail("value", "stands there twice");
+}
+
+Field field_of(const Json& json, const std::string& path, std::string& fault) {
+  Field field;
+  ObjectReader reader(json, path, fault);
+  reader.read_unsigned("number", field.number, kRequired);
+  reader.read_text("name", field.name, kRequired);
+  field.type = static_cast<Type>(reader.read_word("type", kTypeNames, static_cast<size_t>(Type::kText)));
+  reader.read_text("unit", field.unit);
+  reader.read_bool("required", field.required);
+  reader.read_number("least", field.least);
+  reader.read_number("most", field.most);
+  reader.read_each("choices", [&](const Json& choice, const std::string& place) {
+    read_choice(choice, place, fault, field);
+  });
+  if (const Json* const preset = reader.find("preset")) {
+    field.preset = value_of(*preset, field.type);
+    if (!field.preset) reader.fail("preset", "is not of the field's type");
+  }
+  return field;
+}
+
+Schema schema_of(const Json& json, const std::string& path, std::string& fault) {
+  Schema schema;
+  ObjectReader reader(json, path, fault);
+  reader.read_text("order", schema.order);
+  reader.read_each("fields", [&](const Json& field, const std::string& place) {
+    schema.fields.push_back(field_of(field, place, fault));
+    if (schema.fields.size() > kMaxFields && fault.empty()) fault = place + " is one field too many";
   });
-  std::sort(s.fields.begin(), s.fields.end(),
-            [](const Field& a, const Field& b) { return a.number < b.number; });
-  r.each("key", [&](const Json& v, const std::string&) {
-    if (!v.IsUint()) return r.fail("key", "is no list of field numbers");
-    s.key.push_back(v.GetUint());
+  std::sort(schema.fields.begin(), schema.fields.end(),
+            [](const Field& one, const Field& other) { return one.number < other.number; });
+  reader.read_each("key", [&](const Json& number, const std::string&) {
+    if (!number.IsUint()) return reader.fail("key", "is no list of field numbers");
+    schema.key.push_back(number.GetUint());
   });
-  return s;
+  return schema;
+}
+
+Declaration declaration_of(const Json& json, const std::string& path, std::string& fault) {
+  Declaration declaration;
+  ObjectReader reader(json, path, fault);
+  reader.read_text("subscriber", declaration.subscriber, kRequired);
+  reader.read_text("site", declaration.site);
+  reader.read_numbers("versions", declaration.versions);
+  reader.read_numbers("reads", declaration.reads);
+  reader.read_numbers("leans", declaration.relies_on_presets);
+  reader.read_bool("passes_unknown", declaration.ignores_unknown_choices);
+  reader.read_unsigned("holds_ms", declaration.expires_after_ms);
+  reader.read_unsigned("renewed", declaration.renewals);
+  if (reader.is_good() && declaration.subscriber.empty()) reader.fail("subscriber", "is empty");
+  return declaration;
+}
+
+void write_text(Writer& writer, const std::string& text) {
+  writer.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
+}
+
+void write_text(Writer& writer, const char* name, const std::string& text) {
+  writer.Key(name);
+  write_text(writer, text);
+}
+
+void write_number(Writer& writer, const char* name, uint64_t number) {
+  writer.Key(name);
+  writer.Uint64(number);
+}
+
+template <class Numbers>
+void write_numbers(Writer& writer, const char* name, const Numbers& numbers) {
+  writer.Key(name);
+  writer.StartArray();
+  for (const auto number : numbers) writer.Uint64(number);
+  writer.EndArray();
 }
 
-Declaration declaration_of(const Json& json, const std::string& path, std::string& why) {
-  Declaration d;
-  Reading r(json, path, why);
-  r.text("subscriber", d.subscriber, true);
-  r.text("site", d.site);
-  r.numbers("versions", d.versions);
-  r.numbers("reads", d.reads);
-  r.numbers("leans", d.leans);
-  r.flag("passes_unknown", d.passes_unknown);
-  r.whole("holds_ms", d.holds_ms);
-  r.whole("renewed", d.renewed);
-  if (r.good() && d.subscriber.empty()) r.fail("subscriber", "is empty");
-  return d;
+template <class Elements, class Write>
+void write_each(Writer& writer, const Elements& elements, Write&& write) {
+  writer.StartArray();
+  for (const auto& element : elements) write(element);
+  writer.EndArray();
 }
 
-void write(Writer& w, const Value& v) {
+void write(Writer& writer, const Value& value) {
   std::visit(
-      [&w](const auto& x) {
-        using T = std::decay_t<decltype(x)>;
-        if constexpr (std::is_same_v<T, bool>)
-          w.Bool(x);
-        else if constexpr (std::is_same_v<T, int64_t>)
-          w.Int64(x);
-        else if constexpr (std::is_same_v<T, double>)
-          w.Double(x);
+      [&writer](const auto& content) {
+        using Content = std::decay_t<decltype(content)>;
+        if constexpr (std::is_same_v<Content, bool>)
+          writer.Bool(content);
+        else if constexpr (std::is_same_v<Content, int64_t>)
+          writer.Int64(content);
+        else if constexpr (std::is_same_v<Content, double>)
+          writer.Double(content);
         else
-          w.String(x.data(), static_cast<rapidjson::SizeType>(x.size()));
+          write_text(writer, content);
       },
-      v);
+      value);
 }
 
-void text(Writer& w, const char* name, const std::string& value) {
-  w.Key(name);
-  w.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+void write(Writer& writer, const Field& field) {
+  writer.StartObject();
+  write_number(writer, "number", field.number);
+  write_text(writer, "name", field.name);
+  write_text(writer, "type", name_of(field.type));
+  if (!field.unit.empty()) write_text(writer, "unit", field.unit);
+  if (field.required) writer.Key("required"), writer.Bool(true);
+  if (field.preset) writer.Key("preset"), write(writer, *field.preset);
+  if (field.least) writer.Key("least"), writer.Double(*field.least);
+  if (field.most) writer.Key("most"), writer.Double(*field.most);
+  if (!field.choices.empty()) {
+    writer.Key("choices");
+    write_each(writer, field.choices, [&](const auto& choice) {
+      writer.StartObject();
+      writer.Key("value");
+      writer.Int64(choice.first);
+      write_text(writer, "name", choice.second);
+      writer.EndObject();
+    });
+  }
+  writer.EndObject();
 }
 
-template <class Numbers>
-void numbers(Writer& w, const char* name, const Numbers& all) {
-  w.Key(name);
-  w.StartArray();
-  for (const auto n : all) w.Uint64(n);
-  w.EndArray();
+void write(Writer& writer, const Schema& schema) {
+  writer.StartObject();
+  write_text(writer, "order", schema.order);
+  write_numbers(writer, "key", schema.key);
+  writer.Key("fields");
+  write_each(writer, schema.fields, [&](const Field& field) { write(writer, field); });
+  writer.EndObject();
 }
 
-void write(Writer& w, const Schema& s) {
-  w.StartObject();
-  text(w, "order", s.order);
-  numbers(w, "key", s.key);
-  w.Key("fields");
-  w.StartArray();
-  for (const Field& f : s.fields) {
-    w.StartObject();
-    w.Key("number");
-    w.Uint(f.number);
-    text(w, "name", f.name);
-    text(w, "type", kTypes[static_cast<size_t>(f.type)]);
-    if (!f.unit.empty()) text(w, "unit", f.unit);
-    if (f.required) w.Key("required"), w.Bool(true);
-    if (f.preset) w.Key("preset"), write(w, *f.preset);
-    if (f.least) w.Key("least"), w.Double(*f.least);
-    if (f.most) w.Key("most"), w.Double(*f.most);
-    if (!f.choices.empty()) {
-      w.Key("choices");
-      w.StartArray();
-      for (const auto& [value, name] : f.choices) {
-        w.StartObject();
-        w.Key("value");
-        w.Int64(value);
-        text(w, "name", name);
-        w.EndObject();
-      }
-      w.EndArray();
-    }
-    w.EndObject();
-  }
-  w.EndArray();
-  w.EndObject();
+void write(Writer& writer, const Version& version) {
+  writer.StartObject();
+  write_number(writer, "number", version.number);
+  write_text(writer, "state", kStates[static_cast<size_t>(version.state)]);
+  writer.Key("schema");
+  write(writer, version.schema);
+  writer.EndObject();
+}
+
+void write(Writer& writer, const Declaration& declaration) {
+  writer.StartObject();
+  write_text(writer, "subscriber", declaration.subscriber);
+  write_text(writer, "site", declaration.site);
+  write_numbers(writer, "versions", declaration.versions);
+  write_numbers(writer, "reads", declaration.reads);
+  write_numbers(writer, "leans", declaration.relies_on_presets);
+  if (declaration.ignores_unknown_choices) writer.Key("passes_unknown"), writer.Bool(true);
+  write_number(writer, "holds_ms", declaration.expires_after_ms);
+  write_number(writer, "renewed", declaration.renewals);
+  writer.EndObject();
+}
+
+void write(Writer& writer, const Reader& reader) {
+  writer.StartObject();
+  write_text(writer, "subscriber", reader.subscriber);
+  write_text(writer, "site", reader.site);
+  write_number(writer, "version", reader.version);
+  writer.EndObject();
+}
+
+void write(Writer& writer, const Violation& violation) {
+  writer.StartObject();
+  write_text(writer, "rule", name_of(violation.rule));
+  write_number(writer, "field", violation.field);
+  write_text(writer, "what", violation.description);
+  writer.Key("breaks");
+  write_each(writer, violation.readers, [&](const Reader& reader) { write(writer, reader); });
+  writer.Key("way_out");
+  write_each(writer, violation.remedy, [&](const std::string& step) { write_text(writer, step); });
+  writer.EndObject();
 }
 
+// `read` gets the document's root. None: it is no JSON, or `read` left a fault.
 template <class Read>
-auto parsed(const std::string& json, std::string& why, Read&& read) -> std::optional<decltype(read(Json()))> {
-  why.clear();
-  rapidjson::Document d;
-  d.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
-  if (d.HasParseError()) {
-    why = "is no JSON";
+auto decode(const std::string& json, std::string& fault, Read&& read)
+    -> std::optional<decltype(read(Json()))> {
+  fault.clear();
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
+  if (document.HasParseError()) {
+    fault = "is no JSON";
     return {};
   }
-  auto out = read(d);
-  if (!why.empty()) return {};
+  auto out = read(document);
+  if (!fault.empty()) return {};
   return out;
 }
 
 }  // namespace
 
-std::string written(const Topic& bulletin) {
+std::string encode(const Topic& topic) {
   rapidjson::StringBuffer buffer;
-  Writer w(buffer);
-  w.StartObject();
-  w.Key("versions");
-  w.StartArray();
-  for (const Version& v : bulletin.versions) {
-    w.StartObject();
-    w.Key("number");
-    w.Uint(v.number);
-    text(w, "state", kStates[static_cast<size_t>(v.state)]);
-    w.Key("schema");
-    write(w, v.schema);
-    w.EndObject();
-  }
-  w.EndArray();
-  w.Key("declarations");
-  w.StartArray();
-  for (const Declaration& d : bulletin.declarations) {
-    w.StartObject();
-    text(w, "subscriber", d.subscriber);
-    text(w, "site", d.site);
-    numbers(w, "versions", d.versions);
-    numbers(w, "reads", d.reads);
-    numbers(w, "leans", d.leans);
-    if (d.passes_unknown) w.Key("passes_unknown"), w.Bool(true);
-    w.Key("holds_ms");
-    w.Uint64(d.holds_ms);
-    w.Key("renewed");
-    w.Uint64(d.renewed);
-    w.EndObject();
-  }
-  w.EndArray();
-  w.EndObject();
+  Writer writer(buffer);
+  writer.StartObject();
+  writer.Key("versions");
+  write_each(writer, topic.versions, [&](const Version& version) { write(writer, version); });
+  writer.Key("declarations");
+  write_each(writer, topic.declarations, [&](const Declaration& declaration) { write(writer, declaration); });
+  writer.EndObject();
+  return {buffer.GetString(), buffer.GetSize()};
+}
+
+std::string encode(const Verdict& verdict) {
+  rapidjson::StringBuffer buffer;
+  Writer writer(buffer);
+  write_each(writer, verdict.violations, [&](const Violation& violation) { write(writer, violation); });
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::optional<Topic> read_bulletin(const std::string& json, std::string& why) {
-  return parsed(json, why, [&why](const Json& in) {
-    Topic out;
-    Reading r(in, "", why);
-    r.each("versions", [&](const Json& v, const std::string& at) {
+std::optional<Topic> decode_topic(const std::string& json, std::string& why) {
+  return decode(json, why, [&why](const Json& root) {
+    Topic topic;
+    ObjectReader reader(root, "", why);
+    reader.read_each("versions", [&](const Json& element, const std::string& place) {
       Version version;
-      Reading each(v, at, why);
-      each.whole("number", version.number, true);
-      version.state = static_cast<State>(each.word("state", kStates, 0));
-      if (const Json* const s = each.find("schema")) version.schema = schema_of(*s, at + ".schema", why);
-      out.versions.push_back(std::move(version));
+      ObjectReader member(element, place, why);
+      member.read_unsigned("number", version.number, kRequired);
+      version.state = static_cast<State>(member.read_word("state", kStates, 0));
+      if (const Json* const schema = member.find("schema"))
+        version.schema = schema_of(*schema, place + ".schema", why);
+      topic.versions.push_back(std::move(version));
     });
-    r.each("declarations", [&](const Json& v, const std::string& at) {
-      out.declarations.push_back(declaration_of(v, at, why));
+    reader.read_each("declarations", [&](const Json& element, const std::string& place) {
+      topic.declarations.push_back(declaration_of(element, place, why));
     });
-    return out;
+    return topic;
   });
 }
 
-std::optional<Schema> read_schema(const std::string& json, std::string& why) {
-  return parsed(json, why, [&why](const Json& in) { return schema_of(in, "", why); });
+std::optional<Schema> decode_schema(const std::string& json, std::string& why) {
+  return decode(json, why, [&why](const Json& root) { return schema_of(root, "", why); });
 }
 
-std::optional<Declaration> read_declaration(const std::string& json, std::string& why) {
-  return parsed(json, why, [&why](const Json& in) { return declaration_of(in, "", why); });
+std::optional<Declaration> decode_declaration(const std::string& json, std::string& why) {
+  return decode(json, why, [&why](const Json& root) { return declaration_of(root, "", why); });
 }
 
-std::optional<Change> read_change(const std::string& json, std::string& why) {
-  return parsed(json, why, [&why](const Json& in) {
-    Change c;
-    Reading r(in, "", why);
-    r.whole("version", c.version);
-    if (const Json* const s = r.find("schema")) c.schema = schema_of(*s, "schema", why);
-    if (r.find("subscriber")) c.declaration = declaration_of(in, "", why);
-    return c;
+std::optional<Change> decode_change(const std::string& json, std::string& why) {
+  return decode(json, why, [&why](const Json& root) {
+    Change change;
+    ObjectReader reader(root, "", why);
+    reader.read_unsigned("version", change.version);
+    if (const Json* const schema = reader.find("schema")) change.schema = schema_of(*schema, "schema", why);
+    if (reader.find("subscriber")) change.declaration = declaration_of(root, "", why);
+    return change;
   });
 }
 
-std::string written(const Verdict& verdict) {
-  rapidjson::StringBuffer buffer;
-  Writer w(buffer);
-  w.StartArray();
-  for (const Violation& b : verdict.breaches) {
-    w.StartObject();
-    text(w, "rule", name_of(b.rule));
-    w.Key("field");
-    w.Uint(b.field);
-    text(w, "what", b.what);
-    w.Key("breaks");
-    w.StartArray();
-    for (const Reader& r : b.readers) {
-      w.StartObject();
-      text(w, "subscriber", r.subscriber);
-      text(w, "site", r.site);
-      w.Key("version");
-      w.Uint(r.version);
-      w.EndObject();
-    }
-    w.EndArray();
-    w.Key("way_out");
-    w.StartArray();
-    for (const std::string& step : b.way_out)
-      w.String(step.data(), static_cast<rapidjson::SizeType>(step.size()));
-    w.EndArray();
-    w.EndObject();
-  }
-  w.EndArray();
-  return {buffer.GetString(), buffer.GetSize()};
-}
-
 }  // namespace firvalve::schema
