--- a/src/cluster/cluster_log.h
+++ b/src/cluster/cluster_log.h
@@ -7,7 +7,7 @@
 
 #include "base/time.h"
 #include "cluster/cluster_node.h"
-#include "core/core.h"
+#include "core/metrics.h"
 #include "lease/lease_manager.h"
 #include "log/log.h"
 #include "schema/registry.h"
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -26,7 +26,7 @@
   std::string name;          // HOST:PORT by which peers know it
   uint64_t random_seed = 1;  // drawn anew at each start: incarnations, ids and waits come from it
   Duration lease_duration = Duration(3000);
-  size_t max_register_bytes = 32 * 1024 * 1024;  // of values that a replica stores
+  size_t max_register_bytes = size_t{32} * 1024 * 1024;  // of values that a replica stores
 };
 
 class ClusterNode {
--- a/src/cluster/cluster_options.h
+++ b/src/cluster/cluster_options.h
@@ -19,8 +19,8 @@
   std::string storage_directory;      // of a replica; empty: it keeps its registers in memory alone
   std::vector<std::string> leases;    // names, or a kind as "trial:*", that this gateway is willing to hold
   Duration lease_duration = Duration(3000);
-  size_t max_register_bytes = 32 * 1024 * 1024;  // of values that a replica stores
-  uint64_t random_seed = 1;                      // drawn anew at each start
+  size_t max_register_bytes = size_t{32} * 1024 * 1024;  // of values that a replica stores
+  uint64_t random_seed = 1;                              // drawn anew at each start
 };
 
 // Options as the operator's section `fleet` has them. The share of memory and the seed are the caller's to
--- a/src/cluster/cluster_service.cpp
+++ b/src/cluster/cluster_service.cpp
@@ -167,29 +167,31 @@
   });
 }
 
-void ClusterService::answer(CallRef call, std::string_view rows) {
+void ClusterService::answer(CallId call, std::string_view rows) {
   if (!run_once_requests_->finish(call, lease::RunOnceJobs::End::kAnswered, rows))
     clients_.answer(call, rows);
 }
 
-void ClusterService::shed(CallRef call, Ms advice) {
-  if (!run_once_requests_->finish(call, lease::RunOnceJobs::End::kNeverRan, {}, duration_of(advice)))
-    clients_.shed(call, advice);
+void ClusterService::shed(CallId call, std::optional<Duration> retry_after) {
+  if (!run_once_requests_->finish(call, lease::RunOnceJobs::End::kNeverRan, {}, retry_after))
+    clients_.shed(call, retry_after);
 }
 
-void ClusterService::fail(CallRef call, std::string_view why) {
-  if (!run_once_requests_->finish(call, lease::RunOnceJobs::End::kFailed)) clients_.fail(call, why);
+void ClusterService::fail(CallId call, std::string_view reason) {
+  if (!run_once_requests_->finish(call, lease::RunOnceJobs::End::kFailed)) clients_.fail(call, reason);
 }
 
-void ClusterService::merge(Ms now, CallRef call, std::string_view name, CommandRequest&& asked) {
-  run_once_requests_->request(time_point_of(now), call, name, std::move(asked));
+void ClusterService::run_once_job(TimePoint now, CallId call, std::string_view job_name,
+                                  CommandRequest&& request) {
+  run_once_requests_->request(now, call, job_name, std::move(request));
 }
 
-void ClusterService::gone(Ms, CallRef call) { run_once_requests_->cancel(call); }
+void ClusterService::client_gone(TimePoint, CallId call) { run_once_requests_->cancel(call); }
 
-void ClusterService::bulletin(Ms, std::string_view method, std::string_view name, const std::string& params,
-                              Ms timeout, Done done) {
-  topic_requests_->request(method, name, params, duration_of(timeout), std::move(done));
+void ClusterService::handle_topic_request(TimePoint, std::string_view method, std::string_view topic,
+                                          const std::string& params, Duration timeout,
+                                          ReplyCallback callback) {
+  topic_requests_->request(method, topic, params, timeout, std::move(callback));
 }
 
 }  // namespace firvalve::cluster
--- a/src/cluster/cluster_service.h
+++ b/src/cluster/cluster_service.h
@@ -47,16 +47,16 @@
   const ConnectionCounts& connection_counts() const { return connections_->counts(); }
 
   // ResponseSink, called by the core.
-  void answer(CallRef call, std::string_view rows) override;
-  void shed(CallRef call, Ms advice) override;
-  void fail(CallRef call, std::string_view why) override;
-  void answer_paged(CallRef call, ResultHandle handle) override { clients_.answer_paged(call, handle); }
+  void answer(CallId call, std::string_view rows) override;
+  void answer_paged(CallId call, ResultHandle result) override { clients_.answer_paged(call, result); }
+  void shed(CallId call, std::optional<Duration> retry_after) override;
+  void fail(CallId call, std::string_view reason) override;
 
   // ClusterRequests, called for clients.
-  void merge(Ms now, CallRef call, std::string_view name, CommandRequest&& asked) override;
-  void gone(Ms now, CallRef call) override;
-  void bulletin(Ms now, std::string_view method, std::string_view name, const std::string& params, Ms timeout,
-                Done done) override;
+  void run_once_job(TimePoint now, CallId call, std::string_view job_name, CommandRequest&& request) override;
+  void client_gone(TimePoint now, CallId call) override;
+  void handle_topic_request(TimePoint now, std::string_view method, std::string_view topic,
+                            const std::string& params, Duration timeout, ReplyCallback callback) override;
 
  private:
   void handle_message(BootClock::time_point now, consensus::PeerId from,
--- a/src/cluster/run_once_requests.cpp
+++ b/src/cluster/run_once_requests.cpp
@@ -9,25 +9,32 @@
 using Action = lease::RunOnceJobs::Action;
 using End = lease::RunOnceJobs::End;
 
-void RunOnceRequests::request(TimePoint now, CallRef call, std::string_view job, CommandRequest&& command) {
+namespace {
+
+constexpr Duration kMinTimeout(1);
+
+}  // namespace
+
+void RunOnceRequests::request(TimePoint now, CallId call, std::string_view job, CommandRequest&& command) {
   const BootClock::time_point boot_now = BootClock::now();
   Request& request = requests_[call];
   request.command = command.command;
   request.profile = command.profile;
   request.statement = std::move(command.statement);
-  request.tables = command.tables;
-  request.deadline = now + duration_of(command.timeout);
+  request.table_group = command.table_group;
+  request.deadline = now + command.timeout;
   if (shutdown_deadline_) request.deadline = std::min(request.deadline, *shutdown_deadline_);
-  request.estimate = command.estimate;
+  request.estimated_work = command.estimated_work;
   request.memory_mb = command.memory_mb;
   // Never 0, which stands for no statement.
   const uint64_t hash = XXH3_64bits(request.statement.data(), request.statement.size()) | 1;
   log_.count_requested_job();
-  jobs_.ask(to_ms(boot_now), std::string(job), call, hash, to_ms(boot_now + (request.deadline - now)));
+  jobs_.ask(to_ms(boot_now), std::string(job), to_number(call), hash,
+            to_ms(boot_now + (request.deadline - now)));
 }
 
-void RunOnceRequests::cancel(CallRef call) {
-  if (requests_.erase(call) > 0) jobs_.gone(to_ms(BootClock::now()), call);
+void RunOnceRequests::cancel(CallId call) {
+  if (requests_.erase(call) > 0) jobs_.gone(to_ms(BootClock::now()), to_number(call));
 }
 
 void RunOnceRequests::carry_out(TimePoint now) {
@@ -41,7 +48,7 @@
 }
 
 void RunOnceRequests::start(TimePoint now, const Action& action) {
-  const auto requested = requests_.find(action.call);
+  const auto requested = requests_.find(CallId{action.call});
   if (requested == requests_.end() || !core_)
     return jobs_.run_ended(to_ms(BootClock::now()), action.name, End::kNeverRan, {});
   const Request& request = requested->second;
@@ -49,35 +56,38 @@
   command.command = request.command;
   command.profile = request.profile;
   command.statement = request.statement;
-  command.tables = request.tables;
-  command.timeout = std::max(1.0, to_ms(request.deadline - now));
-  command.estimate = request.estimate;
+  command.table_group = request.table_group;
+  command.timeout = std::max(kMinTimeout, request.deadline - now);
+  command.estimated_work = request.estimated_work;
   command.memory_mb = request.memory_mb;
-  const CallRef call = ++last_started_;
+  const CallId call = last_started_ = next_after(last_started_);
   started_[call] = action.name;
   log_.record_started_job(action.name);
-  if (core_->admit(to_ms(now), call, std::move(command)) != AdmissionResult::kTaken) {
+  if (core_->admit(now, call, std::move(command)) != AdmissionResult::kAdmitted) {
     started_.erase(call);
     jobs_.run_ended(to_ms(BootClock::now()), action.name, End::kNeverRan, {});
   }
 }
 
 void RunOnceRequests::respond(const Action& action) {
-  if (requests_.erase(action.call) == 0) return;  // its client waits no longer
+  const CallId call{action.call};
+  if (requests_.erase(call) == 0) return;  // its client waits no longer
   if (action.kind == Action::Kind::kAnswer)
-    clients_.answer(action.call, action.text);
+    clients_.answer(call, action.text);
   else if (action.kind == Action::Kind::kShed)
-    clients_.shed(action.call, action.advice);
+    clients_.shed(call, action.advice > 0 ? std::optional(duration_of(action.advice)) : std::nullopt);
   else
-    clients_.fail(action.call, action.text);
+    clients_.fail(call, action.text);
 }
 
-bool RunOnceRequests::finish(CallRef call, End end, std::string_view rows, Duration advice) {
+bool RunOnceRequests::finish(CallId call, End end, std::string_view rows,
+                             std::optional<Duration> retry_after) {
   const auto started = started_.find(call);
   if (started == started_.end()) return false;
   const std::string job = std::move(started->second);
   started_.erase(started);
-  jobs_.run_ended(to_ms(BootClock::now()), job, end, std::string(rows), to_ms(advice));
+  jobs_.run_ended(to_ms(BootClock::now()), job, end, std::string(rows),
+                  to_ms(retry_after.value_or(Duration{})));
   return true;
 }
 
--- a/src/cluster/run_once_requests.h
+++ b/src/cluster/run_once_requests.h
@@ -23,13 +23,14 @@
   // The core that runs the commands. Until it is set, a job that falls to this gateway never ran.
   void run_on(Core& core) { core_ = &core; }
 
-  void request(TimePoint now, CallRef call, std::string_view job, CommandRequest&& command);
-  void cancel(CallRef call);  // its client waits no longer; of another call: nothing happens
+  void request(TimePoint now, CallId call, std::string_view job, CommandRequest&& command);
+  void cancel(CallId call);  // its client waits no longer; of another call: nothing happens
   // Starts the commands and gives the answers that the jobs call for now.
   void carry_out(TimePoint now);
 
   // The command behind a call of the core's has ended. False: the call is no run-once job's.
-  bool finish(CallRef call, lease::RunOnceJobs::End end, std::string_view rows = {}, Duration advice = {});
+  bool finish(CallId call, lease::RunOnceJobs::End end, std::string_view rows = {},
+              std::optional<Duration> retry_after = {});
 
   // Requests end by then, whatever their clients said.
   void begin_shutdown(TimePoint deadline);
@@ -38,9 +39,9 @@
  private:
   struct Request {
     std::string command, profile, statement;
-    int64_t tables = -1;
+    int64_t table_group = -1;  // below 0: none
     TimePoint deadline;
-    Ms estimate = 0;
+    std::optional<Duration> estimated_work;
     double memory_mb = 0;
   };
 
@@ -51,9 +52,9 @@
   ResponseSink& clients_;
   const ClusterLog& log_;
   Core* core_ = nullptr;
-  std::map<CallRef, Request> requests_;      // of clients, by their calls
-  std::map<CallRef, std::string> started_;   // the core's calls that run a job, with its name
-  CallRef last_started_ = CallRef{1} << 62;  // above any client's call
+  std::map<CallId, Request> requests_;      // of clients, by their calls
+  std::map<CallId, std::string> started_;   // the core's calls that run a job, with its name
+  CallId last_started_{uint64_t{1} << 62};  // above any client's call
   std::optional<TimePoint> shutdown_deadline_;
 };
 
--- a/src/cluster/topic_requests.cpp
+++ b/src/cluster/topic_requests.cpp
@@ -35,44 +35,45 @@
         return {Kind::kDone, fmt::format(R"({{"version":{}}})", result.applied.version)};
       return {Kind::kDone, R"({"agreed":true})"};
     case Result::Kind::kRejected:
-      return {Kind::kRefused, schema::encode(result.applied.verdict)};
+      return {Kind::kRejected, schema::encode(result.applied.verdict)};
     case Result::Kind::kNoMajority:
-      return {Kind::kNoMajority, {}};
+      return {Kind::kNoQuorum, {}};
     case Result::Kind::kUnreadable:
-      return {Kind::kBadParams, "what stands there is no bulletin that this program reads"};
+      return {Kind::kInvalidParams, "what stands there is no bulletin that this program reads"};
     case Result::Kind::kUnknown:
       break;
   }
-  return {Kind::kUnknown, {}};
+  return {Kind::kOutcomeUnknown, {}};
 }
 
 }  // namespace
 
 void TopicRequests::request(std::string_view method, std::string_view topic, const std::string& params,
-                            Duration timeout, Done done) {
+                            Duration timeout, ReplyCallback callback) {
   std::string reason;
   std::optional<Change> change = schema::decode_change(params, reason);
-  if (!change) return rejected_.push_back({std::move(done), std::move(reason)});
+  if (!change) return rejected_.push_back({std::move(callback), std::move(reason)});
   change->kind = kind_of(method);
   reason = schema::find_missing_parameter(*change);
-  if (!reason.empty()) return rejected_.push_back({std::move(done), std::move(reason)});
+  if (!reason.empty()) return rejected_.push_back({std::move(callback), std::move(reason)});
   change->topic = topic;
   const BootClock::time_point now = BootClock::now();
   log_.count_topic_request(method);
   const uint64_t number =
       registry_.submit(std::move(*change), now + std::clamp(timeout, kMinTimeout, kMaxTimeout));
-  pending_[number] = std::move(done);
+  pending_[number] = std::move(callback);
 }
 
 void TopicRequests::deliver_replies() {
-  for (const auto& [done, reason] : std::exchange(rejected_, {})) done({Reply::Kind::kBadParams, reason});
+  for (const auto& [callback, reason] : std::exchange(rejected_, {}))
+    callback({Reply::Kind::kInvalidParams, reason});
   for (const Result& result : registry_.take_results()) {
     const auto pending = pending_.find(result.change);
     if (pending == pending_.end()) continue;
-    const Done done = std::move(pending->second);
+    const ReplyCallback callback = std::move(pending->second);
     pending_.erase(pending);
     log_.record_topic_change(result);
-    done(reply_of(result));
+    callback(reply_of(result));
   }
 }
 
--- a/src/cluster/topic_requests.h
+++ b/src/cluster/topic_requests.h
@@ -17,26 +17,26 @@
 // Used on the loop's thread alone.
 class TopicRequests {
  public:
-  using Reply = ClusterRequests::ClusterReply;
-  using Done = ClusterRequests::Done;
+  using Reply = ClusterRequests::Reply;
+  using ReplyCallback = ClusterRequests::ReplyCallback;
 
   TopicRequests(schema::Registry& registry, const ClusterLog& log) : registry_(registry), log_(log) {}
 
-  // `method` is the client's, `params` its JSON. `done` is called by a later deliver_replies().
+  // `method` is the client's, `params` its JSON. `callback` is called by a later deliver_replies().
   void request(std::string_view method, std::string_view topic, const std::string& params, Duration timeout,
-               Done done);
+               ReplyCallback callback);
   void deliver_replies();
 
  private:
   struct Rejected {  // before the registry saw it
-    Done done;
+    ReplyCallback callback;
     std::string reason;
   };
 
   schema::Registry& registry_;
   const ClusterLog& log_;
   std::vector<Rejected> rejected_;
-  std::map<uint64_t, Done> pending_;  // by the registry's number of the change
+  std::map<uint64_t, ReplyCallback> pending_;  // by the registry's number of the change
 };
 
 }  // namespace firvalve::cluster
