--- a/fuzz/peers_fuzz.cpp
+++ b/fuzz/peers_fuzz.cpp
@@ -28,8 +28,8 @@
   }
   cluster::read_slot(text);
   cluster::read_owned(text);
-  lease::read_claim(text);
-  lease::read_merge(text);
+  lease::decode_lease_record(text);
+  lease::decode_run_once_job(text);
   std::string told;
   if (const auto bulletin = schema::read_bulletin(text, told)) schema::written(*bulletin);
   if (const auto change = schema::read_change(text, told)) schema::apply({}, *change);
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -17,20 +17,22 @@
 consensus::AcceptorOptions keeper_options(const ClusterNodeOptions& t) {
   consensus::AcceptorOptions out;
   out.self = t.self;
-  out.keepers = t.keepers;
-  out.bytes_most = t.record_bytes;
+  out.replica_count = t.keepers;
+  out.max_value_bytes = t.record_bytes;
   return out;
 }
 
 consensus::ProposerOptions asker_options(const ClusterNodeOptions& t) {
   consensus::ProposerOptions out;
-  out.keepers = t.keepers;
-  out.asker = mixed(t.draw + 1);
+  out.replica_count = t.keepers;
+  out.proposer_id = mixed(t.draw + 1);
   out.seed = mixed(t.draw + 2);
   return out;
 }
 
-lease::LeaseOptions duty_options(const ClusterNodeOptions& t) { return {t.name, mixed(t.draw + 3), t.lease}; }
+lease::LeaseOptions duty_options(const ClusterNodeOptions& t) {
+  return {t.name, mixed(t.draw + 3), duration_of(t.lease)};
+}
 
 }  // namespace
 
@@ -38,7 +40,7 @@
     : options_(options),
       asker_(asker_options(options)),
       follower_(options.keepers, static_cast<consensus::PeerId>(mixed(options.draw) % options.keepers)),
-      duties_(now, duty_options(options)),
+      duties_(time_point_of<BootClock>(now), duty_options(options)),
       merges_(duties_, mixed(options.draw + 4)),
       registry_(mixed(options.draw + 6)),
       lapses_(static_cast<double>(mixed(options.draw + 7) >> 11) / static_cast<double>(uint64_t{1} << 53)) {
@@ -52,54 +54,55 @@
 }
 
 void ClusterNode::handle(Ms now, consensus::PeerId from, const consensus::Message& m) {
-  switch (m.say) {
+  switch (m.type) {
     case MessageType::kPromise:
     case MessageType::kAccepted:
-    case MessageType::kRefused:
-      asker_.handle(now, from, m);
+    case MessageType::kRejected:
+      asker_.handle(time_point_of<BootClock>(now), from, m);
       break;
     case MessageType::kChanges:
-      follower_.handle(now, from, m);
+      follower_.handle(time_point_of<BootClock>(now), from, m);
       break;
     default:
-      if (keeper_) keeper_->handle(now, from, m);
+      if (keeper_) keeper_->handle(time_point_of<BootClock>(now), from, m);
   }
   go_on(now);
 }
 
 // What one part has to tell another, until none has.
 void ClusterNode::go_on(Ms now) {
+  const auto time = time_point_of<BootClock>(now);
   for (bool more = true; more;) {
     more = false;
-    for (const consensus::ProposalResult& end : asker_.take_ends()) {
+    for (const consensus::ProposalResult& end : asker_.take_results()) {
       more = true;
-      if (end.wish.key.starts_with(schema::Registry::kPrefix))
-        registry_.ended(now, end);
-      else if (duties_.wants(end.wish.key))
-        duties_.ended(now, end);
+      if (end.proposal.key.starts_with(schema::Registry::kPrefix))
+        registry_.on_result(now, end);
+      else if (duties_.is_candidate_for(end.proposal.key))
+        duties_.on_result(time, end);
       else
         ends_.push_back(end);
     }
-    for (const auto& [key, fact] : follower_.take_seen()) see(now, key, fact);
-    if (follower_.whole()) duties_.looked(now);
-    for (consensus::Proposal& wish : duties_.take_wishes()) {
+    for (const auto& [key, fact] : follower_.take_updates()) see(now, key, fact);
+    if (follower_.is_synced()) duties_.on_synced(time);
+    for (consensus::Proposal& wish : duties_.take_proposals()) {
       more = true;
-      asker_.ask(now, std::move(wish));
+      asker_.propose(time, std::move(wish));
     }
-    for (consensus::Proposal& wish : registry_.take_wishes()) {
+    for (consensus::Proposal& wish : registry_.take_proposals()) {
       more = true;
-      asker_.ask(now, std::move(wish));
+      asker_.propose(time, std::move(wish));
     }
     for (lease::Event& event : duties_.take_events()) {
       more = true;
-      merges_.handle(now, event);
+      merges_.handle(time, event);
       events_.push_back(std::move(event));
     }
   }
 }
 
 void ClusterNode::see(Ms now, const std::string& key, const consensus::Register& fact) {
-  duties_.saw(now, key, fact);
+  duties_.observe(time_point_of<BootClock>(now), key, fact);
   // Keepers look after declarations; that others need not read every bulletin whole is all that it is for.
   if (!keeper_ || !key.starts_with(schema::Registry::kPrefix)) return;
   std::string why;
@@ -108,12 +111,13 @@
 }
 
 void ClusterNode::due(Ms now) {
+  const auto time = time_point_of<BootClock>(now);
   for (schema::Change& lapse : lapses_.due(now)) registry_.ask(now, std::move(lapse), now + kLapseMost);
-  if (keeper_) keeper_->due(now);
-  asker_.due(now);
-  follower_.due(now);
-  duties_.due(now);
-  merges_.due(now);
+  if (keeper_) keeper_->on_tick(time);
+  asker_.on_tick(time);
+  follower_.on_tick(time);
+  duties_.on_tick(time);
+  merges_.on_tick(time);
   go_on(now);
 }
 
@@ -122,20 +126,23 @@
   const auto sooner = [&next](Ms at) {
     if (at > 0 && (next == 0 || at < next)) next = at;
   };
-  if (keeper_) sooner(keeper_->next_due());
-  sooner(asker_.next_due());
-  sooner(follower_.next_due());
-  sooner(duties_.next_due());
-  sooner(merges_.next_due());
+  const auto sooner_of = [&sooner](std::optional<consensus::BootTime> at) {
+    if (at) sooner(to_ms(*at));
+  };
+  if (keeper_) sooner_of(keeper_->next_deadline());
+  sooner_of(asker_.next_deadline());
+  sooner_of(follower_.next_deadline());
+  sooner_of(duties_.next_deadline());
+  sooner_of(merges_.next_deadline());
   sooner(lapses_.next_due());
   return next;
 }
 
 ClusterNode::Out ClusterNode::take() {
   Out out;
-  if (keeper_) out.keeper = keeper_->take();
-  out.sends = asker_.take_sends();
-  for (consensus::Envelope& e : follower_.take_sends()) out.sends.push_back(std::move(e));
+  if (keeper_) out.keeper = keeper_->take_output();
+  out.sends = asker_.take_messages();
+  for (consensus::Envelope& e : follower_.take_messages()) out.sends.push_back(std::move(e));
   return out;
 }
 
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -42,11 +42,11 @@
   // First the keeper's writes are made durable, then everything goes out. Sends to itself come back by
   // handle().
   struct Out {
-    consensus::Step keeper;
+    consensus::AcceptorOutput keeper;
     std::vector<consensus::Envelope> sends;
   };
   Out take();
-  void unwritten(consensus::Step step) { keeper_->unwritten(std::move(step)); }
+  void unwritten(const consensus::AcceptorOutput& step) { keeper_->on_write_failed(step); }
   std::vector<lease::Event> take_events() { return std::exchange(events_, {}); }
 
   bool is_keeper() const { return keeper_.has_value(); }
--- a/src/cluster/cluster_service.cpp
+++ b/src/cluster/cluster_service.cpp
@@ -42,8 +42,8 @@
 constexpr Ms kBulletinMost = 30000;  // for a change of a bulletin, whatever its client says
 
 bool answers(MessageType say) {
-  return say == MessageType::kPromise || say == MessageType::kAccepted || say == MessageType::kRefused ||
-         say == MessageType::kChanges || say == MessageType::kStandingIs || say == MessageType::kState;
+  return say == MessageType::kPromise || say == MessageType::kAccepted || say == MessageType::kRejected ||
+         say == MessageType::kChanges || say == MessageType::kMetadata || say == MessageType::kState;
 }
 
 std::string times(Ms at) { return fmt::format("{:.3f}", at); }
@@ -217,7 +217,7 @@
   for (PeerId p = 0; p < t.keepers; ++p)
     to_.push_back(p == t.self ? nullptr : std::make_unique<OutboundPeer>(*this, p, options.keepers[p]));
   for (const std::string& duty : options.duties)
-    if (!duty.ends_with("*")) node_->duties().want(at, duty);
+    if (!duty.ends_with("*")) node_->duties().campaign(time_point_of<BootClock>(at), duty);
   listener_.bind(SocketAddress(options.listen), true);
   listener_.listen(1024);
   listener_.setBlocking(false);
@@ -258,7 +258,7 @@
 void ClusterService::ended(InboundPeer& link) {
   if (const auto at = answers_to_.find(link.peer); at != answers_to_.end() && at->second == &link) {
     answers_to_.erase(at);
-    if (node_->keeper()) node_->keeper()->gone(link.peer);
+    if (node_->keeper()) node_->keeper()->remove_watcher(link.peer);
   }
   const auto at = from_.find(&link);
   if (at == from_.end()) return;
@@ -298,12 +298,12 @@
   link_counts_.bytes_in += framed_size(body.size());
   const Ms at = clock();
   for (const Message& m : frame->parts)
-    if (answers(m.say) == from_keeper) node_->handle(at, peer, m);
+    if (answers(m.type) == from_keeper) node_->handle(at, peer, m);
 }
 
 void ClusterService::send(const Envelope& e, std::map<net::Connection*, Frame>& frames) {
   net::Connection* link = nullptr;
-  if (answers(e.message.say)) {
+  if (answers(e.message.type)) {
     if (const auto at = answers_to_.find(e.to); at != answers_to_.end()) link = at->second;
   } else if (e.to < to_.size() && to_[e.to]) {
     link = to_[e.to]->link();
@@ -330,7 +330,7 @@
     for (ReplicaStorage::Done& done : folder_->done()) {
       if (done.why.empty()) {
         unwritten_ = false;
-        pass(done.step.sends);
+        pass(done.step.messages);
         continue;
       }
       // Guards a promise that is not on the disk against being told. Until the disk takes it again this
@@ -340,7 +340,7 @@
              {{"component", "record"}, {"folder", options_.folder}, {"why", done.why}});
       counters_.add("record steps not written");
       writes_again_ = at + kWritesAgain;
-      node_->unwritten(std::move(done.step));
+      node_->unwritten(done.step);
     }
   if (at >= writes_again_) writes_again_ = 0;
   for (bool more = true; more;) {
@@ -348,11 +348,11 @@
     ClusterNode::Out out = node_->take();
     more |= pass(out.sends);
     if (!folder_) {
-      more |= pass(out.keeper.sends);
+      more |= pass(out.keeper.messages);
     } else if (writes_again_ > 0) {
-      node_->unwritten(std::move(out.keeper));
-    } else if (!out.keeper.standing && out.keeper.writes.empty() && folder_->waiting() == 0) {
-      more |= pass(out.keeper.sends);
+      node_->unwritten(out.keeper);
+    } else if (!out.keeper.metadata && out.keeper.writes.empty() && folder_->waiting() == 0) {
+      more |= pass(out.keeper.messages);
     } else if (!out.keeper.empty()) {
       // A step without writes still follows those before it: its answers may be of what they hold.
       folder_->put(std::move(out.keeper));
@@ -387,7 +387,8 @@
 void ClusterService::due(Ms now) {
   const Ms at = clock();
   // The process stood still: it was to be here by then, and came so much later.
-  if (expected_ > 0 && at > expected_) node_->duties().stalled(at, at - expected_);
+  if (expected_ > 0 && at > expected_)
+    node_->duties().on_pause(time_point_of<BootClock>(at), duration_of(at - expected_));
   if (!accepting_ && at >= accepts_again_) accept_on(true);
   for (const auto& to : to_)
     if (to) to->due(at);
@@ -397,8 +398,8 @@
   tell_changes();
   log_events();
   if (leaves_at_ > 0) {
-    if (!node_->merges().runs()) node_->duties().leave(at);
-    const bool open = !wanted_.empty() || node_->merges().runs();
+    if (!node_->merges().is_running()) node_->duties().release_all(time_point_of<BootClock>(at));
+    const bool open = !wanted_.empty() || node_->merges().is_running();
     if (open)
       quiet_since_ = 0;
     else if (quiet_since_ == 0)
@@ -406,7 +407,7 @@
     flush(at);
     log_events();
   }
-  const bool full = node_->keeper() && node_->keeper()->full();
+  const bool full = node_->keeper() && node_->keeper()->is_voting();
   if (full && !was_full_)
     say_(log::Level::kInfo, "record.ready",
          {{"component", "record"}, {"facts", std::to_string(node_->keeper()->slots().size())}});
@@ -434,13 +435,13 @@
 void ClusterService::leave(Ms now, Ms until) {
   leaves_at_ = clock();
   leave_until_ = until;
-  node_->merges().leave();
+  node_->merges().stop_accepting();
   carry_out(now);
 }
 
 bool ClusterService::left(Ms) const {
   if (leaves_at_ == 0) return true;
-  if (!wanted_.empty() || node_->merges().runs()) return false;
+  if (!wanted_.empty() || node_->merges().is_running()) return false;
   return !node_->duties().holds_any() || (quiet_since_ > 0 && clock() >= quiet_since_ + kLeaveMost);
 }
 
@@ -450,22 +451,26 @@
   const std::string at = times(clock());
   for (const lease::Event& e : node_->take_events()) {
     const std::string epoch = std::to_string(e.epoch);
-    if (e.kind == Kind::kTaken || e.kind == Kind::kRenewed) {
-      const bool taken = e.kind == Kind::kTaken;
+    if (e.kind == Kind::kAcquired || e.kind == Kind::kRenewed) {
+      const bool taken = e.kind == Kind::kAcquired;
       if (taken) counters_.add("duties taken");
       say_(taken ? Level::kInfo : Level::kDebug, taken ? "duty.taken" : "duty.renewed",
            {{"component", "duty"},
-            {"duty", e.duty},
+            {"duty", e.lease},
             {"epoch", epoch},
             {"at_ms", at},
-            {"until_ms", times(e.until)}});
-    } else if (e.kind == Kind::kLeft || e.kind == Kind::kLost) {
-      const bool left = e.kind == Kind::kLeft;
+            {"until_ms", times(to_ms(*e.valid_until))}});
+    } else if (e.kind == Kind::kReleased || e.kind == Kind::kLost) {
+      const bool left = e.kind == Kind::kReleased;
       counters_.add(left ? "duties left" : "duties lost");
       say_(left ? Level::kInfo : Level::kWarning, left ? "duty.left" : "duty.lost",
-           {{"component", "duty"}, {"duty", e.duty}, {"epoch", epoch}, {"at_ms", at}, {"why", e.why}});
+           {{"component", "duty"},
+            {"duty", e.lease},
+            {"epoch", epoch},
+            {"at_ms", at},
+            {"why", std::string(lease::to_string(e.reason))}});
     } else if (e.kind == Kind::kUnreadable) {
-      say_(Level::kWarning, "duty.unreadable", {{"component", "duty"}, {"duty", e.duty}});
+      say_(Level::kWarning, "duty.unreadable", {{"component", "duty"}, {"duty", e.lease}});
     }
   }
 }
@@ -475,19 +480,19 @@
   if (const consensus::Acceptor* const k = node_->keeper())
     say_(log::Level::kInfo, "record.keeper",
          {{"component", "record"},
-          {"ready", k->full() ? "yes" : "no"},
+          {"ready", k->is_voting() ? "yes" : "no"},
           {"facts", std::to_string(k->slots().size())}});
   for (const auto& to : to_)
     if (to)
       say_(log::Level::kInfo, "member.keeper",
            {{"component", "fleet"}, {"peer", to->address()}, {"up", to->up() ? "yes" : "no"}});
-  node_->duties().each([&](const std::string& duty, const lease::LeaseRecord* claim, bool mine) {
+  node_->duties().for_each([&](const std::string& duty, const lease::LeaseRecord* claim, bool mine) {
     say_(log::Level::kInfo, "duty.is",
          {{"component", "duty"},
           {"duty", duty},
-          {"holder", claim && !claim->released ? claim->holder : "nobody"},
+          {"holder", claim && !claim->is_released ? claim->holder : "nobody"},
           {"epoch", std::to_string(claim ? claim->epoch : 0)},
-          {"here", mine && node_->duties().may_act(at, duty) ? "yes" : "no"}});
+          {"here", mine && node_->duties().active_epoch(time_point_of<BootClock>(at), duty) ? "yes" : "no"}});
   });
 }
 
@@ -504,11 +509,12 @@
   w.memory_mb = asked.memory_mb;
   const uint64_t hash = XXH3_64bits(w.statement.data(), w.statement.size()) | 1;
   counters_.add("merges asked for");
-  node_->merges().ask(at, std::string(name), call, hash, at + (w.until - now));
+  node_->merges().submit(time_point_of<BootClock>(at), std::string(name), call, hash,
+                         time_point_of<BootClock>(at + (w.until - now)));
 }
 
 void ClusterService::gone(Ms, CallRef call) {
-  if (wanted_.erase(call) > 0) node_->merges().gone(clock(), call);
+  if (wanted_.erase(call) > 0) node_->merges().on_caller_gone(time_point_of<BootClock>(clock()), call);
 }
 
 void ClusterService::bulletin(Ms, std::string_view method, std::string_view name, const std::string& params,
@@ -576,7 +582,7 @@
 // What the merges call for.
 void ClusterService::carry_out(Ms now) {
   using Kind = lease::RunOnceJobs::Action::Kind;
-  using End = lease::RunOnceJobs::End;
+  using End = lease::RunOnceJobs::RunEnd;
   for (bool more = true; more;) {
     more = false;
     for (lease::RunOnceJobs::Action& a : node_->merges().take_actions()) {
@@ -584,7 +590,7 @@
       const auto at = wanted_.find(a.call);
       if (a.kind == Kind::kStart) {
         if (at == wanted_.end() || !core_) {
-          node_->merges().run_ended(clock(), a.name, End::kNeverRan, {});
+          node_->merges().on_run_finished(time_point_of<BootClock>(clock()), a.key, End::kNeverRan, {});
           continue;
         }
         const Wanted& w = at->second;
@@ -597,22 +603,22 @@
         asked.estimate = w.estimate;
         asked.memory_mb = w.memory_mb;
         const CallRef run = ++last_run_;
-        runs_[run] = a.name;
-        say_(log::Level::kInfo, "merge.begun", {{"component", "duty"}, {"merge", a.name}});
+        runs_[run] = a.key;
+        say_(log::Level::kInfo, "merge.begun", {{"component", "duty"}, {"merge", a.key}});
         if (core_->admit(now, run, std::move(asked)) != AdmissionResult::kTaken) {
           runs_.erase(run);
-          node_->merges().run_ended(clock(), a.name, End::kNeverRan, {});
+          node_->merges().on_run_finished(time_point_of<BootClock>(clock()), a.key, End::kNeverRan, {});
         }
         continue;
       }
       if (at == wanted_.end()) continue;
       wanted_.erase(at);
-      if (a.kind == Kind::kAnswer)
-        clients_.answer(a.call, a.text);
+      if (a.kind == Kind::kComplete)
+        clients_.answer(a.call, a.rows);
       else if (a.kind == Kind::kShed)
-        clients_.shed(a.call, a.advice);
+        clients_.shed(a.call, to_ms(a.retry_after));
       else
-        clients_.fail(a.call, a.text);
+        clients_.fail(a.call, a.error);
     }
   }
 }
@@ -622,7 +628,8 @@
   if (at == runs_.end()) return clients_.answer(call, rows);
   const std::string name = at->second;
   runs_.erase(at);
-  node_->merges().run_ended(clock(), name, lease::RunOnceJobs::End::kAnswered, std::string(rows));
+  node_->merges().on_run_finished(time_point_of<BootClock>(clock()), name,
+                                  lease::RunOnceJobs::RunEnd::kCompleted, std::string(rows));
 }
 
 void ClusterService::shed(CallRef call, Ms advice) {
@@ -630,7 +637,8 @@
   if (at == runs_.end()) return clients_.shed(call, advice);
   const std::string name = at->second;
   runs_.erase(at);
-  node_->merges().run_ended(clock(), name, lease::RunOnceJobs::End::kNeverRan, {}, advice);
+  node_->merges().on_run_finished(time_point_of<BootClock>(clock()), name,
+                                  lease::RunOnceJobs::RunEnd::kNeverRan, {}, duration_of(advice));
 }
 
 void ClusterService::fail(CallRef call, std::string_view why) {
@@ -638,7 +646,8 @@
   if (at == runs_.end()) return clients_.fail(call, why);
   const std::string name = at->second;
   runs_.erase(at);
-  node_->merges().run_ended(clock(), name, lease::RunOnceJobs::End::kFailed, {});
+  node_->merges().on_run_finished(time_point_of<BootClock>(clock()), name,
+                                  lease::RunOnceJobs::RunEnd::kFailed, {});
 }
 
 }  // namespace firvalve::cluster
--- a/src/cluster/replica_storage.cpp
+++ b/src/cluster/replica_storage.cpp
@@ -136,7 +136,7 @@
   if (!broken.empty()) throw std::runtime_error(fmt::format("the slot of {} cannot be read", broken));
 }
 
-void ReplicaStorage::put(consensus::Step step) {
+void ReplicaStorage::put(consensus::AcceptorOutput step) {
   {
     const std::lock_guard lock(mutex_);
     waiting_.push_back(std::move(step));
@@ -158,7 +158,7 @@
 
 // A disk that fills up while a commit writes its meta page leaves the environment unusable (MDB_PANIC) until
 // it is opened anew, also once the disk takes writes again.
-std::string ReplicaStorage::write(const std::vector<consensus::Step>& steps) {
+std::string ReplicaStorage::write(const std::vector<consensus::AcceptorOutput>& steps) {
   try {
     if (!env_) open_environment();
     const int error = commit(steps);
@@ -170,11 +170,11 @@
   }
 }
 
-int ReplicaStorage::commit(const std::vector<consensus::Step>& steps) {
+int ReplicaStorage::commit(const std::vector<consensus::AcceptorOutput>& steps) {
   Transaction t(env_, 0);
-  for (const consensus::Step& step : steps) {
+  for (const consensus::AcceptorOutput& step : steps) {
     for (const auto& [key, slot] : step.writes) t.put(slots_db_, key, written(slot));
-    if (step.standing) t.put(standing_db_, kStandingKey, written(Owned{*step.standing, owner_, keepers_}));
+    if (step.metadata) t.put(standing_db_, kStandingKey, written(Owned{*step.metadata, owner_, keepers_}));
   }
   t.commit();
   return t.error;
@@ -182,7 +182,7 @@
 
 void ReplicaStorage::run() {
   for (;;) {
-    std::vector<consensus::Step> steps;
+    std::vector<consensus::AcceptorOutput> steps;
     {
       std::unique_lock lock(mutex_);
       wanted_.wait(lock, [this] { return ending_ || !waiting_.empty(); });
@@ -192,7 +192,7 @@
     const std::string why = write(steps);
     {
       const std::lock_guard lock(mutex_);
-      for (consensus::Step& step : steps) done_.push_back({std::move(step), why});
+      for (consensus::AcceptorOutput& step : steps) done_.push_back({std::move(step), why});
     }
     wake_();
   }
--- a/src/cluster/replica_storage.h
+++ b/src/cluster/replica_storage.h
@@ -32,9 +32,9 @@
   std::optional<consensus::ReplicaMetadata> standing;
   std::map<std::string, consensus::AcceptorSlot> slots;
 
-  void put(consensus::Step step);
+  void put(consensus::AcceptorOutput step);
   struct Done {
-    consensus::Step step;
+    consensus::AcceptorOutput step;
     std::string why;  // it could not be written; empty: it is on the disk
   };
   std::vector<Done> done();  // in the order put
@@ -46,8 +46,9 @@
   void close_environment();
   void read();
   void run();
-  std::string write(const std::vector<consensus::Step>& steps);  // why not; empty: they are on the disk
-  int commit(const std::vector<consensus::Step>& steps);         // LMDB's code
+  std::string write(
+      const std::vector<consensus::AcceptorOutput>& steps);         // why not; empty: they are on the disk
+  int commit(const std::vector<consensus::AcceptorOutput>& steps);  // LMDB's code
 
   const std::string path_, owner_;
   const uint64_t keepers_;
@@ -57,7 +58,7 @@
   unsigned slots_db_ = 0, standing_db_ = 0;
   mutable std::mutex mutex_;
   std::condition_variable wanted_;
-  std::vector<consensus::Step> waiting_;
+  std::vector<consensus::AcceptorOutput> waiting_;
   std::vector<Done> done_;
   size_t out_ = 0;
   bool ending_ = false;
--- a/src/cluster/wire.cpp
+++ b/src/cluster/wire.cpp
@@ -14,7 +14,7 @@
 using flatbuffers::FlatBufferBuilder;
 using flatbuffers::Offset;
 
-wire::Ballot out_of(const consensus::Ballot& b) { return {b.number, b.asker}; }
+wire::Ballot out_of(const consensus::Ballot& b) { return {b.number, b.proposer_id}; }
 consensus::Ballot from(const wire::Ballot* b) {
   return b ? consensus::Ballot{b->number(), b->asker()} : consensus::Ballot{};
 }
@@ -28,9 +28,9 @@
 
 Offset<wire::Register> out_of(FlatBufferBuilder& b, const consensus::Register& f) {
   if (f == consensus::Register{}) return 0;
-  const auto before = numbers(b, f.before);
+  const auto before = numbers(b, f.earlier_changes);
   const auto value = b.CreateVector(reinterpret_cast<const uint8_t*>(f.value.data()), f.value.size());
-  return wire::CreateRegister(b, f.version, f.change, before, value, f.urgent);
+  return wire::CreateRegister(b, f.version, f.change_id, before, value, f.is_urgent);
 }
 consensus::Register from(const wire::Register* f) {
   if (!f) return {};
@@ -42,8 +42,8 @@
 Offset<wire::AcceptorSlot> out_of(FlatBufferBuilder& b, const std::string& key,
                                   const consensus::AcceptorSlot& s) {
   const auto name = b.CreateString(key);
-  const auto fact = out_of(b, s.fact);
-  const wire::Ballot promised = out_of(s.promised), held = out_of(s.held);
+  const auto fact = out_of(b, s.accepted);
+  const wire::Ballot promised = out_of(s.promised_ballot), held = out_of(s.accepted_ballot);
   return wire::CreateAcceptorSlot(b, name, &promised, &held, fact);
 }
 consensus::AcceptorSlot from(const wire::AcceptorSlot& s) {
@@ -75,26 +75,26 @@
   std::vector<Offset<wire::Part>> parts;
   for (const consensus::Message& m : frame.parts) {
     const auto key = m.key.empty() ? 0 : b.CreateString(m.key);
-    const auto fact = out_of(b, m.fact);
-    const auto lives = numbers(b, m.lives), founders = numbers(b, m.founders);
+    const auto fact = out_of(b, m.register_state);
+    const auto lives = numbers(b, m.known_incarnations), founders = numbers(b, m.bootstrap_incarnations);
     std::vector<Offset<wire::AcceptorSlot>> slots;
     for (const auto& [name, slot] : m.entries) slots.push_back(out_of(b, name, slot));
     const auto entries = slots.empty() ? 0 : b.CreateVector(slots);
-    const wire::Ballot ballot = out_of(m.ballot), held = out_of(m.held);
+    const wire::Ballot ballot = out_of(m.ballot), held = out_of(m.accepted_ballot);
     wire::PartBuilder part(b);
-    part.add_op(m.op);
-    part.add_life(m.life);
+    part.add_op(m.request_id);
+    part.add_life(m.incarnation);
     part.add_since(m.since);
     if (m.ballot != consensus::Ballot{}) part.add_ballot(&ballot);
-    if (m.held != consensus::Ballot{}) part.add_held(&held);
+    if (m.accepted_ballot != consensus::Ballot{}) part.add_held(&held);
     part.add_key(key);
     part.add_fact(fact);
     part.add_lives(lives);
     part.add_founders(founders);
     part.add_entries(entries);
-    part.add_say(static_cast<uint8_t>(m.say));
-    part.add_full(m.full);
-    part.add_more(m.more);
+    part.add_say(static_cast<uint8_t>(m.type));
+    part.add_full(m.is_voting || m.is_out_of_space);
+    part.add_more(m.has_more);
     parts.push_back(part.Finish());
   }
   const auto name = b.CreateString(frame.from);
@@ -121,18 +121,18 @@
     for (const wire::Part* const part : *in.parts()) {
       if (part->say() < 1 || part->say() > static_cast<uint8_t>(consensus::MessageType::kState)) continue;
       consensus::Message& m = out.parts.emplace_back();
-      m.say = static_cast<consensus::MessageType>(part->say());
-      m.op = part->op();
+      m.type = static_cast<consensus::MessageType>(part->say());
+      m.request_id = part->op();
       if (part->key()) m.key = part->key()->str();
       m.ballot = from(part->ballot());
-      m.held = from(part->held());
-      m.fact = from(part->fact());
-      m.life = part->life();
-      m.lives = from(part->lives());
-      m.founders = from(part->founders());
+      m.accepted_ballot = from(part->held());
+      m.register_state = from(part->fact());
+      m.incarnation = part->life();
+      m.known_incarnations = from(part->lives());
+      m.bootstrap_incarnations = from(part->founders());
       m.since = part->since();
-      m.full = part->full();
-      m.more = part->more();
+      (m.type == consensus::MessageType::kRejected ? m.is_out_of_space : m.is_voting) = part->full();
+      m.has_more = part->more();
       if (part->entries())
         for (const wire::AcceptorSlot* const slot : *part->entries())
           if (slot->key()) m.entries.emplace_back(slot->key()->str(), from(*slot));
@@ -142,9 +142,10 @@
 }
 
 size_t size_of(const consensus::Message& m) {
-  size_t all = 64 + m.key.size() + m.fact.value.size() + 8 * (m.fact.before.size() + m.lives.size());
+  size_t all = 64 + m.key.size() + m.register_state.value.size() +
+               8 * (m.register_state.earlier_changes.size() + m.known_incarnations.size());
   for (const auto& [key, slot] : m.entries)
-    all += 96 + key.size() + slot.fact.value.size() + 8 * slot.fact.before.size();
+    all += 96 + key.size() + slot.accepted.value.size() + 8 * slot.accepted.earlier_changes.size();
   return all;
 }
 
@@ -163,9 +164,9 @@
   FlatBufferBuilder b(256);
   const auto owner = b.CreateString(owned.owner);
   const consensus::ReplicaMetadata& s = owned.standing;
-  const auto lives = numbers(b, s.lives), founders = numbers(b, s.founders);
-  b.Finish(
-      wire::CreateReplicaMetadata(b, kFrameVersion, owner, owned.keepers, s.life, s.full, lives, founders));
+  const auto lives = numbers(b, s.known_incarnations), founders = numbers(b, s.bootstrap_incarnations);
+  b.Finish(wire::CreateReplicaMetadata(b, kFrameVersion, owner, owned.keepers, s.incarnation, s.is_voting,
+                                       lives, founders));
   return bytes_of(b);
 }
 
--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -9,348 +9,411 @@
 
 namespace {
 
-// A life is a count and a draw: the count lets a later one be greater, the draw keeps two first ones apart.
-constexpr int kDrawBits = 40;
-constexpr Incarnation drawn(uint64_t chance) { return chance & ((Incarnation{1} << kDrawBits) - 1); }
-constexpr Incarnation after(Incarnation life, uint64_t chance) {
-  return (((life >> kDrawBits) + 1) << kDrawBits) | drawn(chance);
+// An incarnation is a count and random bits: the count lets a later one be greater, the random bits keep two
+// first ones apart.
+constexpr int kRandomBits = 40;
+constexpr Incarnation random_part(uint64_t random) { return random & ((Incarnation{1} << kRandomBits) - 1); }
+constexpr Incarnation next_incarnation(Incarnation incarnation, uint64_t random) {
+  return (((incarnation >> kRandomBits) + 1) << kRandomBits) | random_part(random);
+}
+
+bool carries_incarnations(MessageType type) {
+  return type == MessageType::kPromise || type == MessageType::kAccepted || type == MessageType::kMetadata ||
+         type == MessageType::kState;
 }
 
 }  // namespace
 
-bool Register::made(uint64_t id) const {
-  return change == id || std::find(before.begin(), before.end(), id) != before.end();
+bool Register::includes_change(ChangeId id) const {
+  return change_id == id ||
+         std::find(earlier_changes.begin(), earlier_changes.end(), id) != earlier_changes.end();
 }
 
-Acceptor::Acceptor(const AcceptorOptions& options, uint64_t chance)
-    : options_(options), sources_(options.keepers) {
-  standing_.life = drawn(chance) | 1;
-  standing_.lives.assign(options.keepers, 0);
-  standing_.founders.assign(options.keepers, 0);
-  standing_.lives[options.self] = standing_.life;
-  standing_changed_ = true;
-  if (options.keepers == 1 || is_injected(InjectedBug::kForgetfulKeeper)) standing_.full = true;
+Acceptor::Acceptor(const AcceptorOptions& options, uint64_t random)
+    : options_(options), peers_(options.replica_count) {
+  metadata_.incarnation = random_part(random) | 1;
+  metadata_.known_incarnations.assign(options.replica_count, 0);
+  metadata_.bootstrap_incarnations.assign(options.replica_count, 0);
+  metadata_.known_incarnations[options.self] = metadata_.incarnation;
+  has_new_metadata_ = true;
+  if (options.replica_count == 1 || is_injected(InjectedBug::kForgetfulAcceptor)) metadata_.is_voting = true;
 }
 
-Acceptor::Acceptor(const AcceptorOptions& options, ReplicaMetadata standing,
+// One that had begun to recover starts over: the others may have noted its incarnation, so it takes the next.
+Acceptor::Acceptor(const AcceptorOptions& options, ReplicaMetadata metadata,
                    std::map<std::string, AcceptorSlot> slots)
-    : options_(options), standing_(std::move(standing)), slots_(std::move(slots)), sources_(options.keepers) {
-  standing_.lives.resize(options.keepers);
-  standing_.founders.resize(options.keepers);
+    : options_(options),
+      metadata_(std::move(metadata)),
+      slots_(std::move(slots)),
+      peers_(options.replica_count) {
+  metadata_.known_incarnations.resize(options.replica_count);
+  metadata_.bootstrap_incarnations.resize(options.replica_count);
   for (const auto& [key, slot] : slots_) {
-    bytes_ += slot.fact.value.size();
-    if (slot.fact.version > 0) touch(key);
+    value_bytes_ += slot.accepted.value.size();
+    if (slot.accepted.version > 0) move_to_newest(key);
   }
-  // Who had begun to recover was answered for a life that may be noted already: it takes the next one.
-  recovering_ = false;
 }
 
-Message Acceptor::answer(const Message& m, MessageType say) const {
-  Message out;
-  out.say = say;
-  out.op = m.op;
-  out.life = standing_.life;
-  if (say == MessageType::kPromise || say == MessageType::kAccepted || say == MessageType::kStandingIs ||
-      say == MessageType::kState)
-    out.lives = standing_.lives;
-  return out;
+void Acceptor::handle(BootTime now, PeerId from, const Message& message) {
+  switch (message.type) {
+    case MessageType::kPrepare:
+      return handle_prepare(from, message);
+    case MessageType::kAccept:
+      return handle_accept(now, from, message);
+    case MessageType::kWatch:
+      return handle_watch(now, from, message);
+    case MessageType::kMetadataRequest:
+      return handle_metadata_request(from, message);
+    case MessageType::kMetadata:
+      return handle_metadata(from, message);
+    case MessageType::kFetchState:
+      return handle_fetch_state(from, message);
+    case MessageType::kState:
+      return handle_state(from, message);
+    case MessageType::kPromise:
+    case MessageType::kAccepted:
+    case MessageType::kRejected:
+    case MessageType::kChanges:
+      return;  // responses to proposers and watchers
+  }
+}
+
+// Voting.
+
+void Acceptor::handle_prepare(PeerId from, const Message& message) {
+  if (!metadata_.is_voting) return;
+  AcceptorSlot* const slot = find_or_add_slot(message.key);
+  if (!slot || message.ballot < slot->promised_ballot) return reject(from, message, slot, !slot);
+  if (slot->promised_ballot != message.ballot) unwritten_keys_.insert(message.key);
+  slot->promised_ballot = message.ballot;
+  Message promise = response_to(message, MessageType::kPromise);
+  promise.ballot = message.ballot;
+  promise.accepted_ballot = slot->accepted_ballot;
+  promise.register_state = slot->accepted;
+  send(from, std::move(promise));
+}
+
+void Acceptor::handle_accept(BootTime now, PeerId from, const Message& message) {
+  if (!metadata_.is_voting) return;
+  AcceptorSlot* const slot = find_or_add_slot(message.key);
+  if (!slot) return reject(from, message, slot, true);
+  const bool is_too_large = exceeds_limits(*slot, message.register_state);
+  const bool breaks_promise =
+      message.ballot < slot->promised_ballot && !is_injected(InjectedBug::kSkipPromiseCheck);
+  if (is_too_large || breaks_promise) return reject(from, message, slot, is_too_large);
+  // A repeated request changes nothing and is answered again.
+  if (slot->accepted_ballot != message.ballot) store_accepted(now, message.key, *slot, message);
+  Message accepted = response_to(message, MessageType::kAccepted);
+  accepted.ballot = message.ballot;
+  send(from, std::move(accepted));
 }
 
-// Null: there is no room for another key.
-AcceptorSlot* Acceptor::slot(const std::string& key) {
+void Acceptor::reject(PeerId to, const Message& request, const AcceptorSlot* slot, bool is_out_of_space) {
+  Message rejected = response_to(request, MessageType::kRejected);
+  if (slot) rejected.ballot = slot->promised_ballot;
+  rejected.is_out_of_space = is_out_of_space;
+  send(to, std::move(rejected));
+}
+
+Message Acceptor::response_to(const Message& request, MessageType type) const {
+  Message response;
+  response.type = type;
+  response.request_id = request.request_id;
+  response.incarnation = metadata_.incarnation;
+  if (carries_incarnations(type)) response.known_incarnations = metadata_.known_incarnations;
+  return response;
+}
+
+AcceptorSlot* Acceptor::find_or_add_slot(const std::string& key) {
   const auto at = slots_.find(key);
   if (at != slots_.end()) return &at->second;
-  if (slots_.size() >= options_.facts_most || key.size() > kKeyMost) return nullptr;
+  if (slots_.size() >= options_.max_registers || key.size() > kMaxKeyBytes) return nullptr;
   return &slots_[key];
 }
 
-void Acceptor::touch(const std::string& key) {
-  uint64_t& at = ordered_[key];
-  if (at != 0) order_.erase(at);
-  at = ++last_;
-  order_[at] = key;
-}
-
-void Acceptor::note(PeerId keeper, Incarnation life) {
-  if (standing_.lives[keeper] >= life) return;
-  standing_.lives[keeper] = life;
-  standing_changed_ = true;
-}
-
-void Acceptor::hold(Ms now, const std::string& key, AcceptorSlot& slot, const Message& m) {
-  const bool news = slot.fact.change != m.fact.change;
-  bytes_ += m.fact.value.size() - slot.fact.value.size();
-  slot.promised = slot.held = m.ballot;
-  slot.fact = m.fact;
-  dirty_[key] = true;
-  if (!news) return;
-  touch(key);
-  urgent_ |= m.fact.urgent;
-  if (told_at_ == 0) told_at_ = now;
-}
-
-void Acceptor::handle(Ms now, PeerId from, const Message& m) {
-  const bool keeper = from < options_.keepers && from != options_.self;
-  switch (m.say) {
-    case MessageType::kStanding: {
-      if (!keeper) return;
-      Message out = answer(m, MessageType::kStandingIs);
-      out.full = standing_.full;
-      out.founders = standing_.founders;
-      return say(from, std::move(out));
-    }
-    case MessageType::kStandingIs:
-      if (keeper) hear_standing(from, m);
-      return;
-    case MessageType::kState:
-      if (keeper) hear_state(from, m);
-      return;
-    default:
-      break;
+bool Acceptor::exceeds_limits(const AcceptorSlot& slot, const Register& proposed) const {
+  const size_t before = slot.accepted.value.size(), after = proposed.value.size();
+  const bool grows_past_limit = after > before && value_bytes_ + after - before > options_.max_value_bytes;
+  return grows_past_limit || after > kMaxValueBytes || proposed.earlier_changes.size() > kMaxEarlierChanges;
+}
+
+void Acceptor::store_accepted(BootTime now, const std::string& key, AcceptorSlot& slot,
+                              const Message& accept) {
+  const bool is_new_change = slot.accepted.change_id != accept.register_state.change_id;
+  value_bytes_ += accept.register_state.value.size() - slot.accepted.value.size();
+  slot.promised_ballot = slot.accepted_ballot = accept.ballot;
+  slot.accepted = accept.register_state;
+  unwritten_keys_.insert(key);
+  if (!is_new_change) return;
+  move_to_newest(key);
+  has_urgent_change_ |= accept.register_state.is_urgent;
+  if (!unnotified_since_) unnotified_since_ = now;
+}
+
+void Acceptor::move_to_newest(const std::string& key) {
+  WatchPosition& position = position_by_key_[key];
+  if (position != 0) changes_by_position_.erase(position);
+  position = ++last_position_;
+  changes_by_position_[position] = key;
+}
+
+// Watchers.
+
+void Acceptor::handle_watch(BootTime now, PeerId from, const Message& message) {
+  if (!metadata_.is_voting) return;
+  const bool is_known = message.incarnation == metadata_.incarnation;
+  const Watcher watcher{message.request_id, is_known ? message.since : 0, now};
+  if (!is_known || has_changes_after(watcher.since)) return send_changes(from, watcher);
+  watchers_[from] = watcher;
+}
+
+bool Acceptor::page_has_space(const Message& page, size_t value_bytes) const {
+  return page.entries.size() < options_.max_page_entries && value_bytes < options_.max_page_bytes;
+}
+
+void Acceptor::send_changes(PeerId to, const Watcher& watcher) {
+  Message changes;
+  changes.type = MessageType::kChanges;
+  changes.request_id = watcher.request_id;
+  changes.incarnation = metadata_.incarnation;
+  changes.since = watcher.since;
+  auto at = changes_by_position_.upper_bound(watcher.since);
+  for (size_t bytes = 0; at != changes_by_position_.end() && page_has_space(changes, bytes); ++at) {
+    const AcceptorSlot& slot = slots_[at->second];
+    bytes += slot.accepted.value.size();
+    changes.entries.emplace_back(at->second, slot);
+    changes.since = at->first;
   }
-  if (!standing_.full) return;
-  switch (m.say) {
-    case MessageType::kPrepare: {
-      AcceptorSlot* const s = slot(m.key);
-      if (!s || m.ballot < s->promised) {
-        Message out = answer(m, MessageType::kRefused);
-        if (s) out.ballot = s->promised;
-        out.full = !s;
-        return say(from, std::move(out));
-      }
-      if (s->promised != m.ballot) dirty_[m.key] = true;
-      s->promised = m.ballot;
-      Message out = answer(m, MessageType::kPromise);
-      out.ballot = m.ballot;
-      out.held = s->held;
-      out.fact = s->fact;
-      return say(from, std::move(out));
-    }
-    case MessageType::kAccept: {
-      AcceptorSlot* const s = slot(m.key);
-      const bool grows = s && m.fact.value.size() > s->fact.value.size() &&
-                         bytes_ + m.fact.value.size() - s->fact.value.size() > options_.bytes_most;
-      const bool large = grows || m.fact.value.size() > kValueMost || m.fact.before.size() > kRemembered;
-      if (!s || large || (m.ballot < s->promised && !is_injected(InjectedBug::kNoPromise))) {
-        Message out = answer(m, MessageType::kRefused);
-        if (s) out.ballot = s->promised;
-        out.full = !s || large;
-        return say(from, std::move(out));
-      }
-      // The same once more changes nothing and is answered again.
-      if (s->held != m.ballot) hold(now, m.key, *s, m);
-      Message out = answer(m, MessageType::kAccepted);
-      out.ballot = m.ballot;
-      return say(from, std::move(out));
-    }
-    case MessageType::kLook: {
-      Watcher looker{m.op, m.life == standing_.life ? m.since : 0, now};
-      if (order_.upper_bound(looker.since) != order_.end() || m.life != standing_.life)
-        return tell(from, looker);
-      lookers_[from] = looker;
-      return;
-    }
-    case MessageType::kFetch: {
-      if (!keeper) return;
-      if (m.op < standing_.lives[from]) {  // a later life of it is noted here: it has to go past that
-        Message out = answer(m, MessageType::kStandingIs);
-        out.full = true;
-        out.founders = standing_.founders;
-        return say(from, std::move(out));
-      }
-      note(from, m.op);
-      Message out = answer(m, MessageType::kState);
-      auto at = m.key.empty() ? slots_.begin() : slots_.upper_bound(m.key);
-      for (size_t bytes = 0; at != slots_.end() && fits(out, bytes); ++at) {
-        bytes += at->second.fact.value.size();
-        out.entries.emplace_back(at->first, at->second);
-      }
-      out.more = at != slots_.end();
-      return say(from, std::move(out));
+  changes.has_more = at != changes_by_position_.end();
+  send(to, std::move(changes));
+}
+
+void Acceptor::notify_watchers(BootTime now) {
+  const bool is_due =
+      has_urgent_change_ || (unnotified_since_ && now >= *unnotified_since_ + options_.notify_interval);
+  if (is_due) {
+    has_urgent_change_ = false;
+    unnotified_since_.reset();
+  }
+  for (auto at = watchers_.begin(); at != watchers_.end();) {
+    const bool has_news = is_due && has_changes_after(at->second.since);
+    if (!has_news && now < at->second.asked_at + options_.watch_timeout) {
+      ++at;
+      continue;
     }
-    default:
-      return;
+    send_changes(at->first, at->second);
+    at = watchers_.erase(at);
   }
 }
 
-bool Acceptor::fits(const Message& m, size_t entries_bytes) const {
-  return m.entries.size() < options_.page && entries_bytes < options_.page_bytes;
+// Bootstrap and recovery.
+
+Message Acceptor::metadata_response_to(const Message& request) const {
+  Message response = response_to(request, MessageType::kMetadata);
+  response.is_voting = metadata_.is_voting;
+  response.bootstrap_incarnations = metadata_.bootstrap_incarnations;
+  return response;
 }
 
-void Acceptor::tell(PeerId to, const Watcher& looker) {
-  Message out;
-  out.say = MessageType::kChanges;
-  out.op = looker.op;
-  out.life = standing_.life;
-  out.since = looker.since;
-  auto at = order_.upper_bound(looker.since);
-  for (size_t bytes = 0; at != order_.end() && fits(out, bytes); ++at) {
-    const AcceptorSlot& slot = slots_[at->second];
-    bytes += slot.fact.value.size();
-    out.entries.emplace_back(at->second, slot);
-    out.since = at->first;
-  }
-  out.more = at != order_.end();
-  say(to, std::move(out));
+void Acceptor::handle_metadata_request(PeerId from, const Message& message) {
+  if (is_other_replica(from)) send(from, metadata_response_to(message));
 }
 
-// Without a memory: what the others are decides what it may do.
-void Acceptor::hear_standing(PeerId from, const Message& m) {
-  if (standing_.full || m.op != standing_.life || m.lives.size() != options_.keepers ||
-      m.founders.size() != options_.keepers)
+void Acceptor::handle_metadata(PeerId from, const Message& message) {
+  if (!is_other_replica(from) || metadata_.is_voting || message.request_id != metadata_.incarnation ||
+      message.known_incarnations.size() != options_.replica_count ||
+      message.bootstrap_incarnations.size() != options_.replica_count)
     return;
-  Source& s = sources_[from];
-  const bool same = s.answered && s.life == m.life;
-  s.answered = true;
-  s.full = m.full;
-  s.life = m.life;
-  s.lives = m.lives;
-  s.founders = m.founders;
-  if (!same) s.fetched = false, s.have.clear();
-  if (s.full && !recovering_ && s.founders[options_.self] == standing_.life)
-    return begin(s.lives, s.founders);
-  uint32_t fresh = 0, full = 0;
-  for (PeerId p = 0; p < options_.keepers; ++p) {
-    if (p == options_.self || !sources_[p].answered) continue;
-    sources_[p].full ? ++full : ++fresh;
+  PeerState& peer = peers_[from];
+  const bool is_same_incarnation = peer.has_answered && peer.incarnation == message.incarnation;
+  peer.has_answered = true;
+  peer.is_voting = message.is_voting;
+  peer.incarnation = message.incarnation;
+  peer.known_incarnations = message.known_incarnations;
+  peer.bootstrap_incarnations = message.bootstrap_incarnations;
+  if (!is_same_incarnation) {
+    peer.is_fetched = false;
+    peer.last_key.clear();
   }
-  if (fresh + 1 == options_.keepers && !recovering_) {
-    std::vector<Incarnation> lives(options_.keepers);
-    for (PeerId p = 0; p < options_.keepers; ++p)
-      lives[p] = p == options_.self ? standing_.life : sources_[p].life;
-    return begin(lives, lives);
+  const bool was_bootstrapped_with =
+      peer.is_voting && peer.bootstrap_incarnations[options_.self] == metadata_.incarnation;
+  if (was_bootstrapped_with && !is_recovering_)
+    return start_voting(peer.known_incarnations, peer.bootstrap_incarnations);
+  uint32_t empty = 0, voting = 0;
+  for (PeerId replica = 0; replica < options_.replica_count; ++replica) {
+    if (replica == options_.self || !peers_[replica].has_answered) continue;
+    peers_[replica].is_voting ? ++voting : ++empty;
   }
-  if (full < majority(options_.keepers)) return;
-  if (!recovering_ || s.lives[options_.self] > standing_.life) recover();
-}
-
-void Acceptor::begin(std::vector<Incarnation> lives, std::vector<Incarnation> founders) {
-  standing_.full = true;
-  standing_.lives = std::move(lives);
-  standing_.lives[options_.self] = standing_.life;
-  standing_.founders = std::move(founders);
-  standing_changed_ = true;
-  ask_at_ = 0;
-}
-
-// A life past every one that a full keeper has noted; whoever answered for the one before is asked anew.
-void Acceptor::recover() {
-  Incarnation most = standing_.life;
-  for (const Source& s : sources_)
-    if (s.answered && s.full) most = std::max(most, s.lives[options_.self]);
-  recovering_ = true;
-  standing_.life = after(most, standing_.life);
-  standing_.lives[options_.self] = standing_.life;
-  standing_changed_ = true;
-  for (PeerId p = 0; p < options_.keepers; ++p) {
-    sources_[p].fetched = false;
-    sources_[p].have.clear();
-    if (sources_[p].answered && sources_[p].full) fetch(p);
+  if (empty + 1 == options_.replica_count && !is_recovering_) {
+    std::vector<Incarnation> all(options_.replica_count);
+    for (PeerId replica = 0; replica < options_.replica_count; ++replica)
+      all[replica] = replica == options_.self ? metadata_.incarnation : peers_[replica].incarnation;
+    return start_voting(all, all);
   }
+  if (voting < quorum_size(options_.replica_count)) return;
+  if (!is_recovering_ || peer.known_incarnations[options_.self] > metadata_.incarnation) start_recovery();
 }
 
-void Acceptor::fetch(PeerId from) {
-  Message m;
-  m.say = MessageType::kFetch;
-  m.op = standing_.life;
-  m.key = sources_[from].have;
-  say(from, std::move(m));
+void Acceptor::start_voting(std::vector<Incarnation> known, std::vector<Incarnation> bootstrap) {
+  metadata_.is_voting = true;
+  metadata_.known_incarnations = std::move(known);
+  metadata_.known_incarnations[options_.self] = metadata_.incarnation;
+  metadata_.bootstrap_incarnations = std::move(bootstrap);
+  has_new_metadata_ = true;
+  metadata_request_due_.reset();
 }
 
-void Acceptor::hear_state(PeerId from, const Message& m) {
-  Source& s = sources_[from];
-  if (standing_.full || !recovering_ || m.op != standing_.life || m.lives.size() != options_.keepers ||
-      s.fetched)
-    return;
-  // It has itself lost its memory since: what came of it before counts no longer.
-  if (m.life != s.life) return;
-  // A page that was asked for twice comes twice: only what goes on from what is here moves the place.
-  for (const auto& [key, theirs] : m.entries) {
-    AcceptorSlot& mine = slots_[key];
-    mine.promised = std::max(mine.promised, theirs.promised);
-    if (theirs.held > mine.held) {
-      bytes_ += theirs.fact.value.size() - mine.fact.value.size();
-      mine.held = theirs.held;
-      mine.fact = theirs.fact;
-    }
-    s.have = std::max(s.have, key);
+void Acceptor::request_metadata(BootTime now) {
+  if (metadata_.is_voting || (metadata_request_due_ && now < *metadata_request_due_)) return;
+  metadata_request_due_ = now + options_.metadata_retry_interval;
+  for (PeerId replica = 0; replica < options_.replica_count; ++replica) {
+    if (replica == options_.self) continue;
+    Message request;
+    request.type = MessageType::kMetadataRequest;
+    request.request_id = metadata_.incarnation;
+    send(replica, std::move(request));
+    if (is_recovering_ && peers_[replica].is_voting && !peers_[replica].is_fetched) fetch_state(replica);
   }
-  for (PeerId p = 0; p < options_.keepers; ++p)
-    if (p != options_.self) note(p, m.lives[p]);
-  if (m.more) return fetch(from);
-  s.fetched = true;
-  uint32_t whole = 0;
-  for (const Source& each : sources_) whole += each.fetched;
-  if (whole < majority(options_.keepers)) return;
-  for (const auto& [key, slot] : slots_) {
-    dirty_[key] = true;
-    if (slot.fact.version > 0) touch(key);
+}
+
+// Takes an incarnation past every one that a voting replica has noted, and fetches anew what was fetched for
+// the one before.
+void Acceptor::start_recovery() {
+  Incarnation highest = metadata_.incarnation;
+  for (const PeerState& peer : peers_)
+    if (peer.has_answered && peer.is_voting)
+      highest = std::max(highest, peer.known_incarnations[options_.self]);
+  is_recovering_ = true;
+  metadata_.incarnation = next_incarnation(highest, metadata_.incarnation);
+  metadata_.known_incarnations[options_.self] = metadata_.incarnation;
+  has_new_metadata_ = true;
+  for (PeerId replica = 0; replica < options_.replica_count; ++replica) {
+    PeerState& peer = peers_[replica];
+    peer.is_fetched = false;
+    peer.last_key.clear();
+    if (peer.has_answered && peer.is_voting) fetch_state(replica);
   }
-  std::vector<Incarnation> founders = s.founders;
-  recovering_ = false;
-  begin(standing_.lives, std::move(founders));
-}
-
-void Acceptor::due(Ms now) {
-  if (!standing_.full && now >= ask_at_) {
-    ask_at_ = now + options_.ask_again;
-    for (PeerId p = 0; p < options_.keepers; ++p) {
-      if (p == options_.self) continue;
-      Message m;
-      m.say = MessageType::kStanding;
-      m.op = standing_.life;
-      say(p, std::move(m));
-      if (recovering_ && sources_[p].full && !sources_[p].fetched) fetch(p);
-    }
+}
+
+void Acceptor::fetch_state(PeerId from) {
+  Message request;
+  request.type = MessageType::kFetchState;
+  request.request_id = metadata_.incarnation;
+  request.key = peers_[from].last_key;
+  send(from, std::move(request));
+}
+
+void Acceptor::handle_fetch_state(PeerId from, const Message& message) {
+  if (!metadata_.is_voting || !is_other_replica(from)) return;
+  const Incarnation incarnation = message.request_id;
+  // A later incarnation of it is noted here: the response makes it take one past that.
+  if (incarnation < metadata_.known_incarnations[from]) return send(from, metadata_response_to(message));
+  note_incarnation(from, incarnation);
+  Message state = response_to(message, MessageType::kState);
+  auto at = message.key.empty() ? slots_.begin() : slots_.upper_bound(message.key);
+  for (size_t bytes = 0; at != slots_.end() && page_has_space(state, bytes); ++at) {
+    bytes += at->second.accepted.value.size();
+    state.entries.emplace_back(at->first, at->second);
   }
-  const bool all = urgent_ || (told_at_ > 0 && now >= told_at_ + options_.look_every);
-  if (all) urgent_ = false, told_at_ = 0;
-  for (auto at = lookers_.begin(); at != lookers_.end();) {
-    const bool news = all && order_.upper_bound(at->second.since) != order_.end();
-    if (!news && now < at->second.at + options_.look_longest) {
-      ++at;
-      continue;
-    }
-    tell(at->first, at->second);
-    at = lookers_.erase(at);
+  state.has_more = at != slots_.end();
+  send(from, std::move(state));
+}
+
+void Acceptor::note_incarnation(PeerId replica, Incarnation incarnation) {
+  if (metadata_.known_incarnations[replica] >= incarnation) return;
+  metadata_.known_incarnations[replica] = incarnation;
+  has_new_metadata_ = true;
+}
+
+void Acceptor::handle_state(PeerId from, const Message& message) {
+  if (!is_other_replica(from)) return;
+  PeerState& peer = peers_[from];
+  if (metadata_.is_voting || !is_recovering_ || message.request_id != metadata_.incarnation ||
+      message.known_incarnations.size() != options_.replica_count || peer.is_fetched)
+    return;
+  // The peer has lost its own storage since its metadata came: pages of two incarnations are not one state.
+  if (message.incarnation != peer.incarnation) return;
+  // A page that was requested twice comes twice: only one that continues what is here moves last_key.
+  for (const auto& [key, theirs] : message.entries) {
+    merge_slot(key, theirs);
+    peer.last_key = std::max(peer.last_key, key);
+  }
+  for (PeerId replica = 0; replica < options_.replica_count; ++replica)
+    if (replica != options_.self) note_incarnation(replica, message.known_incarnations[replica]);
+  if (message.has_more) return fetch_state(from);
+  peer.is_fetched = true;
+  const auto fetched =
+      std::count_if(peers_.begin(), peers_.end(), [](const PeerState& each) { return each.is_fetched; });
+  if (fetched >= quorum_size(options_.replica_count)) finish_recovery(peer.bootstrap_incarnations);
+}
+
+void Acceptor::merge_slot(const std::string& key, const AcceptorSlot& theirs) {
+  AcceptorSlot& mine = slots_[key];
+  mine.promised_ballot = std::max(mine.promised_ballot, theirs.promised_ballot);
+  if (theirs.accepted_ballot <= mine.accepted_ballot) return;
+  value_bytes_ += theirs.accepted.value.size() - mine.accepted.value.size();
+  mine.accepted_ballot = theirs.accepted_ballot;
+  mine.accepted = theirs.accepted;
+}
+
+void Acceptor::finish_recovery(std::vector<Incarnation> bootstrap) {
+  for (const auto& [key, slot] : slots_) {
+    unwritten_keys_.insert(key);
+    if (slot.accepted.version > 0) move_to_newest(key);
   }
+  is_recovering_ = false;
+  start_voting(metadata_.known_incarnations, std::move(bootstrap));
+}
+
+// Time and output.
+
+void Acceptor::on_tick(BootTime now) {
+  request_metadata(now);
+  notify_watchers(now);
 }
 
-Ms Acceptor::next_due() const {
-  Ms next = standing_.full ? 0 : std::max(ask_at_, 1.0);
-  const auto sooner = [&next](Ms at) {
-    if (next == 0 || at < next) next = at;
-  };
-  for (const auto& [peer, looker] : lookers_) sooner(looker.at + options_.look_longest);
-  if (!lookers_.empty() && urgent_) sooner(1);
-  if (!lookers_.empty() && told_at_ > 0) sooner(told_at_ + options_.look_every);
+std::optional<BootTime> Acceptor::next_deadline() const {
+  std::optional<BootTime> next;
+  if (!metadata_.is_voting) next = metadata_request_due_.value_or(kImmediately);
+  if (watchers_.empty()) return next;
+  for (const auto& [peer, watcher] : watchers_)
+    next = earlier_of(next, std::optional(watcher.asked_at + options_.watch_timeout));
+  if (has_urgent_change_) next = earlier_of(next, std::optional(kImmediately));
+  if (unnotified_since_)
+    next = earlier_of(next, std::optional(*unnotified_since_ + options_.notify_interval));
   return next;
 }
 
-Step Acceptor::take() {
-  Step step;
-  if (standing_changed_) step.standing = standing_;
-  standing_changed_ = false;
-  for (const auto& [key, dirty] : dirty_) step.writes.emplace_back(key, slots_[key]);
-  dirty_.clear();
-  step.sends.swap(sends_);
-  return step;
+AcceptorOutput Acceptor::take_output() {
+  AcceptorOutput output;
+  if (has_new_metadata_) output.metadata = metadata_;
+  has_new_metadata_ = false;
+  for (const std::string& key : unwritten_keys_) output.writes.emplace_back(key, slots_[key]);
+  unwritten_keys_.clear();
+  output.messages.swap(messages_);
+  return output;
 }
 
-void Acceptor::unwritten(Step step) {
-  standing_changed_ |= step.standing.has_value();
-  for (const auto& [key, slot] : step.writes) dirty_[key] = true;
+void Acceptor::on_write_failed(const AcceptorOutput& output) {
+  has_new_metadata_ |= output.metadata.has_value();
+  for (const auto& [key, slot] : output.writes) unwritten_keys_.insert(key);
 }
 
 std::string Acceptor::digest() const {
-  Digest d;
-  d.add(standing_);
-  for (const auto& [key, slot] : slots_) d.add(key).add(slot);
-  d.add(recovering_);
-  if (!standing_.full)
-    for (const Source& s : sources_)
-      d.add(s.answered).add(s.full).add(s.fetched).add(s.life).add(s.lives).add(s.founders).add(s.have);
-  return d.text();
+  Digest digest;
+  digest.add(metadata_);
+  for (const auto& [key, slot] : slots_) digest.add(key).add(slot);
+  digest.add(is_recovering_);
+  if (metadata_.is_voting) return digest.text();
+  for (const PeerState& peer : peers_)
+    digest.add(peer.has_answered)
+        .add(peer.is_voting)
+        .add(peer.is_fetched)
+        .add(peer.incarnation)
+        .add(peer.known_incarnations)
+        .add(peer.bootstrap_incarnations)
+        .add(peer.last_key);
+  return digest.text();
 }
 
 }  // namespace firvalve::consensus
--- a/src/consensus/acceptor.h
+++ b/src/consensus/acceptor.h
@@ -1,111 +1,142 @@
-// One keeper of the record: promises, holds, tells. No I/O and no clock.
+// Acceptor: one replica's part in consensus. It answers prepare and accept requests, stores the accepted
+// registers and notifies watchers. No I/O, clock or thread.
 //
-// What it has promised must be kept before its answer leaves: the driver takes a step, makes its writes
-// durable, and only then sends its messages. Where writes fail it sends nothing and offers the same writes
-// again with the next step (unwritten()).
+// A promise must be durable before its response leaves: the driver takes the output, makes its metadata and
+// writes durable, and only then sends its messages. Where the writes fail it sends none of them and gives the
+// output back (on_write_failed()); the writes come again with the next output.
 //
-// A keeper that starts without a memory takes no part until it can break no promise:
-//  - Where every other keeper is without one, too, this is the record's beginning: all are empty.
-//  - Where another was there at the beginning together with this very life, nothing was promised by it yet.
-//  - Else it takes a new life, has it noted by a majority of the others before each tells all it holds, and
-//    adopts the highest of what they tell. Answers of its earlier life count no longer beside those of who
-//    has noted the new one (asker.cpp), so what it forgot cannot be missed.
-// This guards against a promise forgotten in a crash. It harms where a majority lost its memory at once: the
-// others wait, and an operator has to end them all to begin an empty record.
+// A replica that starts without storage does not vote until it can break no promise:
+//  - Where every other replica is without storage, too, this is the bootstrap: all are empty.
+//  - Where another voting replica was bootstrapped together with this very incarnation, this one has promised
+//    nothing yet and votes at once.
+//  - Else it takes a new incarnation, fetches the whole state from a quorum of the others, each of which
+//    notes the new incarnation before it answers, and adopts the highest of each slot. Proposers do not count
+//    responses of an earlier incarnation beside those of a replica that has noted a later one (proposer.cpp),
+//    so what it forgot cannot be missed.
+// This guards against a promise forgotten in a crash. It harms where a quorum lost its storage at once: the
+// others wait, and an operator has to stop them all to bootstrap anew.
 #pragma once
 
 #include <map>
 #include <optional>
+#include <set>
 
 #include "consensus/register.h"
 
 namespace firvalve::consensus {
 
 struct AcceptorOptions {
-  uint32_t self = 0, keepers = 3;
-  Ms ask_again = 200;                         // between questions while it has no memory
-  Ms look_every = 250;                        // changes that are not urgent are told to lookers so often
-  Ms look_longest = 1000;                     // a look with nothing to tell is answered after it
-  size_t page = 64, page_bytes = 256 * 1024;  // facts in one message, and about how large it gets
-  size_t facts_most = 65536, bytes_most = 32 * 1024 * 1024;  // of values; beyond, what grows is refused
+  uint32_t self = 0, replica_count = 3;
+  Duration metadata_retry_interval = 200ms;  // between requests while it may not vote
+  Duration notify_interval = 250ms;          // for changes that are not urgent
+  Duration watch_timeout = 1000ms;           // a watch request is answered after it, also without changes
+  size_t max_page_entries = 64;              // of one message
+  size_t max_page_bytes = 256 * 1024;        // after which no further entry is added to a message
+  size_t max_registers = 65536;
+  size_t max_value_bytes = 32 * 1024 * 1024;  // of all values; beyond, changes that grow are rejected
 };
 
-// What outlives a process, beside the slots.
+// What outlives a process beside the slots.
 struct ReplicaMetadata {
-  Incarnation life = 0;
-  bool full = false;
-  std::vector<Incarnation> lives, founders;  // of all keepers, as last noted; at the record's beginning
+  Incarnation incarnation = 0;
+  bool is_voting = false;
+  // Of all replicas: the latest known, and those at the bootstrap.
+  std::vector<Incarnation> known_incarnations, bootstrap_incarnations;
   bool operator==(const ReplicaMetadata&) const = default;
 };
 
 // What the driver does next, in this order.
-struct Step {
-  std::optional<ReplicaMetadata> standing;
+struct AcceptorOutput {
+  std::optional<ReplicaMetadata> metadata;
   std::vector<std::pair<std::string, AcceptorSlot>> writes;
-  std::vector<Envelope> sends;
-  bool empty() const { return !standing && writes.empty() && sends.empty(); }
+  std::vector<Envelope> messages;
+  bool empty() const { return !metadata && writes.empty() && messages.empty(); }
 };
 
 class Acceptor {
  public:
-  // Without a memory; `chance` is drawn anew at each start.
-  Acceptor(const AcceptorOptions& options, uint64_t chance);
+  // Without storage; `random` is drawn anew at each start.
+  Acceptor(const AcceptorOptions& options, uint64_t random);
   // With all that it had made durable.
-  Acceptor(const AcceptorOptions& options, ReplicaMetadata standing,
+  Acceptor(const AcceptorOptions& options, ReplicaMetadata metadata,
            std::map<std::string, AcceptorSlot> slots);
 
-  void handle(Ms now, PeerId from, const Message& m);
-  void due(Ms now);
-  Ms next_due() const;
-  Step take();
-  // The writes of the step could not be made durable: they come again, its messages are gone.
-  void unwritten(Step step);
-  void gone(PeerId looker) { lookers_.erase(looker); }
+  void handle(BootTime now, PeerId from, const Message& message);
+  void on_tick(BootTime now);
+  std::optional<BootTime> next_deadline() const;
+  AcceptorOutput take_output();
+  // The writes of `output` could not be made durable: they come again, its messages do not.
+  void on_write_failed(const AcceptorOutput& output);
+  void remove_watcher(PeerId watcher) { watchers_.erase(watcher); }
 
-  bool full() const { return standing_.full; }
-  const ReplicaMetadata& standing() const { return standing_; }
+  bool is_voting() const { return metadata_.is_voting; }
+  const ReplicaMetadata& metadata() const { return metadata_; }
   const std::map<std::string, AcceptorSlot>& slots() const { return slots_; }
   std::string digest() const;  // all that its future depends on, for searches over states
 
  private:
   struct Watcher {
-    uint64_t op = 0, since = 0;
-    Ms at = 0;
+    RequestId request_id = 0;
+    WatchPosition since = 0;
+    BootTime asked_at;
   };
-  struct Source {  // another keeper, as one without a memory sees it
-    bool answered = false, full = false, fetched = false;
-    Incarnation life = 0;
-    std::vector<Incarnation> lives, founders;
-    std::string have;  // all keys up to it have come
+  struct PeerState {  // another replica, as seen by one that may not vote yet
+    bool has_answered = false, is_voting = false, is_fetched = false;
+    Incarnation incarnation = 0;
+    std::vector<Incarnation> known_incarnations, bootstrap_incarnations;
+    std::string last_key;  // all keys up to it are here
   };
 
-  void say(PeerId to, Message m) { sends_.push_back({to, std::move(m)}); }
-  Message answer(const Message& m, MessageType say) const;
-  AcceptorSlot* slot(const std::string& key);
-  void touch(const std::string& key);
-  void note(PeerId keeper, Incarnation life);
-  void hold(Ms now, const std::string& key, AcceptorSlot& slot, const Message& m);
-  bool fits(const Message& m, size_t entries_bytes) const;
-  void tell(PeerId to, const Watcher& looker);
-  void hear_standing(PeerId from, const Message& m);
-  void hear_state(PeerId from, const Message& m);
-  void begin(std::vector<Incarnation> lives, std::vector<Incarnation> founders);
-  void recover();
-  void fetch(PeerId from);
+  bool is_other_replica(PeerId peer) const { return peer < options_.replica_count && peer != options_.self; }
+
+  void handle_prepare(PeerId from, const Message& message);
+  void handle_accept(BootTime now, PeerId from, const Message& message);
+  void handle_watch(BootTime now, PeerId from, const Message& message);
+  void handle_metadata_request(PeerId from, const Message& message);
+  void handle_metadata(PeerId from, const Message& message);
+  void handle_fetch_state(PeerId from, const Message& message);
+  void handle_state(PeerId from, const Message& message);
+
+  void send(PeerId to, Message message) { messages_.push_back({to, std::move(message)}); }
+  void reject(PeerId to, const Message& request, const AcceptorSlot* slot, bool is_out_of_space);
+  Message response_to(const Message& request, MessageType type) const;
+  Message metadata_response_to(const Message& request) const;
+
+  AcceptorSlot* find_or_add_slot(const std::string& key);  // null: there is no space for another key
+  bool exceeds_limits(const AcceptorSlot& slot, const Register& proposed) const;
+  void store_accepted(BootTime now, const std::string& key, AcceptorSlot& slot, const Message& accept);
+  void move_to_newest(const std::string& key);
+
+  bool has_changes_after(WatchPosition since) const {
+    return changes_by_position_.upper_bound(since) != changes_by_position_.end();
+  }
+  bool page_has_space(const Message& page, size_t value_bytes) const;
+  void send_changes(PeerId to, const Watcher& watcher);
+  void notify_watchers(BootTime now);
+
+  void note_incarnation(PeerId replica, Incarnation incarnation);
+  void start_voting(std::vector<Incarnation> known, std::vector<Incarnation> bootstrap);
+  void request_metadata(BootTime now);
+  void start_recovery();
+  void fetch_state(PeerId from);
+  void merge_slot(const std::string& key, const AcceptorSlot& theirs);
+  void finish_recovery(std::vector<Incarnation> bootstrap);
 
   AcceptorOptions options_;
-  ReplicaMetadata standing_;
+  ReplicaMetadata metadata_;
   std::map<std::string, AcceptorSlot> slots_;
-  std::map<uint64_t, std::string> order_;    // what lookers follow: the key of each change, the last of each
-  std::map<std::string, uint64_t> ordered_;  // the same, by key
-  uint64_t last_ = 0;
-  std::map<PeerId, Watcher> lookers_;
-  std::vector<Source> sources_;
-  size_t bytes_ = 0;  // of values held
-  bool recovering_ = false, urgent_ = false, standing_changed_ = false;
-  Ms ask_at_ = 0, told_at_ = 0;
-  std::map<std::string, bool> dirty_;
-  std::vector<Envelope> sends_;
+  // What watchers follow: the key of each change, only the last of each key; and the same by key.
+  std::map<WatchPosition, std::string> changes_by_position_;
+  std::map<std::string, WatchPosition> position_by_key_;
+  WatchPosition last_position_ = 0;
+  std::map<PeerId, Watcher> watchers_;
+  std::vector<PeerState> peers_;
+  size_t value_bytes_ = 0;
+  bool is_recovering_ = false, has_urgent_change_ = false, has_new_metadata_ = false;
+  std::optional<BootTime> metadata_request_due_;  // not before it; none: it was not requested yet, or votes
+  std::optional<BootTime> unnotified_since_;      // of the first change that watchers were not notified of
+  std::set<std::string> unwritten_keys_;
+  std::vector<Envelope> messages_;
 };
 
 }  // namespace firvalve::consensus
--- a/src/consensus/digest.h
+++ b/src/consensus/digest.h
@@ -1,4 +1,5 @@
-// States written out as bytes, so that a search can tell which it has seen. Not for storage or the wire.
+// Digest: states written out as bytes, so that a search can tell which it has seen. Not for storage or the
+// wire.
 #pragma once
 
 #include <string>
@@ -16,22 +17,42 @@
     text_.append(reinterpret_cast<const char*>(&value), sizeof value);
     return *this;
   }
+  template <class Enum>
+  requires std::is_enum_v<Enum> Digest& add(Enum value) {
+    return add(static_cast<std::underlying_type_t<Enum>>(value));
+  }
+  Digest& add(BootTime time) { return add(to_ms(time)); }
+  Digest& add(std::optional<BootTime> time) { return add(time.has_value()).add(time.value_or(BootTime())); }
   Digest& add(std::string_view text) {
     add(text.size());
     text_ += text;
     return *this;
   }
   Digest& add(const std::string& text) { return add(std::string_view(text)); }
-  Digest& add(const Ballot& b) { return add(b.number).add(b.asker); }
-  Digest& add(const Register& f) {
-    return add(f.version).add(f.change).add(f.before).add(f.value).add(f.urgent);
-  }
-  Digest& add(const AcceptorSlot& s) { return add(s.promised).add(s.held).add(s.fact); }
-  Digest& add(const ReplicaMetadata& s) { return add(s.life).add(s.full).add(s.lives).add(s.founders); }
-  Digest& add(const Message& m) {
-    add(static_cast<uint8_t>(m.say)).add(m.op).add(m.key).add(m.ballot).add(m.held).add(m.fact).add(m.life);
-    add(m.lives).add(m.founders).add(m.since).add(m.full).add(m.more).add(m.entries.size());
-    for (const auto& [key, slot] : m.entries) add(key).add(slot);
+  Digest& add(const Ballot& ballot) { return add(ballot.number).add(ballot.proposer_id); }
+  Digest& add(const Register& state) {
+    return add(state.version)
+        .add(state.change_id)
+        .add(state.earlier_changes)
+        .add(state.value)
+        .add(state.is_urgent);
+  }
+  Digest& add(const AcceptorSlot& slot) {
+    return add(slot.promised_ballot).add(slot.accepted_ballot).add(slot.accepted);
+  }
+  Digest& add(const ReplicaMetadata& metadata) {
+    return add(metadata.incarnation)
+        .add(metadata.is_voting)
+        .add(metadata.known_incarnations)
+        .add(metadata.bootstrap_incarnations);
+  }
+  Digest& add(const Message& message) {
+    add(message.type).add(message.request_id).add(message.key);
+    add(message.ballot).add(message.accepted_ballot).add(message.register_state);
+    add(message.incarnation).add(message.known_incarnations).add(message.bootstrap_incarnations);
+    add(message.since).add(message.is_out_of_space).add(message.is_voting).add(message.has_more);
+    add(message.entries.size());
+    for (const auto& [key, slot] : message.entries) add(key).add(slot);
     return *this;
   }
   Digest& add(const std::vector<uint64_t>& all) {
--- a/src/consensus/proposer.cpp
+++ b/src/consensus/proposer.cpp
@@ -7,201 +7,210 @@
 
 namespace firvalve::consensus {
 
+namespace {
+
+// What the register becomes by the proposal's change.
+Register changed_by(const Register& current, const Proposal& proposal) {
+  Register next = current;
+  if (current.version > 0) next.earlier_changes.insert(next.earlier_changes.begin(), current.change_id);
+  if (next.earlier_changes.size() > kMaxEarlierChanges) next.earlier_changes.resize(kMaxEarlierChanges);
+  ++next.version;
+  next.change_id = proposal.id;
+  next.value = proposal.value;
+  next.is_urgent = proposal.is_urgent;
+  return next;
+}
+
+// What becomes of the proposal where `current` is committed before it.
+ProposalResult::Kind outcome_of(const Proposal& proposal, const Register& current) {
+  if (proposal.is_read()) return ProposalResult::Kind::kRead;
+  const bool is_applicable =
+      current.includes_change(proposal.id) || current.change_id == proposal.expected_change;
+  return is_applicable ? ProposalResult::Kind::kCommitted : ProposalResult::Kind::kConflict;
+}
+
+}  // namespace
+
 Proposer::Proposer(const ProposerOptions& options) : options_(options) {}
 
-void Proposer::ask(Ms now, Proposal wish) {
-  const uint64_t seed = options_.seed + ++drawn_;
-  Round round{std::move(wish),
-              now,
-              {},
-              {},
-              {},
-              false,
-              {},
-              {},
-              {},
-              0,
-              0,
-              0,
-              Backoff(options_.first_wait, options_.longest_wait, seed)};
-  attempt(now, std::move(round));
-}
-
-void Proposer::attempt(Ms now, Round round) {
-  round.phase = Round::Phase::kPrepares;
-  round.ballot = {++number_, options_.asker};
-  put(now, std::move(round));
-}
-
-void Proposer::put(Ms now, Round round) {
-  round.answers.clear();
-  round.refusals = 0;
-  round.repeats = 0;
-  round.again_at = now + options_.patience;
-  const uint64_t op = ++last_op_;
-  const auto at = rounds_.emplace(op, std::move(round)).first;
-  for (PeerId p = 0; p < options_.keepers; ++p) send(op, at->second, p);
-}
-
-void Proposer::send(uint64_t op, const Round& round, PeerId to) {
-  Message m;
-  m.say = round.phase == Round::Phase::kPrepares ? MessageType::kPrepare : MessageType::kAccept;
-  m.op = op;
-  m.key = round.wish.key;
-  m.ballot = round.ballot;
-  if (m.say == MessageType::kAccept) m.fact = round.fact;
-  sends_.push_back({to, std::move(m)});
-}
-
-// Guards against askers that outbid each other for ever: each waits for a drawn time before its next try.
-void Proposer::back_off(Ms now, Rounds::iterator at) {
+void Proposer::propose(BootTime now, Proposal proposal) {
+  const uint64_t seed = options_.seed + ++seeds_used_;
+  const Backoff backoff(to_ms(options_.min_backoff), to_ms(options_.max_backoff), seed);
+  start_attempt(now, Round(now, std::move(proposal), backoff));
+}
+
+void Proposer::start_attempt(BootTime now, Round round) {
+  round.phase = Round::Phase::kPrepare;
+  round.ballot = {++highest_number_, options_.proposer_id};
+  start_phase(now, std::move(round));
+}
+
+void Proposer::start_phase(BootTime now, Round round) {
+  round.responses.clear();
+  round.rejections = 0;
+  round.resends = 0;
+  round.deadline = now + options_.response_timeout;
+  const RequestId id = ++last_request_id_;
+  const auto at = rounds_.emplace(id, std::move(round)).first;
+  for (PeerId replica = 0; replica < options_.replica_count; ++replica) send_request(id, at->second, replica);
+}
+
+void Proposer::send_request(RequestId id, const Round& round, PeerId to) {
+  Message request;
+  request.request_id = id;
+  request.key = round.proposal.key;
+  request.ballot = round.ballot;
+  if (round.phase == Round::Phase::kAccept) {
+    request.type = MessageType::kAccept;
+    request.register_state = round.proposed;
+  }
+  messages_.push_back({to, std::move(request)});
+}
+
+// Guards against proposers that outbid each other for ever.
+void Proposer::back_off(BootTime now, Rounds::iterator at) {
   Round round = std::move(at->second);
   rounds_.erase(at);
-  round.phase = Round::Phase::kWaits;
-  round.again_at = now + round.backoff.next_delay();
-  round.answers.clear();
-  rounds_.emplace(++last_op_, std::move(round));
-}
-
-// An answer counts unless another of those here comes from a keeper that has noted a later life of its
-// sender: what that one said before it lost its memory holds no longer.
-uint32_t Proposer::counted(const Round& round, std::vector<const Answer*>* which) const {
-  uint32_t all = 0;
-  for (const auto& one : round.answers) {
-    const PeerId keeper = one.first;
-    const Answer& answer = one.second;
-    const bool outlived = std::any_of(round.answers.begin(), round.answers.end(), [&](const auto& other) {
-      return keeper < other.second.lives.size() && other.second.lives[keeper] > answer.life;
-    });
-    if (outlived && !is_injected(InjectedBug::kLivesIgnored)) continue;
-    ++all;
-    if (which) which->push_back(&answer);
+  round.phase = Round::Phase::kBackoff;
+  round.deadline = now + duration_of(round.backoff.next_delay());
+  round.responses.clear();
+  rounds_.emplace(++last_request_id_, std::move(round));
+}
+
+// A response does not count where another here comes from a replica that has noted a later incarnation of its
+// sender: what that one promised before it lost its storage holds no longer.
+Proposer::Responses Proposer::countable_responses(const Round& round) const {
+  Responses countable;
+  for (const auto& entry : round.responses) {
+    const PeerId replica = entry.first;
+    const Response& response = entry.second;
+    const bool is_outdated =
+        std::any_of(round.responses.begin(), round.responses.end(), [&](const auto& other) {
+          const std::vector<Incarnation>& known = other.second.known_incarnations;
+          return replica < known.size() && known[replica] > response.incarnation;
+        });
+    if (!is_outdated || is_injected(InjectedBug::kIgnoreIncarnations)) countable.push_back(&response);
   }
-  return all;
+  return countable;
 }
 
-bool Proposer::waits_for(const Message& m) const {
-  const auto at = rounds_.find(m.op);
+bool Proposer::is_expecting(const Message& message) const {
+  const auto at = rounds_.find(message.request_id);
   if (at == rounds_.end()) return false;
-  if (m.say == MessageType::kRefused) return true;
+  if (message.type == MessageType::kRejected) return true;
   const Round::Phase phase = at->second.phase;
-  return m.ballot == at->second.ballot &&
-         ((m.say == MessageType::kPromise && phase == Round::Phase::kPrepares) ||
-          (m.say == MessageType::kAccepted && phase == Round::Phase::kAccepts));
+  return message.ballot == at->second.ballot &&
+         ((message.type == MessageType::kPromise && phase == Round::Phase::kPrepare) ||
+          (message.type == MessageType::kAccepted && phase == Round::Phase::kAccept));
 }
 
-void Proposer::handle(Ms now, PeerId keeper, const Message& m) {
-  const auto at = rounds_.find(m.op);
-  if (at == rounds_.end() || keeper >= options_.keepers) return;
+void Proposer::handle(BootTime now, PeerId replica, const Message& message) {
+  const auto at = rounds_.find(message.request_id);
+  if (at == rounds_.end() || replica >= options_.replica_count) return;
+  if (message.type == MessageType::kRejected) return handle_rejected(now, at, message);
+  if (!is_expecting(message)) return;
   Round& round = at->second;
-  if (m.say == MessageType::kRefused) {
-    number_ = std::max(number_, m.ballot.number);
-    if (++round.refusals > options_.keepers - majority(options_.keepers)) back_off(now, at);
+  Response& response = round.responses[replica];
+  if (response.incarnation > message.incarnation) return;  // of an earlier incarnation, delayed
+  response = {message.incarnation, message.known_incarnations, message.accepted_ballot,
+              message.register_state};
+  const Responses countable = countable_responses(round);
+  if (countable.size() < quorum_size(options_.replica_count)) return;
+  if (round.phase == Round::Phase::kPrepare) return on_prepared(now, at, countable);
+  finish(round, round.outcome, round.proposed);
+  rounds_.erase(at);
+}
+
+void Proposer::handle_rejected(BootTime now, Rounds::iterator at, const Message& message) {
+  highest_number_ = std::max(highest_number_, message.ballot.number);
+  const uint32_t tolerable = options_.replica_count - quorum_size(options_.replica_count);
+  if (++at->second.rejections > tolerable) back_off(now, at);
+}
+
+void Proposer::on_prepared(BootTime now, Rounds::iterator at, const Responses& responses) {
+  Round& round = at->second;
+  const Response* highest = responses.front();
+  for (const Response* const response : responses)
+    if (response->accepted_ballot > highest->accepted_ballot) highest = response;
+  const Register current = highest->accepted;
+  // What a quorum has accepted under one ballot is committed, unless an accept of this proposal under a later
+  // ballot could still be.
+  const bool is_committed = highest->accepted_ballot >= round.highest_sent_accept &&
+                            std::all_of(responses.begin(), responses.end(), [&](const Response* response) {
+                              return response->accepted_ballot == highest->accepted_ballot;
+                            });
+  round.outcome = outcome_of(round.proposal, current);
+  const bool adds_change =
+      round.outcome == ProposalResult::Kind::kCommitted && !current.includes_change(round.proposal.id);
+  round.proposed = adds_change ? changed_by(current, round.proposal) : current;
+  round.own_change_sent |= adds_change;
+  const bool skips_write_back =
+      is_injected(InjectedBug::kSkipConflictWriteBack) && round.outcome == ProposalResult::Kind::kConflict;
+  if ((is_committed && !adds_change) || skips_write_back) {
+    finish(round, round.outcome, current);
+    rounds_.erase(at);
     return;
   }
-  const MessageType wanted =
-      round.phase == Round::Phase::kPrepares ? MessageType::kPromise : MessageType::kAccepted;
-  if (round.phase == Round::Phase::kWaits || m.say != wanted || m.ballot != round.ballot) return;
-  Answer& answer = round.answers[keeper];
-  if (answer.life > m.life) return;  // an earlier life's, come late
-  answer = {m.life, m.lives, m.held, m.fact};
-  std::vector<const Answer*> which;
-  if (counted(round, &which) < majority(options_.keepers)) return;
-  if (round.phase == Round::Phase::kPrepares) return prepared(now, at, which);
-  end(round, round.outcome, round.fact);
+  Round next = std::move(round);
   rounds_.erase(at);
+  next.phase = Round::Phase::kAccept;
+  next.highest_sent_accept = next.ballot;
+  start_phase(now, std::move(next));
 }
 
-void Proposer::prepared(Ms now, Rounds::iterator at, const std::vector<const Answer*>& answers) {
-  Round round = std::move(at->second);
-  const Answer* highest = answers.front();
-  for (const Answer* const a : answers)
-    if (a->held > highest->held) highest = a;
-  const Register found = highest->fact;
-  // What a majority holds under one ballot stands. Anything that this wish itself had offered under a later
-  // one could still come to stand.
-  const bool stands =
-      highest->held >= round.offered &&
-      std::all_of(answers.begin(), answers.end(), [&](const Answer* a) { return a->held == highest->held; });
-  round.fact = found;
-  if (round.wish.id == 0)
-    round.outcome = ProposalResult::Kind::kRead;
-  else if (found.made(round.wish.id))
-    round.outcome = ProposalResult::Kind::kAgreed;
-  else if (found.change != round.wish.expected)
-    round.outcome = ProposalResult::Kind::kConflict;
-  else {
-    round.outcome = ProposalResult::Kind::kAgreed;
-    Register& fact = round.fact;
-    if (found.version > 0) fact.before.insert(fact.before.begin(), found.change);
-    if (fact.before.size() > kRemembered) fact.before.resize(kRemembered);
-    ++fact.version;
-    fact.change = round.wish.id;
-    fact.value = round.wish.value;
-    fact.urgent = round.wish.urgent;
-    round.mine_offered = true;
-  }
-  const bool changes = round.fact.change != found.change;
-  const bool unfinished =
-      is_injected(InjectedBug::kConflictUnfinished) && round.outcome == ProposalResult::Kind::kConflict;
-  if ((stands && !changes) || unfinished) {
-    end(round, round.outcome, found);
+void Proposer::finish(const Round& round, ProposalResult::Kind kind, const Register& current) {
+  results_.push_back({kind, round.proposal, current, round.proposed_at});
+}
+
+void Proposer::on_tick(BootTime now) {
+  std::vector<RequestId> expired;
+  for (const auto& [id, round] : rounds_)
+    if (now >= round.deadline || now >= round.proposal.deadline) expired.push_back(id);
+  for (const RequestId id : expired) on_phase_timeout(now, rounds_.find(id));
+}
+
+void Proposer::on_phase_timeout(BootTime now, Rounds::iterator at) {
+  Round& round = at->second;
+  if (now >= round.proposal.deadline) {
+    using Kind = ProposalResult::Kind;
+    finish(round, round.own_change_sent ? Kind::kUnknown : Kind::kNoQuorum, {});
     rounds_.erase(at);
     return;
   }
-  rounds_.erase(at);
-  round.phase = Round::Phase::kAccepts;
-  round.offered = round.ballot;
-  put(now, std::move(round));
-}
-
-void Proposer::end(const Round& round, ProposalResult::Kind kind, const Register& fact) {
-  ends_.push_back({kind, round.wish, fact, round.asked_at});
-}
-
-void Proposer::due(Ms now) {
-  std::vector<uint64_t> ops;
-  for (const auto& [op, round] : rounds_)
-    if (now >= round.again_at || now >= round.wish.until) ops.push_back(op);
-  for (const uint64_t op : ops) {
-    const auto at = rounds_.find(op);
-    Round& round = at->second;
-    if (now >= round.wish.until) {
-      end(round, round.mine_offered ? ProposalResult::Kind::kUnknown : ProposalResult::Kind::kNoMajority, {});
-      rounds_.erase(at);
-    } else if (round.phase == Round::Phase::kWaits) {
-      Round next = std::move(round);
-      rounds_.erase(at);
-      attempt(now, std::move(next));
-    } else if (++round.repeats > options_.repeats) {
-      back_off(now, at);
-    } else {
-      round.again_at = now + options_.patience;
-      for (PeerId p = 0; p < options_.keepers; ++p)
-        if (!round.answers.count(p)) send(op, round, p);
-    }
+  if (round.phase == Round::Phase::kBackoff) {
+    Round next = std::move(round);
+    rounds_.erase(at);
+    return start_attempt(now, std::move(next));
   }
+  if (++round.resends > options_.max_resends) return back_off(now, at);
+  round.deadline = now + options_.response_timeout;
+  for (PeerId replica = 0; replica < options_.replica_count; ++replica)
+    if (!round.responses.count(replica)) send_request(at->first, round, replica);
 }
 
-Ms Proposer::next_due() const {
-  Ms next = 0;
-  for (const auto& [op, round] : rounds_) {
-    const Ms at = std::min(round.again_at, round.wish.until);
-    if (next == 0 || at < next) next = at;
-  }
+std::optional<BootTime> Proposer::next_deadline() const {
+  std::optional<BootTime> next;
+  for (const auto& [id, round] : rounds_)
+    next = earlier_of(next, std::optional(std::min(round.deadline, round.proposal.deadline)));
   return next;
 }
 
 std::string Proposer::digest() const {
-  Digest d;
-  d.add(number_);
-  for (const auto& [op, r] : rounds_) {
-    d.add(op).add(r.wish.id).add(r.wish.key).add(r.wish.expected).add(r.wish.value);
-    d.add(static_cast<uint8_t>(r.phase)).add(r.ballot).add(r.offered).add(r.mine_offered).add(r.fact);
-    d.add(static_cast<uint8_t>(r.outcome)).add(r.refusals).add(r.repeats);
-    for (const auto& [keeper, a] : r.answers) d.add(keeper).add(a.life).add(a.lives).add(a.held).add(a.fact);
+  Digest digest;
+  digest.add(highest_number_);
+  for (const auto& [id, round] : rounds_) {
+    const Proposal& proposal = round.proposal;
+    digest.add(id).add(proposal.id).add(proposal.key).add(proposal.expected_change).add(proposal.value);
+    digest.add(round.phase).add(round.ballot).add(round.highest_sent_accept).add(round.own_change_sent);
+    digest.add(round.proposed).add(round.outcome).add(round.rejections).add(round.resends);
+    for (const auto& [replica, response] : round.responses)
+      digest.add(replica)
+          .add(response.incarnation)
+          .add(response.known_incarnations)
+          .add(response.accepted_ballot)
+          .add(response.accepted);
   }
-  return d.text();
+  return digest.text();
 }
 
 }  // namespace firvalve::consensus
--- a/src/consensus/proposer.h
+++ b/src/consensus/proposer.h
@@ -1,20 +1,13 @@
-// Whoever wants the record changed or read: asks the keepers, a majority of them twice, and tells what came
-// of it. No I/O and no clock; the chance of its waits comes from its seed.
+// Proposer: changes and reads registers. It runs the two phases of each proposal, prepare and accept, with a
+// quorum of replicas. No I/O, clock or thread; the randomness of its backoff comes from its seed.
 //
-// A wish ends as
-//  - agreed: the change stands, on top of the change that it named;
-//  - conflict: another stands; the change was not made and never will be;
-//  - read: what stood at some moment between asking and now;
-//  - no majority: too few keepers answered in time; the change was not made and never will be;
-//  - unknown: too few answered, and it may yet stand. The same id asked again, before kRemembered further
-//    changes, tells.
-// Two askers that ask at once get in each other's way, never wrong answers: who is refused waits for a drawn
-// time that grows.
+// Two proposers of one key at a time delay each other but never get wrong results: one that is rejected backs
+// off for a random time that grows.
 #pragma once
 
-#include <functional>
 #include <map>
 #include <optional>
+#include <vector>
 
 #include "base/backoff.h"
 #include "consensus/register.h"
@@ -22,83 +15,102 @@
 namespace firvalve::consensus {
 
 struct ProposerOptions {
-  uint32_t keepers = 3;
-  uint64_t asker = 1;  // nobody else's: drawn at each start
+  uint32_t replica_count = 3;
+  uint64_t proposer_id = 1;  // unique: drawn at each start
   uint64_t seed = 1;
-  Ms patience = 120;                       // for a keeper's answer, then it is asked once more
-  int repeats = 3;                         // after so many without a majority, anew
-  Ms first_wait = 10, longest_wait = 400;  // after a refusal
+  Duration response_timeout = 120ms;  // of a replica, before the request is sent once more
+  int max_resends = 3;                // without a quorum; then the proposal starts over with a higher ballot
+  Duration min_backoff = 10ms, max_backoff = 400ms;  // after a rejection
 };
 
 struct Proposal {
-  uint64_t id = 0;  // of the change, nobody else's; 0: it only reads
+  ChangeId id = 0;  // 0: it only reads
   std::string key;
-  uint64_t expected = 0;  // the change that it builds on; 0: nothing stands there
+  ChangeId expected_change = 0;  // that it builds on; 0: the register has no value yet
   std::string value;
-  bool urgent = false;  // who looks on is told at once
-  Ms until = 0;         // no longer
+  bool is_urgent = false;  // watchers are to be notified without delay
+  BootTime deadline;       // the result comes by then
+
+  bool is_read() const { return id == 0; }
 };
 
 struct ProposalResult {
-  enum class Kind : uint8_t { kAgreed, kConflict, kRead, kNoMajority, kUnknown };
+  enum class Kind : uint8_t {
+    kCommitted,  // the change was made, on top of the one that it named
+    kConflict,   // another change was there; this one was not made and never will be
+    kRead,       // what was there at some moment between the proposal and now
+    kNoQuorum,   // too few replicas answered in time; the change was not made and never will be
+    kUnknown,    // too few answered, and it may yet be committed. The same id proposed again tells, before
+                 // kMaxEarlierChanges further changes
+  };
   Kind kind = Kind::kUnknown;
-  Proposal wish;
-  Register fact;    // what stands: with kAgreed, kConflict and kRead
-  Ms asked_at = 0;  // when it was first sent
+  Proposal proposal;
+  Register current;      // what is committed: with kCommitted, kConflict and kRead
+  BootTime proposed_at;  // when its first message was sent
 };
 
 class Proposer {
  public:
   explicit Proposer(const ProposerOptions& options);
 
-  void ask(Ms now, Proposal wish);
-  void handle(Ms now, PeerId keeper, const Message& m);
-  void due(Ms now);
-  Ms next_due() const;  // 0: nothing is asked
-  size_t open() const { return rounds_.size(); }
-  // Whether an answer can still mean anything; hearing another changes nothing.
-  bool waits_for(const Message& m) const;
+  void propose(BootTime now, Proposal proposal);
+  void handle(BootTime now, PeerId replica, const Message& message);
+  void on_tick(BootTime now);
+  std::optional<BootTime> next_deadline() const;  // none: no proposal is open
+  size_t open_count() const { return rounds_.size(); }
+  // Whether a response can still matter; handling any other changes nothing.
+  bool is_expecting(const Message& message) const;
 
-  std::vector<Envelope> take_sends() { return std::exchange(sends_, {}); }
-  std::vector<ProposalResult> take_ends() { return std::exchange(ends_, {}); }
-  std::string digest() const;
+  std::vector<Envelope> take_messages() { return std::exchange(messages_, {}); }
+  std::vector<ProposalResult> take_results() { return std::exchange(results_, {}); }
+  std::string digest() const;  // all that its future depends on, for searches over states
 
  private:
-  struct Answer {
-    Incarnation life = 0;
-    std::vector<Incarnation> lives;
-    Ballot held;
-    Register fact;
+  struct Response {
+    Incarnation incarnation = 0;
+    std::vector<Incarnation> known_incarnations;
+    Ballot accepted_ballot;
+    Register accepted;
   };
+  // One proposal's present phase.
   struct Round {
-    Proposal wish;
-    Ms asked_at = 0;
-    enum class Phase : uint8_t { kWaits, kPrepares, kAccepts } phase = Phase::kWaits;
-    Ballot ballot, offered;  // this attempt's; the highest under which anything was offered to keepers
-    bool mine_offered = false;
-    Register fact;                                                  // offered now
+    Round(BootTime now, Proposal asked, const Backoff& delays)
+        : proposal(std::move(asked)), proposed_at(now), backoff(delays) {}
+
+    Proposal proposal;
+    BootTime proposed_at;
+    enum class Phase : uint8_t { kBackoff, kPrepare, kAccept } phase = Phase::kBackoff;
+    Ballot ballot;               // of this attempt
+    Ballot highest_sent_accept;  // under which an accept was sent by any attempt
+    bool own_change_sent = false;
+    Register proposed;                                              // by the present accept phase
     ProposalResult::Kind outcome = ProposalResult::Kind::kUnknown;  // once that is accepted
-    std::map<PeerId, Answer> answers;
-    uint32_t refusals = 0;
-    int repeats = 0;
-    Ms again_at = 0;  // the silent are asked once more, or an attempt begins
+    std::map<PeerId, Response> responses;
+    uint32_t rejections = 0;
+    int resends = 0;
+    BootTime deadline;  // of the phase: requests are sent again, or the backoff ends
     Backoff backoff;
   };
-  using Rounds = std::map<uint64_t, Round>;  // by the op of their present phase
+  using Rounds = std::map<RequestId, Round>;  // by the request of their present phase
+  using Responses = std::vector<const Response*>;
 
-  void attempt(Ms now, Round round);
-  void put(Ms now, Round round);  // the phase's message to all; a new op
-  void send(uint64_t op, const Round& round, PeerId to);
-  void back_off(Ms now, Rounds::iterator at);
-  uint32_t counted(const Round& round, std::vector<const Answer*>* which) const;
-  void prepared(Ms now, Rounds::iterator at, const std::vector<const Answer*>& answers);
-  void end(const Round& round, ProposalResult::Kind kind, const Register& fact);
+  void start_attempt(BootTime now, Round round);
+  void start_phase(BootTime now, Round round);  // sends its request to all replicas, under a new id
+  void send_request(RequestId id, const Round& round, PeerId to);
+  void back_off(BootTime now, Rounds::iterator at);
+  Responses countable_responses(const Round& round) const;
+  void handle_rejected(BootTime now, Rounds::iterator at, const Message& message);
+  void on_prepared(BootTime now, Rounds::iterator at, const Responses& responses);
+  void on_phase_timeout(BootTime now, Rounds::iterator at);
+  void finish(const Round& round, ProposalResult::Kind kind, const Register& current);
 
   ProposerOptions options_;
-  uint64_t number_ = 0, last_op_ = 0, drawn_ = 0;
+  uint64_t highest_number_ = 0;
+  RequestId last_request_id_ = 0;
+  uint64_t seeds_used_ = 0;
   Rounds rounds_;
-  std::vector<Envelope> sends_;
-  std::vector<ProposalResult> ends_;
+  std::vector<Envelope> messages_;
+  std::vector<ProposalResult> results_;
 };
 
 }  // namespace firvalve::consensus
--- a/src/consensus/register_watcher.h
+++ b/src/consensus/register_watcher.h
@@ -1,8 +1,9 @@
-// Follows what changes in the record by looking at one keeper at a time; another where that one does not
-// answer. What it sees may be late, and may never come to stand: good to know when to ask, not what to do.
-// No I/O and no clock.
+// RegisterWatcher: follows changes of the registers at one replica at a time, at another where that one does
+// not answer. What it sees may be late, and may never be committed: a reason to read or to wait, never a
+// decision. No I/O, clock or thread.
 #pragma once
 
+#include <optional>
 #include <string>
 #include <utility>
 #include <vector>
@@ -13,53 +14,61 @@
 
 class RegisterWatcher {
  public:
-  // `first`: the keeper that it begins with. Guards against all looking at one: gateways begin with different
-  // ones.
-  RegisterWatcher(uint32_t keepers, PeerId first) : keepers_(keepers), at_(first % keepers) {}
+  // `first`: the replica that it begins with. Guards against all gateways watching one: they begin with
+  // different ones.
+  RegisterWatcher(uint32_t replica_count, PeerId first)
+      : replica_count_(replica_count), replica_(first % replica_count) {}
 
-  void due(Ms now) {
-    if (asked_at_ > 0 && now < asked_at_ + patience()) return;
-    if (asked_at_ > 0) at_ = (at_ + 1) % keepers_, life_ = since_ = 0;
-    look(now);
+  void on_tick(BootTime now) {
+    if (requested_at_ && now < *requested_at_ + timeout()) return;
+    if (requested_at_) {
+      replica_ = (replica_ + 1) % replica_count_;
+      incarnation_ = 0;
+      since_ = 0;
+    }
+    send_watch(now);
   }
-  Ms next_due() const { return asked_at_ > 0 ? asked_at_ + patience() : 1; }
+  BootTime next_deadline() const { return requested_at_ ? *requested_at_ + timeout() : kImmediately; }
 
-  // Takes a keeper's answer; its facts are then in seen().
-  void handle(Ms now, PeerId from, const Message& m) {
-    if (m.say != MessageType::kChanges || from != at_ || m.op != op_) return;
-    life_ = m.life;
-    since_ = m.since;
-    for (const auto& [key, slot] : m.entries) seen_.emplace_back(key, slot.fact);
-    whole_ |= !m.more;
-    look(now);
+  // Takes a replica's response and requests what follows; its registers are then in take_updates().
+  void handle(BootTime now, PeerId from, const Message& message) {
+    if (message.type != MessageType::kChanges || from != replica_ || message.request_id != request_id_)
+      return;
+    incarnation_ = message.incarnation;
+    since_ = message.since;
+    for (const auto& [key, slot] : message.entries) updates_.emplace_back(key, slot.accepted);
+    is_synced_ |= !message.has_more;
+    send_watch(now);
   }
-  bool whole() const { return whole_; }  // all that one keeper has was seen once
-  std::vector<std::pair<std::string, Register>> take_seen() { return std::exchange(seen_, {}); }
-  std::vector<Envelope> take_sends() { return std::exchange(sends_, {}); }
+  bool is_synced() const { return is_synced_; }  // all that one replica had was seen once
+  std::vector<std::pair<std::string, Register>> take_updates() { return std::exchange(updates_, {}); }
+  std::vector<Envelope> take_messages() { return std::exchange(messages_, {}); }
 
  private:
-  // A keeper answers a look within a second, with nothing where nothing has changed; a first one at once.
-  static constexpr Ms kPatience = 1600, kFirstPatience = 300;
-  Ms patience() const { return life_ == 0 ? kFirstPatience : kPatience; }
+  // A replica answers within AcceptorOptions::watch_timeout, also where nothing has changed; the first
+  // request at once.
+  static constexpr Duration kTimeout = 1600ms, kFirstTimeout = 300ms;
+  Duration timeout() const { return incarnation_ == 0 ? kFirstTimeout : kTimeout; }
 
-  void look(Ms now) {
-    asked_at_ = now;
-    Message m;
-    m.say = MessageType::kLook;
-    m.op = ++op_;
-    m.life = life_;
-    m.since = since_;
-    sends_.push_back({at_, std::move(m)});
+  void send_watch(BootTime now) {
+    requested_at_ = now;
+    Message watch;
+    watch.type = MessageType::kWatch;
+    watch.request_id = ++request_id_;
+    watch.incarnation = incarnation_;
+    watch.since = since_;
+    messages_.push_back({replica_, std::move(watch)});
   }
 
-  uint32_t keepers_;
-  PeerId at_;
-  uint64_t op_ = 0, since_ = 0;
-  Incarnation life_ = 0;
-  Ms asked_at_ = 0;
-  bool whole_ = false;
-  std::vector<std::pair<std::string, Register>> seen_;
-  std::vector<Envelope> sends_;
+  uint32_t replica_count_;
+  PeerId replica_;  // that it watches now
+  RequestId request_id_ = 0;
+  WatchPosition since_ = 0;
+  Incarnation incarnation_ = 0;  // of that replica; 0: it has not answered yet
+  std::optional<BootTime> requested_at_;
+  bool is_synced_ = false;
+  std::vector<std::pair<std::string, Register>> updates_;
+  std::vector<Envelope> messages_;
 };
 
 }  // namespace firvalve::consensus
--- a/src/lab/fleet_world.cpp
+++ b/src/lab/fleet_world.cpp
@@ -152,7 +152,8 @@
       g.node = std::make_unique<cluster::ClusterNode>(at, t, *g.standing, g.slots);
     else
       g.node = std::make_unique<cluster::ClusterNode>(at, t);
-    for (uint32_t d = 0; d < o_.duties; ++d) g.node->duties().want(at, duty_name(d));
+    for (uint32_t d = 0; d < o_.duties; ++d)
+      g.node->duties().campaign(time_point_of<BootClock>(at), duty_name(d));
     turn(n);
   }
 
@@ -191,14 +192,14 @@
     for (int rounds = 0; rounds < 1000; ++rounds) {
       cluster::ClusterNode::Out out = g.node->take();
       std::vector<consensus::Envelope> sends = std::move(out.sends);
-      if (g.disk_full && (out.keeper.standing || !out.keeper.writes.empty())) {
-        g.node->unwritten(std::move(out.keeper));
+      if (g.disk_full && (out.keeper.metadata || !out.keeper.writes.empty())) {
+        g.node->unwritten(out.keeper);
       } else {
         if (o_.folders) {
-          if (out.keeper.standing) g.standing = out.keeper.standing;
+          if (out.keeper.metadata) g.standing = out.keeper.metadata;
           for (auto& [key, slot] : out.keeper.writes) g.slots[key] = std::move(slot);
         }
-        for (consensus::Envelope& e : out.keeper.sends) sends.push_back(std::move(e));
+        for (consensus::Envelope& e : out.keeper.messages) sends.push_back(std::move(e));
       }
       if (sends.empty()) break;
       for (consensus::Envelope& e : sends) {
@@ -256,26 +257,27 @@
     Gateway& g = nodes_[n];
     using Kind = lease::Event::Kind;
     for (const lease::Event& e : g.node->take_events()) {
-      if (e.kind == Kind::kTaken) {
+      if (e.kind == Kind::kAcquired) {
         ++out_.taken;
-        close_span(g, e.duty, now_);
-        g.open[e.duty] = {e.duty, fmt::format("{}/{}", name_of(n), g.start), e.epoch, now_,
-                          global(g, e.until)};
+        close_span(g, e.lease, now_);
+        g.open[e.lease] = {e.lease, fmt::format("{}/{}", name_of(n), g.start), e.epoch, now_,
+                           global(g, to_ms(*e.valid_until))};
       } else if (e.kind == Kind::kRenewed) {
-        if (const auto at = g.open.find(e.duty); at != g.open.end()) at->second.until = global(g, e.until);
-      } else if (e.kind == Kind::kLeft || e.kind == Kind::kLost) {
-        close_span(g, e.duty, now_);
+        if (const auto at = g.open.find(e.lease); at != g.open.end())
+          at->second.until = global(g, to_ms(*e.valid_until));
+      } else if (e.kind == Kind::kReleased || e.kind == Kind::kLost) {
+        close_span(g, e.lease, now_);
       }
     }
     for (const lease::RunOnceJobs::Action& a : g.node->merges().take_actions()) {
       using Act = lease::RunOnceJobs::Action::Kind;
       if (a.kind == Act::kStart) {
-        out_.history.begun.push_back({a.name, now_});
-        run_names_.push_back(a.name);
+        out_.history.begun.push_back({a.key, now_});
+        run_names_.push_back(a.key);
         put(now_ + kRunLeast + uniform() * (kRunMost - kRunLeast),
             {What::kRunEnd, n, static_cast<uint32_t>(run_names_.size() - 1), g.start});
-      } else if (a.kind == Act::kAnswer) {
-        answered_.insert(a.name);
+      } else if (a.kind == Act::kComplete) {
+        answered_.insert(a.key);
       }
     }
     for (const schema::Registry::End& end : g.node->take_changes()) {
@@ -286,19 +288,20 @@
     }
     for (const consensus::ProposalResult& end : g.node->take_ends()) {
       using Kind = consensus::ProposalResult::Kind;
-      if (end.kind == Kind::kUnknown || end.kind == Kind::kNoMajority) continue;
+      if (end.kind == Kind::kUnknown || end.kind == Kind::kNoQuorum) continue;
       RecordOp op;
-      op.key = end.wish.key;
-      op.asked = global(g, end.asked_at);
+      op.key = end.proposal.key;
+      op.asked = global(g, to_ms(end.proposed_at));
       op.ended = now_;
-      const bool change = end.kind == Kind::kAgreed && end.fact.change == end.wish.id;
-      if (end.kind == Kind::kAgreed && !change) continue;  // it stood and was built upon since: no place told
+      const bool change = end.kind == Kind::kCommitted && end.current.change_id == end.proposal.id;
+      if (end.kind == Kind::kCommitted && !change)
+        continue;  // it stood and was built upon since: no place told
       op.kind = change ? RecordOp::Kind::kChange : RecordOp::Kind::kRead;
-      op.version = end.fact.version;
-      op.id = end.fact.change;
-      op.on = end.wish.expected;
-      g.last_seen = end.fact.change;
-      seen_[end.wish.key] = end.fact.change;
+      op.version = end.current.version;
+      op.id = end.current.change_id;
+      op.on = end.proposal.expected_change;
+      g.last_seen = end.current.change_id;
+      seen_[end.proposal.key] = end.current.change_id;
       out_.history.ops.push_back(op);
     }
   }
@@ -326,7 +329,7 @@
         carried_.erase(carried);
         if (!up || c.start != g.start) return;
         if (!c.message) {
-          const bool taken = g.fence.pass(c.duty, c.epoch);
+          const bool taken = g.fence.admits(c.duty, c.epoch);
           if (taken)
             out_.history.acts.push_back({c.duty, fmt::format("{}/{}", e.node, g.start), c.epoch, now_});
           ++(taken ? out_.acts : out_.refused);
@@ -345,7 +348,7 @@
         if (!up) return;
         for (uint32_t d = 0; d < o_.duties; ++d) {
           const std::string duty = duty_name(d);
-          if (const auto epoch = g.node->duties().may_act(at, duty))
+          if (const auto epoch = g.node->duties().active_epoch(time_point_of<BootClock>(at), duty))
             carry(e.node, (e.node + 1 + draw(o_.gateways - 1)) % o_.gateways, nullptr, duty, *epoch);
         }
         return;
@@ -354,13 +357,13 @@
         if (!up) return;
         consensus::Proposal w;
         w.key = fmt::format("fact {}", draw(2));
-        w.until = at + 1000;
+        w.deadline = time_point_of<BootClock>(at + 1000);
         if (uniform() < 0.6) {
           w.id = number();
-          w.expected = uniform() < 0.8 ? seen_[w.key] : g.last_seen;
+          w.expected_change = uniform() < 0.8 ? seen_[w.key] : g.last_seen;
           w.value = fmt::format("{:x}", w.id);
         }
-        g.node->asker().ask(at, std::move(w));
+        g.node->asker().propose(time_point_of<BootClock>(at), std::move(w));
         return turn(e.node);
       }
       case What::kBulletin:
@@ -370,11 +373,13 @@
         return turn(e.node);
       case What::kMerge:
         if (!up) return;
-        g.node->merges().ask(at, fmt::format("m{}", e.other), ++calls_, 7, at + kMergePatience);
+        g.node->merges().submit(time_point_of<BootClock>(at), fmt::format("m{}", e.other), ++calls_, 7,
+                                time_point_of<BootClock>(at + kMergePatience));
         return turn(e.node);
       case What::kRunEnd:
         if (!up || e.number != g.start) return;
-        g.node->merges().run_ended(at, run_names_[e.other], lease::RunOnceJobs::End::kAnswered, "1\n");
+        g.node->merges().on_run_finished(time_point_of<BootClock>(at), run_names_[e.other],
+                                         lease::RunOnceJobs::RunEnd::kCompleted, "1\n");
         return turn(e.node);
       default:
         return;
@@ -432,7 +437,8 @@
         for (const Event& e : waiting)
           if (e.what != What::kAct) step(e);
         if (g.node) {
-          g.node->duties().stalled(local(g), (now_ - g.stalled_at) * g.rate);
+          g.node->duties().on_pause(time_point_of<BootClock>(local(g)),
+                                    duration_of((now_ - g.stalled_at) * g.rate));
           turn(f.node);
         }
         return;
--- a/src/lab/scale/duty_view.cpp
+++ b/src/lab/scale/duty_view.cpp
@@ -13,17 +13,17 @@
 }
 
 void DutyView::take_answer(size_t member, const consensus::Message& message, Ms now) {
-  if (message.say != consensus::MessageType::kChanges) return;
+  if (message.type != consensus::MessageType::kChanges) return;
   const std::lock_guard lock(mutex_);
   members_[member].told_at = now;
   for (const auto& [key, slot] : message.entries) {
     const auto number = numbers_.find(key);
     if (number == numbers_.end()) continue;
-    const std::optional<lease::LeaseRecord> claim = lease::read_claim(slot.fact.value);
+    const std::optional<lease::LeaseRecord> claim = lease::decode_lease_record(slot.accepted.value);
     if (!claim) continue;
     Seen& seen = members_[member].seen[number->second];
-    if (std::tie(claim->epoch, claim->released) < std::tie(seen.epoch, seen.released)) continue;
-    seen = {claim->epoch, claim->released, claim->holder};
+    if (std::tie(claim->epoch, claim->is_released) < std::tie(seen.epoch, seen.released)) continue;
+    seen = {claim->epoch, claim->is_released, claim->holder};
   }
 }
 
--- a/src/lease/fence.h
+++ b/src/lease/fence.h
@@ -1,5 +1,5 @@
-// What whoever receives acts of duties keeps of them: the highest epoch of each, so that a holder that woke
-// late is refused.
+// Fence: the check of fencing tokens at a receiver of requests from lease holders. It remembers the highest
+// epoch of each lease, so that a holder that was paused past its lease is refused.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +12,16 @@
 
 class Fence {
  public:
-  // Whether an act under this epoch is taken.
-  bool pass(const std::string& duty, uint64_t epoch) {
-    uint64_t& highest = highest_[duty];
-    if (epoch < highest && !is_injected(InjectedBug::kNoEpochCheck)) return false;
+  // Whether a request under this epoch is to be served.
+  bool admits(const std::string& lease, uint64_t epoch) {
+    uint64_t& highest = highest_epochs_[lease];
+    if (epoch < highest && !is_injected(InjectedBug::kSkipFencingCheck)) return false;
     highest = epoch > highest ? epoch : highest;
     return true;
   }
-  uint64_t highest(const std::string& duty) const {
-    const auto at = highest_.find(duty);
-    return at == highest_.end() ? 0 : at->second;
-  }
-  void forget(const std::string& duty) { highest_.erase(duty); }
 
  private:
-  std::map<std::string, uint64_t> highest_;
+  std::map<std::string, uint64_t> highest_epochs_;
 };
 
 }  // namespace firvalve::lease
--- a/src/lease/lease_record.h
+++ b/src/lease/lease_record.h
@@ -1,5 +1,5 @@
-// What stands in the record under a duty's name: who holds it, under which epoch, for how long at a time, and
-// the state that goes from holder to holder.
+// LeaseRecord: what is stored in the register under a lease's name. Who holds the lease, under which epoch
+// and for how long, and the application's state that is passed from holder to holder.
 #pragma once
 
 #include <cstdint>
@@ -7,21 +7,27 @@
 #include <string>
 #include <string_view>
 
-#include "base/units.h"
+#include "consensus/register.h"
 
 namespace firvalve::lease {
 
+using namespace std::chrono_literals;
+using consensus::BootTime;
+using consensus::Incarnation;
+using consensus::kImmediately;
+
 struct LeaseRecord {
-  uint64_t epoch = 0;     // grows with every new holder; 0: never held
-  std::string holder;     // the address that its peers reach it at
-  uint64_t life = 0;      // of the holder's process
-  Ms lease = 0;           // counted by the holder from before it asked for it
-  bool released = false;  // its holder acts no more
-  std::string state;
+  uint64_t epoch = 0;           // fencing token: grows with every new holder; 0: never held
+  std::string holder;           // the address at which its peers reach it
+  Incarnation incarnation = 0;  // of the holder's process
+  Duration duration{};          // counted by the holder from before it proposed the record
+  bool is_released = false;     // the holder acts no more
+  std::string state;            // of the application, opaque here
   bool operator==(const LeaseRecord&) const = default;
 };
 
-std::string written(const LeaseRecord& claim);
-std::optional<LeaseRecord> read_claim(std::string_view bytes);  // none: it is no claim
+std::string encode(const LeaseRecord& record);
+// None: the bytes are no lease record.
+std::optional<LeaseRecord> decode_lease_record(std::string_view bytes);
 
 }  // namespace firvalve::lease
--- a/src/lease/run_once_jobs.cpp
+++ b/src/lease/run_once_jobs.cpp
@@ -4,234 +4,229 @@
 
 #include "base/injected_bug.h"
 #include "consensus/digest.h"
-#include "run_once_job_generated.h"
 
 namespace firvalve::lease {
 
 namespace {
-// Another gateway may have begun it meanwhile: no proof that it never ran.
-constexpr const char* kEnds = "this gateway ends; it may have run";
+
+// What clients are answered.
+constexpr std::string_view kMayHaveRun = "it may have run";
+constexpr std::string_view kFailedMayHaveRun = "failed; it may have run";
+constexpr std::string_view kOtherStatement = "another statement stands under this name";
+// Another gateway may have started it meanwhile: no proof that it never ran.
+constexpr std::string_view kShuttingDown = "this gateway ends; it may have run";
+
 }  // namespace
 
-std::string written(const RunOnceJob& merge) {
-  flatbuffers::FlatBufferBuilder b(64 + merge.rows.size());
-  const auto rows = b.CreateString(merge.rows);
-  wire::RunOnceJobBuilder out(b);
-  out.add_stage(static_cast<wire::Stage>(merge.stage));
-  out.add_run(merge.run);
-  out.add_statement(merge.statement);
-  out.add_rows(rows);
-  b.Finish(out.Finish());
-  return {reinterpret_cast<const char*>(b.GetBufferPointer()), b.GetSize()};
-}
-
-RunOnceJob read_merge(std::string_view bytes) {
-  if (bytes.empty()) return {};
-  const auto* const data = reinterpret_cast<const uint8_t*>(bytes.data());
-  flatbuffers::Verifier verifier(data, bytes.size());
-  RunOnceJob merge;
-  merge.stage = RunOnceJob::Stage::kUnknown;
-  if (bytes.size() < 8 || !verifier.VerifyBuffer<wire::RunOnceJob>()) return merge;
-  const auto* const in = flatbuffers::GetRoot<wire::RunOnceJob>(data);
-  if (in->stage() <= wire::Stage_MAX) merge.stage = static_cast<RunOnceJob::Stage>(in->stage());
-  merge.run = in->run();
-  merge.statement = in->statement();
-  if (in->rows()) merge.rows = in->rows()->str();
-  return merge;
-}
-
-void RunOnceJobs::ask(Ms now, const std::string& name, Call call, uint64_t statement, Ms until) {
-  if (leaving_) {
-    actions_.push_back({Action::Kind::kFail, name, call, kEnds, 0});
-    return;
-  }
-  const auto at = names_.try_emplace(name).first;
-  at->second.calls.push_back({call, statement, until});
-  duties_.want(now, duty_of(name));
-  go_on(now, at);
-}
-
-void RunOnceJobs::leave() {
-  leaving_ = true;
-  for (auto& [name, n] : names_) {
-    if (n.step != Step::kSeeks) continue;
-    for (const Waiting& w : n.calls) actions_.push_back({Action::Kind::kFail, name, w.call, kEnds, 0});
-    n.calls.clear();
+void RunOnceJobs::submit(BootTime now, const std::string& key, CallId call, uint64_t statement_hash,
+                         BootTime deadline) {
+  if (is_shutting_down_) return fail(key, {call, statement_hash, deadline}, kShuttingDown);
+  const auto at = jobs_.try_emplace(key).first;
+  at->second.calls.push_back({call, statement_hash, deadline});
+  leases_.campaign(now, lease_name_of(key));
+  advance(now, at);
+}
+
+void RunOnceJobs::stop_accepting() {
+  is_shutting_down_ = true;
+  for (auto& [key, job] : jobs_) {
+    if (job.step != Step::kCampaign) continue;
+    for (const WaitingCall& waiting : job.calls) fail(key, waiting, kShuttingDown);
+    job.calls.clear();
   }
 }
 
-void RunOnceJobs::gone(Ms now, Call call) {
-  for (auto at = names_.begin(); at != names_.end(); ++at) {
-    const size_t before = at->second.calls.size();
-    std::erase_if(at->second.calls, [call](const Waiting& w) { return w.call == call; });
-    if (at->second.calls.size() == before) continue;
-    if (at->second.calls.empty() && at->second.step == Step::kSeeks && !at->second.owes) done(now, at);
+void RunOnceJobs::on_caller_gone(BootTime now, CallId call) {
+  for (auto at = jobs_.begin(); at != jobs_.end(); ++at) {
+    Job& job = at->second;
+    if (std::erase_if(job.calls, [call](const WaitingCall& each) { return each.call == call; }) == 0)
+      continue;
+    if (job.calls.empty() && job.step == Step::kCampaign && !job.owes_end) remove(now, at);
     return;
   }
 }
 
-void RunOnceJobs::answer_all(Names::iterator at, const RunOnceJob& end) {
-  using Kind = Action::Kind;
-  for (const Waiting& w : at->second.calls) {
-    if (end.statement != 0 && w.statement != end.statement)
-      actions_.push_back({Kind::kRefuse, at->first, w.call, "another statement stands under this name", 0});
-    else if (end.stage == RunOnceJob::Stage::kAnswered)
-      actions_.push_back({Kind::kAnswer, at->first, w.call, end.rows, 0});
+void RunOnceJobs::fail(const std::string& key, const WaitingCall& call, std::string_view error) {
+  actions_.push_back({Action::Kind::kFail, key, call.call, {}, error, {}});
+}
+
+void RunOnceJobs::answer_all(Jobs::iterator at, const RunOnceJob& end) {
+  const std::string& key = at->first;
+  for (const WaitingCall& waiting : at->second.calls) {
+    if (end.statement_hash != 0 && waiting.statement_hash != end.statement_hash)
+      actions_.push_back({Action::Kind::kReject, key, waiting.call, {}, kOtherStatement, {}});
+    else if (end.stage == RunOnceJob::Stage::kCompleted)
+      actions_.push_back({Action::Kind::kComplete, key, waiting.call, end.rows, {}, {}});
     else
-      actions_.push_back(
-          {Kind::kFail, at->first, w.call,
-           end.stage == RunOnceJob::Stage::kFailed ? "failed; it may have run" : "it may have run", 0});
+      fail(key, waiting, end.stage == RunOnceJob::Stage::kFailed ? kFailedMayHaveRun : kMayHaveRun);
   }
   at->second.calls.clear();
 }
 
-void RunOnceJobs::done(Ms now, Names::iterator at) {
-  const std::string duty = duty_of(at->first);
-  names_.erase(at);
-  duties_.pin(now, duty, false);
-  duties_.unwant(now, duty);
+void RunOnceJobs::remove(BootTime now, Jobs::iterator at) {
+  const std::string lease = lease_name_of(at->first);
+  jobs_.erase(at);
+  leases_.set_in_use(now, lease, false);
+  leases_.resign(now, lease);
 }
 
-// Where the claim's state leads from here.
-void RunOnceJobs::go_on(Ms now, Names::iterator at) {
-  Name& n = at->second;
-  if (n.step != Step::kSeeks) return;
-  const std::string duty = duty_of(at->first);
-  const LeaseRecord* const claim = duties_.claim(duty);
-  const RunOnceJob merge = claim ? read_merge(claim->state) : RunOnceJob{};
+RunOnceJob RunOnceJobs::recorded(const std::string& key) const {
+  const LeaseRecord* const record = leases_.record(lease_name_of(key));
+  return record ? decode_run_once_job(record->state) : RunOnceJob{};
+}
+
+// Takes the step that the recorded state allows here.
+void RunOnceJobs::advance(BootTime now, Jobs::iterator at) {
   using Stage = RunOnceJob::Stage;
-  if (n.owes && (merge.stage != Stage::kBegun || merge.run != n.run)) n.owes = false;
-  if (n.owes) {
-    if (duties_.may_act(now, duty)) tell(now, at);
+  Job& job = at->second;
+  if (job.step != Step::kCampaign) return;
+  const std::string lease = lease_name_of(at->first);
+  const RunOnceJob stored = recorded(at->first);
+  // Another holder has recorded an end or a start since: this one's is not wanted any more.
+  if (stored.stage != Stage::kStarted || stored.run_id != job.run_id) job.owes_end = false;
+  if (job.owes_end) {
+    if (leases_.active_epoch(now, lease)) record_end(now, at);
     return;
   }
-  if (merge.stage == Stage::kAnswered || merge.stage == Stage::kFailed || merge.stage == Stage::kUnknown) {
-    answer_all(at, merge);
-    return done(now, at);
+  if (stored.is_finished()) {
+    answer_all(at, stored);
+    return remove(now, at);
   }
-  if (n.calls.empty()) return done(now, at);
-  if (!duties_.may_act(now, duty)) return;
-  duties_.pin(now, duty, true);
-  if (merge.stage == Stage::kBegun && !never_begun_.count(merge.run)) {
-    // Somebody's, of whom nothing is known any more: it may have run, for ever and for everybody.
-    n.end = merge;
-    n.end.stage = Stage::kUnknown;
-    n.run = merge.run;
-    answer_all(at, n.end);
-    return tell(now, at);
-  }
-  RunOnceJob begun;
-  begun.stage = Stage::kBegun;
-  begun.run = n.run = (life_ << 16) + ++runs_;
-  begun.statement = n.calls.front().statement;
-  never_begun_.insert(n.run);
-  n.step = Step::kBegins;
-  if (!duties_.state(now, duty, written(begun))) {
-    n.step = Step::kSeeks;
-    return;
-  }
-  if (is_injected(InjectedBug::kIntentAfterSend))
-    actions_.push_back({Action::Kind::kStart, at->first, n.calls.front().call, {}, 0});
-}
-
-void RunOnceJobs::handle(Ms now, const Event& event) {
-  if (!event.duty.starts_with("merge:")) return;
-  const auto at = names_.find(event.duty.substr(6));
-  if (at == names_.end()) return;
-  Name& n = at->second;
-  if (event.kind == Event::Kind::kStated && n.step == Step::kBegins) {
-    if (!event.made) {
-      n.step = Step::kSeeks;
-      return go_on(now, at);
-    }
-    n.step = Step::kRuns;
-    if (n.calls.empty()) return run_ended(now, at->first, End::kNeverRan, {});
-    never_begun_.erase(n.run);
-    n.runs_for = n.calls.front().call;
-    if (!is_injected(InjectedBug::kIntentAfterSend))
-      actions_.push_back({Action::Kind::kStart, at->first, n.runs_for, {}, 0});
+  if (job.calls.empty()) return remove(now, at);
+  if (!leases_.active_epoch(now, lease)) return;
+  leases_.set_in_use(now, lease, true);
+  if (stored.stage == Stage::kNone || never_started_.count(stored.run_id)) return record_start(now, at);
+  // Started by a holder of which nothing is known any more: it may have run, for ever and for everybody.
+  job.end = stored;
+  job.end.stage = Stage::kUnknown;
+  job.run_id = stored.run_id;
+  answer_all(at, job.end);
+  record_end(now, at);
+}
+
+void RunOnceJobs::record_start(BootTime now, Jobs::iterator at) {
+  Job& job = at->second;
+  RunOnceJob started;
+  started.stage = RunOnceJob::Stage::kStarted;
+  started.run_id = job.run_id = (incarnation_ << 16) + ++runs_started_;
+  started.statement_hash = job.calls.front().statement_hash;
+  never_started_.insert(job.run_id);
+  job.step = Step::kRecordStart;
+  if (!leases_.write_state(now, lease_name_of(at->first), encode(started))) {
+    job.step = Step::kCampaign;
     return;
   }
-  if (event.kind == Event::Kind::kStated && n.step == Step::kTells) {
-    n.step = Step::kSeeks;
-    n.owes = !event.made;
-    return go_on(now, at);
+  if (is_injected(InjectedBug::kRecordIntentAfterStart))
+    actions_.push_back({Action::Kind::kStart, at->first, job.calls.front().call, {}, {}, {}});
+}
+
+void RunOnceJobs::handle(BootTime now, const Event& event) {
+  if (!event.lease.starts_with(kLeasePrefix)) return;
+  const auto at = jobs_.find(event.lease.substr(kLeasePrefix.size()));
+  if (at == jobs_.end()) return;
+  Job& job = at->second;
+  const bool is_state_written = event.kind == Event::Kind::kStateWritten;
+  if (is_state_written && job.step == Step::kRecordStart && event.is_committed)
+    return on_start_recorded(now, at);
+  if (is_state_written && job.step == Step::kRecordStart) {
+    job.step = Step::kCampaign;
+    return advance(now, at);
   }
-  if (event.kind == Event::Kind::kTaken || event.kind == Event::Kind::kSeen) go_on(now, at);
-}
-
-// Whoever waits here is answered at once: the end is known, whatever becomes of the record.
-void RunOnceJobs::run_ended(Ms now, const std::string& name, End end, std::string rows, Ms advice) {
-  const auto at = names_.find(name);
-  if (at == names_.end()) return;
-  Name& n = at->second;
-  n.end = {};
-  if (end == End::kNeverRan) {
-    const auto call =
-        std::find_if(n.calls.begin(), n.calls.end(), [&](const Waiting& w) { return w.call == n.runs_for; });
-    if (call != n.calls.end()) {
-      actions_.push_back({Action::Kind::kShed, name, call->call, {}, advice});
-      n.calls.erase(call);
-    }
-    never_begun_.insert(n.run);
-    return tell(now, at);
+  if (is_state_written && job.step == Step::kRecordEnd) {
+    job.step = Step::kCampaign;
+    job.owes_end = !event.is_committed;
+    return advance(now, at);
   }
-  n.end.stage = end == End::kAnswered ? RunOnceJob::Stage::kAnswered : RunOnceJob::Stage::kFailed;
-  n.end.statement = n.calls.empty() ? 0 : n.calls.front().statement;
-  if (const LeaseRecord* const claim = duties_.claim(duty_of(name)))
-    n.end.statement = read_merge(claim->state).statement;
-  n.end.rows = std::move(rows);
-  answer_all(at, n.end);
-  if (n.end.rows.size() > kMergeRowsMost) n.end.rows.clear();
-  tell(now, at);
-}
-
-void RunOnceJobs::tell(Ms now, Names::iterator at) {
-  Name& n = at->second;
-  n.step = Step::kTells;
-  n.owes = true;
-  duties_.pin(now, duty_of(at->first), true);
-  if (duties_.state(now, duty_of(at->first), n.end.stage == RunOnceJob::Stage::kNone ? "" : written(n.end)))
-    return;
-  // The duty is lost. It is told if it comes back before another holder has taken it for one that may have
-  // run.
-  n.step = Step::kSeeks;
-  duties_.pin(now, duty_of(at->first), false);
+  if (event.kind == Event::Kind::kAcquired || event.kind == Event::Kind::kObserved) advance(now, at);
+}
+
+void RunOnceJobs::on_start_recorded(BootTime now, Jobs::iterator at) {
+  Job& job = at->second;
+  job.step = Step::kRun;
+  if (job.calls.empty()) return on_run_finished(now, at->first, RunEnd::kNeverRan, {});
+  never_started_.erase(job.run_id);
+  job.runs_for = job.calls.front().call;
+  if (!is_injected(InjectedBug::kRecordIntentAfterStart))
+    actions_.push_back({Action::Kind::kStart, at->first, job.runs_for, {}, {}, {}});
 }
 
-bool RunOnceJobs::runs() const {
-  return std::any_of(names_.begin(), names_.end(),
-                     [](const auto& n) { return n.second.step != Step::kSeeks; });
+// Callers here are answered at once: the end is known, whether or not it can be recorded.
+void RunOnceJobs::on_run_finished(BootTime now, const std::string& key, RunEnd end, std::string rows,
+                                  Duration retry_after) {
+  const auto at = jobs_.find(key);
+  if (at == jobs_.end()) return;
+  Job& job = at->second;
+  job.end = {};
+  if (end == RunEnd::kNeverRan) return on_never_ran(now, at, retry_after);
+  using Stage = RunOnceJob::Stage;
+  job.end.stage = end == RunEnd::kCompleted ? Stage::kCompleted : Stage::kFailed;
+  job.end.statement_hash = job.calls.empty() ? 0 : job.calls.front().statement_hash;
+  if (const LeaseRecord* const record = leases_.record(lease_name_of(key)))
+    job.end.statement_hash = decode_run_once_job(record->state).statement_hash;
+  job.end.rows = std::move(rows);
+  answer_all(at, job.end);
+  if (job.end.rows.size() > kMaxStoredRowsBytes) job.end.rows.clear();
+  record_end(now, at);
 }
 
-void RunOnceJobs::due(Ms now) {
-  std::vector<std::string> names;
-  for (auto& [name, n] : names_) {
-    const auto over = [now](const Waiting& w) { return w.until <= now; };
-    for (const Waiting& w : n.calls)
-      if (over(w)) actions_.push_back({Action::Kind::kFail, name, w.call, "it may have run", 0});
-    std::erase_if(n.calls, over);
-    if (n.calls.empty() && n.step == Step::kSeeks && !n.owes) names.push_back(name);
+void RunOnceJobs::on_never_ran(BootTime now, Jobs::iterator at, Duration retry_after) {
+  Job& job = at->second;
+  const auto waiting = std::find_if(job.calls.begin(), job.calls.end(),
+                                    [&](const WaitingCall& each) { return each.call == job.runs_for; });
+  if (waiting != job.calls.end()) {
+    actions_.push_back({Action::Kind::kShed, at->first, waiting->call, {}, {}, retry_after});
+    job.calls.erase(waiting);
   }
-  for (const std::string& name : names) done(now, names_.find(name));
+  never_started_.insert(job.run_id);
+  record_end(now, at);
 }
 
-std::string RunOnceJobs::digest() const {
-  consensus::Digest d;
-  for (const auto& [name, n] : names_) {
-    d.add(name).add(static_cast<uint8_t>(n.step)).add(n.run).add(n.owes).add(n.calls.size());
-    d.add(static_cast<uint8_t>(n.end.stage));
+void RunOnceJobs::record_end(BootTime now, Jobs::iterator at) {
+  Job& job = at->second;
+  const std::string lease = lease_name_of(at->first);
+  job.step = Step::kRecordEnd;
+  job.owes_end = true;
+  leases_.set_in_use(now, lease, true);
+  const bool is_none = job.end.stage == RunOnceJob::Stage::kNone;
+  if (leases_.write_state(now, lease, is_none ? std::string() : encode(job.end))) return;
+  // The lease is lost. The end is recorded if the lease is acquired again before another holder has recorded
+  // that the job may have run.
+  job.step = Step::kCampaign;
+  leases_.set_in_use(now, lease, false);
+}
+
+bool RunOnceJobs::is_running() const {
+  return std::any_of(jobs_.begin(), jobs_.end(),
+                     [](const auto& each) { return each.second.step != Step::kCampaign; });
+}
+
+void RunOnceJobs::on_tick(BootTime now) {
+  std::vector<std::string> unused;
+  for (auto& [key, job] : jobs_) {
+    const auto is_expired = [now](const WaitingCall& waiting) { return waiting.deadline <= now; };
+    for (const WaitingCall& waiting : job.calls)
+      if (is_expired(waiting)) fail(key, waiting, kMayHaveRun);
+    std::erase_if(job.calls, is_expired);
+    if (job.calls.empty() && job.step == Step::kCampaign && !job.owes_end) unused.push_back(key);
   }
-  for (const uint64_t run : never_begun_) d.add(run);
-  return d.text();
+  for (const std::string& key : unused) remove(now, jobs_.find(key));
 }
 
-Ms RunOnceJobs::next_due() const {
-  Ms next = 0;
-  for (const auto& [name, n] : names_)
-    for (const Waiting& w : n.calls)
-      if (next == 0 || w.until < next) next = w.until;
+std::optional<BootTime> RunOnceJobs::next_deadline() const {
+  std::optional<BootTime> next;
+  for (const auto& [key, job] : jobs_)
+    for (const WaitingCall& waiting : job.calls) next = earlier_of(next, std::optional(waiting.deadline));
   return next;
 }
 
+std::string RunOnceJobs::digest() const {
+  consensus::Digest digest;
+  for (const auto& [key, job] : jobs_) {
+    digest.add(key).add(job.step).add(job.run_id).add(job.owes_end).add(job.calls.size());
+    digest.add(job.end.stage);
+  }
+  for (const uint64_t run_id : never_started_) digest.add(run_id);
+  return digest.text();
+}
+
 }  // namespace firvalve::lease
--- a/src/lease/run_once_jobs.h
+++ b/src/lease/run_once_jobs.h
@@ -1,109 +1,113 @@
-// Loads that run once under a name, however many gateways are asked for them by however many clients: what to
-// do with each that asks. No I/O and no clock.
+// RunOnceJobs: runs a job at most once under its idempotency key, however many gateways are asked for it by
+// however many clients, and decides what each caller is answered. No I/O, clock or thread.
 //
-// Whoever is asked wants the duty merge:NAME. Its holder writes into the claim that the load is begun, and
-// only once that stands does it begin: so a later holder never begins it again, whatever became of the first
-// one. Where the load is proved never to have run (it was refused before any send), the claim says so again,
-// and the next that waits may try. Everybody who asked is told the end: the rows, that it failed, or that it
-// may have run. A name is used up for ever; another night wants another name.
+// A gateway that is asked campaigns for the key's lease. The holder records in the lease's state that the job
+// is started, and starts it only once that is committed: so a later holder never starts it again, whatever
+// became of the first one. Where the job is proved never to have run (it was shed before any attempt), the
+// state says so, and the next caller's attempt may start. All callers get the end: the rows, that it failed,
+// or that it may have run. A key is used up for ever; to run the job once more takes another key.
 //
-// It guards against a load that runs twice. It harms where a holder dies between its note and its first send:
-// the load has not run, and nobody will run it under that name.
+// It guards against a job that runs twice. It harms where a holder dies between its record and its first
+// attempt: the job has not run, and nobody will run it under that key.
 #pragma once
 
 #include <map>
+#include <optional>
 #include <set>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "lease/lease_manager.h"
+#include "lease/run_once_job.h"
 
 namespace firvalve::lease {
 
-struct RunOnceJob {
-  enum class Stage : uint8_t { kNone, kBegun, kAnswered, kFailed, kUnknown };
-  Stage stage = Stage::kNone;
-  uint64_t run = 0;        // of kBegun: no other attempt's
-  uint64_t statement = 0;  // its hash: the same name stands for the same statement
-  std::string rows;        // of kAnswered, where they are few
-  bool operator==(const RunOnceJob&) const = default;
-};
-std::string written(const RunOnceJob& merge);
-RunOnceJob read_merge(std::string_view bytes);  // of no or foreign bytes: kUnknown, never kNone
-
-constexpr size_t kMergeRowsMost = 4096;  // bytes of rows kept in the record; longer ones go to who ran it
-
 class RunOnceJobs {
  public:
-  using Call = uint64_t;
-  enum class End : uint8_t { kAnswered, kFailed, kNeverRan };
+  using CallId = uint64_t;  // of a caller's call, as the driver numbers them
+
+  enum class RunEnd : uint8_t { kCompleted, kFailed, kNeverRan };
+
   struct Action {
     enum class Kind : uint8_t {
-      kStart,   // run it for this call
-      kAnswer,  // rows
-      kFail,    // why; it may have run
-      kShed,    // it never ran
-      kRefuse,  // why: nothing of it is to be had under this name
+      kStart,     // run the job for this call
+      kComplete,  // answer it with the rows
+      kFail,      // answer it with the error: the job may have run
+      kShed,      // answer it that the job never ran, to be retried after retry_after
+      kReject,    // answer it with the error: the key stands for another statement
     };
     Kind kind = Kind::kStart;
-    std::string name;
-    Call call = 0;
-    std::string text;  // rows, or why
-    Ms advice = 0;     // of kShed
+    std::string key;
+    CallId call = 0;
+    std::string rows;            // of kComplete
+    std::string_view error;      // of kFail and kReject, to the client; of static storage
+    Duration retry_after = 0ms;  // of kShed
   };
 
-  RunOnceJobs(LeaseManager& duties, uint64_t life) : duties_(duties), life_(life) {}
-  // The same, over a copy of its duties.
-  RunOnceJobs(const RunOnceJobs& of, LeaseManager& duties)
-      : duties_(duties),
-        life_(of.life_),
-        runs_(of.runs_),
-        names_(of.names_),
-        never_begun_(of.never_begun_),
+  RunOnceJobs(LeaseManager& leases, Incarnation incarnation) : leases_(leases), incarnation_(incarnation) {}
+  // The same over a copy of its leases.
+  RunOnceJobs(const RunOnceJobs& of, LeaseManager& leases)
+      : leases_(leases),
+        incarnation_(of.incarnation_),
+        runs_started_(of.runs_started_),
+        jobs_(of.jobs_),
+        never_started_(of.never_started_),
         actions_(of.actions_) {}
 
-  static std::string duty_of(const std::string& name) { return "merge:" + name; }
+  // Stored: the register's key of a job's lease.
+  static constexpr std::string_view kLeasePrefix = "merge:";
+  static std::string lease_name_of(const std::string& key) { return std::string(kLeasePrefix) + key; }
 
-  void ask(Ms now, const std::string& name, Call call, uint64_t statement, Ms until);
-  void gone(Ms now, Call call);  // its client waits no longer; what has begun goes on
-  void handle(Ms now, const Event& event);
-  void run_ended(Ms now, const std::string& name, End end, std::string rows, Ms advice = 0);
-  // This gateway ends: what it has not begun it does not begin, and who waits here for it is told at once.
-  void leave();
-  void due(Ms now);
-  Ms next_due() const;  // 0: nothing
-  bool idle() const { return names_.empty(); }
-  bool runs() const;  // something has begun here and is not at its end
+  // `statement_hash` is not 0. The call is answered by `deadline`.
+  void submit(BootTime now, const std::string& key, CallId call, uint64_t statement_hash, BootTime deadline);
+  // The caller waits no longer; a job that has started goes on.
+  void on_caller_gone(BootTime now, CallId call);
+  void handle(BootTime now, const Event& event);
+  void on_run_finished(BootTime now, const std::string& key, RunEnd end, std::string rows,
+                       Duration retry_after = 0ms);
+  // This gateway shuts down: it starts no further job, and callers of those not started are answered at once.
+  void stop_accepting();
+  void on_tick(BootTime now);
+  std::optional<BootTime> next_deadline() const;
+  bool is_idle() const { return jobs_.empty(); }
+  bool is_running() const;  // a job has started here and its end is not recorded
   std::vector<Action> take_actions() { return std::exchange(actions_, {}); }
-  std::string digest() const;
+  std::string digest() const;  // all that its future depends on, for searches over states
 
  private:
-  enum class Step : uint8_t { kSeeks, kBegins, kRuns, kTells };
-  struct Waiting {
-    Call call = 0;
-    uint64_t statement = 0;
-    Ms until = 0;
+  enum class Step : uint8_t { kCampaign, kRecordStart, kRun, kRecordEnd };
+  struct WaitingCall {
+    CallId call = 0;
+    uint64_t statement_hash = 0;
+    BootTime deadline;
   };
-  struct Name {
-    Step step = Step::kSeeks;
-    std::vector<Waiting> calls;
-    uint64_t run = 0;
-    Call runs_for = 0;
+  struct Job {
+    Step step = Step::kCampaign;
+    std::vector<WaitingCall> calls;
+    uint64_t run_id = 0;
+    CallId runs_for = 0;
     RunOnceJob end;
-    bool owes = false;  // that end does not stand in the record yet
+    bool owes_end = false;  // that end is not committed yet
   };
-  using Names = std::map<std::string, Name>;
+  using Jobs = std::map<std::string, Job>;  // by idempotency key
 
-  void go_on(Ms now, Names::iterator at);
-  void answer_all(Names::iterator at, const RunOnceJob& end);
-  void done(Ms now, Names::iterator at);
-  void tell(Ms now, Names::iterator at);
+  RunOnceJob recorded(const std::string& key) const;
+  void advance(BootTime now, Jobs::iterator at);
+  void record_start(BootTime now, Jobs::iterator at);
+  void record_end(BootTime now, Jobs::iterator at);
+  void on_start_recorded(BootTime now, Jobs::iterator at);
+  void on_never_ran(BootTime now, Jobs::iterator at, Duration retry_after);
+  void fail(const std::string& key, const WaitingCall& call, std::string_view error);
+  void answer_all(Jobs::iterator at, const RunOnceJob& end);
+  void remove(BootTime now, Jobs::iterator at);
 
-  LeaseManager& duties_;
-  uint64_t life_ = 0, runs_ = 0;
-  Names names_;
-  bool leaving_ = false;
-  std::set<uint64_t> never_begun_;  // runs of this process whose note may stand and that were never begun
+  LeaseManager& leases_;
+  Incarnation incarnation_ = 0;
+  uint64_t runs_started_ = 0;
+  Jobs jobs_;
+  bool is_shutting_down_ = false;
+  std::set<uint64_t> never_started_;  // runs of this process that may be recorded as started and never were
   std::vector<Action> actions_;
 };
 
--- a/src/schema/registry.cpp
+++ b/src/schema/registry.cpp
@@ -103,7 +103,7 @@
 void Registry::read(Open& o) {
   consensus::Proposal w;
   w.key = key_of(o.change.bulletin);
-  w.until = o.until;
+  w.deadline = time_point_of<BootClock>(o.until);
   o.id = 0;
   wishes_.push_back(std::move(w));
 }
@@ -115,16 +115,16 @@
   open_.erase(at);
 }
 
-void Registry::ended(Ms, const consensus::ProposalResult& end) {
+void Registry::on_result(Ms, const consensus::ProposalResult& end) {
   // A reading answers all that wait for one of that key: what it tells was so after each of them asked, or is
   // found out to be older when the change is agreed on top of it.
   std::vector<uint64_t> numbers;
   for (const auto& [number, o] : open_)
-    if (end.wish.key == key_of(o.change.bulletin) && o.id == end.wish.id) numbers.push_back(number);
+    if (end.proposal.key == key_of(o.change.bulletin) && o.id == end.proposal.id) numbers.push_back(number);
   for (const uint64_t number : numbers) {
     Open& o = open_[number];
     using Kind = consensus::ProposalResult::Kind;
-    if (end.kind == Kind::kNoMajority) {
+    if (end.kind == Kind::kNoQuorum) {
       finish(number, End::Kind::kNoMajority);
       continue;
     }
@@ -132,18 +132,18 @@
       finish(number, End::Kind::kUnknown);
       continue;
     }
-    if (end.kind == Kind::kAgreed) {
+    if (end.kind == Kind::kCommitted) {
       finish(number, End::Kind::kAgreed);
       continue;
     }
     // Read, or another came first: checked against what stands now, and agreed on top of just that.
     std::string why;
-    const auto bulletin = end.fact.version == 0 ? Topic{} : read_bulletin(end.fact.value, why);
+    const auto bulletin = end.current.version == 0 ? Topic{} : read_bulletin(end.current.value, why);
     if (!bulletin) {
       finish(number, End::Kind::kUnreadable);
       continue;
     }
-    const bool stale = is_injected(InjectedBug::kCheckBeforeAgreement) && o.applied.changed;
+    const bool stale = is_injected(InjectedBug::kCheckStaleDeclarations) && o.applied.changed;
     if (stale) {
       // The is_injected flaw: what was checked before is put on top of what stands now.
       const Topic checked = o.applied.after;
@@ -170,11 +170,11 @@
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ull;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebull;
     w.id = o.id = (z ^ (z >> 31)) | 1;
-    w.key = end.wish.key;
-    w.expected = end.fact.change;
+    w.key = end.proposal.key;
+    w.expected_change = end.current.change_id;
     w.value = written(o.applied.after);
-    w.urgent = true;
-    w.until = o.until;
+    w.is_urgent = true;
+    w.deadline = time_point_of<BootClock>(o.until);
     wishes_.push_back(std::move(w));
   }
 }
--- a/src/schema/registry.h
+++ b/src/schema/registry.h
@@ -72,8 +72,8 @@
 
   uint64_t ask(Ms now, Change change, Ms until);
   // Ends of wishes of other keys or ids are passed over.
-  void ended(Ms now, const consensus::ProposalResult& end);
-  std::vector<consensus::Proposal> take_wishes() { return std::exchange(wishes_, {}); }
+  void on_result(Ms now, const consensus::ProposalResult& end);
+  std::vector<consensus::Proposal> take_proposals() { return std::exchange(wishes_, {}); }
   std::vector<End> take_ends() { return std::exchange(ends_, {}); }
   size_t open() const { return open_.size(); }
 
--- a/tests/cluster/replica_storage_test.cpp
+++ b/tests/cluster/replica_storage_test.cpp
@@ -31,7 +31,7 @@
     ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &limit), 0);
   }
   static void put(ReplicaStorage& folder, int number) {
-    consensus::Step step;
+    consensus::AcceptorOutput step;
     step.writes.emplace_back(fmt::format("key {}", number % 8), consensus::AcceptorSlot{});
     folder.put(std::move(step));
   }
--- a/tests/cluster/wire_test.cpp
+++ b/tests/cluster/wire_test.cpp
@@ -36,25 +36,25 @@
     const auto fact = [&] {
       consensus::Register f;
       f.version = number();
-      f.change = number();
-      f.before = *rc::gen::arbitrary<std::vector<uint64_t>>();
+      f.change_id = number();
+      f.earlier_changes = *rc::gen::arbitrary<std::vector<uint64_t>>();
       f.value = word();
-      f.urgent = number() % 2;
+      f.is_urgent = number() % 2;
       return f;
     };
     Message m;
-    m.say = static_cast<MessageType>(*rc::gen::inRange(1, 12));
-    m.op = number();
+    m.type = static_cast<MessageType>(*rc::gen::inRange(1, 12));
+    m.request_id = number();
     m.key = word();
     m.ballot = {number(), number()};
-    m.held = {number(), number()};
-    m.fact = fact();
-    m.life = number();
-    m.lives = *rc::gen::arbitrary<std::vector<uint64_t>>();
-    m.founders = *rc::gen::arbitrary<std::vector<uint64_t>>();
+    m.accepted_ballot = {number(), number()};
+    m.register_state = fact();
+    m.incarnation = number();
+    m.known_incarnations = *rc::gen::arbitrary<std::vector<uint64_t>>();
+    m.bootstrap_incarnations = *rc::gen::arbitrary<std::vector<uint64_t>>();
     m.since = number();
-    m.full = number() % 2;
-    m.more = number() % 2;
+    (m.type == MessageType::kRejected ? m.is_out_of_space : m.is_voting) = number() % 2;
+    m.has_more = number() % 2;
     for (int i = *rc::gen::inRange(0, 3); i > 0; --i)
       m.entries.emplace_back(word(),
                              consensus::AcceptorSlot{{number(), number()}, {number(), number()}, fact()});
@@ -134,12 +134,12 @@
     }
     return "";
   }
-  static consensus::Step step(const std::string& key, uint64_t change) {
-    consensus::Step s;
-    s.standing = consensus::ReplicaMetadata{5, true, {5, 6, 7}, {1, 2, 3}};
+  static consensus::AcceptorOutput step(const std::string& key, uint64_t change) {
+    consensus::AcceptorOutput s;
+    s.metadata = consensus::ReplicaMetadata{5, true, {5, 6, 7}, {1, 2, 3}};
     consensus::AcceptorSlot slot{{9, 1}, {8, 1}, {}};
-    slot.fact.version = slot.fact.change = change;
-    slot.fact.value = "value";
+    slot.accepted.version = slot.accepted.change_id = change;
+    slot.accepted.value = "value";
     s.writes.emplace_back(key, slot);
     return s;
   }
@@ -154,7 +154,7 @@
   }
   const auto folder = open();
   ASSERT_TRUE(folder->standing);
-  EXPECT_EQ(*folder->standing, *step("", 0).standing);
+  EXPECT_EQ(*folder->standing, *step("", 0).metadata);
   ASSERT_EQ(folder->slots.size(), 10u);
   EXPECT_EQ(folder->slots["k0"], step("", 100).writes[0].second);
 }
@@ -173,8 +173,8 @@
 TEST_F(FolderTest, TenThousandFactsAreReadBackInUnderASecond) {
   {
     const auto folder = open();
-    consensus::Step all;
-    all.standing = step("", 1).standing;
+    consensus::AcceptorOutput all;
+    all.metadata = step("", 1).metadata;
     for (uint64_t i = 0; i < 10000; ++i)
       all.writes.push_back(step("duty:" + std::to_string(i), i + 1).writes[0]);
     folder->put(std::move(all));
--- a/tests/cluster/world_test.cpp
+++ b/tests/cluster/world_test.cpp
@@ -128,12 +128,12 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Flaws, Planted,
-                         testing::Values(std::pair(InjectedBug::kLeaseFromAnswer, "one_holder"),
-                                         std::pair(InjectedBug::kNoWait, "one_holder"),
-                                         std::pair(InjectedBug::kIntentAfterSend, "once"),
-                                         std::pair(InjectedBug::kNoEpochCheck, "acts_in_order"),
-                                         std::pair(InjectedBug::kCheckBeforeAgreement, "compatible"),
-                                         std::pair(InjectedBug::kNoPromise, "linearizable")),
+                         testing::Values(std::pair(InjectedBug::kLeaseFromResponse, "one_holder"),
+                                         std::pair(InjectedBug::kSkipTakeoverWait, "one_holder"),
+                                         std::pair(InjectedBug::kRecordIntentAfterStart, "once"),
+                                         std::pair(InjectedBug::kSkipFencingCheck, "acts_in_order"),
+                                         std::pair(InjectedBug::kCheckStaleDeclarations, "compatible"),
+                                         std::pair(InjectedBug::kSkipPromiseCheck, "linearizable")),
                          [](const auto& p) {
                            return std::string(p.param.second) +
                                   std::to_string(static_cast<int>(p.param.first));
@@ -151,7 +151,7 @@
     const FleetOutcome out = play(o);
     EXPECT_EQ(told(out), "");
     for (const RecordOp& op : out.history.ops) EXPECT_LT(op.ended, 6500);
-    injected_bug = InjectedBug::kForgetfulKeeper;
+    injected_bug = InjectedBug::kForgetfulAcceptor;
     found |= breaks(play(o), "linearizable");
     injected_bug = InjectedBug::kNone;
   }
@@ -159,7 +159,7 @@
 }
 
 TEST(FleetWorld, ABadHistoryIsCutDownToAShortOne) {
-  injected_bug = InjectedBug::kNoWait;
+  injected_bug = InjectedBug::kSkipTakeoverWait;
   FleetOptions o = rough(1);
   o.span = 6000;
   const FleetOptions cut = cut_down(o, "one_holder");
--- a/tests/consensus/acceptor_test.cpp
+++ b/tests/consensus/acceptor_test.cpp
@@ -7,278 +7,281 @@
 namespace firvalve::consensus {
 namespace {
 
+constexpr PeerId kClient = 9;
+
 Message prepare(uint64_t number, const std::string& key = "k") {
-  Message m;
-  m.say = MessageType::kPrepare;
-  m.op = number;
-  m.key = key;
-  m.ballot = {number, 7};
-  return m;
+  Message message;
+  message.type = MessageType::kPrepare;
+  message.request_id = number;
+  message.key = key;
+  message.ballot = {number, 7};
+  return message;
 }
 
 Message accept(uint64_t number, uint64_t change, uint64_t version = 1) {
-  Message m = prepare(number);
-  m.say = MessageType::kAccept;
-  m.fact.version = version;
-  m.fact.change = change;
-  m.fact.value = "v" + std::to_string(change);
-  return m;
+  Message message = prepare(number);
+  message.type = MessageType::kAccept;
+  message.register_state.version = version;
+  message.register_state.change_id = change;
+  message.register_state.value = "v" + std::to_string(change);
+  return message;
 }
 
-// Three keepers and whoever asks them, with nothing between: messages wait until they are carried.
-class Record : public testing::Test {
+// Three replicas and their clients, with nothing between them.
+class ConsensusTest : public testing::Test {
  protected:
-  Record() {
-    for (PeerId p = 0; p < 3; ++p) keepers_.push_back(fresh(p, 100 + p));
-    carry();
+  ConsensusTest() {
+    for (PeerId replica = 0; replica < 3; ++replica)
+      replicas_.push_back(empty_replica(replica, 100 + replica));
+    run_replicas();
   }
-  static Acceptor fresh(PeerId self, uint64_t chance) {
-    AcceptorOptions t;
-    t.self = self;
-    return Acceptor(t, chance);
+  static Acceptor empty_replica(PeerId self, uint64_t random) {
+    AcceptorOptions options;
+    options.self = self;
+    return Acceptor(options, random);
   }
-  // Everything that is to be said among keepers until nothing is, times going on where nothing moves.
-  void carry(Ms span = 3000) {
-    for (Ms end = now_ + span; now_ < end; now_ += 50) {
+  // Delivers what replicas send each other, and ticks them every 50 ms.
+  void run_replicas(Duration span = 3000ms) {
+    for (const BootTime end = now_ + span; now_ < end; now_ += 50ms) {
       for (bool more = true; more;) {
         more = false;
-        for (PeerId p = 0; p < keepers_.size(); ++p) {
-          if (down_ == static_cast<int>(p)) continue;
-          keepers_[p].due(now_);
-          for (Envelope& e : keepers_[p].take().sends) {
-            if (e.to >= keepers_.size()) {
-              told_.push_back({p, e.message});
-            } else if (down_ != static_cast<int>(e.to)) {
-              keepers_[e.to].handle(now_, p, e.message);
-              more = true;
-            }
+        for (PeerId replica = 0; replica < replicas_.size(); ++replica) {
+          if (down_ == replica) continue;
+          replicas_[replica].on_tick(now_);
+          for (Envelope& envelope : replicas_[replica].take_output().messages) {
+            if (envelope.to >= replicas_.size() || down_ == envelope.to) continue;
+            replicas_[envelope.to].handle(now_, replica, envelope.message);
+            more = true;
           }
         }
       }
     }
   }
-  Message say(PeerId keeper, const Message& m) {
-    keepers_[keeper].handle(now_, 9, m);
-    const Step step = keepers_[keeper].take();
-    return step.sends.empty() ? Message{} : step.sends.back().message;
+  Message response_to(PeerId replica, const Message& request) {
+    replicas_[replica].handle(now_, kClient, request);
+    const AcceptorOutput output = replicas_[replica].take_output();
+    return output.messages.empty() ? Message{} : output.messages.back().message;
   }
-  ProposalResult ask(Proposal wish, const std::vector<PeerId>& reached = {0, 1, 2}) {
-    Proposer asker({3, ++last_asker_, 1});
-    wish.until = now_ + 1000;
-    asker.ask(now_, wish);
+  ProposalResult propose(Proposal proposal, const std::vector<PeerId>& reached = {0, 1, 2}) {
+    Proposer proposer({3, ++last_proposer_id_, 1});
+    proposal.deadline = now_ + 1000ms;
+    proposer.propose(now_, proposal);
     for (;;) {
-      for (const Envelope& e : asker.take_sends()) {
-        if (std::find(reached.begin(), reached.end(), e.to) == reached.end()) continue;
-        keepers_[e.to].handle(now_, 9, e.message);
-        for (const Envelope& answer : keepers_[e.to].take().sends) asker.handle(now_, e.to, answer.message);
+      for (const Envelope& envelope : proposer.take_messages()) {
+        if (std::find(reached.begin(), reached.end(), envelope.to) == reached.end()) continue;
+        replicas_[envelope.to].handle(now_, kClient, envelope.message);
+        for (const Envelope& answer : replicas_[envelope.to].take_output().messages)
+          proposer.handle(now_, envelope.to, answer.message);
       }
-      const auto ends = asker.take_ends();
-      if (!ends.empty()) return ends.front();
-      now_ += 10;
-      asker.due(now_);
+      const auto results = proposer.take_results();
+      if (!results.empty()) return results.front();
+      now_ += 10ms;
+      proposer.on_tick(now_);
     }
   }
-  Proposal change(uint64_t id, uint64_t expected, const std::string& key = "k") {
-    Proposal w;
-    w.id = id;
-    w.key = key;
-    w.expected = expected;
-    w.value = std::to_string(id);
-    return w;
+  Proposal change_of(uint64_t id, uint64_t expected, const std::string& key = "k") {
+    Proposal proposal;
+    proposal.id = id;
+    proposal.key = key;
+    proposal.expected_change = expected;
+    proposal.value = std::to_string(id);
+    return proposal;
   }
-  Proposal reading(const std::string& key = "k") {
-    Proposal w;
-    w.key = key;
-    return w;
+  Proposal read_of(const std::string& key = "k") {
+    Proposal proposal;
+    proposal.key = key;
+    return proposal;
   }
 
-  std::vector<Acceptor> keepers_;
-  std::vector<std::pair<PeerId, Message>> told_;
-  Ms now_ = 1;
-  int down_ = -1;
-  uint64_t last_asker_ = 40;
+  std::vector<Acceptor> replicas_;
+  BootTime now_ = time_point_of<BootClock>(1);
+  std::optional<PeerId> down_;
+  uint64_t last_proposer_id_ = 40;
 };
 
-TEST_F(Record, ThreeThatHaveNothingBeginTogether) {
-  for (const Acceptor& k : keepers_) EXPECT_TRUE(k.full());
-  EXPECT_EQ(keepers_[0].standing().founders, keepers_[2].standing().founders);
+TEST_F(ConsensusTest, EmptyReplicasBootstrapTogether) {
+  for (const Acceptor& replica : replicas_) EXPECT_TRUE(replica.is_voting());
+  EXPECT_EQ(replicas_[0].metadata().bootstrap_incarnations, replicas_[2].metadata().bootstrap_incarnations);
 }
 
-TEST_F(Record, APromiseIsKept) {
-  EXPECT_EQ(say(0, prepare(5)).say, MessageType::kPromise);
-  EXPECT_EQ(say(0, prepare(4)).say, MessageType::kRefused);
-  EXPECT_EQ(say(0, accept(4, 1)).say, MessageType::kRefused);
-  EXPECT_EQ(say(0, accept(4, 1)).ballot.number, 5u);
-  EXPECT_EQ(say(0, accept(5, 1)).say, MessageType::kAccepted);
-  EXPECT_EQ(say(0, accept(5, 1)).say, MessageType::kAccepted);  // once more, as a repeated message
-  EXPECT_EQ(say(0, prepare(6)).fact.change, 1u);
+TEST_F(ConsensusTest, AnAcceptorKeepsItsPromise) {
+  EXPECT_EQ(response_to(0, prepare(5)).type, MessageType::kPromise);
+  EXPECT_EQ(response_to(0, prepare(4)).type, MessageType::kRejected);
+  EXPECT_EQ(response_to(0, accept(4, 1)).type, MessageType::kRejected);
+  EXPECT_EQ(response_to(0, accept(4, 1)).ballot.number, 5u);
+  EXPECT_EQ(response_to(0, accept(5, 1)).type, MessageType::kAccepted);
+  EXPECT_EQ(response_to(0, accept(5, 1)).type, MessageType::kAccepted);  // once more, as a repeated message
+  EXPECT_EQ(response_to(0, prepare(6)).register_state.change_id, 1u);
 }
 
-TEST_F(Record, AChangeStandsOnTheOneThatItNames) {
-  EXPECT_EQ(ask(change(1, 0)).kind, ProposalResult::Kind::kAgreed);
-  const ProposalResult second = ask(change(2, 0));
+TEST_F(ConsensusTest, AChangeIsCommittedOnTopOfTheOneThatItNames) {
+  EXPECT_EQ(propose(change_of(1, 0)).kind, ProposalResult::Kind::kCommitted);
+  const ProposalResult second = propose(change_of(2, 0));
   EXPECT_EQ(second.kind, ProposalResult::Kind::kConflict);
-  EXPECT_EQ(second.fact.change, 1u);
-  EXPECT_EQ(ask(change(3, 1)).fact.version, 2u);
-  const ProposalResult read = ask(reading());
+  EXPECT_EQ(second.current.change_id, 1u);
+  EXPECT_EQ(propose(change_of(3, 1)).current.version, 2u);
+  const ProposalResult read = propose(read_of());
   EXPECT_EQ(read.kind, ProposalResult::Kind::kRead);
-  EXPECT_EQ(read.fact.value, "3");
-  EXPECT_EQ(ask(reading("other")).fact.version, 0u);
+  EXPECT_EQ(read.current.value, "3");
+  EXPECT_EQ(propose(read_of("other")).current.version, 0u);
 }
 
-TEST_F(Record, TheSameChangeAskedAgainIsMadeOnce) {
-  EXPECT_EQ(ask(change(1, 0)).kind, ProposalResult::Kind::kAgreed);
-  EXPECT_EQ(ask(change(1, 0)).fact.version, 1u);
-  EXPECT_EQ(ask(change(2, 1)).kind, ProposalResult::Kind::kAgreed);
-  const ProposalResult again = ask(change(1, 0));  // another has built on it since
-  EXPECT_EQ(again.kind, ProposalResult::Kind::kAgreed);
-  EXPECT_EQ(again.fact.change, 2u);
+TEST_F(ConsensusTest, AChangeThatIsProposedAgainIsCommittedOnce) {
+  EXPECT_EQ(propose(change_of(1, 0)).kind, ProposalResult::Kind::kCommitted);
+  EXPECT_EQ(propose(change_of(1, 0)).current.version, 1u);
+  EXPECT_EQ(propose(change_of(2, 1)).kind, ProposalResult::Kind::kCommitted);
+  const ProposalResult again = propose(change_of(1, 0));  // another has built on it since
+  EXPECT_EQ(again.kind, ProposalResult::Kind::kCommitted);
+  EXPECT_EQ(again.current.change_id, 2u);
 }
 
-TEST_F(Record, TwoOfThreeAreEnoughAndOneIsNot) {
-  EXPECT_EQ(ask(change(1, 0), {0, 1}).kind, ProposalResult::Kind::kAgreed);
-  EXPECT_EQ(ask(reading(), {1, 2}).fact.change, 1u);
-  EXPECT_EQ(ask(change(2, 1), {2}).kind, ProposalResult::Kind::kNoMajority);
-  EXPECT_EQ(ask(reading()).fact.change, 1u);
+TEST_F(ConsensusTest, TwoOfThreeReplicasAreAQuorumAndOneIsNot) {
+  EXPECT_EQ(propose(change_of(1, 0), {0, 1}).kind, ProposalResult::Kind::kCommitted);
+  EXPECT_EQ(propose(read_of(), {1, 2}).current.change_id, 1u);
+  EXPECT_EQ(propose(change_of(2, 1), {2}).kind, ProposalResult::Kind::kNoQuorum);
+  EXPECT_EQ(propose(read_of()).current.change_id, 1u);
 }
 
-TEST_F(Record, AKeeperWithoutAMemoryTakesPartOnlyOnceItHasLearnedAll) {
+TEST_F(ConsensusTest, AReplicaThatLostItsStorageVotesOnlyAfterRecovery) {
   for (int i = 0; i < 200; ++i)  // more than one page
-    ASSERT_EQ(ask(change(1000u + static_cast<uint64_t>(i), 0, "k" + std::to_string(i)), {0, 1}).kind,
-              ProposalResult::Kind::kAgreed);
-  keepers_[1] = fresh(1, 77);
-  EXPECT_EQ(say(1, prepare(900)).say, Message{}.say);  // no answer
-  EXPECT_FALSE(keepers_[1].full());
-  carry();
-  EXPECT_TRUE(keepers_[1].full());
-  EXPECT_EQ(keepers_[1].slots().size(), 200u);
-  for (int i = 0; i < 200; i += 17) EXPECT_EQ(ask(reading("k" + std::to_string(i)), {1, 2}).fact.version, 1u);
-  EXPECT_GT(keepers_[0].standing().lives[1], Incarnation{77});
+    ASSERT_EQ(propose(change_of(1000u + static_cast<uint64_t>(i), 0, "k" + std::to_string(i)), {0, 1}).kind,
+              ProposalResult::Kind::kCommitted);
+  replicas_[1] = empty_replica(1, 77);
+  EXPECT_EQ(response_to(1, prepare(900)).type, Message{}.type);  // no answer
+  EXPECT_FALSE(replicas_[1].is_voting());
+  run_replicas();
+  EXPECT_TRUE(replicas_[1].is_voting());
+  EXPECT_EQ(replicas_[1].slots().size(), 200u);
+  for (int i = 0; i < 200; i += 17)
+    EXPECT_EQ(propose(read_of("k" + std::to_string(i)), {1, 2}).current.version, 1u);
+  EXPECT_GT(replicas_[0].metadata().known_incarnations[1], Incarnation{77});
 }
 
-TEST_F(Record, ItWaitsWhereTooFewAreLeftToLearnFrom) {
-  keepers_[1] = fresh(1, 77);
+TEST_F(ConsensusTest, RecoveryWaitsForAQuorumOfTheOthers) {
+  replicas_[1] = empty_replica(1, 77);
   down_ = 2;
-  carry();
-  EXPECT_FALSE(keepers_[1].full());
-  down_ = -1;
-  carry();
-  EXPECT_TRUE(keepers_[1].full());
+  run_replicas();
+  EXPECT_FALSE(replicas_[1].is_voting());
+  down_.reset();
+  run_replicas();
+  EXPECT_TRUE(replicas_[1].is_voting());
 }
 
-TEST_F(Record, OneThatMissedTheBeginningTakesPartAtOnceWhereItPromisedNothing) {
-  std::vector<Acceptor> fresh_three;
-  for (PeerId p = 0; p < 3; ++p) fresh_three.push_back(fresh(p, 200 + p));
-  keepers_ = std::move(fresh_three);
-  // All three tell each other that they have nothing; then the last one hears of nobody.
-  for (PeerId p = 0; p < 3; ++p) keepers_[p].due(now_);
+TEST_F(ConsensusTest, AReplicaThatMissedTheEndOfTheBootstrapVotesAtOnce) {
+  std::vector<Acceptor> empty_replicas;
+  for (PeerId replica = 0; replica < 3; ++replica)
+    empty_replicas.push_back(empty_replica(replica, 200 + replica));
+  replicas_ = std::move(empty_replicas);
+  // All three tell each other that they are empty; the last responses do not reach the third.
+  for (PeerId replica = 0; replica < 3; ++replica) replicas_[replica].on_tick(now_);
   std::vector<std::pair<PeerId, Envelope>> asked;
-  for (PeerId p = 0; p < 3; ++p)
-    for (Envelope& e : keepers_[p].take().sends) asked.emplace_back(p, e);
-  for (auto& [from, e] : asked) keepers_[e.to].handle(now_, from, e.message);
-  for (PeerId p = 0; p < 3; ++p)
-    for (Envelope& e : keepers_[p].take().sends)
-      if (e.to != 2) keepers_[e.to].handle(now_, p, e.message);
-  EXPECT_TRUE(keepers_[0].full());
-  EXPECT_FALSE(keepers_[2].full());
-  ask(change(1, 0), {0, 1});
-  const Incarnation before = keepers_[2].standing().life;
-  carry();
-  EXPECT_TRUE(keepers_[2].full());
-  EXPECT_EQ(keepers_[2].standing().life, before);  // the very one that was there at the beginning
+  for (PeerId replica = 0; replica < 3; ++replica)
+    for (Envelope& envelope : replicas_[replica].take_output().messages)
+      asked.emplace_back(replica, envelope);
+  for (auto& [from, envelope] : asked) replicas_[envelope.to].handle(now_, from, envelope.message);
+  for (PeerId replica = 0; replica < 3; ++replica)
+    for (Envelope& envelope : replicas_[replica].take_output().messages)
+      if (envelope.to != 2) replicas_[envelope.to].handle(now_, replica, envelope.message);
+  EXPECT_TRUE(replicas_[0].is_voting());
+  EXPECT_FALSE(replicas_[2].is_voting());
+  propose(change_of(1, 0), {0, 1});
+  const Incarnation before = replicas_[2].metadata().incarnation;
+  run_replicas();
+  EXPECT_TRUE(replicas_[2].is_voting());
+  EXPECT_EQ(replicas_[2].metadata().incarnation, before);  // the one that was bootstrapped
 }
 
-TEST_F(Record, WithItsFolderItIsBackAtOnce) {
-  ask(change(1, 0), {0, 1});
-  AcceptorOptions t;
-  t.self = 1;
-  keepers_[1] = Acceptor(t, keepers_[1].standing(), keepers_[1].slots());
-  EXPECT_TRUE(keepers_[1].full());
-  EXPECT_EQ(ask(reading(), {1, 2}).fact.change, 1u);
+TEST_F(ConsensusTest, AReplicaWithItsStorageVotesAtOnce) {
+  propose(change_of(1, 0), {0, 1});
+  AcceptorOptions options;
+  options.self = 1;
+  replicas_[1] = Acceptor(options, replicas_[1].metadata(), replicas_[1].slots());
+  EXPECT_TRUE(replicas_[1].is_voting());
+  EXPECT_EQ(propose(read_of(), {1, 2}).current.change_id, 1u);
 }
 
-TEST_F(Record, WritesThatFailedComeAgainAndTheirAnswersDoNot) {
-  keepers_[0].handle(now_, 9, prepare(5));
-  Step step = keepers_[0].take();
-  EXPECT_EQ(step.writes.size(), 1u);
-  keepers_[0].unwritten(std::move(step));
-  const Step again = keepers_[0].take();
+TEST_F(ConsensusTest, FailedWritesAreRepeatedAndTheirResponsesAreNot) {
+  replicas_[0].handle(now_, kClient, prepare(5));
+  const AcceptorOutput output = replicas_[0].take_output();
+  EXPECT_EQ(output.writes.size(), 1u);
+  replicas_[0].on_write_failed(output);
+  const AcceptorOutput again = replicas_[0].take_output();
   EXPECT_EQ(again.writes.size(), 1u);
-  EXPECT_TRUE(again.sends.empty());
+  EXPECT_TRUE(again.messages.empty());
 }
 
-TEST_F(Record, LookersHearOfUrgentChangesAtOnceAndOfOthersTogether) {
-  Message look;
-  look.say = MessageType::kLook;
-  look.op = 1;
-  EXPECT_EQ(say(0, look).say, MessageType::kChanges);  // who knows nothing is told what there is: nothing
-  look.life = keepers_[0].standing().life;
-  keepers_[0].handle(now_, 9, look);
-  EXPECT_TRUE(keepers_[0].take().sends.empty());
-  ask(change(1, 0), {0, 1});
-  keepers_[0].due(now_);
-  EXPECT_TRUE(keepers_[0].take().sends.empty());
-  keepers_[0].due(now_ + 250);
-  const Step told = keepers_[0].take();
-  ASSERT_EQ(told.sends.size(), 1u);
-  EXPECT_EQ(told.sends[0].message.entries.size(), 1u);
-  look.since = told.sends[0].message.since;
-  keepers_[0].handle(now_, 9, look);
-  Proposal urgent = change(2, 1);
-  urgent.urgent = true;
-  ask(urgent, {0, 1});
-  keepers_[0].due(now_);
-  EXPECT_EQ(keepers_[0].take().sends.size(), 1u);
+TEST_F(ConsensusTest, WatchersAreNotifiedOfUrgentChangesAtOnceAndOfOthersTogether) {
+  Message watch;
+  watch.type = MessageType::kWatch;
+  watch.request_id = 1;
+  EXPECT_EQ(response_to(0, watch).type, MessageType::kChanges);  // the first request is answered at once
+  watch.incarnation = replicas_[0].metadata().incarnation;
+  replicas_[0].handle(now_, kClient, watch);
+  EXPECT_TRUE(replicas_[0].take_output().messages.empty());
+  propose(change_of(1, 0), {0, 1});
+  replicas_[0].on_tick(now_);
+  EXPECT_TRUE(replicas_[0].take_output().messages.empty());
+  replicas_[0].on_tick(now_ + 250ms);
+  const AcceptorOutput notified = replicas_[0].take_output();
+  ASSERT_EQ(notified.messages.size(), 1u);
+  EXPECT_EQ(notified.messages[0].message.entries.size(), 1u);
+  watch.since = notified.messages[0].message.since;
+  replicas_[0].handle(now_, kClient, watch);
+  Proposal urgent = change_of(2, 1);
+  urgent.is_urgent = true;
+  propose(urgent, {0, 1});
+  replicas_[0].on_tick(now_);
+  EXPECT_EQ(replicas_[0].take_output().messages.size(), 1u);
 }
 
-TEST_F(Record, LargeFactsComeInSeveralPagesAndTheirBytesAreLimited) {
+TEST_F(ConsensusTest, LargeValuesAreFetchedInPagesAndTheirBytesAreLimited) {
   Proposal large;
   for (int i = 0; i < 12; ++i) {
-    large = change(100 + static_cast<uint64_t>(i), 0, "large" + std::to_string(i));
+    large = change_of(100 + static_cast<uint64_t>(i), 0, "large" + std::to_string(i));
     large.value.assign(100 * 1024, 'x');
-    ASSERT_EQ(ask(large, {0, 1}).kind, ProposalResult::Kind::kAgreed);
+    ASSERT_EQ(propose(large, {0, 1}).kind, ProposalResult::Kind::kCommitted);
   }
-  keepers_[2] = fresh(2, 88);
-  size_t most = 0;
-  for (int turn = 0; turn < 100 && !keepers_[2].full(); ++turn, now_ += 50)
-    for (PeerId p = 0; p < 3; ++p) {
-      keepers_[p].due(now_);
-      for (Envelope& e : keepers_[p].take().sends) {
+  replicas_[2] = empty_replica(2, 88);
+  size_t largest_page = 0;
+  for (int tick = 0; tick < 100 && !replicas_[2].is_voting(); ++tick, now_ += 50ms)
+    for (PeerId replica = 0; replica < 3; ++replica) {
+      replicas_[replica].on_tick(now_);
+      for (Envelope& envelope : replicas_[replica].take_output().messages) {
         size_t bytes = 0;
-        for (const auto& [key, slot] : e.message.entries) bytes += slot.fact.value.size();
-        most = std::max(most, bytes);
-        if (e.to < 3) keepers_[e.to].handle(now_, p, e.message);
+        for (const auto& [key, slot] : envelope.message.entries) bytes += slot.accepted.value.size();
+        largest_page = std::max(largest_page, bytes);
+        if (envelope.to < 3) replicas_[envelope.to].handle(now_, replica, envelope.message);
       }
     }
-  EXPECT_TRUE(keepers_[2].full());
-  EXPECT_EQ(keepers_[2].slots().size(), 12u);
-  EXPECT_LT(most, 500u * 1024);
-  AcceptorOptions t;
-  t.keepers = 1;
-  t.bytes_most = 1000;
-  Acceptor small(t, 5);
-  Message m = accept(1, 1);
-  m.fact.value.assign(900, 'x');
-  small.handle(1, 9, m);
-  m.key = "other";
-  small.handle(1, 9, m);
-  const Step step = small.take();
-  EXPECT_EQ(step.sends[0].message.say, MessageType::kAccepted);
-  EXPECT_EQ(step.sends[1].message.say, MessageType::kRefused);
-  EXPECT_TRUE(step.sends[1].message.full);
+  EXPECT_TRUE(replicas_[2].is_voting());
+  EXPECT_EQ(replicas_[2].slots().size(), 12u);
+  EXPECT_LT(largest_page, 500u * 1024);
+  AcceptorOptions options;
+  options.replica_count = 1;
+  options.max_value_bytes = 1000;
+  Acceptor small(options, 5);
+  Message message = accept(1, 1);
+  message.register_state.value.assign(900, 'x');
+  small.handle(now_, kClient, message);
+  message.key = "other";
+  small.handle(now_, kClient, message);
+  const AcceptorOutput output = small.take_output();
+  EXPECT_EQ(output.messages[0].message.type, MessageType::kAccepted);
+  EXPECT_EQ(output.messages[1].message.type, MessageType::kRejected);
+  EXPECT_TRUE(output.messages[1].message.is_out_of_space);
 }
 
-TEST_F(Record, FactsAreLimited) {
-  AcceptorOptions t;
-  t.self = 0;
-  t.keepers = 1;
-  t.facts_most = 2;
-  Acceptor one(t, 5);
-  for (const char* key : {"a", "b", "c"}) one.handle(1, 9, prepare(1, key));
-  const Step step = one.take();
-  EXPECT_EQ(step.sends[1].message.say, MessageType::kPromise);
-  EXPECT_EQ(step.sends[2].message.say, MessageType::kRefused);
-  EXPECT_TRUE(step.sends[2].message.full);
+TEST_F(ConsensusTest, TheNumberOfRegistersIsLimited) {
+  AcceptorOptions options;
+  options.self = 0;
+  options.replica_count = 1;
+  options.max_registers = 2;
+  Acceptor one(options, 5);
+  for (const char* key : {"a", "b", "c"}) one.handle(now_, kClient, prepare(1, key));
+  const AcceptorOutput output = one.take_output();
+  EXPECT_EQ(output.messages[1].message.type, MessageType::kPromise);
+  EXPECT_EQ(output.messages[2].message.type, MessageType::kRejected);
+  EXPECT_TRUE(output.messages[2].message.is_out_of_space);
 }
 
 }  // namespace
--- a/tests/consensus/explore_test.cpp
+++ b/tests/consensus/explore_test.cpp
@@ -1,5 +1,5 @@
-// Every way in which messages are delivered, lost, repeated, in which a keeper dies and in which askers give
-// up waiting, over the real keepers and askers, up to the bounds that each test names.
+// Every way in which messages are delivered, lost and repeated, in which replicas lose their storage and in
+// which proposers time out, over the real acceptors and proposers, up to the bounds that each test names.
 
 #include <gtest/gtest.h>
 
@@ -15,56 +15,56 @@
 namespace {
 
 struct Bounds {
-  int timeouts = 1;             // of each asker
-  int repeats = 0;              // messages that arrive and may arrive again
-  int deaths = 0;               // keepers that lose their memory
-  bool learns_at_once = false;  // and have learned all again before anything else happens
-  int restarts = 0;             // keepers that come back with it
-  int changes = 1;              // that each asker wants, one on top of what the one before left
+  int timeouts = 1;               // of each proposer
+  int repeats = 0;                // messages that arrive and may arrive again
+  int storage_losses = 0;         // replicas that lose their storage
+  bool recovers_at_once = false;  // before anything else happens
+  int restarts = 0;               // replicas that restart with their storage
+  int changes = 1;                // that each proposer proposes, on top of what it saw before
 };
 
-// Two that want to change one fact, three keepers. Nothing but what the machines say is between them.
+// Two proposers that change one register of three replicas.
 class Race {
  public:
   struct Move {
-    enum Kind { kDeliver, kRepeat, kTimeout, kDie, kRestart } kind = kDeliver;
+    enum Kind { kDeliver, kRepeat, kTimeout, kLoseStorage, kRestart } kind = kDeliver;
     size_t which = 0;
   };
 
   explicit Race(const Bounds& bounds) : bounds_(bounds) {
     for (PeerId p = 0; p < 3; ++p) {
-      AcceptorOptions t;
-      t.self = p;
-      ReplicaMetadata standing;
-      standing.life = 1 + p;
-      standing.full = true;
-      standing.lives = standing.founders = {1, 2, 3};
-      keepers_.emplace_back(t, standing, std::map<std::string, AcceptorSlot>{});
+      AcceptorOptions options;
+      options.self = p;
+      ReplicaMetadata metadata;
+      metadata.incarnation = 1 + p;
+      metadata.is_voting = true;
+      metadata.known_incarnations = metadata.bootstrap_incarnations = {1, 2, 3};
+      replicas_.emplace_back(options, metadata, std::map<std::string, AcceptorSlot>{});
     }
     for (uint64_t a = 0; a < 2; ++a) {
-      ProposerOptions t;
-      t.asker = t.seed = a + 1;
-      t.repeats = 0;  // the first time-out already begins anew: what was lost is asked under a new ballot
-      askers_.emplace_back(t);
+      ProposerOptions options;
+      options.proposer_id = options.seed = a + 1;
+      options.max_resends = 0;  // after the first timeout the proposal starts over under a new ballot
+      proposers_.emplace_back(options);
       timeouts_.push_back(bounds.timeouts);
       changes_.push_back(0);
-      ends_.emplace_back();
-      want(a, 0);
+      results_.emplace_back();
+      propose(a, 0);
     }
     settle();
   }
 
   std::vector<Move> moves() const {
     std::vector<Move> out;
-    for (size_t i = 0; i < flying_.size(); ++i) {
-      if (i > 0 && flying_[i].same(flying_[i - 1])) continue;
+    for (size_t i = 0; i < in_flight_.size(); ++i) {
+      if (i > 0 && in_flight_[i].same(in_flight_[i - 1])) continue;
       out.push_back({Move::kDeliver, i});
       if (bounds_.repeats > 0) out.push_back({Move::kRepeat, i});
     }
-    for (size_t a = 0; a < askers_.size(); ++a)
-      if (timeouts_[a] > 0 && askers_[a].open() > 0) out.push_back({Move::kTimeout, a});
-    for (size_t k = 0; k < keepers_.size(); ++k) {
-      if (bounds_.deaths > 0 && keepers_[k].full()) out.push_back({Move::kDie, k});
+    for (size_t a = 0; a < proposers_.size(); ++a)
+      if (timeouts_[a] > 0 && proposers_[a].open_count() > 0) out.push_back({Move::kTimeout, a});
+    for (size_t k = 0; k < replicas_.size(); ++k) {
+      if (bounds_.storage_losses > 0 && replicas_[k].is_voting()) out.push_back({Move::kLoseStorage, k});
       if (bounds_.restarts > 0) out.push_back({Move::kRestart, k});
     }
     return out;
@@ -74,35 +74,35 @@
     switch (move.kind) {
       case Move::kRepeat:
         --bounds_.repeats;
-        deliver(flying_[move.which]);
+        deliver(in_flight_[move.which]);
         break;
       case Move::kDeliver: {
-        const Flying f = flying_[move.which];
-        flying_.erase(flying_.begin() + static_cast<long>(move.which));
+        const InFlight f = in_flight_[move.which];
+        in_flight_.erase(in_flight_.begin() + static_cast<long>(move.which));
         deliver(f);
         break;
       }
       case Move::kTimeout:
         --timeouts_[move.which];
-        // Once for the silence, once for the drawn wait after it.
-        askers_[move.which].due(now_ += 1000);
-        askers_[move.which].due(now_ += 1000);
+        // Once for the response timeout, once for the backoff after it.
+        proposers_[move.which].on_tick(now_ += 1000ms);
+        proposers_[move.which].on_tick(now_ += 1000ms);
         break;
-      case Move::kDie: {
-        --bounds_.deaths;
-        AcceptorOptions t;
-        t.self = static_cast<PeerId>(move.which);
-        keepers_[move.which] = Acceptor(t, 50 + move.which);
-        keepers_[move.which].due(now_ += 1000);
-        for (bool more = bounds_.learns_at_once; more;) {
+      case Move::kLoseStorage: {
+        --bounds_.storage_losses;
+        AcceptorOptions options;
+        options.self = static_cast<PeerId>(move.which);
+        replicas_[move.which] = Acceptor(options, 50 + move.which);
+        replicas_[move.which].on_tick(now_ += 1000ms);
+        for (bool more = bounds_.recovers_at_once; more;) {
           more = false;
           for (PeerId k = 0; k < 3; ++k)
-            for (const Envelope& e : keepers_[k].take().sends) {
+            for (const Envelope& e : replicas_[k].take_output().messages) {
               if (e.to < 3) {
-                keepers_[e.to].handle(now_, k, e.message);
+                replicas_[e.to].handle(now_, k, e.message);
                 more = true;
               } else {
-                fly(k, e.to, e.message);
+                put_in_flight(k, e.to, e.message);
               }
             }
         }
@@ -110,11 +110,11 @@
       }
       case Move::kRestart: {
         --bounds_.restarts;
-        AcceptorOptions t;
-        t.self = static_cast<PeerId>(move.which);
-        Acceptor& k = keepers_[move.which];
-        k = Acceptor(t, k.standing(), k.slots());
-        k.due(now_ += 1000);
+        AcceptorOptions options;
+        options.self = static_cast<PeerId>(move.which);
+        Acceptor& replica = replicas_[move.which];
+        replica = Acceptor(options, replica.metadata(), replica.slots());
+        replica.on_tick(now_ += 1000ms);
         break;
       }
     }
@@ -122,165 +122,169 @@
   }
 
   std::string told(const Move& move) const {
-    if (move.kind == Move::kTimeout) return "asker " + std::to_string(move.which) + " gives up waiting";
-    if (move.kind == Move::kDie) return "keeper " + std::to_string(move.which) + " loses its memory";
-    if (move.kind == Move::kRestart) return "keeper " + std::to_string(move.which) + " is started again";
-    static const char* const kNames[] = {"",     "prepare", "promise",  "accept",      "accepted", "refused",
-                                         "look", "changes", "standing", "standing is", "fetch",    "state"};
-    const Flying& f = flying_[move.which];
-    return std::string(kNames[static_cast<int>(f.message.say)]) + " of ballot " +
-           std::to_string(f.message.ballot.number) + "/" + std::to_string(f.message.ballot.asker) + " from " +
-           std::to_string(f.from) + " to " + std::to_string(f.to) +
+    if (move.kind == Move::kTimeout) return "proposer " + std::to_string(move.which) + " times out";
+    if (move.kind == Move::kLoseStorage)
+      return "replica " + std::to_string(move.which) + " loses its storage";
+    if (move.kind == Move::kRestart) return "replica " + std::to_string(move.which) + " restarts";
+    static const char* const kNames[] = {
+        "",      "prepare", "promise",          "accept",   "accepted",    "rejected",
+        "watch", "changes", "metadata request", "metadata", "fetch state", "state"};
+    const InFlight& f = in_flight_[move.which];
+    return std::string(kNames[static_cast<int>(f.message.type)]) + " of ballot " +
+           std::to_string(f.message.ballot.number) + "/" + std::to_string(f.message.ballot.proposer_id) +
+           " from " + std::to_string(f.from) + " to " + std::to_string(f.to) +
            (move.kind == Move::kRepeat ? ", and again later" : "");
   }
 
   std::string digest() const {
     Digest d;
-    for (const Acceptor& k : keepers_) d.add(k.digest());
-    for (size_t a = 0; a < askers_.size(); ++a) {
-      d.add(askers_[a].digest()).add(timeouts_[a]).add(changes_[a]);
-      for (const ProposalResult& e : ends_[a]) d.add(static_cast<uint8_t>(e.kind)).add(e.wish.id).add(e.fact);
+    for (const Acceptor& k : replicas_) d.add(k.digest());
+    for (size_t a = 0; a < proposers_.size(); ++a) {
+      d.add(proposers_[a].digest()).add(timeouts_[a]).add(changes_[a]);
+      for (const ProposalResult& e : results_[a])
+        d.add(static_cast<uint8_t>(e.kind)).add(e.proposal.id).add(e.current);
     }
-    for (const Flying& f : flying_) d.add(f.from).add(f.to).add(f.message);
-    d.add(bounds_.repeats).add(bounds_.deaths).add(bounds_.restarts);
+    for (const InFlight& f : in_flight_) d.add(f.from).add(f.to).add(f.message);
+    d.add(bounds_.repeats).add(bounds_.storage_losses).add(bounds_.restarts);
     return d.text();
   }
 
-  // What was told as standing must fit into one chain: each version was made once, on top of the one before,
-  // what was told as never made is in none of them, and nobody is told of less than was told to anybody
-  // before.
+  // What was reported as committed must fit into one chain: each version was made once, on top of the one
+  // before, what was reported as a conflict is in none of them, and no proposer sees less than it saw before.
   std::optional<std::string> breach() const {
     std::map<uint64_t, uint64_t> made;
-    for (const ProposalResult& e : told_) {
-      const Register& f = e.fact;
+    for (const ProposalResult& e : all_results_) {
+      const Register& f = e.current;
       for (uint64_t v = f.version, i = 0; v > 0; --v, ++i) {
-        const uint64_t id = i == 0 ? f.change : f.before[i - 1];
+        const uint64_t id = i == 0 ? f.change_id : f.earlier_changes[i - 1];
         const auto [at, first] = made.emplace(v, id);
         if (!first && at->second != id)
-          return "version " + std::to_string(v) + " was told as " + std::to_string(at->second) + " and as " +
-                 std::to_string(id);
+          return "version " + std::to_string(v) + " was reported as " + std::to_string(at->second) +
+                 " and as " + std::to_string(id);
       }
     }
-    for (const ProposalResult& e : told_)
+    for (const ProposalResult& e : all_results_)
       if (e.kind == ProposalResult::Kind::kConflict)
         for (const auto& [version, id] : made)
-          if (id == e.wish.id) return "change " + std::to_string(id) + " was told as never made, and stands";
-    // Each of these ended after the wish of the next began only where the machines ran beside each other: the
-    // same asker's follow each other.
-    for (const auto& ends : ends_)
-      for (size_t i = 1; i < ends.size(); ++i)
-        if (ends[i].fact.version < ends[i - 1].fact.version) return "an asker was told of less than before";
+          if (id == e.proposal.id)
+            return "change " + std::to_string(id) + " was reported as a conflict, and is committed";
+    // The proposals of one proposer follow each other; those of two may overlap.
+    for (const auto& results : results_)
+      for (size_t i = 1; i < results.size(); ++i)
+        if (results[i].current.version < results[i - 1].current.version)
+          return "a proposer saw less than before";
     return {};
   }
 
  private:
-  struct Flying {
-    PeerId from = 0, to = 0;  // askers are 3 and 4
+  struct InFlight {
+    PeerId from = 0, to = 0;  // proposers are 3 and 4
     Message message;
     std::string text;
-    bool same(const Flying& o) const { return text == o.text; }
+    bool same(const InFlight& o) const { return text == o.text; }
   };
 
-  void want(size_t asker, uint64_t expected) {
-    Proposal w;
-    w.id = 10 * (asker + 1) + static_cast<uint64_t>(++changes_[asker]);
-    w.key = "k";
-    w.expected = expected;
-    w.until = 1e12;
-    askers_[asker].ask(now_, w);
+  void propose(size_t proposer, ChangeId expected) {
+    Proposal proposal;
+    proposal.id = 10 * (proposer + 1) + static_cast<uint64_t>(++changes_[proposer]);
+    proposal.key = "k";
+    proposal.expected_change = expected;
+    proposal.deadline = time_point_of<BootClock>(1e12);
+    proposers_[proposer].propose(now_, proposal);
   }
 
-  void deliver(const Flying& f) {
+  void deliver(const InFlight& f) {
     if (f.to < 3)
-      keepers_[f.to].handle(now_, f.from, f.message);
+      replicas_[f.to].handle(now_, f.from, f.message);
     else
-      askers_[f.to - 3].handle(now_, f.from, f.message);
+      proposers_[f.to - 3].handle(now_, f.from, f.message);
   }
 
-  void fly(PeerId from, PeerId to, const Message& m) {
+  void put_in_flight(PeerId from, PeerId to, const Message& m) {
     Digest d;
     d.add(from).add(to).add(m);
-    flying_.push_back({from, to, m, d.text()});
+    in_flight_.push_back({from, to, m, d.text()});
   }
 
   void settle() {
     for (PeerId k = 0; k < 3; ++k)
-      for (const Envelope& e : keepers_[k].take().sends) fly(k, e.to, e.message);
+      for (const Envelope& e : replicas_[k].take_output().messages) put_in_flight(k, e.to, e.message);
     for (PeerId a = 0; a < 2; ++a) {
-      for (const ProposalResult& e : askers_[a].take_ends()) {
-        ends_[a].push_back(e);
-        told_.push_back(e);
-        if (changes_[a] < bounds_.changes) want(a, e.fact.change);
+      for (const ProposalResult& e : proposers_[a].take_results()) {
+        results_[a].push_back(e);
+        all_results_.push_back(e);
+        if (changes_[a] < bounds_.changes) propose(a, e.current.change_id);
       }
-      for (const Envelope& e : askers_[a].take_sends()) fly(3 + a, e.to, e.message);
+      for (const Envelope& e : proposers_[a].take_messages()) put_in_flight(3 + a, e.to, e.message);
     }
-    // What would change nothing any more is not worth a state: answers to rounds that are over.
-    std::erase_if(flying_,
-                  [this](const Flying& f) { return f.to >= 3 && !askers_[f.to - 3].waits_for(f.message); });
-    std::sort(flying_.begin(), flying_.end(),
-              [](const Flying& a, const Flying& b) { return a.text < b.text; });
+    // Responses to rounds that are over change nothing: not worth a state.
+    std::erase_if(in_flight_, [this](const InFlight& f) {
+      return f.to >= 3 && !proposers_[f.to - 3].is_expecting(f.message);
+    });
+    std::sort(in_flight_.begin(), in_flight_.end(),
+              [](const InFlight& a, const InFlight& b) { return a.text < b.text; });
   }
 
   Bounds bounds_;
-  std::vector<Acceptor> keepers_;
-  std::vector<Proposer> askers_;
+  std::vector<Acceptor> replicas_;
+  std::vector<Proposer> proposers_;
   std::vector<int> timeouts_, changes_;
-  std::vector<std::vector<ProposalResult>> ends_;
-  std::vector<ProposalResult> told_;
-  std::vector<Flying> flying_;
-  Ms now_ = 1;
+  std::vector<std::vector<ProposalResult>> results_;
+  std::vector<ProposalResult> all_results_;
+  std::vector<InFlight> in_flight_;
+  BootTime now_ = time_point_of<BootClock>(1);
 };
 
 const size_t kMost = states_most();
 
 lab::Explored explore(const Bounds& bounds, size_t most) { return explored<Race>(bounds, most); }
-bool found(const Bounds& bounds, InjectedBug flaw) { return walks_find<Race>(bounds, flaw, kMost / 2); }
+bool found(const Bounds& bounds, InjectedBug bug) { return walks_find<Race>(bounds, bug, kMost / 2); }
 
-TEST(Explore, TwoThatChangeOneFactAndNobodyGivesUp) {
+TEST(ExploreConsensus, TwoProposersOfOneRegisterWithoutTimeouts) {
   Bounds b;
   b.timeouts = 0;
   EXPECT_FALSE(explore(b, kMost).breach);
 }
 
-TEST(Explore, TwoThatChangeOneFactWithATimeOut) {
+TEST(ExploreConsensus, TwoProposersOfOneRegisterWithATimeout) {
   Bounds b;
   b.timeouts = 1;
   const lab::Explored out = explore(b, kMost);
   EXPECT_FALSE(out.breach);
 }
 
-TEST(Explore, TheSameWithAKeeperThatLosesItsMemory) {
+TEST(ExploreConsensus, AReplicaLosesItsStorage) {
   Bounds b;
   b.timeouts = 1;
-  b.deaths = 1;
+  b.storage_losses = 1;
   const lab::Explored out = explore(b, kMost);
   EXPECT_FALSE(out.breach);
 }
 
-TEST(Explore, TheSameWhereItHasLearnedAllAtOnce) {
+TEST(ExploreConsensus, AReplicaLosesItsStorageAndRecoversAtOnce) {
   Bounds b;
   b.timeouts = 0;
-  b.deaths = 1;
-  b.learns_at_once = true;
+  b.storage_losses = 1;
+  b.recovers_at_once = true;
   EXPECT_FALSE(explore(b, kMost).breach);
 }
 
-TEST(Explore, TheSameWithAMessageThatComesTwice) {
+TEST(ExploreConsensus, AMessageIsDeliveredTwice) {
   Bounds b;
   b.timeouts = 1;
   b.repeats = 1;
   EXPECT_FALSE(explore(b, kMost).breach);
 }
 
-TEST(Explore, EachPlantedFlawIsFound) {
+TEST(ExploreConsensus, EachInjectedBugIsFound) {
   Bounds b;
   b.timeouts = 1;
-  EXPECT_TRUE(found(b, InjectedBug::kNoPromise));
-  EXPECT_TRUE(found(b, InjectedBug::kConflictUnfinished));
-  b.deaths = 1;
-  EXPECT_TRUE(found(b, InjectedBug::kForgetfulKeeper));
-  b.learns_at_once = true;
-  EXPECT_TRUE(found(b, InjectedBug::kLivesIgnored));
+  EXPECT_TRUE(found(b, InjectedBug::kSkipPromiseCheck));
+  EXPECT_TRUE(found(b, InjectedBug::kSkipConflictWriteBack));
+  b.storage_losses = 1;
+  EXPECT_TRUE(found(b, InjectedBug::kForgetfulAcceptor));
+  b.recovers_at_once = true;
+  EXPECT_TRUE(found(b, InjectedBug::kIgnoreIncarnations));
   EXPECT_FALSE(found(b, InjectedBug::kNone));
   b.changes = 2;
   EXPECT_FALSE(found(b, InjectedBug::kNone));  // and nothing without one
--- a/tests/lab/scale_control_test.cpp
+++ b/tests/lab/scale_control_test.cpp
@@ -178,8 +178,8 @@
     ASSERT_TRUE(frame) << why;
     if (frame->parts.size() != 1) return;  // what goes together is chance
     const consensus::Message& m = frame->parts[0];
-    if (m.fact.version <= kVersions)
-      out.sizes[{m.say, m.key, m.fact.version, m.since > 0}].insert(bytes.size());
+    if (m.register_state.version <= kVersions)
+      out.sizes[{m.type, m.key, m.register_state.version, m.since > 0}].insert(bytes.size());
   }
 
   Addresses at_;
