--- a/tests/lease/explore_test.cpp
+++ b/tests/lease/explore_test.cpp
@@ -1,6 +1,6 @@
-// Two that want one duty, over a record that agrees at once and whose answers and sights come at any time or
-// never, on clocks at both ends of what is allowed. Which of them is looked after next, and when, is left
-// open: a process that stands still is one that is not looked after.
+// Two candidates for one lease, over registers that commit at once and whose results and updates come at any
+// time or never, on clocks at both ends of what is allowed. Which of them is ticked next, and when, is left
+// open: a paused process is one that is not ticked.
 
 #include <gtest/gtest.h>
 
@@ -14,65 +14,67 @@
 namespace firvalve::lease {
 namespace {
 
+constexpr BootTime at(Ms ms) { return time_point_of<BootClock>(ms); }
+
 struct Bounds {
-  int ticks = 9;         // of a third of a lease each
-  int lost_answers = 1;  // ends that are told as unknown
-  bool merge = false;    // a load under a name is asked of both
+  int thirds = 9;        // of a lease that pass
+  int lost_results = 1;  // reported as unknown
+  bool has_job = false;  // a run-once job is submitted to both
 };
 
 class Pair {
  public:
   struct Move {
-    enum Kind { kTick, kLook, kAgree, kTell, kTellUnknown, kSee, kSeeOld } kind = kTick;
+    enum Kind { kPass, kTick, kCommit, kReport, kReportUnknown, kObserve, kObserveOld } kind = kPass;
     size_t who = 0;
   };
-  static constexpr Ms kLease = 1000, kTick = kLease / 3;
+  static constexpr Ms kLease = 1000, kThird = kLease / 3;
 
   explicit Pair(const Bounds& bounds) : bounds_(bounds) {
     for (size_t i = 0; i < 2; ++i) {
-      duties_.emplace_back(1, LeaseOptions{i == 0 ? "a" : "b", 1001 + i, kLease});
-      duties_[i].looked(1);
-      looked_.push_back(-1);
+      managers_.emplace_back(at(1), LeaseOptions{i == 0 ? "a" : "b", 1001 + i, duration_of(kLease)});
+      managers_[i].on_synced(at(1));
+      ticked_at_.push_back(-1);
       pending_.emplace_back();
-      ready_.emplace_back();
+      results_.emplace_back();
     }
-    for (size_t i = 0; i < 2; ++i) merges_.emplace_back(duties_[i], 1001 + i);
+    for (size_t i = 0; i < 2; ++i) jobs_.emplace_back(managers_[i], 1001 + i);
     for (size_t i = 0; i < 2; ++i) {
-      if (bounds.merge)
-        merges_[i].ask(1, "m", 1, 7, 1e9);
+      if (bounds.has_job)
+        jobs_[i].submit(at(1), "m", 1, 7, at(1e9));
       else
-        duties_[i].want(1, "merge:m");
+        managers_[i].campaign(at(1), "merge:m");
       settle(i);
     }
   }
-  // The merges refer to their own duties.
+  // The jobs refer to their own leases.
   Pair(const Pair& o) { *this = o; }
   Pair& operator=(const Pair& o) {
     bounds_ = o.bounds_;
-    duties_ = o.duties_;
-    merges_.clear();
-    for (size_t i = 0; i < 2; ++i) merges_.push_back(RunOnceJobs(o.merges_[i], duties_[i]));
-    looked_ = o.looked_;
+    managers_ = o.managers_;
+    jobs_.clear();
+    for (size_t i = 0; i < 2; ++i) jobs_.push_back(RunOnceJobs(o.jobs_[i], managers_[i]));
+    ticked_at_ = o.ticked_at_;
     pending_ = o.pending_;
-    ready_ = o.ready_;
-    facts_ = o.facts_;
-    ticks_ = o.ticks_;
-    begun_ = o.begun_;
+    results_ = o.results_;
+    committed_ = o.committed_;
+    thirds_ = o.thirds_;
+    started_ = o.started_;
     return *this;
   }
 
   std::vector<Move> moves() const {
     std::vector<Move> out;
-    if (ticks_ < bounds_.ticks) out.push_back({Move::kTick, 0});
+    if (thirds_ < bounds_.thirds) out.push_back({Move::kPass, 0});
     for (size_t i = 0; i < 2; ++i) {
-      if (looked_[i] < ticks_) out.push_back({Move::kLook, i});
-      if (!pending_[i].empty()) out.push_back({Move::kAgree, i});
-      if (!ready_[i].empty()) {
-        out.push_back({Move::kTell, i});
-        if (bounds_.lost_answers > 0) out.push_back({Move::kTellUnknown, i});
+      if (ticked_at_[i] < thirds_) out.push_back({Move::kTick, i});
+      if (!pending_[i].empty()) out.push_back({Move::kCommit, i});
+      if (!results_[i].empty()) {
+        out.push_back({Move::kReport, i});
+        if (bounds_.lost_results > 0) out.push_back({Move::kReportUnknown, i});
       }
-      if (!facts_.empty()) out.push_back({Move::kSee, i});
-      if (facts_.size() > 1) out.push_back({Move::kSeeOld, i});
+      if (!committed_.empty()) out.push_back({Move::kObserve, i});
+      if (committed_.size() > 1) out.push_back({Move::kObserveOld, i});
     }
     return out;
   }
@@ -80,130 +82,135 @@
   void apply(const Move& m) {
     const size_t i = m.who;
     switch (m.kind) {
-      case Move::kTick:
-        ++ticks_;
+      case Move::kPass:
+        ++thirds_;
         return;
-      case Move::kLook:
-        looked_[i] = ticks_;
-        duties_[i].due(local(i));
+      case Move::kTick:
+        ticked_at_[i] = thirds_;
+        managers_[i].on_tick(local(i));
         break;
-      case Move::kAgree: {
-        const consensus::Proposal w = pending_[i].front();
+      case Move::kCommit: {
+        const consensus::Proposal proposal = pending_[i].front();
         pending_[i].erase(pending_[i].begin());
-        consensus::ProposalResult end{consensus::ProposalResult::Kind::kConflict, w, {}, 0};
-        consensus::Register now = facts_.empty() ? consensus::Register{} : facts_.back();
-        if (now.version > 0 && now.made(w.id)) {
-          end.kind = consensus::ProposalResult::Kind::kAgreed;
-        } else if (now.change == w.expected) {
-          if (now.version > 0) now.before.insert(now.before.begin(), now.change);
+        consensus::ProposalResult result{consensus::ProposalResult::Kind::kConflict, proposal, {}, {}};
+        consensus::Register now = committed_.empty() ? consensus::Register{} : committed_.back();
+        if (now.version > 0 && now.includes_change(proposal.id)) {
+          result.kind = consensus::ProposalResult::Kind::kCommitted;
+        } else if (now.change_id == proposal.expected_change) {
+          if (now.version > 0) now.earlier_changes.insert(now.earlier_changes.begin(), now.change_id);
           ++now.version;
-          now.change = w.id;
-          now.value = w.value;
-          facts_.push_back(now);
-          end.kind = consensus::ProposalResult::Kind::kAgreed;
+          now.change_id = proposal.id;
+          now.value = proposal.value;
+          committed_.push_back(now);
+          result.kind = consensus::ProposalResult::Kind::kCommitted;
         }
-        end.fact = now;
-        ready_[i].push_back(end);
+        result.current = now;
+        results_[i].push_back(result);
         return;
       }
-      case Move::kTell:
-      case Move::kTellUnknown: {
-        consensus::ProposalResult end = ready_[i].front();
-        ready_[i].erase(ready_[i].begin());
-        if (m.kind == Move::kTellUnknown) {
-          --bounds_.lost_answers;
-          end.kind = consensus::ProposalResult::Kind::kUnknown;
+      case Move::kReport:
+      case Move::kReportUnknown: {
+        consensus::ProposalResult result = results_[i].front();
+        results_[i].erase(results_[i].begin());
+        if (m.kind == Move::kReportUnknown) {
+          --bounds_.lost_results;
+          result.kind = consensus::ProposalResult::Kind::kUnknown;
         }
-        duties_[i].ended(local(i), end);
+        managers_[i].on_result(local(i), result);
         break;
       }
-      case Move::kSee:
-        duties_[i].saw(local(i), "merge:m", facts_.back());
+      case Move::kObserve:
+        managers_[i].observe(local(i), "merge:m", committed_.back());
         break;
-      case Move::kSeeOld:
-        duties_[i].saw(local(i), "merge:m", facts_[facts_.size() - 2]);
+      case Move::kObserveOld:
+        managers_[i].observe(local(i), "merge:m", committed_[committed_.size() - 2]);
         break;
     }
     settle(i);
   }
 
   std::string told(const Move& m) const {
-    static const char* const kTold[] = {
-        "a third of a lease passes", "is looked after",  "has its change agreed", "is told",
-        "is told nothing certain",   "sees what stands", "sees what stood"};
-    return (m.kind == Move::kTick ? std::string() : m.who == 0 ? "a " : "b ") + kTold[m.kind];
+    static const char* const kTold[] = {"a third of a lease passes",    "is ticked",
+                                        "has its change committed",     "gets its result",
+                                        "gets an unknown result",       "observes the committed record",
+                                        "observes the record before it"};
+    return (m.kind == Move::kPass ? std::string() : m.who == 0 ? "a " : "b ") + kTold[m.kind];
   }
 
   std::string digest() const {
     consensus::Digest d;
-    d.add(ticks_).add(begun_).add(bounds_.lost_answers);
+    d.add(thirds_).add(started_).add(bounds_.lost_results);
     for (size_t i = 0; i < 2; ++i) {
-      d.add(duties_[i].digest()).add(looked_[i]).add(merges_[i].digest());
-      for (const consensus::Proposal& w : pending_[i]) d.add(w.id).add(w.expected);
-      for (const consensus::ProposalResult& e : ready_[i])
-        d.add(static_cast<uint8_t>(e.kind)).add(e.wish.id).add(e.fact);
+      d.add(managers_[i].digest()).add(ticked_at_[i]).add(jobs_[i].digest());
+      for (const consensus::Proposal& proposal : pending_[i])
+        d.add(proposal.id).add(proposal.expected_change);
+      for (const consensus::ProposalResult& e : results_[i])
+        d.add(static_cast<uint8_t>(e.kind)).add(e.proposal.id).add(e.current);
     }
-    if (!facts_.empty()) d.add(facts_.back());
-    if (facts_.size() > 1) d.add(facts_[facts_.size() - 2]);
+    if (!committed_.empty()) d.add(committed_.back());
+    if (committed_.size() > 1) d.add(committed_[committed_.size() - 2]);
     return d.text();
   }
 
   std::optional<std::string> breach() const {
-    const auto a = duties_[0].may_act(local(0), "merge:m"), b = duties_[1].may_act(local(1), "merge:m");
-    if (a && b) return "both may act, under " + std::to_string(*a) + " and " + std::to_string(*b);
-    if (begun_ > 1) return "the load was begun twice";
+    const auto first = managers_[0].active_epoch(local(0), "merge:m");
+    const auto second = managers_[1].active_epoch(local(1), "merge:m");
+    if (first && second)
+      return "both are active, under " + std::to_string(*first) + " and " + std::to_string(*second);
+    if (started_ > 1) return "the job was started twice";
     return {};
   }
 
  private:
-  // The holder's clock is slow, who waits has a fast one: one part in a hundred apart.
-  Ms local(size_t i) const { return 1 + ticks_ * kTick * (i == 0 ? 0.9951 : 1.0049); }
+  // The one clock is slow and the other fast: one part in a hundred apart.
+  BootTime local(size_t i) const { return at(1 + thirds_ * kThird * (i == 0 ? 0.9951 : 1.0049)); }
 
   void settle(size_t i) {
     for (bool more = true; more;) {
       more = false;
-      for (const Event& e : duties_[i].take_events()) {
+      for (const Event& e : managers_[i].take_events()) {
         more = true;
-        if (bounds_.merge) merges_[i].handle(local(i), e);
+        if (bounds_.has_job) jobs_[i].handle(local(i), e);
       }
-      for (const auto& a : merges_[i].take_actions()) begun_ += a.kind == RunOnceJobs::Action::Kind::kStart;
-      for (const consensus::Proposal& w : duties_[i].take_wishes()) pending_[i].push_back(w);
+      for (const auto& a : jobs_[i].take_actions()) started_ += a.kind == RunOnceJobs::Action::Kind::kStart;
+      for (const consensus::Proposal& proposal : managers_[i].take_proposals())
+        pending_[i].push_back(proposal);
     }
   }
 
   Bounds bounds_;
-  std::vector<LeaseManager> duties_;
-  std::vector<RunOnceJobs> merges_;
-  std::vector<int> looked_;
+  std::vector<LeaseManager> managers_;
+  std::vector<RunOnceJobs> jobs_;
+  std::vector<int> ticked_at_;
   std::vector<std::vector<consensus::Proposal>> pending_;
-  std::vector<std::vector<consensus::ProposalResult>> ready_;
-  std::vector<consensus::Register> facts_;
-  int ticks_ = 0, begun_ = 0;
+  std::vector<std::vector<consensus::ProposalResult>> results_;
+  std::vector<consensus::Register> committed_;
+  int thirds_ = 0, started_ = 0;
 };
 
 const size_t kMost = states_most();
 
 lab::Explored explore(const Bounds& bounds, size_t most) { return explored<Pair>(bounds, most); }
-bool found(const Bounds& bounds, InjectedBug flaw) { return walks_find<Pair>(bounds, flaw, kMost / 2); }
+bool found(const Bounds& bounds, InjectedBug bug) { return walks_find<Pair>(bounds, bug, kMost / 2); }
 
-TEST(ExploreDuty, NeverTwoThatMayAct) {
+TEST(ExploreLease, NeverTwoActiveHolders) {
   const lab::Explored out = explore({}, kMost);
   EXPECT_FALSE(out.breach);
 }
 
-TEST(ExploreDuty, ANamedLoadBeginsOnceAtMost) {
+TEST(ExploreLease, ARunOnceJobStartsOnceAtMost) {
   Bounds b;
-  b.merge = true;
-  b.ticks = 7;
+  b.has_job = true;
+  b.thirds = 7;
   EXPECT_FALSE(explore(b, kMost).breach);
 }
 
-TEST(ExploreDuty, EachPlantedFlawIsFound) {
-  EXPECT_TRUE(found({}, InjectedBug::kLeaseFromAnswer));
-  EXPECT_TRUE(found({}, InjectedBug::kNoWait));
+TEST(ExploreLease, EachInjectedBugIsFound) {
+  EXPECT_TRUE(found({}, InjectedBug::kLeaseFromResponse));
+  EXPECT_TRUE(found({}, InjectedBug::kSkipTakeoverWait));
   Bounds b;
-  b.merge = true;
-  EXPECT_TRUE(found(b, InjectedBug::kIntentAfterSend));
+  b.has_job = true;
+  EXPECT_TRUE(found(b, InjectedBug::kRecordIntentAfterStart));
   EXPECT_FALSE(found(b, InjectedBug::kNone));
 }
 
--- a/tests/lease/lease_manager_test.cpp
+++ b/tests/lease/lease_manager_test.cpp
@@ -13,52 +13,54 @@
 
 using Kind = Event::Kind;
 
-// A record that answers at once, as the duties see it.
-struct Facts {
-  std::map<std::string, consensus::Register> facts;
-  consensus::ProposalResult change(Ms now, const consensus::Proposal& w) {
-    consensus::Register& f = facts[w.key];
-    consensus::ProposalResult end{consensus::ProposalResult::Kind::kConflict, w, {}, now};
-    if (f.made(w.id) && f.version > 0) {
-      end.kind = consensus::ProposalResult::Kind::kAgreed;
-    } else if (f.change == w.expected) {
-      if (f.version > 0) f.before.insert(f.before.begin(), f.change);
+constexpr BootTime at(Ms ms) { return time_point_of<BootClock>(ms); }
+
+// Registers that commit at once, as a LeaseManager sees them.
+struct FakeRegisters {
+  std::map<std::string, consensus::Register> stored;
+  consensus::ProposalResult change(BootTime now, const consensus::Proposal& proposal) {
+    consensus::Register& f = stored[proposal.key];
+    consensus::ProposalResult result{consensus::ProposalResult::Kind::kConflict, proposal, {}, now};
+    if (f.includes_change(proposal.id) && f.version > 0) {
+      result.kind = consensus::ProposalResult::Kind::kCommitted;
+    } else if (f.change_id == proposal.expected_change) {
+      if (f.version > 0) f.earlier_changes.insert(f.earlier_changes.begin(), f.change_id);
       ++f.version;
-      f.change = w.id;
-      f.value = w.value;
-      end.kind = consensus::ProposalResult::Kind::kAgreed;
+      f.change_id = proposal.id;
+      f.value = proposal.value;
+      result.kind = consensus::ProposalResult::Kind::kCommitted;
     }
-    end.fact = f;
-    return end;
+    result.current = f;
+    return result;
   }
 };
 
 struct Gateway {
-  Gateway(const std::string& name, uint64_t life, Ms lease = 1000)
-      : options{name, life, lease}, duties(1, options), merges(duties, life) {
-    duties.looked(1);
+  Gateway(const std::string& name, Incarnation incarnation, Duration duration = 1000ms)
+      : options{name, incarnation, duration}, leases(at(1), options), jobs(leases, incarnation) {
+    leases.on_synced(at(1));
   }
-  // What it asks is answered by the record; what it says is kept.
-  void go(Facts& record, Ms now) {
-    duties.due(now);
-    merges.due(now);
+  // Ticks it, commits what it proposes and keeps its events and actions.
+  void go(FakeRegisters& registers, BootTime now) {
+    leases.on_tick(now);
+    jobs.on_tick(now);
     for (bool more = true; more;) {
       more = false;
-      for (const consensus::Proposal& w : duties.take_wishes()) {
+      for (const consensus::Proposal& proposal : leases.take_proposals()) {
         more = true;
-        duties.ended(now, record.change(now, w));
+        leases.on_result(now, registers.change(now, proposal));
       }
-      for (Event& e : duties.take_events()) {
+      for (Event& e : leases.take_events()) {
         more = true;
-        merges.handle(now, e);
+        jobs.handle(now, e);
         events.push_back(e);
       }
     }
-    for (RunOnceJobs::Action& a : merges.take_actions()) actions.push_back(a);
+    for (RunOnceJobs::Action& a : jobs.take_actions()) actions.push_back(a);
   }
-  void see(Facts& record, Ms now) {
-    for (const auto& [key, fact] : record.facts) duties.saw(now, key, fact);
-    go(record, now);
+  void see(FakeRegisters& registers, BootTime now) {
+    for (const auto& [key, value] : registers.stored) leases.observe(now, key, value);
+    go(registers, now);
   }
   int count(Kind kind) const {
     return static_cast<int>(
@@ -69,205 +71,210 @@
         std::count_if(actions.begin(), actions.end(), [&](const auto& a) { return a.kind == kind; }));
   }
   LeaseOptions options;
-  LeaseManager duties;
-  RunOnceJobs merges;
+  LeaseManager leases;
+  RunOnceJobs jobs;
   std::vector<Event> events;
   std::vector<RunOnceJobs::Action> actions;
 };
 
-// Gateways that are looked after every 10 ms, or as said; those that are not named stand still.
-void run(Facts& record, std::vector<Gateway*> gateways, Ms from, Ms until, Ms step = 10) {
-  for (Ms t = from; t <= until; t += step)
-    for (Gateway* g : gateways) g->see(record, t);
+// Ticks the gateways; others are paused.
+void run(FakeRegisters& registers, std::vector<Gateway*> gateways, BootTime from, BootTime until,
+         Duration step = 10ms) {
+  for (BootTime t = from; t <= until; t += step)
+    for (Gateway* g : gateways) g->see(registers, t);
 }
 
-class DutiesTest : public testing::Test {
+class LeaseManagerTest : public testing::Test {
  protected:
-  Facts record_;
+  FakeRegisters registers_;
   Gateway a_{"a", 1001}, b_{"b", 2002};
 };
 
-TEST_F(DutiesTest, OneOfTwoTakesAFreeDutyAndKeepsIt) {
-  a_.duties.want(1, "d");
-  b_.duties.want(1, "d");
-  run(record_, {&a_, &b_}, 1, 20000);
-  EXPECT_EQ(a_.count(Kind::kTaken) + b_.count(Kind::kTaken), 1);
+TEST_F(LeaseManagerTest, OneOfTwoCandidatesAcquiresAFreeLeaseAndKeepsIt) {
+  a_.leases.campaign(at(1), "d");
+  b_.leases.campaign(at(1), "d");
+  run(registers_, {&a_, &b_}, at(1), at(20000));
+  EXPECT_EQ(a_.count(Kind::kAcquired) + b_.count(Kind::kAcquired), 1);
   EXPECT_EQ(a_.count(Kind::kLost) + b_.count(Kind::kLost), 0);
-  EXPECT_NE(a_.duties.may_act(20000, "d").has_value(), b_.duties.may_act(20000, "d").has_value());
-  EXPECT_EQ(read_claim(record_.facts["d"].value)->epoch, 1u);
+  EXPECT_NE(a_.leases.active_epoch(at(20000), "d").has_value(),
+            b_.leases.active_epoch(at(20000), "d").has_value());
+  EXPECT_EQ(decode_lease_record(registers_.stored["d"].value)->epoch, 1u);
 }
 
-TEST_F(DutiesTest, AHolderThatStandsStillStopsBeforeTheNextBegins) {
-  a_.duties.want(1, "d");
-  run(record_, {&a_}, 1, 500);
-  ASSERT_TRUE(a_.duties.may_act(500, "d"));
-  b_.duties.want(500, "d");
-  Ms stopped = 0, began = 0;
-  for (Ms t = 510; t < 4000 && began == 0; t += 1) {
-    b_.see(record_, t);
-    if (stopped == 0 && !a_.duties.may_act(t, "d")) stopped = t;
-    if (b_.duties.may_act(t, "d")) began = t;
+TEST_F(LeaseManagerTest, APausedHolderStopsBeforeTheNextOneBegins) {
+  a_.leases.campaign(at(1), "d");
+  run(registers_, {&a_}, at(1), at(500));
+  ASSERT_TRUE(a_.leases.active_epoch(at(500), "d"));
+  b_.leases.campaign(at(500), "d");
+  std::optional<BootTime> stopped, began;
+  for (BootTime now = at(510); now < at(4000) && !began; now += 1ms) {
+    b_.see(registers_, now);
+    if (!stopped && !a_.leases.active_epoch(now, "d")) stopped = now;
+    if (b_.leases.active_epoch(now, "d")) began = now;
   }
-  EXPECT_GT(stopped, 500);
-  EXPECT_GE(began - stopped, guard_of(1000));
-  EXPECT_LT(began, 500 + 1000 + 1000);  // the lease and a second more
-  // It goes on in the middle of what it did: nothing of it is left to it.
-  a_.go(record_, began);
-  EXPECT_FALSE(a_.duties.may_act(began, "d"));
+  ASSERT_TRUE(stopped && began);
+  EXPECT_GT(*stopped, at(500));
+  EXPECT_GE(*began - *stopped, safety_margin_of(1s));
+  EXPECT_LT(*began, at(500 + 1000 + 1000));  // the lease and a second more
+  // The first continues in the middle of what it did, and holds nothing any more.
+  a_.go(registers_, *began);
+  EXPECT_FALSE(a_.leases.active_epoch(*began, "d"));
   EXPECT_EQ(a_.count(Kind::kLost), 1);
-  EXPECT_EQ(b_.duties.may_act(began, "d"), 2u);
+  EXPECT_EQ(b_.leases.active_epoch(*began, "d"), 2u);
 }
 
-TEST_F(DutiesTest, TheLeaseCountsFromBeforeItWasAskedFor) {
-  a_.duties.want(1, "d");
-  Ms now = 1;
-  std::vector<consensus::Proposal> wishes;
-  while (wishes.empty()) a_.duties.due(now += 10), wishes = a_.duties.take_wishes();
-  const Ms asked = now;
-  a_.duties.ended(asked + 600, record_.change(asked, wishes[0]));
-  EXPECT_TRUE(a_.duties.may_act(asked + 1000 - guard_of(1000) - 1, "d"));
-  EXPECT_FALSE(a_.duties.may_act(asked + 1000 - guard_of(1000), "d"));
+TEST_F(LeaseManagerTest, ALeaseCountsFromBeforeItWasProposed) {
+  a_.leases.campaign(at(1), "d");
+  BootTime now = at(1);
+  std::vector<consensus::Proposal> proposals;
+  while (proposals.empty()) a_.leases.on_tick(now += 10ms), proposals = a_.leases.take_proposals();
+  const BootTime proposed_at = now;
+  a_.leases.on_result(proposed_at + 600ms, registers_.change(proposed_at, proposals[0]));
+  EXPECT_TRUE(a_.leases.active_epoch(proposed_at + 1000ms - safety_margin_of(1s) - 1ms, "d"));
+  EXPECT_FALSE(a_.leases.active_epoch(proposed_at + 1000ms - safety_margin_of(1s), "d"));
 }
 
-TEST_F(DutiesTest, AClaimThatWasAgreedTooLateIsNeverActedUnder) {
-  a_.duties.want(1, "d");
-  Ms now = 1;
-  std::vector<consensus::Proposal> wishes;
-  while (wishes.empty()) a_.duties.due(now += 10), wishes = a_.duties.take_wishes();
-  a_.duties.ended(now + 2000, record_.change(now, wishes[0]));
-  EXPECT_FALSE(a_.duties.may_act(now + 2000, "d"));
-  run(record_, {&a_}, now + 2000, now + 3000);
-  EXPECT_EQ(a_.duties.may_act(now + 3000, "d"), 2u);  // under an epoch of its own
+TEST_F(LeaseManagerTest, ALeaseThatWasCommittedTooLateIsNeverActive) {
+  a_.leases.campaign(at(1), "d");
+  BootTime now = at(1);
+  std::vector<consensus::Proposal> proposals;
+  while (proposals.empty()) a_.leases.on_tick(now += 10ms), proposals = a_.leases.take_proposals();
+  a_.leases.on_result(now + 2000ms, registers_.change(now, proposals[0]));
+  EXPECT_FALSE(a_.leases.active_epoch(now + 2000ms, "d"));
+  run(registers_, {&a_}, now + 2000ms, now + 3000ms);
+  EXPECT_EQ(a_.leases.active_epoch(now + 3000ms, "d"), 2u);  // under an epoch of its own
 }
 
-TEST_F(DutiesTest, AnUnknownEndIsAskedAgainUnderItsId) {
-  a_.duties.want(1, "d");
-  Ms now = 1;
-  std::vector<consensus::Proposal> wishes;
-  while (wishes.empty()) a_.duties.due(now += 10), wishes = a_.duties.take_wishes();
-  record_.change(now, wishes[0]);  // it stands, and the answer is lost
-  a_.duties.ended(now + 400, {consensus::ProposalResult::Kind::kUnknown, wishes[0], {}, now});
-  const auto again = a_.duties.take_wishes();
+TEST_F(LeaseManagerTest, AnUnknownResultIsProposedAgainUnderItsId) {
+  a_.leases.campaign(at(1), "d");
+  BootTime now = at(1);
+  std::vector<consensus::Proposal> proposals;
+  while (proposals.empty()) a_.leases.on_tick(now += 10ms), proposals = a_.leases.take_proposals();
+  registers_.change(now, proposals[0]);  // it is committed, and the response is lost
+  a_.leases.on_result(now + 400ms, {consensus::ProposalResult::Kind::kUnknown, proposals[0], {}, now});
+  const auto again = a_.leases.take_proposals();
   ASSERT_EQ(again.size(), 1u);
-  EXPECT_EQ(again[0].id, wishes[0].id);
-  a_.duties.ended(now + 410, record_.change(now + 410, again[0]));
-  EXPECT_EQ(a_.duties.may_act(now + 410, "d"), 1u);
-  EXPECT_EQ(record_.facts["d"].version, 1u);
+  EXPECT_EQ(again[0].id, proposals[0].id);
+  a_.leases.on_result(now + 410ms, registers_.change(now + 410ms, again[0]));
+  EXPECT_EQ(a_.leases.active_epoch(now + 410ms, "d"), 1u);
+  EXPECT_EQ(registers_.stored["d"].version, 1u);
 }
 
-TEST_F(DutiesTest, AStateThatNoMajorityHeardOfIsAskedForAnewAndToldOnce) {
-  a_.duties.want(1, "d");
-  run(record_, {&a_}, 1, 500);
-  ASSERT_TRUE(a_.duties.state(500, "d", "its end"));
-  const auto wishes = a_.duties.take_wishes();
-  ASSERT_EQ(wishes.size(), 1u);
-  a_.duties.ended(600, {consensus::ProposalResult::Kind::kNoMajority, wishes[0], {}, 500});
-  run(record_, {&a_}, 600, 700);
-  EXPECT_EQ(a_.count(Kind::kStated), 1);
-  EXPECT_EQ(read_claim(record_.facts["d"].value)->state, "its end");
-  // And where the duty is lost over it, that is told.
-  ASSERT_TRUE(a_.duties.state(700, "d", "another"));
-  a_.duties.ended(800,
-                  {consensus::ProposalResult::Kind::kNoMajority, a_.duties.take_wishes().at(0), {}, 700});
-  a_.duties.due(5000);
-  int told = 0;
-  for (const Event& e : a_.duties.take_events()) told += e.kind == Kind::kStated && !e.made;
-  EXPECT_EQ(told, 1);
+TEST_F(LeaseManagerTest, AStateWithoutAQuorumIsProposedAnewAndReportedOnce) {
+  a_.leases.campaign(at(1), "d");
+  run(registers_, {&a_}, at(1), at(500));
+  ASSERT_TRUE(a_.leases.write_state(at(500), "d", "its end"));
+  const auto proposals = a_.leases.take_proposals();
+  ASSERT_EQ(proposals.size(), 1u);
+  a_.leases.on_result(at(600), {consensus::ProposalResult::Kind::kNoQuorum, proposals[0], {}, at(500)});
+  run(registers_, {&a_}, at(600), at(700));
+  EXPECT_EQ(a_.count(Kind::kStateWritten), 1);
+  EXPECT_EQ(decode_lease_record(registers_.stored["d"].value)->state, "its end");
+  // And where the lease is lost meanwhile, that is reported.
+  ASSERT_TRUE(a_.leases.write_state(at(700), "d", "another"));
+  a_.leases.on_result(
+      at(800), {consensus::ProposalResult::Kind::kNoQuorum, a_.leases.take_proposals().at(0), {}, at(700)});
+  a_.leases.on_tick(at(5000));
+  int uncommitted = 0;
+  for (const Event& e : a_.leases.take_events())
+    uncommitted += e.kind == Kind::kStateWritten && !e.is_committed;
+  EXPECT_EQ(uncommitted, 1);
 }
 
-TEST_F(DutiesTest, AHandOverLeavesNoGapOfALeaseAndPassesTheState) {
-  a_.duties.want(1, "d");
-  run(record_, {&a_}, 1, 500);
-  ASSERT_TRUE(a_.duties.state(500, "d", "number 17"));
-  b_.duties.want(500, "d");
-  run(record_, {&a_, &b_}, 500, 700);
-  EXPECT_EQ(a_.count(Kind::kStated), 1);
-  a_.duties.leave(700);
-  EXPECT_FALSE(a_.duties.may_act(700, "d"));
-  Ms began = 0;
-  for (Ms t = 700; t < 2000 && began == 0; t += 1) {
-    a_.go(record_, t);
-    b_.see(record_, t);
-    if (b_.duties.may_act(t, "d")) began = t;
+TEST_F(LeaseManagerTest, AReleaseLeavesNoGapOfALeaseAndPassesTheState) {
+  a_.leases.campaign(at(1), "d");
+  run(registers_, {&a_}, at(1), at(500));
+  ASSERT_TRUE(a_.leases.write_state(at(500), "d", "number 17"));
+  b_.leases.campaign(at(500), "d");
+  run(registers_, {&a_, &b_}, at(500), at(700));
+  EXPECT_EQ(a_.count(Kind::kStateWritten), 1);
+  a_.leases.release_all(at(700));
+  EXPECT_FALSE(a_.leases.active_epoch(at(700), "d"));
+  std::optional<BootTime> began;
+  for (BootTime now = at(700); now < at(2000) && !began; now += 1ms) {
+    a_.go(registers_, now);
+    b_.see(registers_, now);
+    if (b_.leases.active_epoch(now, "d")) began = now;
   }
-  EXPECT_LT(began, 700 + 100);
-  EXPECT_EQ(a_.count(Kind::kLeft), 1);
-  EXPECT_FALSE(a_.duties.holds_any());
-  EXPECT_EQ(b_.duties.claim("d")->state, "number 17");
+  ASSERT_TRUE(began);
+  EXPECT_LT(*began, at(700 + 100));
+  EXPECT_EQ(a_.count(Kind::kReleased), 1);
+  EXPECT_FALSE(a_.leases.holds_any());
+  EXPECT_EQ(b_.leases.record("d")->state, "number 17");
 }
 
-TEST_F(DutiesTest, WhatHasBegunIsKeptUntilItsEnd) {
-  a_.duties.want(1, "d");
-  run(record_, {&a_}, 1, 500);
-  a_.duties.pin(500, "d", true);
-  a_.duties.leave(500);
-  run(record_, {&a_}, 500, 5000);
-  EXPECT_TRUE(a_.duties.holds_any());
+TEST_F(LeaseManagerTest, ALeaseInUseIsHeldUntilTheEndOfItsUse) {
+  a_.leases.campaign(at(1), "d");
+  run(registers_, {&a_}, at(1), at(500));
+  a_.leases.set_in_use(at(500), "d", true);
+  a_.leases.release_all(at(500));
+  run(registers_, {&a_}, at(500), at(5000));
+  EXPECT_TRUE(a_.leases.holds_any());
   EXPECT_EQ(a_.count(Kind::kLost), 0);
-  EXPECT_TRUE(a_.duties.state(5000, "d", "its end"));
-  a_.duties.pin(5000, "d", false);
-  run(record_, {&a_}, 5000, 5100);
-  EXPECT_FALSE(a_.duties.holds_any());
-  EXPECT_EQ(read_claim(record_.facts["d"].value)->state, "its end");
+  EXPECT_TRUE(a_.leases.write_state(at(5000), "d", "its end"));
+  a_.leases.set_in_use(at(5000), "d", false);
+  run(registers_, {&a_}, at(5000), at(5100));
+  EXPECT_FALSE(a_.leases.holds_any());
+  EXPECT_EQ(decode_lease_record(registers_.stored["d"].value)->state, "its end");
 }
 
-TEST_F(DutiesTest, ALameHolderHandsOnByItself) {
-  a_.duties.want(1, "d");
-  run(record_, {&a_}, 1, 500);
-  b_.duties.want(500, "d");
-  for (int i = 0; i < 3; ++i) a_.duties.stalled(600, 300);
-  run(record_, {&a_, &b_}, 600, 1200);
-  EXPECT_EQ(a_.count(Kind::kLeft), 1);
-  EXPECT_TRUE(b_.duties.may_act(1200, "d"));
-  run(record_, {&a_, &b_}, 1200, 30000);
-  EXPECT_EQ(b_.count(Kind::kLost) + b_.count(Kind::kLeft), 0);  // it does not come back for it
+TEST_F(LeaseManagerTest, AHolderWithRepeatedPausesReleasesItsLeases) {
+  a_.leases.campaign(at(1), "d");
+  run(registers_, {&a_}, at(1), at(500));
+  b_.leases.campaign(at(500), "d");
+  for (int i = 0; i < 3; ++i) a_.leases.on_pause(at(600), 300ms);
+  run(registers_, {&a_, &b_}, at(600), at(1200));
+  EXPECT_EQ(a_.count(Kind::kReleased), 1);
+  EXPECT_TRUE(b_.leases.active_epoch(at(1200), "d"));
+  run(registers_, {&a_, &b_}, at(1200), at(30000));
+  EXPECT_EQ(b_.count(Kind::kLost) + b_.count(Kind::kReleased), 0);  // the first does not acquire it again
 }
 
-TEST_F(DutiesTest, AShortPauseIsNoStall) {
-  for (int i = 0; i < 10; ++i) a_.duties.stalled(600, guard_of(1000) - 1);
-  a_.duties.want(1, "d");
-  run(record_, {&a_}, 600, 2000);
-  EXPECT_EQ(a_.count(Kind::kLeft), 0);
+TEST_F(LeaseManagerTest, APauseWithinTheSafetyMarginDoesNotCount) {
+  for (int i = 0; i < 10; ++i) a_.leases.on_pause(at(600), safety_margin_of(1s) - 1ms);
+  a_.leases.campaign(at(1), "d");
+  run(registers_, {&a_}, at(600), at(2000));
+  EXPECT_EQ(a_.count(Kind::kReleased), 0);
 }
 
-TEST_F(DutiesTest, OneKeeperThatLagsOrShowsWhatNeverStandsEndsNothing) {
-  a_.duties.want(1, "d");
-  run(record_, {&a_}, 1, 500);
-  consensus::Register other = record_.facts["d"];
+TEST_F(LeaseManagerTest, OneReplicaThatShowsAnUncommittedRecordEndsNoLease) {
+  a_.leases.campaign(at(1), "d");
+  run(registers_, {&a_}, at(1), at(500));
+  consensus::Register other = registers_.stored["d"];
   ++other.version;
-  other.change = 99;
-  LeaseRecord claim = *read_claim(other.value);
-  claim.holder = "c";
-  claim.epoch = 2;
-  other.value = written(claim);
-  a_.duties.saw(500, "d", other);
-  EXPECT_TRUE(a_.duties.may_act(500, "d"));
-  run(record_, {&a_}, 500, 600);  // it asks the record, which knows nothing of it
-  EXPECT_TRUE(a_.duties.may_act(600, "d"));
+  other.change_id = 99;
+  LeaseRecord record = *decode_lease_record(other.value);
+  record.holder = "c";
+  record.epoch = 2;
+  other.value = encode(record);
+  a_.leases.observe(at(500), "d", other);
+  EXPECT_TRUE(a_.leases.active_epoch(at(500), "d"));
+  run(registers_, {&a_}, at(500), at(600));  // it renews, and no other record is committed
+  EXPECT_TRUE(a_.leases.active_epoch(at(600), "d"));
   EXPECT_EQ(a_.count(Kind::kLost), 0);
 }
 
-TEST_F(DutiesTest, AClaimThatCannotBeReadIsNobodysToTake) {
-  record_.facts["d"] = {1, 5, {}, "not a claim", false};
-  a_.duties.want(1, "d");
-  run(record_, {&a_}, 1, 5000);
+TEST_F(LeaseManagerTest, ALeaseWithAnUnreadableRecordIsNotAcquired) {
+  registers_.stored["d"] = {1, 5, {}, "not a lease record", false};
+  a_.leases.campaign(at(1), "d");
+  run(registers_, {&a_}, at(1), at(5000));
   EXPECT_EQ(a_.count(Kind::kUnreadable), 1);
-  EXPECT_EQ(a_.count(Kind::kTaken), 0);
+  EXPECT_EQ(a_.count(Kind::kAcquired), 0);
 }
 
-TEST_F(DutiesTest, ALongerLeaseOfTheHoldersFileIsWaitedFor) {
-  Gateway slow("slow", 3003, 5000);
-  slow.duties.want(1, "d");
-  run(record_, {&slow}, 1, 500);
-  b_.duties.want(500, "d");
-  run(record_, {&b_}, 500, 5000);
-  EXPECT_EQ(b_.count(Kind::kTaken), 0);
-  run(record_, {&b_}, 5000, 7000);
-  EXPECT_EQ(b_.count(Kind::kTaken), 1);
+TEST_F(LeaseManagerTest, ALongerLeaseOfTheHolderIsWaitedFor) {
+  Gateway slow("slow", 3003, 5000ms);
+  slow.leases.campaign(at(1), "d");
+  run(registers_, {&slow}, at(1), at(500));
+  b_.leases.campaign(at(500), "d");
+  run(registers_, {&b_}, at(500), at(5000));
+  EXPECT_EQ(b_.count(Kind::kAcquired), 0);
+  run(registers_, {&b_}, at(5000), at(7000));
+  EXPECT_EQ(b_.count(Kind::kAcquired), 1);
 }
 
-TEST(DutiesSpread, TheDutiesOfOneThatDiedGoToMany) {
-  Facts record;
+TEST(LeaseDistribution, TheLeasesOfAFailedGatewayAreSpreadOverMany) {
+  FakeRegisters registers;
   std::vector<std::unique_ptr<Gateway>> all;
   std::vector<Gateway*> up;
   for (int i = 0; i < 10; ++i) {
@@ -276,169 +283,171 @@
     up.push_back(all.back().get());
   }
   for (Gateway* g : up)
-    for (int d = 0; d < 200; ++d) g->duties.want(1, "trial:" + std::to_string(d));
-  run(record, up, 1, 500, 1);
-  run(record, up, 500, 2000);
+    for (int d = 0; d < 200; ++d) g->leases.campaign(at(1), "trial:" + std::to_string(d));
+  run(registers, up, at(1), at(500), 1ms);
+  run(registers, up, at(500), at(2000));
   size_t most = 0, least = 200;
-  for (Gateway* g : up) most = std::max(most, g->duties.held()), least = std::min(least, g->duties.held());
+  for (Gateway* g : up)
+    most = std::max(most, g->leases.held_count()), least = std::min(least, g->leases.held_count());
   EXPECT_LE(most, 40u);
   EXPECT_GE(least, 8u);
-  const size_t dead = up[0]->duties.held();
+  const size_t dead = up[0]->leases.held_count();
   std::map<std::string, size_t> before;
-  for (Gateway* g : up) before[g->options.self] = g->duties.held();
+  for (Gateway* g : up) before[g->options.self] = g->leases.held_count();
   up.erase(up.begin());
-  run(record, up, 2000, 6000, 5);
+  run(registers, up, at(2000), at(6000), 5ms);
   size_t gained = 0, heirs = 0;
   for (Gateway* g : up) {
-    gained += g->duties.held() - before[g->options.self];
-    heirs += g->duties.held() > before[g->options.self];
+    gained += g->leases.held_count() - before[g->options.self];
+    heirs += g->leases.held_count() > before[g->options.self];
     EXPECT_EQ(g->count(Kind::kLost), 0);
   }
   EXPECT_EQ(gained, dead);
   EXPECT_GE(heirs, 5u);
 }
 
-TEST(FenceTest, AnOlderEpochIsRefusedAndTheSamePasses) {
+TEST(FenceTest, AnOlderEpochIsRefusedAndTheSameIsAdmitted) {
   Fence fence;
-  EXPECT_TRUE(fence.pass("d", 3));
-  EXPECT_TRUE(fence.pass("d", 3));
-  EXPECT_FALSE(fence.pass("d", 2));
-  EXPECT_TRUE(fence.pass("e", 1));
-  EXPECT_TRUE(fence.pass("d", 4));
-  EXPECT_FALSE(fence.pass("d", 3));
+  EXPECT_TRUE(fence.admits("d", 3));
+  EXPECT_TRUE(fence.admits("d", 3));
+  EXPECT_FALSE(fence.admits("d", 2));
+  EXPECT_TRUE(fence.admits("e", 1));
+  EXPECT_TRUE(fence.admits("d", 4));
+  EXPECT_FALSE(fence.admits("d", 3));
 }
 
-class MergesTest : public DutiesTest {
+class RunOnceJobsTest : public LeaseManagerTest {
  protected:
   using Act = RunOnceJobs::Action::Kind;
-  void ask(Gateway& g, RunOnceJobs::Call call, Ms now, uint64_t statement = 7) {
-    g.merges.ask(now, "night", call, statement, now + 10000);
+  void submit(Gateway& g, RunOnceJobs::CallId call, BootTime now, uint64_t statement_hash = 7) {
+    g.jobs.submit(now, "night", call, statement_hash, now + 10s);
   }
 };
 
-TEST_F(MergesTest, TwoThatAreAskedBeginItOnceAndBothTellItsEnd) {
-  ask(a_, 1, 100);
-  ask(b_, 2, 100);
-  run(record_, {&a_, &b_}, 100, 1000);
+TEST_F(RunOnceJobsTest, TwoGatewaysStartAJobOnceAndBothAnswerItsEnd) {
+  submit(a_, 1, at(100));
+  submit(b_, 2, at(100));
+  run(registers_, {&a_, &b_}, at(100), at(1000));
   EXPECT_EQ(a_.count(Act::kStart) + b_.count(Act::kStart), 1);
   Gateway& runs = a_.count(Act::kStart) ? a_ : b_;
-  runs.merges.run_ended(1000, "night", RunOnceJobs::End::kAnswered, "12 rows\n");
-  run(record_, {&a_, &b_}, 1000, 1500);
+  runs.jobs.on_run_finished(at(1000), "night", RunOnceJobs::RunEnd::kCompleted, "12 rows\n");
+  run(registers_, {&a_, &b_}, at(1000), at(1500));
   for (Gateway* g : {&a_, &b_}) {
-    EXPECT_EQ(g->count(Act::kAnswer), 1);
-    EXPECT_EQ(g->actions.back().text, "12 rows\n");
-    EXPECT_TRUE(g->merges.idle());
+    EXPECT_EQ(g->count(Act::kComplete), 1);
+    EXPECT_EQ(g->actions.back().rows, "12 rows\n");
+    EXPECT_TRUE(g->jobs.is_idle());
   }
-  ask(a_, 3, 5000);
-  run(record_, {&a_}, 5000, 5500);
+  submit(a_, 3, at(5000));
+  run(registers_, {&a_}, at(5000), at(5500));
   EXPECT_EQ(a_.count(Act::kStart) + b_.count(Act::kStart), 1);
-  EXPECT_EQ(a_.actions.back().kind, Act::kAnswer);
+  EXPECT_EQ(a_.actions.back().kind, Act::kComplete);
 }
 
-TEST_F(MergesTest, AHolderThatDiedInTheMiddleLeavesWhatMayHaveRun) {
-  ask(a_, 1, 100);
-  run(record_, {&a_}, 100, 1000);
+TEST_F(RunOnceJobsTest, AJobWhoseHolderDiedMayHaveRun) {
+  submit(a_, 1, at(100));
+  run(registers_, {&a_}, at(100), at(1000));
   ASSERT_EQ(a_.count(Act::kStart), 1);
-  ask(b_, 2, 1000);
-  run(record_, {&b_}, 1000, 4000);
+  submit(b_, 2, at(1000));
+  run(registers_, {&b_}, at(1000), at(4000));
   EXPECT_EQ(b_.count(Act::kStart), 0);
   EXPECT_EQ(b_.count(Act::kFail), 1);
   Gateway c("c", 4004);
-  ask(c, 3, 5000);
-  run(record_, {&c}, 5000, 8000);
+  submit(c, 3, at(5000));
+  run(registers_, {&c}, at(5000), at(8000));
   EXPECT_EQ(c.count(Act::kStart), 0);
   EXPECT_EQ(c.count(Act::kFail), 1);
 }
 
-TEST_F(MergesTest, AHolderThatDiedBeforeItsNoteLeavesItToTheNext) {
-  ask(a_, 1, 100);
-  Ms now = 100;
-  // It claims, and dies before the note of the beginning is agreed.
-  while (a_.count(Kind::kTaken) == 0) {
-    a_.duties.due(now += 10);
-    for (const consensus::Proposal& w : a_.duties.take_wishes()) a_.duties.ended(now, record_.change(now, w));
-    for (Event& e : a_.duties.take_events()) a_.events.push_back(e);
+TEST_F(RunOnceJobsTest, AJobWhoseHolderDiedBeforeItsRecordIsStartedByTheNext) {
+  submit(a_, 1, at(100));
+  BootTime now = at(100);
+  // It acquires the lease, and dies before the start of the job is committed.
+  while (a_.count(Kind::kAcquired) == 0) {
+    a_.leases.on_tick(now += 10ms);
+    for (const consensus::Proposal& proposal : a_.leases.take_proposals())
+      a_.leases.on_result(now, registers_.change(now, proposal));
+    for (Event& e : a_.leases.take_events()) a_.events.push_back(e);
   }
-  ask(b_, 2, now);
-  run(record_, {&b_}, now, now + 3000);
+  submit(b_, 2, now);
+  run(registers_, {&b_}, now, now + 3000ms);
   EXPECT_EQ(b_.count(Act::kStart), 1);
 }
 
-TEST_F(MergesTest, WhatNeverRanMayBeginAgain) {
-  ask(a_, 1, 100);
-  ask(b_, 2, 100);
-  run(record_, {&a_, &b_}, 100, 1000);
+TEST_F(RunOnceJobsTest, AJobThatNeverRanMayStartAgain) {
+  submit(a_, 1, at(100));
+  submit(b_, 2, at(100));
+  run(registers_, {&a_, &b_}, at(100), at(1000));
   Gateway& first = a_.count(Act::kStart) ? a_ : b_;
   Gateway& second = a_.count(Act::kStart) ? b_ : a_;
-  first.merges.run_ended(1000, "night", RunOnceJobs::End::kNeverRan, {}, 200);
-  run(record_, {&a_, &b_}, 1000, 2000);
+  first.jobs.on_run_finished(at(1000), "night", RunOnceJobs::RunEnd::kNeverRan, {}, 200ms);
+  run(registers_, {&a_, &b_}, at(1000), at(2000));
   EXPECT_EQ(first.count(Act::kShed), 1);
   EXPECT_EQ(second.count(Act::kStart), 1);
 }
 
-TEST_F(MergesTest, AnotherStatementUnderTheNameIsRefused) {
-  ask(a_, 1, 100, 7);
-  run(record_, {&a_}, 100, 1000);
-  a_.merges.run_ended(1000, "night", RunOnceJobs::End::kAnswered, "");
-  ask(b_, 2, 1000, 8);
-  run(record_, {&a_, &b_}, 1000, 2000);
-  EXPECT_EQ(b_.count(Act::kRefuse), 1);
+TEST_F(RunOnceJobsTest, AnotherStatementUnderTheKeyIsRejected) {
+  submit(a_, 1, at(100), 7);
+  run(registers_, {&a_}, at(100), at(1000));
+  a_.jobs.on_run_finished(at(1000), "night", RunOnceJobs::RunEnd::kCompleted, "");
+  submit(b_, 2, at(1000), 8);
+  run(registers_, {&a_, &b_}, at(1000), at(2000));
+  EXPECT_EQ(b_.count(Act::kReject), 1);
 }
 
-TEST_F(MergesTest, WhoseTimeIsUpIsToldAndTheRunGoesOn) {
-  ask(a_, 1, 100);
-  run(record_, {&a_}, 100, 11000);
+TEST_F(RunOnceJobsTest, ACallAtItsDeadlineIsAnsweredAndTheRunGoesOn) {
+  submit(a_, 1, at(100));
+  run(registers_, {&a_}, at(100), at(11000));
   EXPECT_EQ(a_.count(Act::kFail), 1);
-  EXPECT_FALSE(a_.merges.idle());
-  a_.merges.run_ended(11000, "night", RunOnceJobs::End::kAnswered, "late\n");
-  run(record_, {&a_}, 11000, 12000);
-  EXPECT_TRUE(a_.merges.idle());
-  ask(b_, 2, 12000);
-  run(record_, {&b_}, 12000, 13000);
-  EXPECT_EQ(b_.count(Act::kAnswer), 1);
+  EXPECT_FALSE(a_.jobs.is_idle());
+  a_.jobs.on_run_finished(at(11000), "night", RunOnceJobs::RunEnd::kCompleted, "late\n");
+  run(registers_, {&a_}, at(11000), at(12000));
+  EXPECT_TRUE(a_.jobs.is_idle());
+  submit(b_, 2, at(12000));
+  run(registers_, {&b_}, at(12000), at(13000));
+  EXPECT_EQ(b_.count(Act::kComplete), 1);
 }
 
-TEST_F(MergesTest, WhoWaitsAtAGatewayThatEndsIsToldAtOnceAndWhatHasBegunGoesOn) {
-  ask(a_, 1, 100);
-  run(record_, {&a_}, 100, 500);
+TEST_F(RunOnceJobsTest, AShutdownAnswersWaitingCallsAndARunThatHasStartedGoesOn) {
+  submit(a_, 1, at(100));
+  run(registers_, {&a_}, at(100), at(500));
   ASSERT_EQ(a_.count(Act::kStart), 1);
-  a_.merges.ask(500, "another", 2, 7, 10000);
-  a_.merges.leave();
-  a_.go(record_, 500);
+  a_.jobs.submit(at(500), "another", 2, 7, at(10000));
+  a_.jobs.stop_accepting();
+  a_.go(registers_, at(500));
   EXPECT_EQ(a_.count(Act::kFail), 1);
-  ask(a_, 3, 510);
-  a_.go(record_, 510);
+  submit(a_, 3, at(510));
+  a_.go(registers_, at(510));
   EXPECT_EQ(a_.count(Act::kFail), 2);
-  EXPECT_TRUE(a_.merges.runs());
-  a_.merges.run_ended(600, "night", RunOnceJobs::End::kAnswered, "done\n");
-  run(record_, {&a_}, 600, 700);
-  EXPECT_EQ(a_.count(Act::kAnswer), 1);
-  EXPECT_TRUE(a_.merges.idle());
+  EXPECT_TRUE(a_.jobs.is_running());
+  a_.jobs.on_run_finished(at(600), "night", RunOnceJobs::RunEnd::kCompleted, "done\n");
+  run(registers_, {&a_}, at(600), at(700));
+  EXPECT_EQ(a_.count(Act::kComplete), 1);
+  EXPECT_TRUE(a_.jobs.is_idle());
 }
 
-TEST_F(MergesTest, WhoLostTheDutyTellsItsOwnAndLeavesTheRecordToTheNext) {
-  ask(a_, 1, 100);
-  run(record_, {&a_}, 100, 500);
-  ask(b_, 2, 500);
-  run(record_, {&b_}, 500, 3000);  // a stands still past its lease
+TEST_F(RunOnceJobsTest, AGatewayThatLostTheLeaseAnswersItsCallsAndKeepsTheRecordOfTheNext) {
+  submit(a_, 1, at(100));
+  run(registers_, {&a_}, at(100), at(500));
+  submit(b_, 2, at(500));
+  run(registers_, {&b_}, at(500), at(3000));  // a is paused past its lease
   EXPECT_EQ(b_.count(Act::kFail), 1);
-  a_.merges.run_ended(3000, "night", RunOnceJobs::End::kAnswered, "done\n");
-  run(record_, {&a_}, 3000, 5000);
-  EXPECT_EQ(a_.count(Act::kAnswer), 1);
-  EXPECT_TRUE(a_.merges.idle());
-  EXPECT_EQ(read_merge(read_claim(record_.facts["merge:night"].value)->state).stage,
+  a_.jobs.on_run_finished(at(3000), "night", RunOnceJobs::RunEnd::kCompleted, "done\n");
+  run(registers_, {&a_}, at(3000), at(5000));
+  EXPECT_EQ(a_.count(Act::kComplete), 1);
+  EXPECT_TRUE(a_.jobs.is_idle());
+  EXPECT_EQ(decode_run_once_job(decode_lease_record(registers_.stored["merge:night"].value)->state).stage,
             RunOnceJob::Stage::kUnknown);
 }
 
-TEST(MergeState, BytesThatAreNoneAreNeverTakenForNotBegun) {
-  EXPECT_EQ(read_merge("").stage, RunOnceJob::Stage::kNone);
-  EXPECT_EQ(read_merge("garbage").stage, RunOnceJob::Stage::kUnknown);
+TEST(RunOnceJobTest, UnreadableBytesAreNeverTakenForAJobThatDidNotStart) {
+  EXPECT_EQ(decode_run_once_job("").stage, RunOnceJob::Stage::kNone);
+  EXPECT_EQ(decode_run_once_job("garbage").stage, RunOnceJob::Stage::kUnknown);
   RunOnceJob m;
-  m.stage = RunOnceJob::Stage::kBegun;
-  m.run = 5;
-  EXPECT_EQ(read_merge(written(m)), m);
-  for (size_t cut = 1; cut < written(m).size(); ++cut)
-    EXPECT_NE(read_merge(written(m).substr(0, cut)).stage, RunOnceJob::Stage::kNone);
+  m.stage = RunOnceJob::Stage::kStarted;
+  m.run_id = 5;
+  EXPECT_EQ(decode_run_once_job(encode(m)), m);
+  for (size_t cut = 1; cut < encode(m).size(); ++cut)
+    EXPECT_NE(decode_run_once_job(encode(m).substr(0, cut)).stage, RunOnceJob::Stage::kNone);
 }
 
 }  // namespace
--- a/tests/schema/registry_test.cpp
+++ b/tests/schema/registry_test.cpp
@@ -44,23 +44,23 @@
 struct Register {
   consensus::Register fact;
   consensus::ProposalResult answer(const consensus::Proposal& w) {
-    consensus::ProposalResult end{consensus::ProposalResult::Kind::kRead, w, {}, 0};
-    if (w.id != 0 && w.expected == fact.change) {
+    consensus::ProposalResult end{consensus::ProposalResult::Kind::kRead, w, {}, {}};
+    if (w.id != 0 && w.expected_change == fact.change_id) {
       ++fact.version;
-      fact.change = w.id;
+      fact.change_id = w.id;
       fact.value = w.value;
-      end.kind = consensus::ProposalResult::Kind::kAgreed;
+      end.kind = consensus::ProposalResult::Kind::kCommitted;
     } else if (w.id != 0) {
       end.kind = consensus::ProposalResult::Kind::kConflict;
     }
-    end.fact = fact;
+    end.current = fact;
     return end;
   }
 };
 
 Registry::End settle(Registry& r, Register& fact) {
   for (;;) {
-    for (const consensus::Proposal& w : r.take_wishes()) r.ended(1, fact.answer(w));
+    for (const consensus::Proposal& w : r.take_proposals()) r.on_result(1, fact.answer(w));
     auto ends = r.take_ends();
     if (!ends.empty()) return ends.front();
   }
@@ -101,8 +101,8 @@
   publisher.ask(1, propose(with({"cabin", "beds"})), 1000);
   settle(publisher, fact);
   publisher.ask(1, propose(with({"cabin"})), 1000);
-  for (const consensus::Proposal& w : publisher.take_wishes())
-    publisher.ended(1, fact.answer(w));  // read and checked
+  for (const consensus::Proposal& w : publisher.take_proposals())
+    publisher.on_result(1, fact.answer(w));  // read and checked
   screen.ask(1, declare("screen", {1}, {2}), 1000);
   EXPECT_EQ(settle(screen, fact).kind, Kind::kAgreed);
   EXPECT_EQ(settle(publisher, fact).kind, Kind::kRefused);
@@ -114,7 +114,7 @@
   fact.fact = {3, 77, {}, "not a bulletin", false};
   r.ask(1, propose(with({"cabin"})), 1000);
   EXPECT_EQ(settle(r, fact).kind, Kind::kUnreadable);
-  EXPECT_EQ(fact.fact.change, 77u);
+  EXPECT_EQ(fact.fact.change_id, 77u);
 }
 
 TEST(LapsesTest, ADeclarationWithoutASignForAsLongAsItSaidIsWithdrawn) {
@@ -139,7 +139,7 @@
   // A sign that comes before the withdrawal is agreed keeps it.
   Registry keeper(2);
   keeper.ask(1, due[0], 1000);
-  for (const consensus::Proposal& w : keeper.take_wishes()) keeper.ended(1, fact.answer(w));
+  for (const consensus::Proposal& w : keeper.take_proposals()) keeper.on_result(1, fact.answer(w));
   sign();
   settle(keeper, fact);
   std::string why;
@@ -177,7 +177,7 @@
     all_[0].ask(1, propose(with({"cabin"})), 1000);
     all_[1].ask(1, declare("screen", {1}, {2}), 1000);
     all_[2].ask(1, propose(with({"cabin", "beds", "view"})), 1000);
-    for (Registry& r : all_) wishes_.push_back(r.take_wishes());
+    for (Registry& r : all_) wishes_.push_back(r.take_proposals());
   }
   std::vector<Move> moves() const {
     std::vector<Move> out;
@@ -188,8 +188,8 @@
   void apply(const Move& m) {
     const consensus::Proposal w = wishes_[m.who].front();
     wishes_[m.who].clear();
-    all_[m.who].ended(1, fact_.answer(w));
-    wishes_[m.who] = all_[m.who].take_wishes();
+    all_[m.who].on_result(1, fact_.answer(w));
+    wishes_[m.who] = all_[m.who].take_proposals();
     all_[m.who].take_ends();
   }
   std::string told(const Move& m) const {
@@ -202,7 +202,7 @@
     consensus::Digest d;
     d.add(fact_.fact);
     for (const auto& wishes : wishes_)
-      for (const consensus::Proposal& w : wishes) d.add(w.id).add(w.expected).add(w.value);
+      for (const consensus::Proposal& w : wishes) d.add(w.id).add(w.expected_change).add(w.value);
     return d.text();
   }
   // Every version that is published can be read by everybody who declared.
@@ -232,7 +232,7 @@
 }
 
 TEST(RegistryExplore, ACheckBeforeAgreementIsFound) {
-  injected_bug = InjectedBug::kCheckBeforeAgreement;
+  injected_bug = InjectedBug::kCheckStaleDeclarations;
   const lab::Explored out = lab::explore(Crossing(), 100000);
   injected_bug = InjectedBug::kNone;
   ASSERT_TRUE(out.breach);
