--- a/src/consensus/acceptor.h
+++ b/src/consensus/acceptor.h
@@ -27,13 +27,13 @@
 
 struct AcceptorOptions {
   uint32_t self = 0, replica_count = 3;
-  Duration metadata_retry_interval = 200ms;  // between requests while it may not vote
-  Duration notify_interval = 250ms;          // for changes that are not urgent
-  Duration watch_timeout = 1000ms;           // a watch request is answered after it, also without changes
-  size_t max_page_entries = 64;              // of one message
-  size_t max_page_bytes = 256 * 1024;        // after which no further entry is added to a message
+  Duration metadata_retry_interval = 200ms;    // between requests while it may not vote
+  Duration notify_interval = 250ms;            // for changes that are not urgent
+  Duration watch_timeout = 1000ms;             // a watch request is answered after it, also without changes
+  size_t max_page_entries = 64;                // of one message
+  size_t max_page_bytes = size_t{256} * 1024;  // after which no further entry is added to a message
   size_t max_registers = 65536;
-  size_t max_value_bytes = 32 * 1024 * 1024;  // of all values; beyond, changes that grow are rejected
+  size_t max_value_bytes = size_t{32} * 1024 * 1024;  // of all values; beyond, changes that grow are rejected
 };
 
 // What outlives a process beside the slots.
--- a/src/consensus/register.h
+++ b/src/consensus/register.h
@@ -105,7 +105,7 @@
 };
 
 constexpr size_t kMaxKeyBytes = 400;
-constexpr size_t kMaxValueBytes = 512 * 1024;
+constexpr size_t kMaxValueBytes = size_t{512} * 1024;
 
 constexpr uint32_t quorum_size(uint32_t replica_count) { return replica_count / 2 + 1; }
 
--- a/tests/lease/explore_test.cpp
+++ b/tests/lease/explore_test.cpp
@@ -7,6 +7,7 @@
 #include <map>
 
 #include "consensus/digest.h"
+#include "lease/lease_fixture.h"
 #include "lease/lease_manager.h"
 #include "lease/run_once_jobs.h"
 #include "searching.h"
@@ -14,8 +15,6 @@
 namespace firvalve::lease {
 namespace {
 
-constexpr BootTime at(Ms ms) { return time_point_of<BootClock>(ms); }
-
 struct Bounds {
   int thirds = 9;        // of a lease that pass
   int lost_results = 1;  // reported as unknown
@@ -92,20 +91,11 @@
       case Move::kCommit: {
         const consensus::Proposal proposal = pending_[i].front();
         pending_[i].erase(pending_[i].begin());
-        consensus::ProposalResult result{consensus::ProposalResult::Kind::kConflict, proposal, {}, {}};
-        consensus::Register now = committed_.empty() ? consensus::Register{} : committed_.back();
-        if (now.version > 0 && now.includes_change(proposal.id)) {
-          result.kind = consensus::ProposalResult::Kind::kCommitted;
-        } else if (now.change_id == proposal.expected_change) {
-          if (now.version > 0) now.earlier_changes.insert(now.earlier_changes.begin(), now.change_id);
-          ++now.version;
-          now.change_id = proposal.id;
-          now.value = proposal.value;
-          committed_.push_back(now);
-          result.kind = consensus::ProposalResult::Kind::kCommitted;
-        }
-        result.current = now;
-        results_[i].push_back(result);
+        consensus::Register current = committed_.empty() ? consensus::Register{} : committed_.back();
+        const uint64_t version_before = current.version;
+        const auto kind = compare_and_set(current, proposal);
+        if (current.version > version_before) committed_.push_back(current);
+        results_[i].push_back({kind, proposal, current, {}});
         return;
       }
       case Move::kReport:
--- /dev/null
+++ b/tests/lease/run_once_jobs_test.cpp
@@ -0,0 +1,134 @@
+#include "lease/run_once_jobs.h"
+
+#include <gtest/gtest.h>
+
+#include "lease/lease_fixture.h"
+
+namespace firvalve::lease {
+namespace {
+
+class RunOnceJobsTest : public LeaseFixture {
+ protected:
+  using Act = RunOnceJobs::Action::Kind;
+  void submit(FakeGateway& gateway, RunOnceJobs::CallId call, BootTime now, uint64_t statement_hash = 7) {
+    gateway.jobs.submit(now, "night", call, statement_hash, now + 10s);
+  }
+};
+
+TEST_F(RunOnceJobsTest, TwoGatewaysStartAJobOnceAndBothAnswerItsEnd) {
+  submit(a_, 1, at(100));
+  submit(b_, 2, at(100));
+  run(registers_, {&a_, &b_}, at(100), at(1000));
+  EXPECT_EQ(a_.count(Act::kStart) + b_.count(Act::kStart), 1);
+  FakeGateway& runs = a_.count(Act::kStart) ? a_ : b_;
+  runs.jobs.on_run_finished(at(1000), "night", RunOnceJobs::RunEnd::kCompleted, "12 rows\n");
+  run(registers_, {&a_, &b_}, at(1000), at(1500));
+  for (FakeGateway* gateway : {&a_, &b_}) {
+    EXPECT_EQ(gateway->count(Act::kComplete), 1);
+    EXPECT_EQ(gateway->actions.back().rows, "12 rows\n");
+    EXPECT_TRUE(gateway->jobs.is_idle());
+  }
+  submit(a_, 3, at(5000));
+  run(registers_, {&a_}, at(5000), at(5500));
+  EXPECT_EQ(a_.count(Act::kStart) + b_.count(Act::kStart), 1);
+  EXPECT_EQ(a_.actions.back().kind, Act::kComplete);
+}
+
+TEST_F(RunOnceJobsTest, AJobWhoseHolderDiedMayHaveRun) {
+  submit(a_, 1, at(100));
+  run(registers_, {&a_}, at(100), at(1000));
+  ASSERT_EQ(a_.count(Act::kStart), 1);
+  submit(b_, 2, at(1000));
+  run(registers_, {&b_}, at(1000), at(4000));
+  EXPECT_EQ(b_.count(Act::kStart), 0);
+  EXPECT_EQ(b_.count(Act::kFail), 1);
+  FakeGateway c("c", 4004);
+  submit(c, 3, at(5000));
+  run(registers_, {&c}, at(5000), at(8000));
+  EXPECT_EQ(c.count(Act::kStart), 0);
+  EXPECT_EQ(c.count(Act::kFail), 1);
+}
+
+TEST_F(RunOnceJobsTest, AJobWhoseHolderDiedBeforeItsRecordIsStartedByTheNext) {
+  submit(a_, 1, at(100));
+  BootTime now = at(100);
+  // It acquires the lease, and dies before the start of the job is committed.
+  while (a_.count(Event::Kind::kAcquired) == 0) {
+    a_.leases.on_tick(now += 10ms);
+    for (const consensus::Proposal& proposal : a_.leases.take_proposals())
+      a_.leases.on_result(now, registers_.change(now, proposal));
+    for (Event& e : a_.leases.take_events()) a_.events.push_back(e);
+  }
+  submit(b_, 2, now);
+  run(registers_, {&b_}, now, now + 3000ms);
+  EXPECT_EQ(b_.count(Act::kStart), 1);
+}
+
+TEST_F(RunOnceJobsTest, AJobThatNeverRanMayStartAgain) {
+  submit(a_, 1, at(100));
+  submit(b_, 2, at(100));
+  run(registers_, {&a_, &b_}, at(100), at(1000));
+  FakeGateway& first = a_.count(Act::kStart) ? a_ : b_;
+  FakeGateway& second = a_.count(Act::kStart) ? b_ : a_;
+  first.jobs.on_run_finished(at(1000), "night", RunOnceJobs::RunEnd::kNeverRan, {}, 200ms);
+  run(registers_, {&a_, &b_}, at(1000), at(2000));
+  EXPECT_EQ(first.count(Act::kShed), 1);
+  EXPECT_EQ(second.count(Act::kStart), 1);
+}
+
+TEST_F(RunOnceJobsTest, AnotherStatementUnderTheKeyIsRejected) {
+  submit(a_, 1, at(100), 7);
+  run(registers_, {&a_}, at(100), at(1000));
+  a_.jobs.on_run_finished(at(1000), "night", RunOnceJobs::RunEnd::kCompleted, "");
+  submit(b_, 2, at(1000), 8);
+  run(registers_, {&a_, &b_}, at(1000), at(2000));
+  EXPECT_EQ(b_.count(Act::kReject), 1);
+}
+
+TEST_F(RunOnceJobsTest, ACallAtItsDeadlineIsAnsweredAndTheRunGoesOn) {
+  submit(a_, 1, at(100));
+  run(registers_, {&a_}, at(100), at(11000));
+  EXPECT_EQ(a_.count(Act::kFail), 1);
+  EXPECT_FALSE(a_.jobs.is_idle());
+  a_.jobs.on_run_finished(at(11000), "night", RunOnceJobs::RunEnd::kCompleted, "late\n");
+  run(registers_, {&a_}, at(11000), at(12000));
+  EXPECT_TRUE(a_.jobs.is_idle());
+  submit(b_, 2, at(12000));
+  run(registers_, {&b_}, at(12000), at(13000));
+  EXPECT_EQ(b_.count(Act::kComplete), 1);
+}
+
+TEST_F(RunOnceJobsTest, AShutdownAnswersWaitingCallsAndARunThatHasStartedGoesOn) {
+  submit(a_, 1, at(100));
+  run(registers_, {&a_}, at(100), at(500));
+  ASSERT_EQ(a_.count(Act::kStart), 1);
+  a_.jobs.submit(at(500), "another", 2, 7, at(10000));
+  a_.jobs.stop_accepting();
+  a_.tick(registers_, at(500));
+  EXPECT_EQ(a_.count(Act::kFail), 1);
+  submit(a_, 3, at(510));
+  a_.tick(registers_, at(510));
+  EXPECT_EQ(a_.count(Act::kFail), 2);
+  EXPECT_TRUE(a_.jobs.is_running());
+  a_.jobs.on_run_finished(at(600), "night", RunOnceJobs::RunEnd::kCompleted, "done\n");
+  run(registers_, {&a_}, at(600), at(700));
+  EXPECT_EQ(a_.count(Act::kComplete), 1);
+  EXPECT_TRUE(a_.jobs.is_idle());
+}
+
+TEST_F(RunOnceJobsTest, AGatewayThatLostTheLeaseAnswersItsCallsAndKeepsTheRecordOfTheNext) {
+  submit(a_, 1, at(100));
+  run(registers_, {&a_}, at(100), at(500));
+  submit(b_, 2, at(500));
+  run(registers_, {&b_}, at(500), at(3000));  // a is paused past its lease
+  EXPECT_EQ(b_.count(Act::kFail), 1);
+  a_.jobs.on_run_finished(at(3000), "night", RunOnceJobs::RunEnd::kCompleted, "done\n");
+  run(registers_, {&a_}, at(3000), at(5000));
+  EXPECT_EQ(a_.count(Act::kComplete), 1);
+  EXPECT_TRUE(a_.jobs.is_idle());
+  EXPECT_EQ(decode_run_once_job(decode_lease_record(registers_.stored["merge:night"].value)->state).stage,
+            RunOnceJob::Stage::kUnknown);
+}
+
+}  // namespace
+}  // namespace firvalve::lease
