--- a/src/cluster/cluster_log.cpp
+++ b/src/cluster/cluster_log.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::string written_ms(Ms time) { return fmt::format("{:.3f}", time); }
+std::string written_ms(BootClock::time_point time) { return fmt::format("{:.3f}", to_ms(time)); }
 const char* yes_or_no(bool value) { return value ? "yes" : "no"; }
 
 }  // namespace
@@ -46,39 +46,39 @@
 
 void ClusterLog::record_lease_event(BootClock::time_point now, const lease::Event& event) const {
   using Kind = lease::Event::Kind;
-  const std::string epoch = std::to_string(event.epoch), at = written_ms(to_ms(now));
+  const std::string epoch = std::to_string(event.epoch), at = written_ms(now);
   const auto record_held = [&](Level level, const char* name) {
     sink_(level, name,
           {{"component", "lease"},
-           {"lease", event.duty},
+           {"lease", event.lease},
            {"epoch", epoch},
            {"at_ms", at},
-           {"until_ms", written_ms(event.until)}});
+           {"until_ms", written_ms(*event.valid_until)}});
   };
   const auto record_end = [&](Level level, const char* name) {
     sink_(level, name,
           {{"component", "lease"},
-           {"lease", event.duty},
+           {"lease", event.lease},
            {"epoch", epoch},
            {"at_ms", at},
-           {"reason", event.why}});
+           {"reason", std::string(lease::to_string(event.reason))}});
   };
   switch (event.kind) {
-    case Kind::kTaken:
+    case Kind::kAcquired:
       metrics_.add("leases acquired");
       return record_held(Level::kInfo, "lease.acquired");
     case Kind::kRenewed:
       return record_held(Level::kDebug, "lease.renewed");
-    case Kind::kLeft:
+    case Kind::kReleased:
       metrics_.add("leases released");
       return record_end(Level::kInfo, "lease.released");
     case Kind::kLost:
       metrics_.add("leases lost");
       return record_end(Level::kWarning, "lease.lost");
     case Kind::kUnreadable:
-      return sink_(Level::kWarning, "lease.unreadable", {{"component", "lease"}, {"lease", event.duty}});
-    case Kind::kStated:
-    case Kind::kSeen:
+      return sink_(Level::kWarning, "lease.unreadable", {{"component", "lease"}, {"lease", event.lease}});
+    case Kind::kStateWritten:
+    case Kind::kObserved:
       return;
   }
 }
@@ -111,7 +111,7 @@
 void ClusterLog::record_replica_status(const consensus::Acceptor& acceptor) const {
   sink_(Level::kInfo, "consensus.replica_status",
         {{"component", "consensus"},
-         {"ready", yes_or_no(acceptor.full())},
+         {"ready", yes_or_no(acceptor.is_voting())},
          {"registers", std::to_string(acceptor.slots().size())}});
 }
 
@@ -125,7 +125,7 @@
   sink_(Level::kInfo, "lease.status",
         {{"component", "lease"},
          {"lease", lease},
-         {"holder", record && !record->released ? record->holder : "nobody"},
+         {"holder", record && !record->is_released ? record->holder : "nobody"},
          {"epoch", std::to_string(record ? record->epoch : 0)},
          {"held_here", yes_or_no(is_held_here)}});
 }
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -4,65 +4,74 @@
 
 namespace firvalve::cluster {
 
+using consensus::BootTime;
 using consensus::MessageType;
 
 namespace {
 
-constexpr Ms kExpiryTimeout = 5000;  // for a withdrawal to be agreed; it is asked for again otherwise
+constexpr Duration kExpiryTimeout(5000);  // for a withdrawal to be agreed; it is proposed again otherwise
 
-uint64_t mixed(uint64_t z) {
-  z = (z ^ (z >> 33)) * 0xff51afd7ed558ccdull;
-  z = (z ^ (z >> 33)) * 0xc4ceb9fe1a85ec53ull;
-  return (z ^ (z >> 33)) | 1;
+// Independent numbers from one seed (the finalizer of MurmurHash3), never 0.
+uint64_t mixed(uint64_t number) {
+  number = (number ^ (number >> 33)) * 0xff51afd7ed558ccdull;
+  number = (number ^ (number >> 33)) * 0xc4ceb9fe1a85ec53ull;
+  return (number ^ (number >> 33)) | 1;
+}
+
+// From 0 to 1.
+double fraction_of(uint64_t number) {
+  return static_cast<double>(number >> 11) / static_cast<double>(uint64_t{1} << 53);
 }
 
 consensus::AcceptorOptions acceptor_options(const ClusterNodeOptions& options) {
   consensus::AcceptorOptions out;
   out.self = options.self;
-  out.keepers = options.replicas;
-  out.bytes_most = options.max_register_bytes;
+  out.replica_count = options.replica_count;
+  out.max_value_bytes = options.max_register_bytes;
   return out;
 }
 
 consensus::ProposerOptions proposer_options(const ClusterNodeOptions& options) {
   consensus::ProposerOptions out;
-  out.keepers = options.replicas;
-  out.asker = mixed(options.random_seed + 1);
+  out.replica_count = options.replica_count;
+  out.proposer_id = mixed(options.random_seed + 1);
   out.seed = mixed(options.random_seed + 2);
   return out;
 }
 
 lease::LeaseOptions lease_options(const ClusterNodeOptions& options) {
-  return {options.name, mixed(options.random_seed + 3), to_ms(options.lease_duration)};
+  return {options.name, mixed(options.random_seed + 3), options.lease_duration};
+}
+
+consensus::PeerId first_watched(const ClusterNodeOptions& options) {
+  return static_cast<consensus::PeerId>(mixed(options.random_seed) % options.replica_count);
 }
 
 }  // namespace
 
-ClusterNode::ClusterNode(Ms now, const ClusterNodeOptions& options)
+ClusterNode::ClusterNode(BootTime now, const ClusterNodeOptions& options)
     : options_(options),
       proposer_(proposer_options(options)),
-      watcher_(options.replicas,
-               static_cast<consensus::PeerId>(mixed(options.random_seed) % options.replicas)),
+      watcher_(options.replica_count, first_watched(options)),
       leases_(now, lease_options(options)),
       run_once_jobs_(leases_, mixed(options.random_seed + 4)),
       registry_(mixed(options.random_seed + 6)),
-      declaration_expiry_(static_cast<double>(mixed(options.random_seed + 7) >> 11) /
-                          static_cast<double>(uint64_t{1} << 53)) {
-  if (options.self < options.replicas)
+      declaration_expiry_(fraction_of(mixed(options.random_seed + 7))) {
+  if (options.self < options.replica_count)
     acceptor_.emplace(acceptor_options(options), mixed(options.random_seed + 5));
 }
 
-ClusterNode::ClusterNode(Ms now, const ClusterNodeOptions& options, consensus::ReplicaMetadata standing,
+ClusterNode::ClusterNode(BootTime now, const ClusterNodeOptions& options, consensus::ReplicaMetadata metadata,
                          std::map<std::string, consensus::AcceptorSlot> slots)
     : ClusterNode(now, options) {
-  acceptor_.emplace(acceptor_options(options), std::move(standing), std::move(slots));
+  acceptor_.emplace(acceptor_options(options), std::move(metadata), std::move(slots));
 }
 
-void ClusterNode::handle(Ms now, consensus::PeerId from, const consensus::Message& message) {
-  switch (message.say) {
+void ClusterNode::handle(BootTime now, consensus::PeerId from, const consensus::Message& message) {
+  switch (message.type) {
     case MessageType::kPromise:
     case MessageType::kAccepted:
-    case MessageType::kRefused:
+    case MessageType::kRejected:
       proposer_.handle(now, from, message);
       break;
     case MessageType::kChanges:
@@ -74,77 +83,76 @@
   exchange_events(now);
 }
 
-// What one part has to tell another, until none has.
-void ClusterNode::exchange_events(Ms now) {
-  for (bool more = true; more;) {
-    more = false;
-    for (const consensus::ProposalResult& end : proposer_.take_ends()) {
-      more = true;
-      if (end.wish.key.starts_with(schema::Registry::kKeyPrefix))
-        registry_.handle_result(end);
-      else if (leases_.wants(end.wish.key))
-        leases_.ended(now, end);
-      else
-        results_.push_back(end);
-    }
-    for (const auto& [key, fact] : watcher_.take_seen()) handle_register(now, key, fact);
-    if (watcher_.whole()) leases_.looked(now);
-    for (consensus::Proposal& wish : leases_.take_wishes()) {
-      more = true;
-      proposer_.ask(now, std::move(wish));
-    }
-    for (consensus::Proposal& wish : registry_.take_proposals()) {
-      more = true;
-      proposer_.ask(now, std::move(wish));
-    }
+// What one state machine has for another, until none has anything.
+void ClusterNode::exchange_events(BootTime now) {
+  for (bool has_more = true; has_more;) {
+    has_more = dispatch_results(now);
+    for (const auto& [key, value] : watcher_.take_updates()) handle_register(now, key, value);
+    if (watcher_.is_synced()) leases_.on_synced(now);
+    has_more |= propose_all(now, leases_.take_proposals());
+    has_more |= propose_all(now, registry_.take_proposals());
     for (lease::Event& event : leases_.take_events()) {
-      more = true;
+      has_more = true;
       run_once_jobs_.handle(now, event);
       events_.push_back(std::move(event));
     }
   }
 }
 
-void ClusterNode::handle_register(Ms now, const std::string& key, const consensus::Register& fact) {
-  leases_.saw(now, key, fact);
+bool ClusterNode::dispatch_results(BootTime now) {
+  const std::vector<consensus::ProposalResult> results = proposer_.take_results();
+  for (const consensus::ProposalResult& result : results) {
+    if (result.proposal.key.starts_with(schema::Registry::kKeyPrefix))
+      registry_.handle_result(result);
+    else if (leases_.is_candidate_for(result.proposal.key))
+      leases_.on_result(now, result);
+    else
+      results_.push_back(result);
+  }
+  return !results.empty();
+}
+
+bool ClusterNode::propose_all(BootTime now, std::vector<consensus::Proposal> proposals) {
+  for (consensus::Proposal& proposal : proposals) proposer_.propose(now, std::move(proposal));
+  return !proposals.empty();
+}
+
+void ClusterNode::handle_register(BootTime now, const std::string& key, const consensus::Register& value) {
+  leases_.observe(now, key, value);
   // Only replicas watch declarations, so that the others need not decode every topic.
-  if (!acceptor_ || !key.starts_with(schema::Registry::kKeyPrefix)) return;
+  constexpr std::string_view kPrefix = schema::Registry::kKeyPrefix;
+  if (!acceptor_ || !key.starts_with(kPrefix)) return;
   std::string why;
-  if (const auto topic = schema::decode_topic(fact.value, why))
-    declaration_expiry_.observe(time_point_of<BootClock>(now),
-                                key.substr(std::string_view(schema::Registry::kKeyPrefix).size()), *topic);
-}
-
-void ClusterNode::due(Ms now) {
-  for (schema::Change& withdrawal : declaration_expiry_.due(time_point_of<BootClock>(now)))
-    registry_.submit(std::move(withdrawal), time_point_of<BootClock>(now + kExpiryTimeout));
-  if (acceptor_) acceptor_->due(now);
-  proposer_.due(now);
-  watcher_.due(now);
-  leases_.due(now);
-  run_once_jobs_.due(now);
+  if (const auto topic = schema::decode_topic(value.value, why))
+    declaration_expiry_.observe(now, key.substr(kPrefix.size()), *topic);
+}
+
+void ClusterNode::on_tick(BootTime now) {
+  for (schema::Change& withdrawal : declaration_expiry_.due(now))
+    registry_.submit(std::move(withdrawal), now + kExpiryTimeout);
+  if (acceptor_) acceptor_->on_tick(now);
+  proposer_.on_tick(now);
+  watcher_.on_tick(now);
+  leases_.on_tick(now);
+  run_once_jobs_.on_tick(now);
   exchange_events(now);
 }
 
-Ms ClusterNode::next_due() const {
-  Ms next = 0;
-  const auto sooner = [&next](Ms at) {
-    if (at > 0 && (next == 0 || at < next)) next = at;
-  };
-  if (acceptor_) sooner(acceptor_->next_due());
-  sooner(proposer_.next_due());
-  sooner(watcher_.next_due());
-  sooner(leases_.next_due());
-  sooner(run_once_jobs_.next_due());
-  if (const auto at = declaration_expiry_.next_due()) sooner(to_ms(*at));
-  return next;
+std::optional<BootTime> ClusterNode::next_deadline() const {
+  std::optional<BootTime> next = watcher_.next_deadline();
+  if (acceptor_) next = earlier_of(next, acceptor_->next_deadline());
+  next = earlier_of(next, proposer_.next_deadline());
+  next = earlier_of(next, leases_.next_deadline());
+  next = earlier_of(next, run_once_jobs_.next_deadline());
+  return earlier_of(next, declaration_expiry_.next_due());
 }
 
 ClusterNode::Output ClusterNode::take_output() {
   Output output;
-  if (acceptor_) output.step = acceptor_->take();
-  output.envelopes = proposer_.take_sends();
-  for (consensus::Envelope& e : watcher_.take_sends()) output.envelopes.push_back(std::move(e));
+  if (acceptor_) output.acceptor = acceptor_->take_output();
+  output.envelopes = proposer_.take_messages();
+  for (consensus::Envelope& envelope : watcher_.take_messages())
+    output.envelopes.push_back(std::move(envelope));
   return output;
 }
 
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -21,8 +21,8 @@
 namespace firvalve::cluster {
 
 struct ClusterNodeOptions {
-  consensus::PeerId self = 0;  // below `replicas`: it is that replica
-  uint32_t replicas = 3;
+  consensus::PeerId self = 0;  // below `replica_count`: it is that replica
+  uint32_t replica_count = 3;
   std::string name;          // HOST:PORT by which peers know it
   uint64_t random_seed = 1;  // drawn anew at each start: incarnations, ids and waits come from it
   Duration lease_duration = Duration(3000);
@@ -32,24 +32,24 @@
 class ClusterNode {
  public:
   // A replica that has nothing stored, or no replica.
-  ClusterNode(Ms now, const ClusterNodeOptions& options);
+  ClusterNode(consensus::BootTime now, const ClusterNodeOptions& options);
   // A replica with all that it had made durable.
-  ClusterNode(Ms now, const ClusterNodeOptions& options, consensus::ReplicaMetadata standing,
+  ClusterNode(consensus::BootTime now, const ClusterNodeOptions& options, consensus::ReplicaMetadata metadata,
               std::map<std::string, consensus::AcceptorSlot> slots);
 
-  void handle(Ms now, consensus::PeerId from, const consensus::Message& message);
-  void due(Ms now);
-  Ms next_due() const;
+  void handle(consensus::BootTime now, consensus::PeerId from, const consensus::Message& message);
+  void on_tick(consensus::BootTime now);
+  std::optional<consensus::BootTime> next_deadline() const;
 
-  // What the driver does next. The step's writes are made durable before its messages go out; `envelopes`
+  // What the driver does next. The acceptor's writes are made durable before its messages go out; `envelopes`
   // wait for nothing. A message to this gateway itself comes back by handle().
   struct Output {
-    consensus::Step step;
+    consensus::AcceptorOutput acceptor;
     std::vector<consensus::Envelope> envelopes;
   };
   Output take_output();
-  // The step could not be written: its writes come again with a later one, its messages are dropped.
-  void put_back(consensus::Step step) { acceptor_->unwritten(std::move(step)); }
+  // The output could not be written: its writes come again with a later one, its messages are dropped.
+  void on_write_failed(const consensus::AcceptorOutput& output) { acceptor_->on_write_failed(output); }
   std::vector<lease::Event> take_events() { return std::exchange(events_, {}); }
 
   bool is_replica() const { return acceptor_.has_value(); }
@@ -64,8 +64,10 @@
   std::vector<consensus::ProposalResult> take_results() { return std::exchange(results_, {}); }
 
  private:
-  void exchange_events(Ms now);
-  void handle_register(Ms now, const std::string& key, const consensus::Register& value);
+  void exchange_events(consensus::BootTime now);
+  bool dispatch_results(consensus::BootTime now);  // whether there were any
+  bool propose_all(consensus::BootTime now, std::vector<consensus::Proposal> proposals);
+  void handle_register(consensus::BootTime now, const std::string& key, const consensus::Register& value);
 
   ClusterNodeOptions options_;
   std::optional<consensus::Acceptor> acceptor_;
--- a/src/cluster/cluster_service.cpp
+++ b/src/cluster/cluster_service.cpp
@@ -4,6 +4,7 @@
 
 namespace firvalve::cluster {
 
+using consensus::BootTime;
 using consensus::Envelope;
 using consensus::Message;
 using consensus::PeerId;
@@ -20,7 +21,7 @@
 
 ClusterNodeOptions node_options(const ClusterOptions& options, PeerId self) {
   ClusterNodeOptions out;
-  out.replicas = static_cast<uint32_t>(options.replicas.size());
+  out.replica_count = static_cast<uint32_t>(options.replicas.size());
   out.self = self;
   out.name = options.name;
   out.random_seed = options.random_seed;
@@ -34,46 +35,44 @@
 ClusterService::ClusterService(net::Loop& loop, Metrics& metrics, const ClusterOptions& options,
                                ResponseSink& clients, LogSink log_sink)
     : options_(options), self_(own_id(options)), clients_(clients), log_(std::move(log_sink), metrics) {
-  const BootClock::time_point now = BootClock::now();
+  const BootTime now = BootClock::now();
   const bool is_replica = self_ < options.replicas.size();
   if (is_replica && !options.storage_directory.empty()) {
     waker_ = std::make_unique<net::Waker>(loop);  // the turn that follows looks at what was written
     storage_ = std::make_unique<ReplicaStorage>(options.storage_directory, options.name,
                                                 hash_of_replicas(options.replicas),
                                                 [waker = waker_.get()] { waker->wake(); });
-    step_writer_ = std::make_unique<StepWriter>(*storage_, options.storage_directory, log_);
+    output_writer_ = std::make_unique<OutputWriter>(*storage_, options.storage_directory, log_);
   }
   const ClusterNodeOptions node = node_options(options, self_);
   if (storage_ && storage_->metadata)
-    node_ = std::make_unique<ClusterNode>(to_ms(now), node, *storage_->metadata,
-                                          std::exchange(storage_->slots, {}));
+    node_ = std::make_unique<ClusterNode>(now, node, *storage_->metadata, std::exchange(storage_->slots, {}));
   else
-    node_ = std::make_unique<ClusterNode>(to_ms(now), node);
+    node_ = std::make_unique<ClusterNode>(now, node);
   run_once_requests_ = std::make_unique<RunOnceRequests>(node_->run_once_jobs(), clients, log_);
   topic_requests_ = std::make_unique<TopicRequests>(node_->registry(), log_);
   for (const std::string& lease : options.leases)
-    if (!lease.ends_with("*")) node_->leases().want(to_ms(now), lease);
+    if (!lease.ends_with("*")) node_->leases().campaign(now, lease);
   connections_ = std::make_unique<PeerConnections>(loop, options_, self_,
                                                    static_cast<PeerConnections::Receiver&>(*this), log_);
 }
 
 void ClusterService::run_on(Core& core) { run_once_requests_->run_on(core); }
 
-void ClusterService::handle_message(BootClock::time_point now, PeerId from, const Message& message) {
-  node_->handle(to_ms(now), from, message);
+void ClusterService::handle_message(BootTime now, PeerId from, const Message& message) {
+  node_->handle(now, from, message);
 }
 
 void ClusterService::handle_peer_gone(PeerId peer) {
-  if (node_->acceptor()) node_->acceptor()->gone(peer);
+  if (node_->acceptor()) node_->acceptor()->remove_watcher(peer);
 }
 
 // Whether one of them came back to this gateway's own node, which may have more to say now.
-bool ClusterService::deliver(BootClock::time_point now, const std::vector<Envelope>& envelopes,
-                             FrameBatch& batch) {
+bool ClusterService::deliver(BootTime now, const std::vector<Envelope>& envelopes, FrameBatch& batch) {
   bool to_itself = false;
   for (const Envelope& envelope : envelopes) {
     if (node_->is_replica() && envelope.to == self_) {
-      node_->handle(to_ms(now), envelope.to, envelope.message);
+      node_->handle(now, envelope.to, envelope.message);
       to_itself = true;
     } else {
       connections_->add_to(batch, envelope);
@@ -83,28 +82,28 @@
 }
 
 // All that the state machines have to say: to itself at once, to others a frame or few a connection.
-void ClusterService::exchange_messages(BootClock::time_point now) {
+void ClusterService::exchange_messages(BootTime now) {
   FrameBatch batch;
-  const StepWriter::Deliver deliver_now = [&](const std::vector<Envelope>& envelopes) {
+  const OutputWriter::Deliver deliver_now = [&](const std::vector<Envelope>& envelopes) {
     return deliver(now, envelopes, batch);
   };
-  if (step_writer_) step_writer_->complete_steps(now, *node_, deliver_now);
+  if (output_writer_) output_writer_->complete_outputs(now, *node_, deliver_now);
   for (bool has_more = true; has_more;) {
     ClusterNode::Output output = node_->take_output();
     has_more = deliver_now(output.envelopes);
-    has_more |= step_writer_ ? step_writer_->begin_step(std::move(output.step), *node_, deliver_now)
-                             : deliver_now(output.step.sends);
+    has_more |= output_writer_ ? output_writer_->begin_output(std::move(output.acceptor), *node_, deliver_now)
+                               : deliver_now(output.acceptor.messages);
   }
   connections_->send(batch, now);
 }
 
 void ClusterService::due(TimePoint now) {
-  const BootClock::time_point boot_now = BootClock::now();
+  const BootTime boot_now = BootClock::now();
   // The process stood still: it was to be here by then, and came so much later.
   if (expected_turn_ && boot_now > *expected_turn_)
-    node_->leases().stalled(to_ms(boot_now), to_ms(boot_now - *expected_turn_));
+    node_->leases().on_pause(boot_now, boot_now - *expected_turn_);
   connections_->due(boot_now);
-  node_->due(to_ms(boot_now));
+  node_->on_tick(boot_now);
   exchange_messages(boot_now);
   run_once_requests_->carry_out(now);
   topic_requests_->deliver_replies();
@@ -115,11 +114,10 @@
 }
 
 TimePoint ClusterService::next_due(TimePoint now) const {
-  const BootClock::time_point boot_now = BootClock::now();
-  std::optional<BootClock::time_point> next = boot_now + kMaxTurnInterval;
-  if (step_writer_) next = earlier_of(next, step_writer_->next_due());
-  if (const Ms node = node_->next_due(); node > 0)
-    next = earlier_of(next, std::optional(time_point_of<BootClock>(node)));
+  const BootTime boot_now = BootClock::now();
+  std::optional<BootTime> next = boot_now + kMaxTurnInterval;
+  if (output_writer_) next = earlier_of(next, output_writer_->next_due());
+  next = earlier_of(next, node_->next_deadline());
   next = earlier_of(next, connections_->next_due());
   return now + std::max(*next - boot_now, Duration(0));
 }
@@ -130,8 +128,8 @@
   run_once_requests_->carry_out(now);
 }
 
-void ClusterService::continue_shutdown(BootClock::time_point now) {
-  if (!node_->run_once_jobs().runs()) node_->leases().leave(to_ms(now));
+void ClusterService::continue_shutdown(BootTime now) {
+  if (!node_->run_once_jobs().is_running()) node_->leases().release_all(now);
   if (!run_once_requests_->is_idle())
     idle_since_.reset();
   else if (!idle_since_)
@@ -147,38 +145,38 @@
 }
 
 void ClusterService::log_events() {
-  const BootClock::time_point now = BootClock::now();
+  const BootTime now = BootClock::now();
   for (const lease::Event& event : node_->take_events()) log_.record_lease_event(now, event);
 }
 
 void ClusterService::log_readiness() {
   const consensus::Acceptor* const acceptor = node_->acceptor();
-  const bool is_ready = acceptor && acceptor->full();
+  const bool is_ready = acceptor && acceptor->is_voting();
   if (is_ready && !was_ready_) log_.record_replica_ready(acceptor->slots().size());
   was_ready_ = is_ready;
 }
 
 void ClusterService::log_status() const {
-  const BootClock::time_point now = BootClock::now();
+  const BootTime now = BootClock::now();
   if (const consensus::Acceptor* const acceptor = node_->acceptor()) log_.record_replica_status(*acceptor);
   connections_->log_status();
-  node_->leases().each([&](const std::string& lease, const lease::LeaseRecord* record, bool is_holder) {
-    log_.record_lease_status(lease, record, is_holder && node_->leases().may_act(to_ms(now), lease));
+  node_->leases().for_each([&](const std::string& lease, const lease::LeaseRecord* record, bool is_holder) {
+    log_.record_lease_status(lease, record, is_holder && node_->leases().active_epoch(now, lease));
   });
 }
 
 void ClusterService::answer(CallId call, std::string_view rows) {
-  if (!run_once_requests_->finish(call, lease::RunOnceJobs::End::kAnswered, rows))
+  if (!run_once_requests_->finish(call, lease::RunOnceJobs::RunEnd::kCompleted, rows))
     clients_.answer(call, rows);
 }
 
 void ClusterService::shed(CallId call, std::optional<Duration> retry_after) {
-  if (!run_once_requests_->finish(call, lease::RunOnceJobs::End::kNeverRan, {}, retry_after))
+  if (!run_once_requests_->finish(call, lease::RunOnceJobs::RunEnd::kNeverRan, {}, retry_after))
     clients_.shed(call, retry_after);
 }
 
 void ClusterService::fail(CallId call, std::string_view reason) {
-  if (!run_once_requests_->finish(call, lease::RunOnceJobs::End::kFailed)) clients_.fail(call, reason);
+  if (!run_once_requests_->finish(call, lease::RunOnceJobs::RunEnd::kFailed)) clients_.fail(call, reason);
 }
 
 void ClusterService::run_once_job(TimePoint now, CallId call, std::string_view job_name,
--- a/src/cluster/cluster_service.h
+++ b/src/cluster/cluster_service.h
@@ -13,10 +13,10 @@
 #include "cluster/cluster_log.h"
 #include "cluster/cluster_node.h"
 #include "cluster/cluster_options.h"
+#include "cluster/output_writer.h"
 #include "cluster/peer_connections.h"
 #include "cluster/replica_storage.h"
 #include "cluster/run_once_requests.h"
-#include "cluster/step_writer.h"
 #include "cluster/topic_requests.h"
 #include "core/cluster_requests.h"
 #include "core/core.h"
@@ -59,14 +59,13 @@
                             const std::string& params, Duration timeout, ReplyCallback callback) override;
 
  private:
-  void handle_message(BootClock::time_point now, consensus::PeerId from,
+  void handle_message(consensus::BootTime now, consensus::PeerId from,
                       const consensus::Message& message) override;
   void handle_peer_gone(consensus::PeerId peer) override;
 
-  void exchange_messages(BootClock::time_point now);
-  bool deliver(BootClock::time_point now, const std::vector<consensus::Envelope>& envelopes,
-               FrameBatch& batch);
-  void continue_shutdown(BootClock::time_point now);
+  void exchange_messages(consensus::BootTime now);
+  bool deliver(consensus::BootTime now, const std::vector<consensus::Envelope>& envelopes, FrameBatch& batch);
+  void continue_shutdown(consensus::BootTime now);
   void log_events();
   void log_readiness();
 
@@ -74,17 +73,17 @@
   const consensus::PeerId self_;  // the count of replicas where it is none
   ResponseSink& clients_;
   const ClusterLog log_;
-  std::unique_ptr<net::Waker> waker_;        // outlives the storage, whose thread rings it
-  std::unique_ptr<ReplicaStorage> storage_;  // null: no replica, or one in memory alone
-  std::unique_ptr<StepWriter> step_writer_;  // where there is storage
+  std::unique_ptr<net::Waker> waker_;            // outlives the storage, whose thread rings it
+  std::unique_ptr<ReplicaStorage> storage_;      // null: no replica, or one in memory alone
+  std::unique_ptr<OutputWriter> output_writer_;  // where there is storage
   std::unique_ptr<ClusterNode> node_;
   std::unique_ptr<PeerConnections> connections_;
   std::unique_ptr<RunOnceRequests> run_once_requests_;
   std::unique_ptr<TopicRequests> topic_requests_;
-  std::optional<BootClock::time_point> expected_turn_;  // the next one is to come by then
+  std::optional<consensus::BootTime> expected_turn_;  // the next one is to come by then
   bool is_shutting_down_ = false;
-  std::optional<BootClock::time_point> idle_since_;  // in a shutdown: no run-once job is open
-  bool was_ready_ = false;                           // as a replica
+  std::optional<consensus::BootTime> idle_since_;  // in a shutdown: no run-once job is open
+  bool was_ready_ = false;                         // as a replica
 };
 
 }  // namespace firvalve::cluster
--- a/src/cluster/peer_codec.h
+++ b/src/cluster/peer_codec.h
@@ -28,16 +28,16 @@
 // Bytes that a message adds to a frame, roughly.
 size_t estimated_size(const consensus::Message& m);
 
-std::string written(const consensus::AcceptorSlot& slot);
-std::optional<consensus::AcceptorSlot> read_slot(std::string_view bytes);
+std::string encode(const consensus::AcceptorSlot& slot);
+std::optional<consensus::AcceptorSlot> decode_slot(std::string_view bytes);
 
 struct OwnedMetadata {  // with whose it is
   consensus::ReplicaMetadata metadata;
   std::string owner;           // the replica's name
   uint64_t replicas_hash = 0;  // of the list that it was written under
 };
-std::string written(const OwnedMetadata& owned);
-std::optional<OwnedMetadata> read_metadata(std::string_view bytes);
+std::string encode(const OwnedMetadata& owned);
+std::optional<OwnedMetadata> decode_metadata(std::string_view bytes);
 
 // Order matters: of the sorted list of names.
 uint64_t hash_of_replicas(const std::vector<std::string>& replicas);
--- a/src/cluster/peer_connections.cpp
+++ b/src/cluster/peer_connections.cpp
@@ -26,8 +26,8 @@
 
 // Whether a replica says it to whoever asked; all other messages are requests to a replica.
 bool is_answer(MessageType type) {
-  return type == MessageType::kPromise || type == MessageType::kAccepted || type == MessageType::kRefused ||
-         type == MessageType::kChanges || type == MessageType::kStandingIs || type == MessageType::kState;
+  return type == MessageType::kPromise || type == MessageType::kAccepted || type == MessageType::kRejected ||
+         type == MessageType::kChanges || type == MessageType::kMetadata || type == MessageType::kState;
 }
 
 }  // namespace
@@ -155,12 +155,12 @@
   counts_.bytes_in += framed_size(body_bytes);
   const BootClock::time_point now = BootClock::now();
   for (const Message& message : frame.messages)
-    if (is_answer(message.say) == from_replica) receiver_.handle_message(now, from, message);
+    if (is_answer(message.type) == from_replica) receiver_.handle_message(now, from, message);
 }
 
 void PeerConnections::add_to(FrameBatch& batch, const Envelope& envelope) const {
   net::Connection* connection = nullptr;
-  if (is_answer(envelope.message.say)) {
+  if (is_answer(envelope.message.type)) {
     if (const auto peer = answers_to_.find(envelope.to); peer != answers_to_.end()) connection = peer->second;
   } else if (envelope.to < outbound_.size() && outbound_[envelope.to]) {
     connection = outbound_[envelope.to]->connection();
--- a/src/cluster/replica_storage.cpp
+++ b/src/cluster/replica_storage.cpp
@@ -115,7 +115,7 @@
   const std::string name = kMetadataKey;
   MDB_val key = value_of(name), value{};
   if (mdb_get(t.txn, metadata_db_, &key, &value) != 0) return;
-  const auto owned = read_metadata(text_of(value));
+  const auto owned = decode_metadata(text_of(value));
   if (!owned) throw std::runtime_error("what lies there cannot be read");
   if (owned->owner != owner_)
     throw std::runtime_error(fmt::format("it is {}'s; this gateway is {}", owned->owner, owner_));
@@ -127,7 +127,7 @@
     throw std::runtime_error(mdb_strerror(error));
   std::string broken;
   while (mdb_cursor_get(cursor, &key, &value, MDB_NEXT) == 0) {
-    auto slot = read_slot(text_of(value));
+    auto slot = decode_slot(text_of(value));
     if (!slot) broken = text_of(key);
     if (slot) slots.emplace(text_of(key), std::move(*slot));
   }
@@ -137,10 +137,10 @@
   if (!broken.empty()) throw std::runtime_error(fmt::format("the slot of {} cannot be read", broken));
 }
 
-void ReplicaStorage::write(consensus::Step step) {
+void ReplicaStorage::write(consensus::AcceptorOutput output) {
   {
     const std::lock_guard lock(mutex_);
-    queued_.push_back(std::move(step));
+    queued_.push_back(std::move(output));
     ++pending_;
   }
   work_available_.notify_one();
@@ -159,10 +159,10 @@
 
 // A disk that fills up while a commit writes its meta page leaves the environment unusable (MDB_PANIC) until
 // it is opened anew, also once the disk takes writes again.
-std::string ReplicaStorage::write_all(const std::vector<consensus::Step>& steps) {
+std::string ReplicaStorage::write_all(const std::vector<consensus::AcceptorOutput>& outputs) {
   try {
     if (!env_) open_environment();
-    const int error = commit(steps);
+    const int error = commit(outputs);
     if (error == MDB_PANIC) close_environment();
     return error ? mdb_strerror(error) : "";
   } catch (const std::runtime_error& e) {
@@ -171,12 +171,12 @@
   }
 }
 
-int ReplicaStorage::commit(const std::vector<consensus::Step>& steps) {
+int ReplicaStorage::commit(const std::vector<consensus::AcceptorOutput>& outputs) {
   Transaction t(env_, 0);
-  for (const consensus::Step& step : steps) {
-    for (const auto& [key, slot] : step.writes) t.put(slots_db_, key, written(slot));
-    if (step.standing)
-      t.put(metadata_db_, kMetadataKey, written(OwnedMetadata{*step.standing, owner_, replicas_hash_}));
+  for (const consensus::AcceptorOutput& output : outputs) {
+    for (const auto& [key, slot] : output.writes) t.put(slots_db_, key, encode(slot));
+    if (output.metadata)
+      t.put(metadata_db_, kMetadataKey, encode(OwnedMetadata{*output.metadata, owner_, replicas_hash_}));
   }
   t.commit();
   return t.error;
@@ -184,17 +184,17 @@
 
 void ReplicaStorage::run() {
   for (;;) {
-    std::vector<consensus::Step> steps;
+    std::vector<consensus::AcceptorOutput> outputs;
     {
       std::unique_lock lock(mutex_);
       work_available_.wait(lock, [this] { return is_closing_ || !queued_.empty(); });
       if (queued_.empty()) return;
-      steps.swap(queued_);
+      outputs.swap(queued_);
     }
-    const std::string error = write_all(steps);
+    const std::string error = write_all(outputs);
     {
       const std::lock_guard lock(mutex_);
-      for (consensus::Step& step : steps) written_.push_back({std::move(step), error});
+      for (consensus::AcceptorOutput& output : outputs) written_.push_back({std::move(output), error});
     }
     wake_();
   }
--- a/src/cluster/replica_storage.h
+++ b/src/cluster/replica_storage.h
@@ -1,5 +1,6 @@
-// A replica's slots on a disk: LMDB in a directory of its own, written on a thread of its own. A step is
-// durable, past a power cut, once take_written() returns it. Steps that wait are written in one transaction.
+// A replica's slots on a disk: LMDB in a directory of its own, written on a thread of its own. An output of
+// the acceptor is durable, past a power cut, once take_written() returns it. Those that wait are written in
+// one transaction.
 //
 // All calls come from one thread, the loop's.
 #pragma once
@@ -26,7 +27,7 @@
   // of replicas. `wake` is called on the writing thread when take_written() has something.
   ReplicaStorage(const std::string& path, const std::string& owner, uint64_t replicas_hash,
                  std::function<void()> wake);
-  ~ReplicaStorage();  // queued steps are written first
+  ~ReplicaStorage();  // what is queued is written first
   ReplicaStorage(const ReplicaStorage&) = delete;
   ReplicaStorage& operator=(const ReplicaStorage&) = delete;
 
@@ -34,13 +35,13 @@
   std::optional<consensus::ReplicaMetadata> metadata;
   std::map<std::string, consensus::AcceptorSlot> slots;
 
-  void write(consensus::Step step);
+  void write(consensus::AcceptorOutput output);
   struct Written {
-    consensus::Step step;
+    consensus::AcceptorOutput output;
     std::string error;  // why it could not be written; empty: it is on the disk
   };
   std::vector<Written> take_written();  // in the order of write()
-  size_t pending() const;               // steps that take_written() has not returned yet
+  size_t pending() const;               // outputs that take_written() has not returned yet
 
  private:
   void lock();
@@ -48,8 +49,9 @@
   void close_environment();
   void read();
   void run();
-  std::string write_all(const std::vector<consensus::Step>& steps);  // why not; empty: they are durable
-  int commit(const std::vector<consensus::Step>& steps);             // LMDB's code
+  std::string write_all(
+      const std::vector<consensus::AcceptorOutput>& outputs);         // why not; empty: they are durable
+  int commit(const std::vector<consensus::AcceptorOutput>& outputs);  // LMDB's code
 
   const std::string path_, owner_;
   const uint64_t replicas_hash_;
@@ -59,7 +61,7 @@
   unsigned slots_db_ = 0, metadata_db_ = 0;
   mutable std::mutex mutex_;
   std::condition_variable work_available_;
-  std::vector<consensus::Step> queued_;
+  std::vector<consensus::AcceptorOutput> queued_;
   std::vector<Written> written_;
   size_t pending_ = 0;
   bool is_closing_ = false;
--- a/src/cluster/run_once_requests.cpp
+++ b/src/cluster/run_once_requests.cpp
@@ -7,7 +7,7 @@
 namespace firvalve::cluster {
 
 using Action = lease::RunOnceJobs::Action;
-using End = lease::RunOnceJobs::End;
+using End = lease::RunOnceJobs::RunEnd;
 
 namespace {
 
@@ -29,12 +29,11 @@
   // Never 0, which stands for no statement.
   const uint64_t hash = XXH3_64bits(request.statement.data(), request.statement.size()) | 1;
   log_.count_requested_job();
-  jobs_.ask(to_ms(boot_now), std::string(job), to_number(call), hash,
-            to_ms(boot_now + (request.deadline - now)));
+  jobs_.submit(boot_now, std::string(job), to_number(call), hash, boot_now + (request.deadline - now));
 }
 
 void RunOnceRequests::cancel(CallId call) {
-  if (requests_.erase(call) > 0) jobs_.gone(to_ms(BootClock::now()), to_number(call));
+  if (requests_.erase(call) > 0) jobs_.on_caller_gone(BootClock::now(), to_number(call));
 }
 
 void RunOnceRequests::carry_out(TimePoint now) {
@@ -50,7 +49,7 @@
 void RunOnceRequests::start(TimePoint now, const Action& action) {
   const auto requested = requests_.find(CallId{action.call});
   if (requested == requests_.end() || !core_)
-    return jobs_.run_ended(to_ms(BootClock::now()), action.name, End::kNeverRan, {});
+    return jobs_.on_run_finished(BootClock::now(), action.key, End::kNeverRan, {});
   const Request& request = requested->second;
   CommandRequest command;
   command.command = request.command;
@@ -61,23 +60,23 @@
   command.estimated_work = request.estimated_work;
   command.memory_mb = request.memory_mb;
   const CallId call = last_started_ = next_after(last_started_);
-  started_[call] = action.name;
-  log_.record_started_job(action.name);
+  started_[call] = action.key;
+  log_.record_started_job(action.key);
   if (core_->admit(now, call, std::move(command)) != AdmissionResult::kAdmitted) {
     started_.erase(call);
-    jobs_.run_ended(to_ms(BootClock::now()), action.name, End::kNeverRan, {});
+    jobs_.on_run_finished(BootClock::now(), action.key, End::kNeverRan, {});
   }
 }
 
 void RunOnceRequests::respond(const Action& action) {
   const CallId call{action.call};
   if (requests_.erase(call) == 0) return;  // its client waits no longer
-  if (action.kind == Action::Kind::kAnswer)
-    clients_.answer(call, action.text);
+  if (action.kind == Action::Kind::kComplete)
+    clients_.answer(call, action.rows);
   else if (action.kind == Action::Kind::kShed)
-    clients_.shed(call, action.advice > 0 ? std::optional(duration_of(action.advice)) : std::nullopt);
+    clients_.shed(call, action.retry_after > Duration(0) ? std::optional(action.retry_after) : std::nullopt);
   else
-    clients_.fail(call, action.text);
+    clients_.fail(call, action.error);
 }
 
 bool RunOnceRequests::finish(CallId call, End end, std::string_view rows,
@@ -86,14 +85,13 @@
   if (started == started_.end()) return false;
   const std::string job = std::move(started->second);
   started_.erase(started);
-  jobs_.run_ended(to_ms(BootClock::now()), job, end, std::string(rows),
-                  to_ms(retry_after.value_or(Duration{})));
+  jobs_.on_run_finished(BootClock::now(), job, end, std::string(rows), retry_after.value_or(Duration{}));
   return true;
 }
 
 void RunOnceRequests::begin_shutdown(TimePoint deadline) {
   shutdown_deadline_ = deadline;
-  jobs_.leave();
+  jobs_.stop_accepting();
 }
 
 }  // namespace firvalve::cluster
--- a/src/cluster/topic_requests.cpp
+++ b/src/cluster/topic_requests.cpp
@@ -36,7 +36,7 @@
       return {Kind::kDone, R"({"agreed":true})"};
     case Result::Kind::kRejected:
       return {Kind::kRejected, schema::encode(result.applied.verdict)};
-    case Result::Kind::kNoMajority:
+    case Result::Kind::kNoQuorum:
       return {Kind::kNoQuorum, {}};
     case Result::Kind::kUnreadable:
       return {Kind::kInvalidParams, "what stands there is no bulletin that this program reads"};
--- a/src/schema/registry.cpp
+++ b/src/schema/registry.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-uint64_t Registry::submit(Change change, BootClock::time_point deadline) {
+uint64_t Registry::submit(Change change, consensus::BootTime deadline) {
   const uint64_t number = ++last_change_;
   Pending& pending = pending_[number];
   pending.change = std::move(change);
@@ -35,7 +35,7 @@
 void Registry::propose_read(Pending& pending) {
   consensus::Proposal proposal;
   proposal.key = key_of(pending.change.topic);
-  proposal.until = to_ms(pending.deadline);
+  proposal.deadline = pending.deadline;
   pending.proposal = 0;
   proposals_.push_back(std::move(proposal));
 }
@@ -43,11 +43,11 @@
 void Registry::propose_change(Pending& pending, const consensus::ProposalResult& standing) {
   consensus::Proposal proposal;
   proposal.id = pending.proposal = next_proposal_id();
-  proposal.key = standing.wish.key;
-  proposal.expected = standing.fact.change;
+  proposal.key = standing.proposal.key;
+  proposal.expected_change = standing.current.change_id;
   proposal.value = encode(pending.applied.after);
-  proposal.urgent = true;
-  proposal.until = to_ms(pending.deadline);
+  proposal.is_urgent = true;
+  proposal.deadline = pending.deadline;
   proposals_.push_back(std::move(proposal));
 }
 
@@ -70,18 +70,18 @@
   // found to be older when the change is agreed on top of it.
   std::vector<uint64_t> numbers;
   for (const auto& [number, pending] : pending_)
-    if (result.wish.key == key_of(pending.change.topic) && pending.proposal == result.wish.id)
+    if (result.proposal.key == key_of(pending.change.topic) && pending.proposal == result.proposal.id)
       numbers.push_back(number);
   using Kind = consensus::ProposalResult::Kind;
   for (const uint64_t number : numbers) {
     switch (result.kind) {
-      case Kind::kNoMajority:
-        finish(number, Result::Kind::kNoMajority);
+      case Kind::kNoQuorum:
+        finish(number, Result::Kind::kNoQuorum);
         break;
       case Kind::kUnknown:
         finish(number, Result::Kind::kUnknown);
         break;
-      case Kind::kAgreed:
+      case Kind::kCommitted:
         finish(number, Result::Kind::kAgreed);
         break;
       case Kind::kRead:
@@ -98,9 +98,9 @@
   Pending& pending = pending_[number];
   std::string why;
   const std::optional<Topic> topic =
-      standing.fact.version == 0 ? Topic{} : decode_topic(standing.fact.value, why);
+      standing.current.version == 0 ? Topic{} : decode_topic(standing.current.value, why);
   if (!topic) return finish(number, Result::Kind::kUnreadable);
-  if (is_injected(InjectedBug::kCheckBeforeAgreement) && pending.applied.has_changed)
+  if (is_injected(InjectedBug::kCheckStaleDeclarations) && pending.applied.has_changed)
     pending.applied.after = merged_unchecked(pending.applied.after, *topic);
   else
     pending.applied = apply(*topic, pending.change);
--- a/src/schema/registry.h
+++ b/src/schema/registry.h
@@ -29,7 +29,7 @@
     enum class Kind : uint8_t {
       kAgreed,      // it stands, or was read
       kRejected,    // by the verdict
-      kNoMajority,  // it was not made
+      kNoQuorum,    // it was not made
       kUnknown,     // it may yet stand
       kUnreadable,  // what stands under the topic's key is none; nothing was changed
     };
@@ -41,7 +41,7 @@
   };
 
   // The number of the change; its result comes by take_results().
-  uint64_t submit(Change change, BootClock::time_point deadline);
+  uint64_t submit(Change change, consensus::BootTime deadline);
   // Results of proposals that are not this registry's are ignored.
   void handle_result(const consensus::ProposalResult& result);
   std::vector<consensus::Proposal> take_proposals() { return std::exchange(proposals_, {}); }
@@ -50,8 +50,8 @@
  private:
   struct Pending {
     Change change;
-    BootClock::time_point deadline;
-    uint64_t proposal = 0;  // its id; 0: it reads
+    consensus::BootTime deadline;
+    consensus::ChangeId proposal = 0;  // its id; 0: it reads
     AppliedChange applied;
   };
 
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -261,7 +261,8 @@
   for (size_t i = 0; i < c.size(); ++i) {
     EXPECT_EQ(c.end(i), 0);
     c.start(i);
-    EXPECT_TRUE(soon([&] { return c.ready() && (i >= 3 || c.count(i, "consensus.replica_ready") > 1); })) << i;
+    EXPECT_TRUE(soon([&] { return c.ready() && (i >= 3 || c.count(i, "consensus.replica_ready") > 1); }))
+        << i;
   }
   over = true;
   load.join();
--- a/tests/schema/registry_fixture.h
+++ b/tests/schema/registry_fixture.h
@@ -46,16 +46,16 @@
 struct FakeRegister {
   consensus::Register fact;
   consensus::ProposalResult answer(const consensus::Proposal& w) {
-    consensus::ProposalResult end{consensus::ProposalResult::Kind::kRead, w, {}, 0};
-    if (w.id != 0 && w.expected == fact.change) {
+    consensus::ProposalResult end{consensus::ProposalResult::Kind::kRead, w, {}, {}};
+    if (w.id != 0 && w.expected_change == fact.change_id) {
       ++fact.version;
-      fact.change = w.id;
+      fact.change_id = w.id;
       fact.value = w.value;
-      end.kind = consensus::ProposalResult::Kind::kAgreed;
+      end.kind = consensus::ProposalResult::Kind::kCommitted;
     } else if (w.id != 0) {
       end.kind = consensus::ProposalResult::Kind::kConflict;
     }
-    end.fact = fact;
+    end.current = fact;
     return end;
   }
 };
--- a/tests/schema/registry_test.cpp
+++ b/tests/schema/registry_test.cpp
@@ -59,7 +59,7 @@
   fact.fact = {3, 77, {}, "not a bulletin", false};
   r.submit(propose(with({"cabin"})), kDeadline);
   EXPECT_EQ(settle(r, fact).kind, Kind::kUnreadable);
-  EXPECT_EQ(fact.fact.change, 77u);
+  EXPECT_EQ(fact.fact.change_id, 77u);
 }
 
 // A proposal that takes a field away, a declaration that reads it, another proposal: in every order of their
@@ -102,7 +102,7 @@
     consensus::Digest d;
     d.add(fact_.fact);
     for (const auto& wishes : wishes_)
-      for (const consensus::Proposal& w : wishes) d.add(w.id).add(w.expected).add(w.value);
+      for (const consensus::Proposal& w : wishes) d.add(w.id).add(w.expected_change).add(w.value);
     return d.text();
   }
   // Every version that is published can be read by everybody who declared.
@@ -132,7 +132,7 @@
 }
 
 TEST(RegistryExplore, ACheckBeforeAgreementIsFound) {
-  injected_bug = InjectedBug::kCheckBeforeAgreement;
+  injected_bug = InjectedBug::kCheckStaleDeclarations;
   const lab::Explored out = lab::explore(Crossing(), 100000);
   injected_bug = InjectedBug::kNone;
   ASSERT_TRUE(out.breach);
