--- a/src/lab/scale/region_proxy.cpp
+++ b/src/loadtest/region_proxy.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/region_proxy.h"
+#include "loadtest/region_proxy.h"
 
 #include <Poco/Net/SocketAddress.h>
 #include <fcntl.h>
@@ -13,10 +13,10 @@
 
 #include "cluster/peer_codec.h"
 #include "cluster/peer_limits.h"
-#include "lab/scale/parts.h"
+#include "loadtest/parts.h"
 #include "proto/jsonrpc/rpc.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 using Poco::Net::SocketAddress;
@@ -222,4 +222,4 @@
   connections_.erase(at);
 }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/tests/consensus/explore_test.cpp
+++ b/tests/consensus/explore_test.cpp
@@ -237,7 +237,7 @@
 
 const size_t kMost = states_most();
 
-lab::Explored explore(const Bounds& bounds, size_t most) { return explored<Race>(bounds, most); }
+simulation::Explored explore(const Bounds& bounds, size_t most) { return explored<Race>(bounds, most); }
 bool found(const Bounds& bounds, InjectedBug bug) { return walks_find<Race>(bounds, bug, kMost / 2); }
 
 TEST(ExploreConsensus, TwoProposersOfOneRegisterWithoutTimeouts) {
@@ -249,7 +249,7 @@
 TEST(ExploreConsensus, TwoProposersOfOneRegisterWithATimeout) {
   Bounds b;
   b.timeouts = 1;
-  const lab::Explored out = explore(b, kMost);
+  const simulation::Explored out = explore(b, kMost);
   EXPECT_FALSE(out.breach);
 }
 
@@ -257,7 +257,7 @@
   Bounds b;
   b.timeouts = 1;
   b.storage_losses = 1;
-  const lab::Explored out = explore(b, kMost);
+  const simulation::Explored out = explore(b, kMost);
   EXPECT_FALSE(out.breach);
 }
 
