--- a/src/core/engine_health.h
+++ b/src/core/engine_health.h
@@ -1,4 +1,5 @@
-// Changes of engines' health, as the policy's outlier detection sees it: for the log. No decision depends on it.
+// Changes of engines' health, as the policy's outlier detection sees it: for the log. No decision depends on
+// it.
 #pragma once
 
 #include <functional>
--- a/src/fakes/fault_proxy.cpp
+++ b/src/fakes/fault_proxy.cpp
@@ -3,7 +3,8 @@
 #include <deque>
 #include <random>
 
-#include "cluster/wire.h"
+#include "cluster/peer_codec.h"
+#include "cluster/peer_limits.h"
 #include "proto/jsonrpc/rpc.h"
 
 namespace firvalve::fakes {
@@ -43,7 +44,7 @@
     FaultProxy& proxy_;
     const uint64_t pair_id_;
     const bool is_forward_;
-    proto::RpcFrames frames_{cluster::kFrameMost};
+    proto::RpcFrames frames_{cluster::kMaxFrameBytes};
   };
 
   std::unique_ptr<Socket> near, far;
@@ -116,7 +117,7 @@
   const char* why = "";
   const size_t head = frame.find("\r\n\r\n") + 4;
   const auto read = cluster::read_frame({frame.data() + head, frame.size() - head}, why);
-  const auto name = read ? names_.find(read->from) : names_.end();
+  const auto name = read ? names_.find(read->sender) : names_.end();
   if (name != names_.end()) pair.from = name->second;
 }
 
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -231,9 +231,9 @@
 
 cluster::ClusterOptions fleet_options(const config::OperatorConfig::Fleet& wish, double memory) {
   cluster::ClusterOptions options = cluster::options_from(wish);
-  options.record_bytes = static_cast<size_t>(kRecordPart * memory);
+  options.max_register_bytes = static_cast<size_t>(kRecordPart * memory);
   std::random_device device;
-  options.draw = (static_cast<uint64_t>(device()) << 32) | device();
+  options.random_seed = (static_cast<uint64_t>(device()) << 32) | device();
   return options;
 }
 
@@ -279,7 +279,7 @@
   core.set_max_statement_bytes(static_cast<size_t>(kStatementPart * bytes));
   engines.serve(core);
   if (peers) {
-    peers->serve(core);
+    peers->run_on(core);
     clients.ask_fleet(*peers);
   }
   ResultStoreWiring shelving(wishes.spool, loop, counters, logger);
@@ -304,7 +304,7 @@
   Ms ended_at = 0;  // SIGTERM came then
   net::Signals signals(loop, [&](int number) {
     if (number == SIGUSR1) {
-      if (peers) peers->tell();
+      if (peers) peers->log_status();
       return say(Level::kInfo, "counters", {{"component", "gateway"}, {"counts", counters.text()}});
     }
     // The event bus has moved. Everything else that a new file may say holds from the next start.
@@ -329,7 +329,7 @@
     ended_at = loop.now();
     const Ms answered_by = ended_at + proto::answers_end(longest);
     core.begin_shutdown(time_point_of(ended_at), time_point_of(answered_by));
-    if (peers) peers->leave(ended_at, answered_by);
+    if (peers) peers->begin_shutdown(time_point_of(ended_at), time_point_of(answered_by));
     say(Level::kInfo, "ending: everything taken is answered first", {{"component", "gateway"}});
   });
   say(Level::kInfo, "serving", {{"component", "gateway"}, {"address", told.listen}});
@@ -351,16 +351,16 @@
     engines.due(now);
     if (shelving.spool) shelving.spool->handle_due(time_point_of(now));
     clients.due(now);
-    if (peers) peers->due(now);
+    if (peers) peers->due(time_point_of(now));
     core.decide(time_point_of(now));
     const bool settled = ended_at > 0 && now >= ended_at + proto::kComingOn &&
                          core.unanswered_call_count() == 0 && clients.unsent() == 0 &&
                          (!shelving.spool || !shelving.spool->has_pending_reads()) &&
-                         (!peers || peers->left(now));
+                         (!peers || peers->is_shut_down());
     if (settled && clients.leave(now)) loop.stop();
     if (ended_at > 0 && now >= ended_at + proto::leaving_end(longest)) loop.stop();
     if (ended_at > 0) return now + kEndLook;
-    const Ms fleet_due = peers ? peers->next_due(now) : 0;
+    const Ms fleet_due = peers ? to_ms(peers->next_due(time_point_of(now))) : 0;
     const std::optional<TimePoint> results_due = shelving.spool ? shelving.spool->next_due() : std::nullopt;
     const Ms spooled = results_due ? to_ms(*results_due) : 0;
     const std::optional<TimePoint> log_due = logger.next_due();
--- a/tests/cluster/world_test.cpp
+++ b/tests/cluster/world_test.cpp
@@ -129,12 +129,12 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Flaws, Planted,
-                         testing::Values(std::pair(InjectedBug::kLeaseFromAnswer, "one_holder"),
-                                         std::pair(InjectedBug::kNoWait, "one_holder"),
-                                         std::pair(InjectedBug::kIntentAfterSend, "once"),
-                                         std::pair(InjectedBug::kNoEpochCheck, "acts_in_order"),
-                                         std::pair(InjectedBug::kCheckBeforeAgreement, "compatible"),
-                                         std::pair(InjectedBug::kNoPromise, "linearizable")),
+                         testing::Values(std::pair(InjectedBug::kLeaseFromResponse, "one_holder"),
+                                         std::pair(InjectedBug::kSkipTakeoverWait, "one_holder"),
+                                         std::pair(InjectedBug::kRecordIntentAfterStart, "once"),
+                                         std::pair(InjectedBug::kSkipFencingCheck, "acts_in_order"),
+                                         std::pair(InjectedBug::kCheckStaleDeclarations, "compatible"),
+                                         std::pair(InjectedBug::kSkipPromiseCheck, "linearizable")),
                          [](const auto& p) {
                            return std::string(p.param.second) +
                                   std::to_string(static_cast<int>(p.param.first));
@@ -152,7 +152,7 @@
     const FleetOutcome out = play(o);
     EXPECT_EQ(told(out), "");
     for (const RecordOp& op : out.history.ops) EXPECT_LT(op.ended, 6500);
-    injected_bug = InjectedBug::kForgetfulKeeper;
+    injected_bug = InjectedBug::kForgetfulAcceptor;
     found |= breaks(play(o), "linearizable");
     injected_bug = InjectedBug::kNone;
   }
@@ -160,7 +160,7 @@
 }
 
 TEST(FleetWorld, ABadHistoryIsCutDownToAShortOne) {
-  injected_bug = InjectedBug::kNoWait;
+  injected_bug = InjectedBug::kSkipTakeoverWait;
   FleetOptions o = rough(1);
   o.span = 6000;
   const FleetOptions cut = cut_down(o, "one_holder");
@@ -212,13 +212,13 @@
   FleetHistory h;
   read_spans("a",
              "not json\n"
-             R"({"event":"duty.taken","duty":"d","epoch":"3","at_ms":"100.5","until_ms":"1000"})"
+             R"({"event":"lease.acquired","lease":"d","epoch":"3","at_ms":"100.5","until_ms":"1000"})"
              "\n"
-             R"({"event":"duty.renewed","duty":"d","epoch":"3","at_ms":"500","until_ms":"1400"})"
+             R"({"event":"lease.renewed","lease":"d","epoch":"3","at_ms":"500","until_ms":"1400"})"
              "\n"
-             R"({"event":"duty.left","duty":"d","epoch":"3","at_ms":"700","why":"x"})"
+             R"({"event":"lease.released","lease":"d","epoch":"3","at_ms":"700","reason":"x"})"
              "\n"
-             R"({"event":"duty.taken","duty":"d","epoch":"5","at_ms":"900","until_ms":"1800"})"
+             R"({"event":"lease.acquired","lease":"d","epoch":"5","at_ms":"900","until_ms":"1800"})"
              "\n",
              h);
   ASSERT_EQ(h.held.size(), 2u);
