--- a/src/core/core.h
+++ b/src/core/core.h
@@ -32,6 +32,7 @@
 // The sooner of two moments, where 0 is none. For callers that do not use optional time points yet.
 inline Ms sooner(Ms a, Ms b) { return a == 0 || (b > 0 && b < a) ? b : a; }
 
+// What became of a request. Only after kAdmitted does the call get a response through the ResponseSink.
 enum class AdmissionResult {
   kAdmitted,
   kUnknownProfile,
@@ -41,23 +42,28 @@
   kResultFound,  // a retry whose result is stored: Core::found_result(), nothing runs
 };
 
+// An engine of the endpoint list. The core fills in its number.
 struct NamedEngineInfo {
-  std::string name, address;
+  std::string name, address;  // as listed; address: host:port
   EngineInfo info;
 };
 
 class Core {
  public:
+  // All references must outlive the core. `seed`: of the policy's random draws. `on_engine_health` must be
+  // callable.
   Core(const Settings& settings, uint64_t seed, ResponseSink& responses, EngineTransport& engines,
        Metrics& metrics, EngineHealthObserver on_engine_health);
 
   // Bytes of the statements of all commands in hand; commands beyond them are not admitted.
   void set_max_statement_bytes(size_t bytes) { commands_.set_max_statement_bytes(bytes); }
+  // Gets each event of each command and attempt; without one nobody does.
   void set_observer(CommandObserver observer) { observer_ = std::move(observer); }
   // Without a store no result is paged. It must outlive the core.
   void set_result_store(ResultStore& store) { results_.set_store(store); }
 
   // ---- Clients
+  // `call` is new with each request.
   AdmissionResult admit(TimePoint now, CallId call, CommandRequest&& request);
   // After kResultFound: the result to answer with.
   std::optional<ResultHandle> found_result() const { return found_result_; }
@@ -74,6 +80,7 @@
                           std::optional<TimePoint> current_at = std::nullopt);
   // Asked right before the start of an attempt is written to its engine.
   bool may_start_attempt(TimePoint now, AttemptId attempt) const;
+  // What an engine reports of an attempt that is out. Unknown attempts are ignored.
   void attempt_status_received(TimePoint now, AttemptId attempt, AttemptStatusKind kind, double value);
   // One more page of a paged attempt's rows. kOutOfSpace also for an attempt that has finished.
   ResultStore::AppendResult append_page(TimePoint now, AttemptId attempt, std::string_view rows);
