--- a/src/policy/actions.h
+++ b/src/policy/actions.h
@@ -58,7 +58,7 @@
 };
 using Actions = std::vector<Action>;
 
-// The line that the log gets for Action::Kind::kLogEngineHealth.
+// Action::Kind::kLogEngineHealth in words, for hosts whose log takes plain text.
 std::string engine_health_text(EngineId engine, EngineHealth health);
 
 }  // namespace firvalve
--- a/src/policy/attempt_events.cpp
+++ b/src/policy/attempt_events.cpp
@@ -65,7 +65,7 @@
   note_rejection_or_start(engine, now, outcome);
 }
 
-// Guards rule 5: what may still run holds its ordering key.
+// Guards the order of commands with one ordering key: what may still run holds the key.
 bool may_still_run(Outcome outcome) {
   return outcome == Outcome::kTimedOut || outcome == Outcome::kReset || outcome == Outcome::kCancelled;
 }
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <utility>
 
-#include "policy/math.h"
+#include "policy/formulas.h"
 #include "policy/state.h"
 
 namespace firvalve {
--- a/src/policy/engine_list.cpp
+++ b/src/policy/engine_list.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "policy/setting_keys.h"
 #include "policy/state.h"
 
 namespace firvalve {
@@ -22,11 +23,11 @@
   engine.machine_type_index = index_of(state.machine_types, info.machine_type);
   state.concurrency.groups.resize(2 * state.machine_types.size());
   engine.cell = info.cell;
-  engine.cores = number(state.settings, "cores." + info.machine_type, 1);
+  engine.cores = number(state.settings, setting::kCoresPrefix + info.machine_type, 1);
   if (engine.concurrency.limit == 0) engine.concurrency.limit = initial_limit(state, engine);
 }
 
-// Guards rule 4: a start within the warm-up makes a cold engine, whether it is new or came back.
+// A start within the warm-up makes a cold engine, whether it is new or came back.
 void note_restart(State& state, Engine& engine, TimePoint started_at, TimePoint now) {
   const std::optional<TimePoint>& known_start = engine.slow_start.started_at;
   if (now - started_at >= state.options.slow_start.warm_up || (known_start && *known_start >= started_at))
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "policy/math.h"
+#include "policy/formulas.h"
 #include "policy/state.h"
 
 namespace firvalve {
@@ -88,7 +88,7 @@
 
 void note_success(State& state, Engine& engine, TimePoint now) {
   EngineOutlier& outlier = engine.outlier;
-  // Guards rule 4: an engine unresponsive for long may have started anew before the list says so.
+  // Guards the slow start: an engine unresponsive for long may have started anew before the list says so.
   if (outlier.is_unresponsive && now - outlier.last_sign_at > kRestartSilence)
     start_slow_start(state, engine, now);
   outlier.is_unresponsive = false;
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -35,8 +35,8 @@
 // Fades the counts of an engine, and its slowdown samples.
 void fade_counts(Engine& engine, TimePoint now);
 
-// Takes an outcome into the counts and the signs of life. The second follows once more is learned from a
-// success.
+// Takes an outcome into the counts. A success is also a sign of life, and moves an ejected engine towards
+// reinstatement.
 void count_outcome(Engine& engine, Outcome outcome);
 void note_success(State& state, Engine& engine, TimePoint now);
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -7,6 +7,7 @@
 #include "policy/cancellation.h"
 #include "policy/engine_list.h"
 #include "policy/reconciliation.h"
+#include "policy/setting_keys.h"
 
 namespace firvalve {
 namespace {
@@ -24,24 +25,25 @@
   const auto flag = [&](const char* name) { return number(settings, name) > 0; };
   const auto time = [&](const char* name) { return duration_of(number(settings, name)); };
   PolicyOptions options;
-  options.gateways = std::max(1.0, number(settings, "gateways", 1));
-  options.gateway_number = number(settings, "gateway number");
-  options.max_attempts = std::max(1, static_cast<int>(number(settings, "sends at most", 1)));
-  options.may_cancel = flag("may cancel");
-  options.are_priorities_heeded = flag("priorities heeded");
-  options.are_memory_grants_heeded = flag("grants heeded");
-  if (flag("may advise")) options.retry_after = positive_time(number(settings, "longest advice"));
-  options.status_period = positive_time(number(settings, "note period"));
-  options.key_cooldown = time("key rest");
+  options.gateways = std::max(1.0, number(settings, setting::kGatewayCount, 1));
+  options.gateway_number = number(settings, setting::kGatewayNumber);
+  options.max_attempts = std::max(1, static_cast<int>(number(settings, setting::kMaxAttempts, 1)));
+  options.may_cancel = flag(setting::kMayCancel);
+  options.are_priorities_heeded = flag(setting::kHonoursPriorities);
+  options.are_memory_grants_heeded = flag(setting::kHonoursMemoryGrants);
+  if (flag(setting::kMayAdviseRetry))
+    options.retry_after = positive_time(number(settings, setting::kMaxRetryAfter));
+  options.status_period = positive_time(number(settings, setting::kStatusPeriod));
+  options.key_cooldown = time(setting::kKeyQuietTime);
   options.retry_budget.is_limited =
-      settings.count("further sends share") > 0 || settings.count("further sends free") > 0;
-  options.retry_budget.allowance = number(settings, "further sends free");
-  options.retry_budget.share = number(settings, "further sends share");
-  options.retry_budget.window = time("further sends window");
-  options.slow_start.warm_up = time("warm-up");
-  options.slow_start.initial_share = number(settings, "cold share", 1);
-  options.slow_start.overload_multiple = number(settings, "fall multiple", 1);
-  options.slow_start.overload_window = time("fall window");
+      settings.count(setting::kRetryShare) > 0 || settings.count(setting::kFreeRetries) > 0;
+  options.retry_budget.allowance = number(settings, setting::kFreeRetries);
+  options.retry_budget.share = number(settings, setting::kRetryShare);
+  options.retry_budget.window = time(setting::kRetryWindow);
+  options.slow_start.warm_up = time(setting::kWarmUp);
+  options.slow_start.initial_share = number(settings, setting::kSlowStartShare, 1);
+  options.slow_start.overload_multiple = number(settings, setting::kOverloadFactor, 1);
+  options.slow_start.overload_window = time(setting::kOverloadWindow);
   return options;
 }
 
@@ -116,7 +118,7 @@
   state.options = options_from(settings);
   state.random.state = seed * 2 + 1;
   state.random.next();
-  for (int i = 0; settings.count("profile." + std::to_string(i) + ".name"); ++i)
+  for (int i = 0; has_profile(settings, i); ++i)
     state.profiles.emplace_back(profile_from(settings, i)).memory_factor = kInitialMemoryFactor;
   return state;
 }
--- a/src/policy/profile.h
+++ b/src/policy/profile.h
@@ -39,7 +39,8 @@
   double memory_factor = 0;  // of the estimated memory: covers what most commands need
 };
 
-// The profile of that number in the settings, counted from 0.
+// The profile of that number in the settings, counted from 0, if there is one.
+bool has_profile(const Settings& settings, int number);
 Profile profile_from(const Settings& settings, int number);
 
 }  // namespace firvalve
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -81,7 +81,7 @@
          may_run_on(state, *command, state.engines[*command->attempt.engine], now);
 }
 
-// Guards against a client that is told it may send a command again once the engines no longer recognize it:
+// Guards against advising a client that it may send a command again once the engines no longer recognize it:
 // it would run twice. It may cost a deduplicated command late in its window the repeat that would still have
 // been dropped.
 bool is_safe_to_shed(const State& state, const Command& command, TimePoint now) {
--- a/src/policy/retry.h
+++ b/src/policy/retry.h
@@ -40,7 +40,7 @@
 // Whether it may be attempted on that engine now, whatever room there is.
 bool may_attempt(const State& state, const Command& command, const Engine& engine, TimePoint now);
 
-// Whether its client may be told that it is safe to send the command again.
+// Whether it is safe to advise its client to send the command again, as shedding does.
 bool is_safe_to_shed(const State& state, const Command& command, TimePoint now);
 
 // Remembers the first attempt that may have run.
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -49,8 +49,8 @@
   return budget;
 }
 
-// Large commands come by turns, one at a time, told by the engine's start and the gateway's number. A turn
-// that had begun when this gateway started passes.
+// Large commands come by turns, one at a time, which all gateways derive from the engine's start and their
+// numbers. A turn that had begun when this gateway started passes.
 bool has_scheduled_turn(const State& state, const Engine& engine, const Budget& budget, Duration work,
                         TimePoint now) {
   Duration longest = work;  // whose turns are long enough for all: the turns of profiles must not add up
@@ -75,11 +75,11 @@
   engine.slow_start.sent.clear();
 }
 
-// Guards rule 4 against a wall clock that was stepped, here or where the list is written: by it an engine
-// that has just started may seem an hour old, or not to have started yet, and would get the load of a warm
-// one, or none. A start cannot lie ahead; and one that the list did not hold when it was last known to be
-// current lies after that, but for the time in which lists are told. What contradicts these is taken as a
-// start now. It may cost a warm engine that joins late a warm-up.
+// Guards the slow start against a wall clock that was stepped, here or where the list is written: by it an
+// engine that has just started may seem an hour old, or not to have started yet, and would get the load of a
+// warm one, or none. A start cannot lie ahead; and one that the list did not hold when it was last known to
+// be current lies after that, but for the delay of the list. What contradicts these is taken as a start now.
+// It may cost a warm engine that joins late a warm-up.
 TimePoint start_time_of(TimePoint started_at, std::optional<TimePoint> current_at, TimePoint now) {
   const bool is_ahead = started_at > now;
   const bool is_older_than_news = current_at && started_at < *current_at - kListDelayMax;
