--- a/tests/policy/engine_list_test.cpp
+++ b/tests/policy/engine_list_test.cpp
@@ -5,7 +5,7 @@
 namespace firvalve {
 namespace {
 
-// Rule 3: draining engines.
+// Engines that drain or leave.
 
 TEST(EngineList, NoAttemptOnAnEngineThatDrainsOrWasRemoved) {
   State state = state_with(2, {make_profile(Effect::kReplayable)});
--- a/tests/policy/reconciliation_test.cpp
+++ b/tests/policy/reconciliation_test.cpp
@@ -5,7 +5,7 @@
 namespace firvalve {
 namespace {
 
-// Rule 1: one final answer.
+// Each command gets one final answer.
 
 TEST(Reconciliation, AttemptThatTimedOutAtTheDeadlineFailsItsCommandAtOnce) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -7,7 +7,7 @@
 namespace firvalve {
 namespace {
 
-// Rule 2, no effect twice, and rule 7, the retry budget.
+// No effect twice, and the retry budget.
 
 struct RetryAfterOutcome : testing::TestWithParam<std::tuple<Outcome, bool>> {};
 
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -8,7 +8,7 @@
 namespace firvalve {
 namespace {
 
-// Rule 4: cold engines.
+// Engines that warm up.
 
 State with_a_cold_engine(double gateways) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
@@ -58,7 +58,7 @@
   EXPECT_EQ(slow_start_admission(state, state.engines[0], span(50), at(3000)), SlowStartAdmission::kDenied);
 }
 
-// Rule 4 over the whole fleet: whatever N gateways want to send an engine that started, unevenly and some of
+// Over the whole fleet: whatever N gateways want to send an engine that started, unevenly and some of
 // them restarted meanwhile, what they are let send over any window stays under what the settings allow, but
 // for chance.
 TEST(SlowStart, TheSumOfAllGatewaysHolds) {
