--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -1,7 +1,7 @@
 // One gateway's part in the cluster: its state machines together, without I/O or clock. An acceptor (where
 // the gateway is a replica), a proposer, a watcher, the leases, the run-once jobs and the registry of
-// schemas. The program (cluster_service.h) and the simulation in virtual time (simulation/fleet_world.h) run the
-// same code.
+// schemas. The program (cluster_service.h) and the simulation in virtual time (simulation/fleet_world.h) run
+// the same code.
 #pragma once
 
 #include <memory>
--- a/src/cluster/cluster_service.cpp
+++ b/src/cluster/cluster_service.cpp
@@ -67,7 +67,7 @@
   if (node_->acceptor()) node_->acceptor()->remove_watcher(peer);
 }
 
-// Whether one of them came back to this gateway's own node, which may have more to say now.
+// Whether one of them was for this gateway's own node, which may have more output now.
 bool ClusterService::deliver(BootTime now, const std::vector<Envelope>& envelopes, FrameBatch& batch) {
   bool to_itself = false;
   for (const Envelope& envelope : envelopes) {
@@ -81,7 +81,7 @@
   return to_itself;
 }
 
-// All that the state machines have to say: to itself at once, to others a frame or few a connection.
+// Delivers all output of the state machines: to itself at once, to each peer in as few frames as possible.
 void ClusterService::exchange_messages(BootTime now) {
   FrameBatch batch;
   const OutputWriter::Deliver deliver_now = [&](const std::vector<Envelope>& envelopes) {
--- a/src/cluster/output_writer.h
+++ b/src/cluster/output_writer.h
@@ -1,7 +1,7 @@
 // Makes what this gateway's acceptor puts out durable and releases its messages afterwards.
 //
-// A promise must be on the disk before anybody is told of it. While the disk takes no writes this replica
-// says nothing, and the others are the majority; the writes are offered again with a later output.
+// A promise must be on the disk before its message leaves. While the disk takes no writes this replica sends
+// nothing, and the others are the majority; the writes are offered again with a later output.
 #pragma once
 
 #include <functional>
--- a/src/cluster/replica_storage.cpp
+++ b/src/cluster/replica_storage.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr size_t kMapBytes = size_t{1}
-                             << 30;  // address space, not memory: room for 65,536 facts of 4 kB, thrice
+                             << 30;  // address space, not memory: room for 65,536 registers of 4 kB, thrice
 constexpr const char* kMetadataKey = "standing";
 
 [[noreturn]] void fail(const std::string& path, const std::string& why) {
@@ -80,7 +80,7 @@
   std::error_code error;
   std::filesystem::create_directories(path_, error);
   if (error) throw std::runtime_error("cannot be made: " + error.message());
-  // A file limit of the system is an error to be told, not an end of the process.
+  // A write past the system's limit of file sizes is an error to be reported, not the end of the process.
   ::signal(SIGXFSZ, SIG_IGN);
   lock_file_ = ::open((path_ + "/used").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
   if (lock_file_ < 0) throw std::runtime_error("cannot be written");
--- a/src/schema/registry.cpp
+++ b/src/schema/registry.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 // The injected bug: what was checked before is put on top of what stands now.
-Topic merged_unchecked(const Topic& checked, const Topic& standing) {
-  Topic out = standing;
+Topic merged_unchecked(const Topic& checked, const Topic& current) {
+  Topic out = current;
   for (const Version& version : checked.versions)
     if (!out.find(version.number)) out.versions.push_back(version);
   for (const Declaration& declaration : checked.declarations)
-    if (std::none_of(standing.declarations.begin(), standing.declarations.end(),
+    if (std::none_of(current.declarations.begin(), current.declarations.end(),
                      [&](const Declaration& other) { return other.subscriber == declaration.subscriber; }))
       out.declarations.push_back(declaration);
   return out;
@@ -40,11 +40,11 @@
   proposals_.push_back(std::move(proposal));
 }
 
-void Registry::propose_change(Pending& pending, const consensus::ProposalResult& standing) {
+void Registry::propose_change(Pending& pending, const consensus::ProposalResult& result) {
   consensus::Proposal proposal;
   proposal.id = pending.proposal = next_proposal_id();
-  proposal.key = standing.proposal.key;
-  proposal.expected_change = standing.current.change_id;
+  proposal.key = result.proposal.key;
+  proposal.expected_change = result.current.change_id;
   proposal.value = encode(pending.applied.after);
   proposal.is_urgent = true;
   proposal.deadline = pending.deadline;
@@ -86,7 +86,7 @@
         break;
       case Kind::kRead:
       case Kind::kConflict:
-        handle_standing(number, result);
+        handle_current(number, result);
         break;
     }
   }
@@ -94,11 +94,11 @@
 
 // It was read, or another change came first: it is checked against what stands now, and agreed on top of just
 // that.
-void Registry::handle_standing(uint64_t number, const consensus::ProposalResult& standing) {
+void Registry::handle_current(uint64_t number, const consensus::ProposalResult& result) {
   Pending& pending = pending_[number];
   std::string why;
   const std::optional<Topic> topic =
-      standing.current.version == 0 ? Topic{} : decode_topic(standing.current.value, why);
+      result.current.version == 0 ? Topic{} : decode_topic(result.current.value, why);
   if (!topic) return finish(number, Result::Kind::kUnreadable);
   if (is_injected(InjectedBug::kCheckStaleDeclarations) && pending.applied.has_changed)
     pending.applied.after = merged_unchecked(pending.applied.after, *topic);
@@ -106,7 +106,7 @@
     pending.applied = apply(*topic, pending.change);
   if (!pending.applied.verdict.is_compatible()) return finish(number, Result::Kind::kRejected);
   if (!pending.applied.has_changed) return finish(number, Result::Kind::kAgreed);
-  propose_change(pending, standing);
+  propose_change(pending, result);
 }
 
 }  // namespace firvalve::schema
--- a/src/schema/registry.h
+++ b/src/schema/registry.h
@@ -56,8 +56,8 @@
   };
 
   void propose_read(Pending& pending);
-  void propose_change(Pending& pending, const consensus::ProposalResult& standing);
-  void handle_standing(uint64_t number, const consensus::ProposalResult& standing);
+  void propose_change(Pending& pending, const consensus::ProposalResult& result);
+  void handle_current(uint64_t number, const consensus::ProposalResult& result);
   void finish(uint64_t number, Result::Kind kind);
   uint64_t next_proposal_id();
 
--- a/src/schema/violation.h
+++ b/src/schema/violation.h
@@ -1,4 +1,5 @@
-// What keeps a schema or declaration from standing: rules, and their violations with whom they would break.
+// Why a schema or declaration is rejected: rules, and their violations with the readers that they would
+// break.
 #pragma once
 
 #include <cstdint>
--- a/tests/cluster/peer_codec_test.cpp
+++ b/tests/cluster/peer_codec_test.cpp
@@ -1,13 +1,8 @@
 #include "cluster/peer_codec.h"
 
-#include <fmt/format.h>
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include <cstdlib>
-#include <filesystem>
-
-#include "cluster/replica_storage.h"
 #include "peers_generated.h"
 
 namespace firvalve::cluster {
@@ -16,10 +11,10 @@
 using consensus::Message;
 using consensus::MessageType;
 
-std::optional<Frame> read(const std::string& bytes, const char** told = nullptr) {
+std::optional<Frame> read(const std::string& bytes, const char** reason = nullptr) {
   const char* why = "";
   auto frame = read_frame({bytes.data(), bytes.size()}, why);
-  if (told) *told = why;
+  if (reason) *reason = why;
   return frame;
 }
 
@@ -84,7 +79,7 @@
   read(body.substr(0, at));
 }
 
-TEST(PeerFrame, AnUnknownVersionIsRefusedAndTold) {
+TEST(PeerFrame, AnUnknownVersionIsRejectedWithAReason) {
   flatbuffers::FlatBufferBuilder b;
   const auto from = b.CreateString("a");
   b.Finish(wire::CreateFrame(b, kFrameVersion + 1, from, 1, 0));
@@ -93,7 +88,7 @@
   EXPECT_STREQ(why, "of another version");
 }
 
-TEST(PeerFrame, FieldsAndPartsOfANewerProgramArePassedOver) {
+TEST(PeerFrame, FieldsAndMessagesOfANewerProgramAreIgnored) {
   flatbuffers::FlatBufferBuilder b;
   const auto from = b.CreateString("a");
   const auto key = b.CreateString("k");
@@ -116,76 +111,5 @@
   EXPECT_EQ(frame->messages[0].key, "k");
 }
 
-class FolderTest : public testing::Test {
- protected:
-  FolderTest() {
-    char name[] = "/tmp/firvalve-folder-XXXXXX";
-    path_ = ::mkdtemp(name);
-  }
-  ~FolderTest() override { std::filesystem::remove_all(path_); }
-  std::unique_ptr<ReplicaStorage> open(const std::string& owner = "me", uint64_t keepers = 7) {
-    return std::make_unique<ReplicaStorage>(path_, owner, keepers, [] {});
-  }
-  std::string refused(const std::string& owner, uint64_t keepers) {
-    try {
-      open(owner, keepers);
-    } catch (const std::exception& e) {
-      return e.what();
-    }
-    return "";
-  }
-  static consensus::AcceptorOutput step(const std::string& key, uint64_t change) {
-    consensus::AcceptorOutput s;
-    s.metadata = consensus::ReplicaMetadata{5, true, {5, 6, 7}, {1, 2, 3}};
-    consensus::AcceptorSlot slot{{9, 1}, {8, 1}, {}};
-    slot.accepted.version = slot.accepted.change_id = change;
-    slot.accepted.value = "value";
-    s.writes.emplace_back(key, slot);
-    return s;
-  }
-  std::string path_;
-};
-
-TEST_F(FolderTest, WhatWasPutIsThereAgain) {
-  {
-    const auto folder = open();
-    EXPECT_FALSE(folder->metadata);
-    for (uint64_t i = 1; i <= 100; ++i) folder->write(step(fmt::format("k{}", i % 10), i));
-  }
-  const auto folder = open();
-  ASSERT_TRUE(folder->metadata);
-  EXPECT_EQ(*folder->metadata, *step("", 0).metadata);
-  ASSERT_EQ(folder->slots.size(), 10u);
-  EXPECT_EQ(folder->slots["k0"], step("", 100).writes[0].second);
-}
-
-TEST_F(FolderTest, AnothersOrAnOtherListsOrOneInUseIsRefused) {
-  {
-    const auto folder = open();
-    folder->write(step("k", 1));
-    EXPECT_NE(refused("me", 7).find("another process uses it"), std::string::npos);
-  }
-  EXPECT_NE(refused("you", 7).find("it is me's"), std::string::npos);
-  EXPECT_NE(refused("me", 8).find("another list of keepers"), std::string::npos);
-  EXPECT_EQ(refused("me", 7), "");
-}
-
-TEST_F(FolderTest, TenThousandFactsAreReadBackInUnderASecond) {
-  {
-    const auto folder = open();
-    consensus::AcceptorOutput all;
-    all.metadata = step("", 1).metadata;
-    for (uint64_t i = 0; i < 10000; ++i)
-      all.writes.push_back(step("duty:" + std::to_string(i), i + 1).writes[0]);
-    folder->write(std::move(all));
-  }
-  const auto begin = std::chrono::steady_clock::now();
-  const auto folder = open();
-  const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begin;
-  EXPECT_EQ(folder->slots.size(), 10000u);
-  std::printf("10,000 facts read back in %.0f ms\n", took.count() * 1000);
-  EXPECT_LT(took.count(), 1.0);
-}
-
 }  // namespace
 }  // namespace firvalve::cluster
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -116,7 +116,7 @@
   EXPECT_LT(h.held[1].from - h.held[0].until, 1000);  // far from the lease, however loaded the machine
 }
 
-TEST_F(Processes, HolderCutOffFromTheKeepersAlone) {
+TEST_F(Processes, HolderCutOffFromTheReplicasAlone) {
   LoadClientsOptions t;
   t.duties = {"trial:a", "trial:b", "trial:c", "trial:d", "trial:e", "trial:f"};
   LoadClients& c = begin(t);
@@ -154,7 +154,7 @@
   EXPECT_EQ(c.count("lease.unreadable"), 0u);
 }
 
-TEST_F(Processes, KeeperKilledAndStartedAgainWithAndWithoutWhatItHad) {
+TEST_F(Processes, ReplicaKilledAndRestartedWithAndWithoutItsStorage) {
   LoadClients& c = begin();
   EXPECT_EQ(merge({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
   for (const size_t keeper : {size_t{0}, size_t{1}, size_t{2}}) {
@@ -169,7 +169,7 @@
   EXPECT_EQ(runs("insert one"), 1);
 }
 
-TEST_F(Processes, KeepersWithoutFoldersComeBackOneAfterTheOther) {
+TEST_F(Processes, ReplicasWithoutStorageComeBackOneAfterTheOther) {
   LoadClientsOptions t;
   t.folders = false;
   LoadClients& c = begin(t);
@@ -183,7 +183,7 @@
   EXPECT_EQ(runs("insert one"), 1);
 }
 
-TEST_F(Processes, TwoOfFiveKeepersGoneAndThenThree) {
+TEST_F(Processes, TwoOfFiveReplicasGoneAndThenThree) {
   LoadClientsOptions t;
   t.gateways = 7;
   t.keepers = 5;
@@ -203,7 +203,7 @@
   EXPECT_EQ(runs("insert two"), 1);
 }
 
-TEST_F(Processes, AllKeepersRestartedAtOnce) {
+TEST_F(Processes, AllReplicasRestartedAtOnce) {
   LoadClients& c = begin();
   EXPECT_EQ(merge({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
   for (size_t k = 0; k < 3; ++k) c.kill(k);
@@ -272,7 +272,7 @@
   EXPECT_EQ(c.count("lease.lost"), 0u);  // each handed on what it held
 }
 
-TEST_F(Processes, ALoadAskedOfAllBeginsOnceAndAllAreToldItsEnd) {
+TEST_F(Processes, AJobRequestedOfAllStartsOnceAndAllGetItsEnd) {
   LoadClients& c = begin();
   const std::string load = "insert night /*! delay=300 rows=2 */";
   std::vector<std::future<client::Result>> asked;
@@ -287,7 +287,7 @@
   EXPECT_EQ(runs("insert another"), 0);
 }
 
-TEST_F(Processes, AHolderKilledInTheMiddleOfALoadLeavesWhatMayHaveRun) {
+TEST_F(Processes, AHolderKilledInTheMiddleOfAJobLeavesWhatMayHaveRun) {
   LoadClients& c = begin();
   const std::string load = "insert night /*! delay=3000 */";
   auto first = merge_soon(3, "night", load);
@@ -300,7 +300,7 @@
   EXPECT_EQ(runs(load), 1);
 }
 
-TEST_F(Processes, AHolderStoppedInTheMiddleOfALoadDoesNotBeginItAgain) {
+TEST_F(Processes, AHolderStoppedInTheMiddleOfAJobDoesNotStartItAgain) {
   LoadClients& c = begin();
   const std::string load = "insert night /*! delay=500 */";
   auto first = merge_soon(3, "night", load);
@@ -313,7 +313,7 @@
   EXPECT_EQ(runs(load), 1);
 }
 
-TEST_F(Processes, AHolderToldToEndInTheMiddleOfALoadAnswersItFirst) {
+TEST_F(Processes, AHolderTerminatedInTheMiddleOfAJobAnswersItFirst) {
   LoadClients& c = begin();
   const std::string load = "insert night /*! delay=800 */";
   auto first = merge_soon(3, "night", load);
@@ -324,7 +324,7 @@
   EXPECT_EQ(runs(load), 1);
 }
 
-TEST_F(Processes, AKeeperWhoseDiskIsFullSaysNothingUntilItTakesWritesAgain) {
+TEST_F(Processes, AReplicaWhoseDiskIsFullSendsNothingUntilItTakesWritesAgain) {
   LoadClients& c = begin();
   const rlimit none{0, RLIM_INFINITY}, any{RLIM_INFINITY, RLIM_INFINITY};
   ASSERT_EQ(::prlimit(c.process(0).id(), RLIMIT_FSIZE, &none, nullptr), 0);
@@ -374,7 +374,7 @@
   EXPECT_EQ(merge({0}, "one", "insert one").outcome, client::Outcome::kAnswered);
 }
 
-TEST_F(Processes, AFileThatNamesOtherKeepersThanTheRest) {
+TEST_F(Processes, AFileThatNamesOtherReplicasThanTheRest) {
   LoadClients& c = begin();
   const size_t odd = 4;
   EXPECT_EQ(c.end(odd), 0);
@@ -391,7 +391,7 @@
   EXPECT_EQ(client.call(look).outcome, client::Outcome::kAnswered);
 }
 
-TEST_F(Processes, AFolderThatAnotherUsesOrThatIsAnothersRefusesTheStart) {
+TEST_F(Processes, ADirectoryInUseOrOfAnotherGatewayPreventsTheStart) {
   LoadClients& c = begin();
   EXPECT_EQ(c.end(1), 0);
   c.rewrite(1, c.folder(1), c.folder(0));
@@ -408,7 +408,7 @@
   EXPECT_TRUE(soon([&] { return c.ready(); }));
 }
 
-class Bulletins : public Processes {
+class Topics : public Processes {
  protected:
   static std::string schema(const std::vector<int>& fields) {
     std::string all;
@@ -443,7 +443,7 @@
   std::map<size_t, std::unique_ptr<client::Client>> clients_;
 };
 
-TEST_F(Bulletins, AChangeThatBreaksASubscriberIsRefusedAtEveryGateway) {
+TEST_F(Topics, AChangeThatBreaksASubscriberIsRejectedAtEveryGateway) {
   LoadClients& c = begin();
   EXPECT_EQ(at(0).propose("cabins", schema({1, 2}), 5000).wait().outcome, client::Outcome::kAnswered);
   EXPECT_EQ(at(3).declare("cabins", reader("screen", "2"), 5000).wait().outcome, client::Outcome::kAnswered);
@@ -463,7 +463,7 @@
   EXPECT_GE(c.count("schema.change_rejected"), c.size());
 }
 
-TEST_F(Bulletins, ProposalsAndDeclarationsThatCrossACutAndLossAndAKilledKeeper) {
+TEST_F(Topics, ProposalsAndDeclarationsAcrossAPartitionLossAndAKilledReplica) {
   LoadClientsOptions t;
   t.keepers = 5;
   LoadClients& c = begin(t);
@@ -510,7 +510,7 @@
   for (size_t g = 1; g < 4; ++g) EXPECT_EQ(stands(g), one);
 }
 
-TEST_F(Bulletins, ASubscriberThatGivesNoSignIsForgottenAfterItsTime) {
+TEST_F(Topics, ASubscriberThatDoesNotRenewIsForgottenAfterItsLifetime) {
   begin();
   EXPECT_EQ(at(0).propose("cabins", schema({1, 2}), 5000).wait().outcome, client::Outcome::kAnswered);
   std::string declaration = reader("screen", "2");
@@ -522,7 +522,7 @@
   }));
 }
 
-TEST_F(Bulletins, WithoutAMajorityNothingIsChangedAndThatIsTold) {
+TEST_F(Topics, WithoutAQuorumNothingIsChangedAndTheClientLearnsIt) {
   LoadClients& c = begin();
   c.kill(0);
   c.kill(1);
@@ -533,7 +533,7 @@
   EXPECT_EQ(stands(3).find("\"number\":2,\"state\""), std::string::npos);  // the first was never made
 }
 
-TEST_F(Processes, AGatewayOutsideAnyFleetRefusesNamedLoads) {
+TEST_F(Processes, AGatewayOutsideAnyClusterRejectsRunOnceJobs) {
   const std::string listen = fakes::free_address();
   fakes::FakeDeployment engines(1);
   fakes::Process process(FIRVALVE_PROGRAM, engines.config(listen));
