--- a/src/base/injected_bug.h
+++ b/src/base/injected_bug.h
@@ -16,9 +16,8 @@
   kLeaseFromResponse,       // a holder counts its lease from the response, not from before the proposal
   kSkipTakeoverWait,        // a candidate acquires a lease without waiting for the end of the holder's
   kRecordIntentAfterStart,  // an action outside the cluster is recorded once it has started, not before
-  kCheckStaleDeclarations,  // a change of versions is committed on top of declarations that it was not
-                            // checked against
-  kSkipFencingCheck,  // a receiver serves requests of an older epoch
+  kCheckStaleDeclarations,  // a change of versions is committed on declarations it was not checked against
+  kSkipFencingCheck,        // a receiver serves requests of an older epoch
 };
 
 #ifdef FIRVALVE_INJECTED_BUGS
--- a/tests/cluster/world_test.cpp
+++ b/tests/cluster/world_test.cpp
@@ -1,4 +1,4 @@
-// The fleet in virtual time, with drawn faults, under the judge; and the judge under is_injected faults.
+// The fleet in virtual time, with drawn faults, under the judge; and the judge under injected violations.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -112,14 +112,14 @@
   EXPECT_GE(out.taken, 10u);
 }
 
-// Each flaw, is_injected into the real machines, is found by the judge on some of a few seeds.
-class Planted : public testing::TestWithParam<std::pair<InjectedBug, const char*>> {};
+// Each bug, injected into the real state machines, is found by the judge on some of a few seeds.
+class InjectedBugs : public testing::TestWithParam<std::pair<InjectedBug, const char*>> {};
 
-TEST_P(Planted, IsFound) {
-  const auto [flaw, rule] = GetParam();
+TEST_P(InjectedBugs, AreFound) {
+  const auto [bug, rule] = GetParam();
   bool found = false;
   for (uint64_t seed = 1; seed <= 2 * seeds_most() && !found; ++seed) {
-    injected_bug = flaw;
+    injected_bug = bug;
     const FleetOutcome out = play(rough(seed));
     found = breaks(out, rule);
     injected_bug = InjectedBug::kNone;
@@ -127,7 +127,7 @@
   EXPECT_TRUE(found);
 }
 
-INSTANTIATE_TEST_SUITE_P(Flaws, Planted,
+INSTANTIATE_TEST_SUITE_P(All, InjectedBugs,
                          testing::Values(std::pair(InjectedBug::kLeaseFromResponse, "one_holder"),
                                          std::pair(InjectedBug::kSkipTakeoverWait, "one_holder"),
                                          std::pair(InjectedBug::kRecordIntentAfterStart, "once"),
--- a/tests/consensus/explore_test.cpp
+++ b/tests/consensus/explore_test.cpp
@@ -32,24 +32,24 @@
   };
 
   explicit Race(const Bounds& bounds) : bounds_(bounds) {
-    for (PeerId p = 0; p < 3; ++p) {
+    for (PeerId replica = 0; replica < 3; ++replica) {
       AcceptorOptions options;
-      options.self = p;
+      options.self = replica;
       ReplicaMetadata metadata;
-      metadata.incarnation = 1 + p;
+      metadata.incarnation = 1 + replica;
       metadata.is_voting = true;
       metadata.known_incarnations = metadata.bootstrap_incarnations = {1, 2, 3};
       replicas_.emplace_back(options, metadata, std::map<std::string, AcceptorSlot>{});
     }
-    for (uint64_t a = 0; a < 2; ++a) {
+    for (uint64_t proposer = 0; proposer < 2; ++proposer) {
       ProposerOptions options;
-      options.proposer_id = options.seed = a + 1;
+      options.proposer_id = options.seed = proposer + 1;
       options.max_resends = 0;  // after the first timeout the proposal starts over under a new ballot
       proposers_.emplace_back(options);
       timeouts_.push_back(bounds.timeouts);
       changes_.push_back(0);
       results_.emplace_back();
-      propose(a, 0);
+      propose(proposer, 0);
     }
     settle();
   }
@@ -61,11 +61,13 @@
       out.push_back({Move::kDeliver, i});
       if (bounds_.repeats > 0) out.push_back({Move::kRepeat, i});
     }
-    for (size_t a = 0; a < proposers_.size(); ++a)
-      if (timeouts_[a] > 0 && proposers_[a].open_count() > 0) out.push_back({Move::kTimeout, a});
-    for (size_t k = 0; k < replicas_.size(); ++k) {
-      if (bounds_.storage_losses > 0 && replicas_[k].is_voting()) out.push_back({Move::kLoseStorage, k});
-      if (bounds_.restarts > 0) out.push_back({Move::kRestart, k});
+    for (size_t proposer = 0; proposer < proposers_.size(); ++proposer)
+      if (timeouts_[proposer] > 0 && proposers_[proposer].open_count() > 0)
+        out.push_back({Move::kTimeout, proposer});
+    for (size_t replica = 0; replica < replicas_.size(); ++replica) {
+      if (bounds_.storage_losses > 0 && replicas_[replica].is_voting())
+        out.push_back({Move::kLoseStorage, replica});
+      if (bounds_.restarts > 0) out.push_back({Move::kRestart, replica});
     }
     return out;
   }
@@ -77,9 +79,9 @@
         deliver(in_flight_[move.which]);
         break;
       case Move::kDeliver: {
-        const InFlight f = in_flight_[move.which];
+        const InFlight arrived = in_flight_[move.which];
         in_flight_.erase(in_flight_.begin() + static_cast<long>(move.which));
-        deliver(f);
+        deliver(arrived);
         break;
       }
       case Move::kTimeout:
@@ -96,13 +98,13 @@
         replicas_[move.which].on_tick(now_ += 1000ms);
         for (bool more = bounds_.recovers_at_once; more;) {
           more = false;
-          for (PeerId k = 0; k < 3; ++k)
-            for (const Envelope& e : replicas_[k].take_output().messages) {
-              if (e.to < 3) {
-                replicas_[e.to].handle(now_, k, e.message);
+          for (PeerId replica = 0; replica < 3; ++replica)
+            for (const Envelope& envelope : replicas_[replica].take_output().messages) {
+              if (envelope.to < 3) {
+                replicas_[envelope.to].handle(now_, replica, envelope.message);
                 more = true;
               } else {
-                put_in_flight(k, e.to, e.message);
+                put_in_flight(replica, envelope.to, envelope.message);
               }
             }
         }
@@ -129,44 +131,44 @@
     static const char* const kNames[] = {
         "",      "prepare", "promise",          "accept",   "accepted",    "rejected",
         "watch", "changes", "metadata request", "metadata", "fetch state", "state"};
-    const InFlight& f = in_flight_[move.which];
-    return std::string(kNames[static_cast<int>(f.message.type)]) + " of ballot " +
-           std::to_string(f.message.ballot.number) + "/" + std::to_string(f.message.ballot.proposer_id) +
-           " from " + std::to_string(f.from) + " to " + std::to_string(f.to) +
-           (move.kind == Move::kRepeat ? ", and again later" : "");
+    const InFlight& sent = in_flight_[move.which];
+    return std::string(kNames[static_cast<int>(sent.message.type)]) + " of ballot " +
+           std::to_string(sent.message.ballot.number) + "/" +
+           std::to_string(sent.message.ballot.proposer_id) + " from " + std::to_string(sent.from) + " to " +
+           std::to_string(sent.to) + (move.kind == Move::kRepeat ? ", and again later" : "");
   }
 
   std::string digest() const {
-    Digest d;
-    for (const Acceptor& k : replicas_) d.add(k.digest());
-    for (size_t a = 0; a < proposers_.size(); ++a) {
-      d.add(proposers_[a].digest()).add(timeouts_[a]).add(changes_[a]);
-      for (const ProposalResult& e : results_[a])
-        d.add(static_cast<uint8_t>(e.kind)).add(e.proposal.id).add(e.current);
+    Digest digest;
+    for (const Acceptor& k : replicas_) digest.add(k.digest());
+    for (size_t proposer = 0; proposer < proposers_.size(); ++proposer) {
+      digest.add(proposers_[proposer].digest()).add(timeouts_[proposer]).add(changes_[proposer]);
+      for (const ProposalResult& result : results_[proposer])
+        digest.add(static_cast<uint8_t>(result.kind)).add(result.proposal.id).add(result.current);
     }
-    for (const InFlight& f : in_flight_) d.add(f.from).add(f.to).add(f.message);
-    d.add(bounds_.repeats).add(bounds_.storage_losses).add(bounds_.restarts);
-    return d.text();
+    for (const InFlight& f : in_flight_) digest.add(f.from).add(f.to).add(f.message);
+    digest.add(bounds_.repeats).add(bounds_.storage_losses).add(bounds_.restarts);
+    return digest.text();
   }
 
   // What was reported as committed must fit into one chain: each version was made once, on top of the one
   // before, what was reported as a conflict is in none of them, and no proposer sees less than it saw before.
   std::optional<std::string> breach() const {
-    std::map<uint64_t, uint64_t> made;
-    for (const ProposalResult& e : all_results_) {
-      const Register& f = e.current;
-      for (uint64_t v = f.version, i = 0; v > 0; --v, ++i) {
-        const uint64_t id = i == 0 ? f.change_id : f.earlier_changes[i - 1];
-        const auto [at, first] = made.emplace(v, id);
+    std::map<uint64_t, uint64_t> committed;
+    for (const ProposalResult& result : all_results_) {
+      const Register& current = result.current;
+      for (uint64_t version = current.version, i = 0; version > 0; --version, ++i) {
+        const uint64_t id = i == 0 ? current.change_id : current.earlier_changes[i - 1];
+        const auto [at, first] = committed.emplace(version, id);
         if (!first && at->second != id)
-          return "version " + std::to_string(v) + " was reported as " + std::to_string(at->second) +
+          return "version " + std::to_string(version) + " was reported as " + std::to_string(at->second) +
                  " and as " + std::to_string(id);
       }
     }
-    for (const ProposalResult& e : all_results_)
-      if (e.kind == ProposalResult::Kind::kConflict)
-        for (const auto& [version, id] : made)
-          if (id == e.proposal.id)
+    for (const ProposalResult& result : all_results_)
+      if (result.kind == ProposalResult::Kind::kConflict)
+        for (const auto& [version, id] : committed)
+          if (id == result.proposal.id)
             return "change " + std::to_string(id) + " was reported as a conflict, and is committed";
     // The proposals of one proposer follow each other; those of two may overlap.
     for (const auto& results : results_)
@@ -193,29 +195,31 @@
     proposers_[proposer].propose(now_, proposal);
   }
 
-  void deliver(const InFlight& f) {
-    if (f.to < 3)
-      replicas_[f.to].handle(now_, f.from, f.message);
+  void deliver(const InFlight& arrived) {
+    if (arrived.to < 3)
+      replicas_[arrived.to].handle(now_, arrived.from, arrived.message);
     else
-      proposers_[f.to - 3].handle(now_, f.from, f.message);
+      proposers_[arrived.to - 3].handle(now_, arrived.from, arrived.message);
   }
 
-  void put_in_flight(PeerId from, PeerId to, const Message& m) {
-    Digest d;
-    d.add(from).add(to).add(m);
-    in_flight_.push_back({from, to, m, d.text()});
+  void put_in_flight(PeerId from, PeerId to, const Message& message) {
+    Digest digest;
+    digest.add(from).add(to).add(message);
+    in_flight_.push_back({from, to, message, digest.text()});
   }
 
   void settle() {
-    for (PeerId k = 0; k < 3; ++k)
-      for (const Envelope& e : replicas_[k].take_output().messages) put_in_flight(k, e.to, e.message);
-    for (PeerId a = 0; a < 2; ++a) {
-      for (const ProposalResult& e : proposers_[a].take_results()) {
-        results_[a].push_back(e);
-        all_results_.push_back(e);
-        if (changes_[a] < bounds_.changes) propose(a, e.current.change_id);
+    for (PeerId replica = 0; replica < 3; ++replica)
+      for (const Envelope& envelope : replicas_[replica].take_output().messages)
+        put_in_flight(replica, envelope.to, envelope.message);
+    for (PeerId proposer = 0; proposer < 2; ++proposer) {
+      for (const ProposalResult& result : proposers_[proposer].take_results()) {
+        results_[proposer].push_back(result);
+        all_results_.push_back(result);
+        if (changes_[proposer] < bounds_.changes) propose(proposer, result.current.change_id);
       }
-      for (const Envelope& e : proposers_[a].take_messages()) put_in_flight(3 + a, e.to, e.message);
+      for (const Envelope& envelope : proposers_[proposer].take_messages())
+        put_in_flight(3 + proposer, envelope.to, envelope.message);
     }
     // Responses to rounds that are over change nothing: not worth a state.
     std::erase_if(in_flight_, [this](const InFlight& f) {
@@ -241,53 +245,53 @@
 bool found(const Bounds& bounds, InjectedBug bug) { return walks_find<Race>(bounds, bug, kMost / 2); }
 
 TEST(ExploreConsensus, TwoProposersOfOneRegisterWithoutTimeouts) {
-  Bounds b;
-  b.timeouts = 0;
-  EXPECT_FALSE(explore(b, kMost).breach);
+  Bounds bounds;
+  bounds.timeouts = 0;
+  EXPECT_FALSE(explore(bounds, kMost).breach);
 }
 
 TEST(ExploreConsensus, TwoProposersOfOneRegisterWithATimeout) {
-  Bounds b;
-  b.timeouts = 1;
-  const lab::Explored out = explore(b, kMost);
+  Bounds bounds;
+  bounds.timeouts = 1;
+  const lab::Explored out = explore(bounds, kMost);
   EXPECT_FALSE(out.breach);
 }
 
 TEST(ExploreConsensus, AReplicaLosesItsStorage) {
-  Bounds b;
-  b.timeouts = 1;
-  b.storage_losses = 1;
-  const lab::Explored out = explore(b, kMost);
+  Bounds bounds;
+  bounds.timeouts = 1;
+  bounds.storage_losses = 1;
+  const lab::Explored out = explore(bounds, kMost);
   EXPECT_FALSE(out.breach);
 }
 
 TEST(ExploreConsensus, AReplicaLosesItsStorageAndRecoversAtOnce) {
-  Bounds b;
-  b.timeouts = 0;
-  b.storage_losses = 1;
-  b.recovers_at_once = true;
-  EXPECT_FALSE(explore(b, kMost).breach);
+  Bounds bounds;
+  bounds.timeouts = 0;
+  bounds.storage_losses = 1;
+  bounds.recovers_at_once = true;
+  EXPECT_FALSE(explore(bounds, kMost).breach);
 }
 
 TEST(ExploreConsensus, AMessageIsDeliveredTwice) {
-  Bounds b;
-  b.timeouts = 1;
-  b.repeats = 1;
-  EXPECT_FALSE(explore(b, kMost).breach);
+  Bounds bounds;
+  bounds.timeouts = 1;
+  bounds.repeats = 1;
+  EXPECT_FALSE(explore(bounds, kMost).breach);
 }
 
 TEST(ExploreConsensus, EachInjectedBugIsFound) {
-  Bounds b;
-  b.timeouts = 1;
-  EXPECT_TRUE(found(b, InjectedBug::kSkipPromiseCheck));
-  EXPECT_TRUE(found(b, InjectedBug::kSkipConflictWriteBack));
-  b.storage_losses = 1;
-  EXPECT_TRUE(found(b, InjectedBug::kForgetfulAcceptor));
-  b.recovers_at_once = true;
-  EXPECT_TRUE(found(b, InjectedBug::kIgnoreIncarnations));
-  EXPECT_FALSE(found(b, InjectedBug::kNone));
-  b.changes = 2;
-  EXPECT_FALSE(found(b, InjectedBug::kNone));  // and nothing without one
+  Bounds bounds;
+  bounds.timeouts = 1;
+  EXPECT_TRUE(found(bounds, InjectedBug::kSkipPromiseCheck));
+  EXPECT_TRUE(found(bounds, InjectedBug::kSkipConflictWriteBack));
+  bounds.storage_losses = 1;
+  EXPECT_TRUE(found(bounds, InjectedBug::kForgetfulAcceptor));
+  bounds.recovers_at_once = true;
+  EXPECT_TRUE(found(bounds, InjectedBug::kIgnoreIncarnations));
+  EXPECT_FALSE(found(bounds, InjectedBug::kNone));
+  bounds.changes = 2;
+  EXPECT_FALSE(found(bounds, InjectedBug::kNone));  // and nothing without one
 }
 
 }  // namespace
--- a/tests/lease/explore_test.cpp
+++ b/tests/lease/explore_test.cpp
@@ -30,116 +30,118 @@
   static constexpr Ms kLease = 1000, kThird = kLease / 3;
 
   explicit Pair(const Bounds& bounds) : bounds_(bounds) {
-    for (size_t i = 0; i < 2; ++i) {
-      managers_.emplace_back(at(1), LeaseOptions{i == 0 ? "a" : "b", 1001 + i, duration_of(kLease)});
-      managers_[i].on_synced(at(1));
+    for (size_t gateway = 0; gateway < 2; ++gateway) {
+      managers_.emplace_back(at(1),
+                             LeaseOptions{gateway == 0 ? "a" : "b", 1001 + gateway, duration_of(kLease)});
+      managers_[gateway].on_synced(at(1));
       ticked_at_.push_back(-1);
       pending_.emplace_back();
       results_.emplace_back();
     }
-    for (size_t i = 0; i < 2; ++i) jobs_.emplace_back(managers_[i], 1001 + i);
-    for (size_t i = 0; i < 2; ++i) {
+    for (size_t gateway = 0; gateway < 2; ++gateway) jobs_.emplace_back(managers_[gateway], 1001 + gateway);
+    for (size_t gateway = 0; gateway < 2; ++gateway) {
       if (bounds.has_job)
-        jobs_[i].submit(at(1), "m", 1, 7, at(1e9));
+        jobs_[gateway].submit(at(1), "m", 1, 7, at(1e9));
       else
-        managers_[i].campaign(at(1), "merge:m");
-      settle(i);
+        managers_[gateway].campaign(at(1), "merge:m");
+      settle(gateway);
     }
   }
   // The jobs refer to their own leases.
-  Pair(const Pair& o) { *this = o; }
-  Pair& operator=(const Pair& o) {
-    bounds_ = o.bounds_;
-    managers_ = o.managers_;
+  Pair(const Pair& other) { *this = other; }
+  Pair& operator=(const Pair& other) {
+    bounds_ = other.bounds_;
+    managers_ = other.managers_;
     jobs_.clear();
-    for (size_t i = 0; i < 2; ++i) jobs_.push_back(RunOnceJobs(o.jobs_[i], managers_[i]));
-    ticked_at_ = o.ticked_at_;
-    pending_ = o.pending_;
-    results_ = o.results_;
-    committed_ = o.committed_;
-    thirds_ = o.thirds_;
-    started_ = o.started_;
+    for (size_t gateway = 0; gateway < 2; ++gateway)
+      jobs_.push_back(RunOnceJobs(other.jobs_[gateway], managers_[gateway]));
+    ticked_at_ = other.ticked_at_;
+    pending_ = other.pending_;
+    results_ = other.results_;
+    committed_ = other.committed_;
+    thirds_ = other.thirds_;
+    started_ = other.started_;
     return *this;
   }
 
   std::vector<Move> moves() const {
     std::vector<Move> out;
     if (thirds_ < bounds_.thirds) out.push_back({Move::kPass, 0});
-    for (size_t i = 0; i < 2; ++i) {
-      if (ticked_at_[i] < thirds_) out.push_back({Move::kTick, i});
-      if (!pending_[i].empty()) out.push_back({Move::kCommit, i});
-      if (!results_[i].empty()) {
-        out.push_back({Move::kReport, i});
-        if (bounds_.lost_results > 0) out.push_back({Move::kReportUnknown, i});
+    for (size_t gateway = 0; gateway < 2; ++gateway) {
+      if (ticked_at_[gateway] < thirds_) out.push_back({Move::kTick, gateway});
+      if (!pending_[gateway].empty()) out.push_back({Move::kCommit, gateway});
+      if (!results_[gateway].empty()) {
+        out.push_back({Move::kReport, gateway});
+        if (bounds_.lost_results > 0) out.push_back({Move::kReportUnknown, gateway});
       }
-      if (!committed_.empty()) out.push_back({Move::kObserve, i});
-      if (committed_.size() > 1) out.push_back({Move::kObserveOld, i});
+      if (!committed_.empty()) out.push_back({Move::kObserve, gateway});
+      if (committed_.size() > 1) out.push_back({Move::kObserveOld, gateway});
     }
     return out;
   }
 
-  void apply(const Move& m) {
-    const size_t i = m.who;
-    switch (m.kind) {
+  void apply(const Move& move) {
+    const size_t gateway = move.who;
+    switch (move.kind) {
       case Move::kPass:
         ++thirds_;
         return;
       case Move::kTick:
-        ticked_at_[i] = thirds_;
-        managers_[i].on_tick(local(i));
+        ticked_at_[gateway] = thirds_;
+        managers_[gateway].on_tick(local(gateway));
         break;
       case Move::kCommit: {
-        const consensus::Proposal proposal = pending_[i].front();
-        pending_[i].erase(pending_[i].begin());
+        const consensus::Proposal proposal = pending_[gateway].front();
+        pending_[gateway].erase(pending_[gateway].begin());
         consensus::Register current = committed_.empty() ? consensus::Register{} : committed_.back();
         const uint64_t version_before = current.version;
         const auto kind = compare_and_set(current, proposal);
         if (current.version > version_before) committed_.push_back(current);
-        results_[i].push_back({kind, proposal, current, {}});
+        results_[gateway].push_back({kind, proposal, current, {}});
         return;
       }
       case Move::kReport:
       case Move::kReportUnknown: {
-        consensus::ProposalResult result = results_[i].front();
-        results_[i].erase(results_[i].begin());
-        if (m.kind == Move::kReportUnknown) {
+        consensus::ProposalResult result = results_[gateway].front();
+        results_[gateway].erase(results_[gateway].begin());
+        if (move.kind == Move::kReportUnknown) {
           --bounds_.lost_results;
           result.kind = consensus::ProposalResult::Kind::kUnknown;
         }
-        managers_[i].on_result(local(i), result);
+        managers_[gateway].on_result(local(gateway), result);
         break;
       }
       case Move::kObserve:
-        managers_[i].observe(local(i), "merge:m", committed_.back());
+        managers_[gateway].observe(local(gateway), "merge:m", committed_.back());
         break;
       case Move::kObserveOld:
-        managers_[i].observe(local(i), "merge:m", committed_[committed_.size() - 2]);
+        managers_[gateway].observe(local(gateway), "merge:m", committed_[committed_.size() - 2]);
         break;
     }
-    settle(i);
+    settle(gateway);
   }
 
-  std::string told(const Move& m) const {
+  std::string told(const Move& move) const {
     static const char* const kTold[] = {"a third of a lease passes",    "is ticked",
                                         "has its change committed",     "gets its result",
                                         "gets an unknown result",       "observes the committed record",
                                         "observes the record before it"};
-    return (m.kind == Move::kPass ? std::string() : m.who == 0 ? "a " : "b ") + kTold[m.kind];
+    return (move.kind == Move::kPass ? std::string() : move.who == 0 ? "a " : "b ") + kTold[move.kind];
   }
 
   std::string digest() const {
-    consensus::Digest d;
-    d.add(thirds_).add(started_).add(bounds_.lost_results);
-    for (size_t i = 0; i < 2; ++i) {
-      d.add(managers_[i].digest()).add(ticked_at_[i]).add(jobs_[i].digest());
-      for (const consensus::Proposal& proposal : pending_[i])
-        d.add(proposal.id).add(proposal.expected_change);
-      for (const consensus::ProposalResult& e : results_[i])
-        d.add(static_cast<uint8_t>(e.kind)).add(e.proposal.id).add(e.current);
+    consensus::Digest digest;
+    digest.add(thirds_).add(started_).add(bounds_.lost_results);
+    for (size_t gateway = 0; gateway < 2; ++gateway) {
+      digest.add(managers_[gateway].digest()).add(ticked_at_[gateway]).add(jobs_[gateway].digest());
+      for (const consensus::Proposal& proposal : pending_[gateway])
+        digest.add(proposal.id).add(proposal.expected_change);
+      for (const consensus::ProposalResult& result : results_[gateway])
+        digest.add(static_cast<uint8_t>(result.kind)).add(result.proposal.id).add(result.current);
     }
-    if (!committed_.empty()) d.add(committed_.back());
-    if (committed_.size() > 1) d.add(committed_[committed_.size() - 2]);
-    return d.text();
+    if (!committed_.empty()) digest.add(committed_.back());
+    if (committed_.size() > 1) digest.add(committed_[committed_.size() - 2]);
+    return digest.text();
   }
 
   std::optional<std::string> breach() const {
@@ -153,18 +155,19 @@
 
  private:
   // The one clock is slow and the other fast: one part in a hundred apart.
-  BootTime local(size_t i) const { return at(1 + thirds_ * kThird * (i == 0 ? 0.9951 : 1.0049)); }
+  BootTime local(size_t gateway) const { return at(1 + thirds_ * kThird * (gateway == 0 ? 0.9951 : 1.0049)); }
 
-  void settle(size_t i) {
+  void settle(size_t gateway) {
     for (bool more = true; more;) {
       more = false;
-      for (const Event& e : managers_[i].take_events()) {
+      for (const Event& event : managers_[gateway].take_events()) {
         more = true;
-        if (bounds_.has_job) jobs_[i].handle(local(i), e);
+        if (bounds_.has_job) jobs_[gateway].handle(local(gateway), event);
       }
-      for (const auto& a : jobs_[i].take_actions()) started_ += a.kind == RunOnceJobs::Action::Kind::kStart;
-      for (const consensus::Proposal& proposal : managers_[i].take_proposals())
-        pending_[i].push_back(proposal);
+      for (const auto& action : jobs_[gateway].take_actions())
+        started_ += action.kind == RunOnceJobs::Action::Kind::kStart;
+      for (const consensus::Proposal& proposal : managers_[gateway].take_proposals())
+        pending_[gateway].push_back(proposal);
     }
   }
 
@@ -189,19 +192,19 @@
 }
 
 TEST(ExploreLease, ARunOnceJobStartsOnceAtMost) {
-  Bounds b;
-  b.has_job = true;
-  b.thirds = 7;
-  EXPECT_FALSE(explore(b, kMost).breach);
+  Bounds bounds;
+  bounds.has_job = true;
+  bounds.thirds = 7;
+  EXPECT_FALSE(explore(bounds, kMost).breach);
 }
 
 TEST(ExploreLease, EachInjectedBugIsFound) {
   EXPECT_TRUE(found({}, InjectedBug::kLeaseFromResponse));
   EXPECT_TRUE(found({}, InjectedBug::kSkipTakeoverWait));
-  Bounds b;
-  b.has_job = true;
-  EXPECT_TRUE(found(b, InjectedBug::kRecordIntentAfterStart));
-  EXPECT_FALSE(found(b, InjectedBug::kNone));
+  Bounds bounds;
+  bounds.has_job = true;
+  EXPECT_TRUE(found(bounds, InjectedBug::kRecordIntentAfterStart));
+  EXPECT_FALSE(found(bounds, InjectedBug::kNone));
 }
 
 }  // namespace
--- a/tests/searching.h
+++ b/tests/searching.h
@@ -1,4 +1,4 @@
-// Searches over states, printed as they end: whole up to a bound, or drawn walks with a flaw is_injected.
+// Searches over states, printed as they end: whole up to a bound, or random walks with an injected bug.
 #pragma once
 
 #include <cstdio>
@@ -22,10 +22,10 @@
   return out;
 }
 
-// Whether walks from the state, built with the flaw in place, break a rule.
+// Whether walks from the state, with the bug injected, violate an invariant.
 template <class State, class Bounds>
-bool walks_find(const Bounds& bounds, InjectedBug flaw, size_t walks) {
-  injected_bug = flaw;
+bool walks_find(const Bounds& bounds, InjectedBug bug, size_t walks) {
+  injected_bug = bug;
   const lab::Explored out = lab::wander(State(bounds), 1, walks, 60);
   injected_bug = InjectedBug::kNone;
   print(out);
