--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -1,149 +1,159 @@
 #include "cluster/cluster_node.h"
 
+#include "schema/topic_codec.h"
+
 namespace firvalve::cluster {
 
+using consensus::BootTime;
 using consensus::MessageType;
 
 namespace {
 
-constexpr Ms kLapseMost = 5000;  // for a withdrawal to be agreed; it is asked for again otherwise
+constexpr Duration kExpiryTimeout(5000);  // for a withdrawal to be agreed; it is proposed again otherwise
+
+// Independent numbers from one seed (the finalizer of MurmurHash3), never 0.
+uint64_t mixed(uint64_t number) {
+  number = (number ^ (number >> 33)) * 0xff51afd7ed558ccdull;
+  number = (number ^ (number >> 33)) * 0xc4ceb9fe1a85ec53ull;
+  return (number ^ (number >> 33)) | 1;
+}
 
-uint64_t mixed(uint64_t z) {
-  z = (z ^ (z >> 33)) * 0xff51afd7ed558ccdull;
-  z = (z ^ (z >> 33)) * 0xc4ceb9fe1a85ec53ull;
-  return (z ^ (z >> 33)) | 1;
+// From 0 to 1.
+double fraction_of(uint64_t number) {
+  return static_cast<double>(number >> 11) / static_cast<double>(uint64_t{1} << 53);
 }
 
-consensus::AcceptorOptions keeper_options(const ClusterNodeOptions& t) {
+consensus::AcceptorOptions acceptor_options(const ClusterNodeOptions& options) {
   consensus::AcceptorOptions out;
-  out.self = t.self;
-  out.replica_count = t.keepers;
-  out.max_value_bytes = t.record_bytes;
+  out.self = options.self;
+  out.replica_count = options.replica_count;
+  out.max_value_bytes = options.max_register_bytes;
   return out;
 }
 
-consensus::ProposerOptions asker_options(const ClusterNodeOptions& t) {
+consensus::ProposerOptions proposer_options(const ClusterNodeOptions& options) {
   consensus::ProposerOptions out;
-  out.replica_count = t.keepers;
-  out.proposer_id = mixed(t.draw + 1);
-  out.seed = mixed(t.draw + 2);
+  out.replica_count = options.replica_count;
+  out.proposer_id = mixed(options.random_seed + 1);
+  out.seed = mixed(options.random_seed + 2);
   return out;
 }
 
-lease::LeaseOptions duty_options(const ClusterNodeOptions& t) {
-  return {t.name, mixed(t.draw + 3), duration_of(t.lease)};
+lease::LeaseOptions lease_options(const ClusterNodeOptions& options) {
+  return {options.name, mixed(options.random_seed + 3), options.lease_duration};
+}
+
+consensus::PeerId first_watched(const ClusterNodeOptions& options) {
+  return static_cast<consensus::PeerId>(mixed(options.random_seed) % options.replica_count);
 }
 
 }  // namespace
 
-ClusterNode::ClusterNode(Ms now, const ClusterNodeOptions& options)
+ClusterNode::ClusterNode(BootTime now, const ClusterNodeOptions& options)
     : options_(options),
-      asker_(asker_options(options)),
-      follower_(options.keepers, static_cast<consensus::PeerId>(mixed(options.draw) % options.keepers)),
-      duties_(time_point_of<BootClock>(now), duty_options(options)),
-      merges_(duties_, mixed(options.draw + 4)),
-      registry_(mixed(options.draw + 6)),
-      lapses_(static_cast<double>(mixed(options.draw + 7) >> 11) / static_cast<double>(uint64_t{1} << 53)) {
-  if (options.self < options.keepers) keeper_.emplace(keeper_options(options), mixed(options.draw + 5));
+      proposer_(proposer_options(options)),
+      watcher_(options.replica_count, first_watched(options)),
+      leases_(now, lease_options(options)),
+      run_once_jobs_(leases_, mixed(options.random_seed + 4)),
+      registry_(mixed(options.random_seed + 6)),
+      declaration_expiry_(fraction_of(mixed(options.random_seed + 7))) {
+  if (options.self < options.replica_count)
+    acceptor_.emplace(acceptor_options(options), mixed(options.random_seed + 5));
 }
 
-ClusterNode::ClusterNode(Ms now, const ClusterNodeOptions& options, consensus::ReplicaMetadata standing,
+ClusterNode::ClusterNode(BootTime now, const ClusterNodeOptions& options, consensus::ReplicaMetadata metadata,
                          std::map<std::string, consensus::AcceptorSlot> slots)
     : ClusterNode(now, options) {
-  keeper_.emplace(keeper_options(options), std::move(standing), std::move(slots));
+  acceptor_.emplace(acceptor_options(options), std::move(metadata), std::move(slots));
 }
 
-void ClusterNode::handle(Ms now, consensus::PeerId from, const consensus::Message& m) {
-  switch (m.type) {
+void ClusterNode::handle(BootTime now, consensus::PeerId from, const consensus::Message& message) {
+  switch (message.type) {
     case MessageType::kPromise:
     case MessageType::kAccepted:
     case MessageType::kRejected:
-      asker_.handle(time_point_of<BootClock>(now), from, m);
+      proposer_.handle(now, from, message);
       break;
     case MessageType::kChanges:
-      follower_.handle(time_point_of<BootClock>(now), from, m);
+      watcher_.handle(now, from, message);
       break;
     default:
-      if (keeper_) keeper_->handle(time_point_of<BootClock>(now), from, m);
+      if (acceptor_) acceptor_->handle(now, from, message);
   }
-  go_on(now);
-}
-
-// What one part has to tell another, until none has.
-void ClusterNode::go_on(Ms now) {
-  const auto time = time_point_of<BootClock>(now);
-  for (bool more = true; more;) {
-    more = false;
-    for (const consensus::ProposalResult& end : asker_.take_results()) {
-      more = true;
-      if (end.proposal.key.starts_with(schema::Registry::kPrefix))
-        registry_.on_result(now, end);
-      else if (duties_.is_candidate_for(end.proposal.key))
-        duties_.on_result(time, end);
-      else
-        ends_.push_back(end);
-    }
-    for (const auto& [key, fact] : follower_.take_updates()) see(now, key, fact);
-    if (follower_.is_synced()) duties_.on_synced(time);
-    for (consensus::Proposal& wish : duties_.take_proposals()) {
-      more = true;
-      asker_.propose(time, std::move(wish));
-    }
-    for (consensus::Proposal& wish : registry_.take_proposals()) {
-      more = true;
-      asker_.propose(time, std::move(wish));
-    }
-    for (lease::Event& event : duties_.take_events()) {
-      more = true;
-      merges_.handle(time, event);
+  exchange_events(now);
+}
+
+// What one state machine has for another, until none has anything.
+void ClusterNode::exchange_events(BootTime now) {
+  for (bool has_more = true; has_more;) {
+    has_more = dispatch_results(now);
+    for (const auto& [key, value] : watcher_.take_updates()) handle_register(now, key, value);
+    if (watcher_.is_synced()) leases_.on_synced(now);
+    has_more |= propose_all(now, leases_.take_proposals());
+    has_more |= propose_all(now, registry_.take_proposals());
+    for (lease::Event& event : leases_.take_events()) {
+      has_more = true;
+      run_once_jobs_.handle(now, event);
       events_.push_back(std::move(event));
     }
   }
 }
 
-void ClusterNode::see(Ms now, const std::string& key, const consensus::Register& fact) {
-  duties_.observe(time_point_of<BootClock>(now), key, fact);
-  // Keepers look after declarations; that others need not read every bulletin whole is all that it is for.
-  if (!keeper_ || !key.starts_with(schema::Registry::kPrefix)) return;
+bool ClusterNode::dispatch_results(BootTime now) {
+  const std::vector<consensus::ProposalResult> results = proposer_.take_results();
+  for (const consensus::ProposalResult& result : results) {
+    if (result.proposal.key.starts_with(schema::Registry::kKeyPrefix))
+      registry_.handle_result(result);
+    else if (leases_.is_candidate_for(result.proposal.key))
+      leases_.on_result(now, result);
+    else
+      results_.push_back(result);
+  }
+  return !results.empty();
+}
+
+bool ClusterNode::propose_all(BootTime now, std::vector<consensus::Proposal> proposals) {
+  for (consensus::Proposal& proposal : proposals) proposer_.propose(now, std::move(proposal));
+  return !proposals.empty();
+}
+
+void ClusterNode::handle_register(BootTime now, const std::string& key, const consensus::Register& value) {
+  leases_.observe(now, key, value);
+  // Only replicas watch declarations, so that the others need not decode every topic.
+  constexpr std::string_view kPrefix = schema::Registry::kKeyPrefix;
+  if (!acceptor_ || !key.starts_with(kPrefix)) return;
   std::string why;
-  if (const auto b = schema::read_bulletin(fact.value, why))
-    lapses_.saw(now, key.substr(std::string_view(schema::Registry::kPrefix).size()), *b);
-}
-
-void ClusterNode::due(Ms now) {
-  const auto time = time_point_of<BootClock>(now);
-  for (schema::Change& lapse : lapses_.due(now)) registry_.ask(now, std::move(lapse), now + kLapseMost);
-  if (keeper_) keeper_->on_tick(time);
-  asker_.on_tick(time);
-  follower_.on_tick(time);
-  duties_.on_tick(time);
-  merges_.on_tick(time);
-  go_on(now);
-}
-
-Ms ClusterNode::next_due() const {
-  Ms next = 0;
-  const auto sooner = [&next](Ms at) {
-    if (at > 0 && (next == 0 || at < next)) next = at;
-  };
-  const auto sooner_of = [&sooner](std::optional<consensus::BootTime> at) {
-    if (at) sooner(to_ms(*at));
-  };
-  if (keeper_) sooner_of(keeper_->next_deadline());
-  sooner_of(asker_.next_deadline());
-  sooner_of(follower_.next_deadline());
-  sooner_of(duties_.next_deadline());
-  sooner_of(merges_.next_deadline());
-  sooner(lapses_.next_due());
-  return next;
-}
-
-ClusterNode::Out ClusterNode::take() {
-  Out out;
-  if (keeper_) out.keeper = keeper_->take_output();
-  out.sends = asker_.take_messages();
-  for (consensus::Envelope& e : follower_.take_messages()) out.sends.push_back(std::move(e));
-  return out;
+  if (const auto topic = schema::decode_topic(value.value, why))
+    declaration_expiry_.observe(now, key.substr(kPrefix.size()), *topic);
+}
+
+void ClusterNode::on_tick(BootTime now) {
+  for (schema::Change& withdrawal : declaration_expiry_.due(now))
+    registry_.submit(std::move(withdrawal), now + kExpiryTimeout);
+  if (acceptor_) acceptor_->on_tick(now);
+  proposer_.on_tick(now);
+  watcher_.on_tick(now);
+  leases_.on_tick(now);
+  run_once_jobs_.on_tick(now);
+  exchange_events(now);
+}
+
+std::optional<BootTime> ClusterNode::next_deadline() const {
+  std::optional<BootTime> next = watcher_.next_deadline();
+  if (acceptor_) next = earlier_of(next, acceptor_->next_deadline());
+  next = earlier_of(next, proposer_.next_deadline());
+  next = earlier_of(next, leases_.next_deadline());
+  next = earlier_of(next, run_once_jobs_.next_deadline());
+  return earlier_of(next, declaration_expiry_.next_due());
+}
+
+ClusterNode::Output ClusterNode::take_output() {
+  Output output;
+  if (acceptor_) output.acceptor = acceptor_->take_output();
+  output.envelopes = proposer_.take_messages();
+  for (consensus::Envelope& envelope : watcher_.take_messages())
+    output.envelopes.push_back(std::move(envelope));
+  return output;
 }
 
 }  // namespace firvalve::cluster
--- /dev/null
+++ b/src/cluster/run_once_requests.cpp
@@ -0,0 +1,97 @@
+#include "cluster/run_once_requests.h"
+
+#include <xxhash.h>
+
+#include <algorithm>
+
+namespace firvalve::cluster {
+
+using Action = lease::RunOnceJobs::Action;
+using End = lease::RunOnceJobs::RunEnd;
+
+namespace {
+
+constexpr Duration kMinTimeout(1);
+
+}  // namespace
+
+void RunOnceRequests::request(TimePoint now, CallId call, std::string_view job, CommandRequest&& command) {
+  const BootClock::time_point boot_now = BootClock::now();
+  Request& request = requests_[call];
+  request.command = command.command;
+  request.profile = command.profile;
+  request.statement = std::move(command.statement);
+  request.table_group = command.table_group;
+  request.deadline = now + command.timeout;
+  if (shutdown_deadline_) request.deadline = std::min(request.deadline, *shutdown_deadline_);
+  request.estimated_work = command.estimated_work;
+  request.memory_mb = command.memory_mb;
+  // Never 0, which stands for no statement.
+  const uint64_t hash = XXH3_64bits(request.statement.data(), request.statement.size()) | 1;
+  log_.count_requested_job();
+  jobs_.submit(boot_now, std::string(job), to_number(call), hash, boot_now + (request.deadline - now));
+}
+
+void RunOnceRequests::cancel(CallId call) {
+  if (requests_.erase(call) > 0) jobs_.on_caller_gone(BootClock::now(), to_number(call));
+}
+
+void RunOnceRequests::carry_out(TimePoint now) {
+  // A job that could not be started has an answer at once.
+  for (std::vector<Action> actions = jobs_.take_actions(); !actions.empty(); actions = jobs_.take_actions())
+    for (const Action& action : actions)
+      if (action.kind == Action::Kind::kStart)
+        start(now, action);
+      else
+        respond(action);
+}
+
+void RunOnceRequests::start(TimePoint now, const Action& action) {
+  const auto requested = requests_.find(CallId{action.call});
+  if (requested == requests_.end() || !core_)
+    return jobs_.on_run_finished(BootClock::now(), action.key, End::kNeverRan, {});
+  const Request& request = requested->second;
+  CommandRequest command;
+  command.command = request.command;
+  command.profile = request.profile;
+  command.statement = request.statement;
+  command.table_group = request.table_group;
+  command.timeout = std::max(kMinTimeout, request.deadline - now);
+  command.estimated_work = request.estimated_work;
+  command.memory_mb = request.memory_mb;
+  const CallId call = last_started_ = next_after(last_started_);
+  started_[call] = action.key;
+  log_.record_started_job(action.key);
+  if (core_->admit(now, call, std::move(command)) != AdmissionResult::kAdmitted) {
+    started_.erase(call);
+    jobs_.on_run_finished(BootClock::now(), action.key, End::kNeverRan, {});
+  }
+}
+
+void RunOnceRequests::respond(const Action& action) {
+  const CallId call{action.call};
+  if (requests_.erase(call) == 0) return;  // its client waits no longer
+  if (action.kind == Action::Kind::kComplete)
+    clients_.answer(call, action.rows);
+  else if (action.kind == Action::Kind::kShed)
+    clients_.shed(call, action.retry_after > Duration(0) ? std::optional(action.retry_after) : std::nullopt);
+  else
+    clients_.fail(call, action.error);
+}
+
+bool RunOnceRequests::finish(CallId call, End end, std::string_view rows,
+                             std::optional<Duration> retry_after) {
+  const auto started = started_.find(call);
+  if (started == started_.end()) return false;
+  const std::string job = std::move(started->second);
+  started_.erase(started);
+  jobs_.on_run_finished(BootClock::now(), job, end, std::string(rows), retry_after.value_or(Duration{}));
+  return true;
+}
+
+void RunOnceRequests::begin_shutdown(TimePoint deadline) {
+  shutdown_deadline_ = deadline;
+  jobs_.stop_accepting();
+}
+
+}  // namespace firvalve::cluster
--- a/src/lab/fleet_world.cpp
+++ b/src/simulation/fleet_world.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet_world.h"
+#include "simulation/fleet_world.h"
 
 #include <fmt/format.h>
 
@@ -10,10 +10,11 @@
 #include <set>
 
 #include "cluster/cluster_node.h"
-#include "lab/queue.h"
 #include "lease/fence.h"
+#include "schema/topic_codec.h"
+#include "simulation/queue.h"
 
-namespace firvalve::lab {
+namespace firvalve::simulation {
 
 namespace {
 
@@ -139,21 +140,21 @@
     Gateway& g = nodes_[n];
     cluster::ClusterNodeOptions t;
     t.self = n;
-    t.keepers = o_.keepers;
+    t.replica_count = o_.keepers;
     t.name = name_of(n);
-    t.draw = number();
-    t.lease = o_.lease;
+    t.random_seed = number();
+    t.lease_duration = duration_of(o_.lease);
     ++g.start;
     g.wake_at = 0;
     g.fence = {};
     g.last_seen = 0;
     const Ms at = local(g);
     if (n < o_.keepers && g.standing)
-      g.node = std::make_unique<cluster::ClusterNode>(at, t, *g.standing, g.slots);
+      g.node = std::make_unique<cluster::ClusterNode>(time_point_of<BootClock>(at), t, *g.standing, g.slots);
     else
-      g.node = std::make_unique<cluster::ClusterNode>(at, t);
+      g.node = std::make_unique<cluster::ClusterNode>(time_point_of<BootClock>(at), t);
     for (uint32_t d = 0; d < o_.duties; ++d)
-      g.node->duties().campaign(time_point_of<BootClock>(at), duty_name(d));
+      g.node->leases().campaign(time_point_of<BootClock>(at), duty_name(d));
     turn(n);
   }
 
@@ -188,29 +189,29 @@
   void turn(uint32_t n) {
     Gateway& g = nodes_[n];
     const Ms at = local(g);
-    g.node->due(at);
+    g.node->on_tick(time_point_of<BootClock>(at));
     for (int rounds = 0; rounds < 1000; ++rounds) {
-      cluster::ClusterNode::Out out = g.node->take();
-      std::vector<consensus::Envelope> sends = std::move(out.sends);
-      if (g.disk_full && (out.keeper.metadata || !out.keeper.writes.empty())) {
-        g.node->unwritten(out.keeper);
+      cluster::ClusterNode::Output out = g.node->take_output();
+      std::vector<consensus::Envelope> sends = std::move(out.envelopes);
+      if (g.disk_full && (out.acceptor.metadata || !out.acceptor.writes.empty())) {
+        g.node->on_write_failed(out.acceptor);
       } else {
         if (o_.folders) {
-          if (out.keeper.metadata) g.standing = out.keeper.metadata;
-          for (auto& [key, slot] : out.keeper.writes) g.slots[key] = std::move(slot);
+          if (out.acceptor.metadata) g.standing = out.acceptor.metadata;
+          for (auto& [key, slot] : out.acceptor.writes) g.slots[key] = std::move(slot);
         }
-        for (consensus::Envelope& e : out.keeper.messages) sends.push_back(std::move(e));
+        for (consensus::Envelope& e : out.acceptor.messages) sends.push_back(std::move(e));
       }
       if (sends.empty()) break;
       for (consensus::Envelope& e : sends) {
         if (e.to == n)
-          g.node->handle(at, n, e.message);
+          g.node->handle(time_point_of<BootClock>(at), n, e.message);
         else
           carry(n, e.to, std::make_shared<const Message>(std::move(e.message)));
       }
     }
     hear_events(n);
-    const Ms next = g.node->next_due();
+    const Ms next = to_ms(g.node->next_deadline().value_or(BootClock::time_point{}));
     if (next > 0) {
       const Ms when = std::max(global(g, next), now_ + (next <= at ? 0.05 : 0.001));
       if (g.wake_at == 0 || when < g.wake_at) {
@@ -223,7 +224,7 @@
   // Five fields that come and go, five screens that read some of them.
   schema::Change drawn_change() {
     schema::Change c;
-    c.bulletin = "cabins";
+    c.topic = "cabins";
     const double kind = uniform();
     if (kind < 0.4) {
       c.kind = schema::Change::Kind::kPropose;
@@ -241,7 +242,7 @@
     for (uint32_t v = 1; v <= 20; ++v) c.declaration.versions.insert(v);
     for (uint32_t n = 1; n <= 5; ++n)
       if (uniform() < 0.3) c.declaration.reads.insert(n);
-    if (kind < 0.5) c.declaration.holds_ms = 2000;
+    if (kind < 0.5) c.declaration.expires_after_ms = 2000;
     return c;
   }
 
@@ -269,7 +270,7 @@
         close_span(g, e.lease, now_);
       }
     }
-    for (const lease::RunOnceJobs::Action& a : g.node->merges().take_actions()) {
+    for (const lease::RunOnceJobs::Action& a : g.node->run_once_jobs().take_actions()) {
       using Act = lease::RunOnceJobs::Action::Kind;
       if (a.kind == Act::kStart) {
         out_.history.begun.push_back({a.key, now_});
@@ -280,13 +281,13 @@
         answered_.insert(a.key);
       }
     }
-    for (const schema::Registry::End& end : g.node->take_changes()) {
-      using Kind = schema::Registry::End::Kind;
-      if (end.kind == Kind::kAgreed && end.applied.changed)
-        out_.history.bulletins.push_back(read_agreed(end.bulletin, now_, schema::written(end.applied.after)));
-      out_.refused_changes += end.kind == Kind::kRefused;
+    for (const schema::Registry::Result& end : g.node->take_topic_results()) {
+      using Kind = schema::Registry::Result::Kind;
+      if (end.kind == Kind::kAgreed && end.applied.has_changed)
+        out_.history.bulletins.push_back(read_agreed(end.topic, now_, schema::encode(end.applied.after)));
+      out_.refused_changes += end.kind == Kind::kRejected;
     }
-    for (const consensus::ProposalResult& end : g.node->take_ends()) {
+    for (const consensus::ProposalResult& end : g.node->take_results()) {
       using Kind = consensus::ProposalResult::Kind;
       if (end.kind == Kind::kUnknown || end.kind == Kind::kNoQuorum) continue;
       RecordOp op;
@@ -335,7 +336,7 @@
           ++(taken ? out_.acts : out_.refused);
           return;
         }
-        g.node->handle(at, c.from, *c.message);
+        g.node->handle(time_point_of<BootClock>(at), c.from, *c.message);
         return turn(e.node);
       }
       case What::kWake:
@@ -348,7 +349,7 @@
         if (!up) return;
         for (uint32_t d = 0; d < o_.duties; ++d) {
           const std::string duty = duty_name(d);
-          if (const auto epoch = g.node->duties().active_epoch(time_point_of<BootClock>(at), duty))
+          if (const auto epoch = g.node->leases().active_epoch(time_point_of<BootClock>(at), duty))
             carry(e.node, (e.node + 1 + draw(o_.gateways - 1)) % o_.gateways, nullptr, duty, *epoch);
         }
         return;
@@ -363,23 +364,23 @@
           w.expected_change = uniform() < 0.8 ? seen_[w.key] : g.last_seen;
           w.value = fmt::format("{:x}", w.id);
         }
-        g.node->asker().propose(time_point_of<BootClock>(at), std::move(w));
+        g.node->proposer().propose(time_point_of<BootClock>(at), std::move(w));
         return turn(e.node);
       }
       case What::kBulletin:
         put(now_ + kProposeEvery * (0.5 + uniform()), e);
         if (!up) return;
-        g.node->registry().ask(at, drawn_change(), at + 2000);
+        g.node->registry().submit(drawn_change(), time_point_of<BootClock>(at + 2000));
         return turn(e.node);
       case What::kMerge:
         if (!up) return;
-        g.node->merges().submit(time_point_of<BootClock>(at), fmt::format("m{}", e.other), ++calls_, 7,
-                                time_point_of<BootClock>(at + kMergePatience));
+        g.node->run_once_jobs().submit(time_point_of<BootClock>(at), fmt::format("m{}", e.other), ++calls_, 7,
+                                       time_point_of<BootClock>(at + kMergePatience));
         return turn(e.node);
       case What::kRunEnd:
         if (!up || e.number != g.start) return;
-        g.node->merges().on_run_finished(time_point_of<BootClock>(at), run_names_[e.other],
-                                         lease::RunOnceJobs::RunEnd::kCompleted, "1\n");
+        g.node->run_once_jobs().on_run_finished(time_point_of<BootClock>(at), run_names_[e.other],
+                                                lease::RunOnceJobs::RunEnd::kCompleted, "1\n");
         return turn(e.node);
       default:
         return;
@@ -437,7 +438,7 @@
         for (const Event& e : waiting)
           if (e.what != What::kAct) step(e);
         if (g.node) {
-          g.node->duties().on_pause(time_point_of<BootClock>(local(g)),
+          g.node->leases().on_pause(time_point_of<BootClock>(local(g)),
                                     duration_of((now_ - g.stalled_at) * g.rate));
           turn(f.node);
         }
@@ -526,4 +527,4 @@
   return best;
 }
 
-}  // namespace firvalve::lab
+}  // namespace firvalve::simulation
--- a/tests/consensus/explore_test.cpp
+++ b/tests/consensus/explore_test.cpp
@@ -241,7 +241,7 @@
 
 const size_t kMost = states_most();
 
-lab::Explored explore(const Bounds& bounds, size_t most) { return explored<Race>(bounds, most); }
+simulation::Explored explore(const Bounds& bounds, size_t most) { return explored<Race>(bounds, most); }
 bool found(const Bounds& bounds, InjectedBug bug) { return walks_find<Race>(bounds, bug, kMost / 2); }
 
 TEST(ExploreConsensus, TwoProposersOfOneRegisterWithoutTimeouts) {
@@ -253,7 +253,7 @@
 TEST(ExploreConsensus, TwoProposersOfOneRegisterWithATimeout) {
   Bounds bounds;
   bounds.timeouts = 1;
-  const lab::Explored out = explore(bounds, kMost);
+  const simulation::Explored out = explore(bounds, kMost);
   EXPECT_FALSE(out.breach);
 }
 
@@ -261,7 +261,7 @@
   Bounds bounds;
   bounds.timeouts = 1;
   bounds.storage_losses = 1;
-  const lab::Explored out = explore(bounds, kMost);
+  const simulation::Explored out = explore(bounds, kMost);
   EXPECT_FALSE(out.breach);
 }
 
