--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -32,7 +32,7 @@
 using Poco::Net::SocketAddress;
 using Poco::Net::StreamSocket;
 
-const size_t kStatementMost = proto::kRpcStatementMost;
+const size_t kStatementMost = proto::kMaxRpcStatementBytes;
 
 namespace {
 
@@ -721,7 +721,7 @@
                    double timeout_ms, Callback done) {
   const auto named = proto::with_bulletin(bulletin, params, timeout_ms);
   if (!named) throw std::invalid_argument("params are no JSON object");
-  if (!proto::is_bulletin_method(method)) throw std::invalid_argument("no such method about bulletins");
+  if (!proto::is_topic_method(method)) throw std::invalid_argument("no such method about bulletins");
   Handle handle;
   handle.shared_ = std::make_shared<Shared>();
   Shared& s = *handle.shared_;
--- a/src/cluster/cluster_service.cpp
+++ b/src/cluster/cluster_service.cpp
@@ -60,29 +60,29 @@
         backoff_(kReconnectFirst, kReconnectMost, owner.options_.draw + keeper) {}
 
   void put(const std::string& bytes, Ms now) {
-    if (!link_ || link_->unsent() + bytes.size() > kUnsentMost) return;  // who asked will ask again
+    if (!link_ || link_->unsent_bytes() + bytes.size() > kUnsentMost) return;  // who asked will ask again
     link_->write(bytes);
     if (asked_at_ == 0) asked_at_ = now;
   }
   net::Connection* link() { return link_.get(); }
 
   void due(Ms now) {
-    if (link_ && !link_->up() && now >= began_ + kConnect) end(now, "did not come up");
+    if (link_ && !link_->is_connected() && now >= began_ + kConnect) end(now, "did not come up");
     if (link_ && asked_at_ > 0 && now >= asked_at_ + kSilence) end(now, "says nothing");
     if (link_ || now < connect_at_) return;
     began_ = now;
     asked_at_ = 0;
-    if (!owner_.loop_.room(false)) return end(now, "no descriptor left");
+    if (!owner_.loop_.make_room(false)) return end(now, "no descriptor left");
     ++owner_.link_counts_.connects;
     link_ = std::make_unique<Dialled>(*this, SocketAddress(address_));
-    if (link_->refused()) end(now, "refused");
+    if (link_->was_refused()) end(now, "refused");
   }
   Ms next_due() const {
     if (!link_) return connect_at_ + 1;
-    if (!link_->up()) return began_ + kConnect;
+    if (!link_->is_connected()) return began_ + kConnect;
     return asked_at_ > 0 ? asked_at_ + kSilence : 0;
   }
-  bool up() const { return link_ && link_->up(); }
+  bool up() const { return link_ && link_->is_connected(); }
   const std::string& address() const { return address_; }
 
  private:
@@ -92,7 +92,7 @@
         : Connection(owner.owner_.loop_, address), owner_(owner) {}
 
    protected:
-    void on_up() override {
+    void on_connected() override {
       owner_.backoff_.reset();
       owner_.up_before_ = true;
       owner_.owner_.say_(log::Level::kDebug, "member.reached",
@@ -107,7 +107,7 @@
         if (read == proto::Read::kBroken) return owner_.end(clock(), "broken framing");
         PeerId peer = owner_.keeper_;
         owner_.owner_.handle(*this, peer, body, true);
-        if (!open()) return;
+        if (!is_open()) return;
       }
     }
     void on_end(End end) override { owner_.end(clock(), end == End::kRefused ? "refused" : "closed"); }
@@ -120,7 +120,7 @@
   void end(Ms now, const char* why) {
     if (link_) {
       link_->abort();
-      owner_.loop_.bury(std::move(link_));
+      owner_.loop_.destroy_after_turn(std::move(link_));
     }
     if (up_before_) owner_.fault(address_, why);
     up_before_ = false;
@@ -143,8 +143,8 @@
   InboundPeer(ClusterService& owner, const StreamSocket& socket)
       : Connection(owner.loop_, socket), owner_(owner) {}
   PeerId peer = UINT32_MAX;  // until its first frame
-  bool spare() const override { return peer == UINT32_MAX; }
-  void spared() override { end(); }
+  bool is_evictable() const override { return peer == UINT32_MAX; }
+  void evict() override { end(); }
   void end() {
     close();
     owner_.ended(*this);
@@ -161,7 +161,7 @@
         return end();
       }
       owner_.handle(*this, peer, body, false);
-      if (!open()) return;
+      if (!is_open()) return;
     }
   }
   void on_end(End) override { owner_.ended(*this); }
@@ -240,7 +240,7 @@
 
 void ClusterService::on_accept(const Poco::AutoPtr<ReadableNotification>&) {
   for (int i = 0; i < kAcceptAtOnce; ++i) {
-    const bool room = loop_.room(false);
+    const bool room = loop_.make_room(false);
     const int descriptor =
         room ? ::accept4(listener_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC) : -1;
     if (!room || (descriptor < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)) {
@@ -262,7 +262,7 @@
   }
   const auto at = from_.find(&link);
   if (at == from_.end()) return;
-  loop_.bury(std::move(at->second));
+  loop_.destroy_after_turn(std::move(at->second));
   from_.erase(at);
 }
 
@@ -378,7 +378,7 @@
           std::find_if(to_.begin(), to_.end(), [l = link](const auto& t) { return t && t->link() == l; });
       if (to != to_.end())
         (*to)->put(bytes, at);
-      else if (link->unsent() + bytes.size() <= kUnsentMost)
+      else if (link->unsent_bytes() + bytes.size() <= kUnsentMost)
         link->write(bytes);
     }
   }
--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -3,6 +3,7 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <utility>
 
 #include "proto/head.h"
 
@@ -34,7 +35,7 @@
   bool waits = false;  // a call is not answered yet; the next is not read before
 
   void more() {
-    while (!waits && open()) {
+    while (!waits && is_open()) {
       const size_t end = proto::head_end(inbox_.text());
       if (end == std::string_view::npos) return;
       std::string_view head = inbox_.text().substr(0, end);
@@ -148,14 +149,14 @@
   {
     const std::lock_guard lock(mutex_);
     if (means_.records_calls) lines_.push_back(call.line);
-    last_at_ = host_.loop().now();
+    last_at_ = host_.loop().now_ms();
     if (first_at_ == 0) first_at_ = last_at_;
   }
   if (hangs_) {
     connection.waits = true;
     return;
   }
-  const Ms now = host_.loop().now();
+  const Ms now = host_.loop().now_ms();
   const std::string_view line = call.line;
   if (line.starts_with("POST ")) return start(connection, call);
   const size_t path = line.find(kPath);
@@ -188,7 +189,7 @@
 }
 
 void FakeEngine::start(Session& connection, const Call& call) {
-  const Ms now = host_.loop().now();
+  const Ms now = host_.loop().now_ms();
   Query query;
   query.statement = call.statement;
   query.script = script_of(call.statement);
@@ -220,7 +221,7 @@
 void FakeEngine::begin(const std::string& id, Query& query) {
   ++at_work_;
   query.works = true;
-  query.ready_at = host_.loop().now() + query.script.delay;
+  query.ready_at = host_.loop().now_ms() + query.script.delay;
   host_.after(query.script.delay, [this, alive = alive_, id, number = query.number] {
     if (!*alive) return;
     const auto at = queries_.find(id);
@@ -230,7 +231,7 @@
     begin_next();
     Session* const waits = std::exchange(at->second.waits, nullptr);
     if (!waits || !connections_.has(waits)) return;
-    tell(*waits, id, 0, host_.loop().now());
+    tell(*waits, id, 0, host_.loop().now_ms());
     if (connections_.has(waits)) waits->more();
   });
 }
@@ -260,7 +261,7 @@
     return connection.write(http("500 Error", "", ""));
   }
   Query& query = at->second;
-  const Ms now = host_.loop().now();
+  const Ms now = host_.loop().now_ms();
   query.asked_at = now;
   if (query.script.silent) {
     connection.waits = true;
@@ -326,7 +327,7 @@
 }
 
 void FakeEngine::forget_unasked() {
-  const Ms now = host_.loop().now();
+  const Ms now = host_.loop().now_ms();
   for (auto at = queries_.begin(); at != queries_.end();) {
     const Query& q = at->second;
     const bool asked = q.waits && connections_.has(q.waits);
--- a/src/fakes/fake_event_bus.cpp
+++ b/src/fakes/fake_event_bus.cpp
@@ -3,6 +3,7 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <utility>
 
 #include "proto/head.h"
 
--- a/src/fakes/fake_gateway.cpp
+++ b/src/fakes/fake_gateway.cpp
@@ -19,7 +19,7 @@
       if (read == proto::Read::kMore) return;
       if (read == proto::Read::kBroken) return owner_.connections_.end(this);
       owner_.handle(*this, body);
-      if (!open()) return;
+      if (!is_open()) return;
     }
   }
   void on_end(End) override { owner_.connections_.end(this); }
@@ -35,7 +35,7 @@
     listener_ = std::make_unique<Listener>(host_, [this](Poco::Net::StreamSocket socket) {
       connections_.add(std::make_unique<Session>(*this, socket));
       const std::lock_guard lock(mutex_);
-      accepted_.push_back(host_.loop().now());
+      accepted_.push_back(host_.loop().now_ms());
     });
     listener_->listen(address);
     address_ = listener_->address();
@@ -103,13 +103,13 @@
   }
   if (call.kind != Kind::kCommand) {
     std::string out;
-    proto::append_error(out, call.id, call.has_id, call.code, call.why);
+    proto::append_error(out, call.id, call.has_id, call.error_code, call.error_message);
     return connection.write(out);
   }
   {
     const std::lock_guard lock(mutex_);
     heard_.push_back({std::string(call.profile), call.statement, std::string(call.command),
-                      std::string(call.first), call.timeout, host_.loop().now()});
+                      std::string(call.first_command), to_ms(call.timeout), host_.loop().now_ms()});
   }
   if (mute_) return;
   const FaultScript script = script_of(call.statement);
--- a/src/fakes/fake_host.cpp
+++ b/src/fakes/fake_host.cpp
@@ -15,9 +15,13 @@
 using Poco::Net::StreamSocket;
 
 FakeHost::FakeHost() {
-  loop_.limit(1 << 20, size_t{1} << 30);
+  loop_.set_limits(1 << 20, size_t{1} << 30);
   bell_ = std::make_unique<net::Waker>(loop_, [this] { run_posted(); });
-  loop_.on_turn = [this](Ms now) { return turn(now); };
+  loop_.on_turn = [this](TimePoint now) -> std::optional<TimePoint> {
+    const Ms due = turn(to_ms(now));
+    if (due <= 0) return std::nullopt;
+    return time_point_of(due);
+  };
   thread_ = std::thread([this] { loop_.run(); });
 }
 
@@ -55,7 +59,7 @@
 }
 
 void FakeHost::after(Ms wait, std::function<void()> task) {
-  timers_.emplace(loop_.now() + wait, std::move(task));
+  timers_.emplace(loop_.now_ms() + wait, std::move(task));
 }
 
 Ms FakeHost::turn(Ms now) {
--- a/src/fakes/fake_host.h
+++ b/src/fakes/fake_host.h
@@ -79,7 +79,7 @@
     const auto at = all_.find(key);
     if (at == all_.end()) return;
     with_reset ? key->abort() : key->close();
-    host_.loop().bury(std::move(at->second));
+    host_.loop().destroy_after_turn(std::move(at->second));
     all_.erase(at);
   }
   void end_all(bool with_reset) {
--- a/src/fakes/fault_proxy.cpp
+++ b/src/fakes/fault_proxy.cpp
@@ -31,7 +31,7 @@
         std::string frame = "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
         frame.append(body.data(), body.size());
         between_.carry(passage_, forth_, std::move(frame));
-        if (!open()) return;
+        if (!is_open()) return;
       }
     }
     void on_end(End) override { between_.end(passage_); }
@@ -73,7 +73,7 @@
       passage->to = number;
       passage->near = std::make_unique<Passage::Side>(*this, id, true, socket);
       passage->far = std::make_unique<Passage::Side>(*this, id, false, SocketAddress(doors_[number]->real));
-      const bool refused = passage->far->refused();
+      const bool refused = passage->far->was_refused();
       passages_[id] = std::move(passage);
       if (refused) end(id);
     });
@@ -90,8 +90,8 @@
   if (at == passages_.end()) return;
   at->second->near->abort();
   at->second->far->abort();
-  host_.loop().bury(std::move(at->second->near));
-  host_.loop().bury(std::move(at->second->far));
+  host_.loop().destroy_after_turn(std::move(at->second->near));
+  host_.loop().destroy_after_turn(std::move(at->second->far));
   passages_.erase(at);
 }
 
@@ -139,7 +139,7 @@
       write(id, forth, frame);
       continue;
     }
-    const Ms now = host_.loop().now();
+    const Ms now = host_.loop().now_ms();
     Ms due = now + options.delay_least + part() * (options.delay_most - options.delay_least);
     Ms& last = forth ? p.last_forth : p.last_back;
     if (!options.reordered) due = last = std::max(due, last);
--- a/src/fakes/load_clients.cpp
+++ b/src/fakes/load_clients.cpp
@@ -150,7 +150,7 @@
           r.holds[of] = std::strtod(field(line, "until_ms").c_str(), nullptr);
         else if (event == "duty.left" || event == "duty.lost")
           r.holds.erase(of);
-        else if (event == "serving")
+        else if (event == "gateway.serving")
           r.holds.clear();  // another life
       }
     }
--- /dev/null
+++ b/src/gateway/gateway_config.cpp
@@ -0,0 +1,112 @@
+#include "gateway/gateway_config.h"
+
+#include <fmt/format.h>
+
+#include <cstdlib>
+#include <fstream>
+#include <sstream>
+
+namespace firvalve {
+namespace {
+
+using Code = ConfigError::Code;
+using rapidjson::Value;
+
+const Value& required_field(const Value& object, const char* name) {
+  const auto at = object.FindMember(name);
+  if (at == object.MemberEnd())
+    throw ConfigError(Code::kMissing, name, fmt::format("configuration: {} is missing", name));
+  return at->value;
+}
+
+const Value& required_object(const Value& object, const char* name) {
+  const Value& value = required_field(object, name);
+  if (!value.IsObject())
+    throw ConfigError(Code::kWrongType, name, fmt::format("configuration: {} is not an object", name));
+  return value;
+}
+
+std::string required_text(const Value& object, const char* name) {
+  const Value& value = required_field(object, name);
+  if (!value.IsString())
+    throw ConfigError(Code::kWrongType, name, fmt::format("configuration: {} is not a string", name));
+  return value.GetString();
+}
+
+// NODE_CONFIG's variable is read again at each reload, on the one thread that there is.
+std::string read_config_file() {
+  const char* const path = std::getenv("NODE_CONFIG");  // NOLINT(concurrency-mt-unsafe): nothing sets it
+  if (!path) throw ConfigError(Code::kNotGiven, "NODE_CONFIG", "NODE_CONFIG is not set");
+  std::ifstream file(path);
+  if (!file) throw ConfigError(Code::kUnreadable, path, fmt::format("configuration {} cannot be read", path));
+  std::stringstream text;
+  text << file.rdbuf();
+  return text.str();
+}
+
+void read_limits(const Value& json, GatewayConfig& config) {
+  const Value& limits = required_field(json, "limits");
+  if (!limits.IsObject() || !required_field(limits, "sockets").IsInt())
+    throw ConfigError(Code::kWrongType, "limits.sockets", "configuration: limits.sockets");
+  if (!required_field(limits, "memory_mb").IsNumber())
+    throw ConfigError(Code::kWrongType, "limits.memory_mb", "configuration: limits.memory_mb");
+  config.max_descriptors = required_field(limits, "sockets").GetInt();
+  config.memory_limit_mb = required_field(limits, "memory_mb").GetDouble();
+}
+
+void read_known_events(const Value& json, GatewayConfig& config) {
+  const Value& known = required_object(json, "known");
+  const Value& batch = required_field(known, "batch");
+  if (!batch.IsArray())
+    throw ConfigError(Code::kWrongType, "known.batch", "configuration: known.batch is not a list");
+  for (const Value& element : batch.GetArray()) {
+    auto event = proto::read_bus_event(element);
+    if (!event)
+      throw ConfigError(Code::kMalformed, "known.batch",
+                        "configuration: an event of known.batch cannot be read");
+    config.known_events.push_back(std::move(*event));
+  }
+  const Value& offset = required_field(known, "offset");
+  config.last_event_offset = offset.IsInt64() ? offset.GetInt64() : 0;
+}
+
+}  // namespace
+
+GatewayConfig read_gateway_config() {
+  const std::string text = read_config_file();
+  rapidjson::Document json;
+  json.Parse<rapidjson::kParseIterativeFlag>(text.c_str());
+  if (json.HasParseError() || !json.IsObject())
+    throw ConfigError(Code::kMalformed, "", "configuration is not a JSON object");
+  GatewayConfig config;
+  config.settings = parse_settings(required_object(json, "settings"));
+  config.seed = std::strtoull(required_text(json, "seed").c_str(), nullptr, 16);
+  config.listen_address = required_text(json, "listen");
+  config.event_bus_address = required_text(json, "bus");
+  read_limits(json, config);
+  read_known_events(json, config);
+  return config;
+}
+
+config::OperatorConfig read_operator_config(const std::string& operator_file) {
+  if (operator_file.empty()) return {};
+  const config::Reading reading = config::read_operator_file(operator_file);
+  if (reading.good()) return reading.values;
+  std::string lines;
+  for (const config::Fault& fault : reading.faults)
+    lines += (lines.empty() ? "" : "; ") + config::line_of(operator_file, fault);
+  throw ConfigError(Code::kInvalid, operator_file, lines);
+}
+
+// Guards against a result store that takes the memory which connections and statements need: the gateway
+// would be ended for it. Half is more than they ever had.
+void check_result_store_memory(const config::OperatorConfig& operator_config, const GatewayConfig& config,
+                               const std::string& operator_file) {
+  const config::OperatorConfig::Spool& spool = operator_config.spool;
+  if (!spool.on || spool.memory_mb <= config.memory_limit_mb / 2) return;
+  throw ConfigError(Code::kExceedsLimit, "spool.memory_mb",
+                    fmt::format("{}: spool.memory_mb: {} is more than half of the gateway's own {} MB",
+                                operator_file, spool.memory_mb, config.memory_limit_mb));
+}
+
+}  // namespace firvalve
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -1,15 +1,17 @@
-// firvalve: without a sub-command one gateway, told by NODE_CONFIG what to serve.
+// The program `firvalve`. Without a sub-command it is a gateway, configured by the file that NODE_CONFIG
+// names; the sub-commands are clients of gateways, and a check of the operator's file.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
 
 #include "config/operator_config.h"
 #include "gateway/call.h"
+#include "gateway/call_report.h"
 #include "gateway/serve.h"
 
 namespace {
 
-int check(const std::string& file) {
+int check_operator_file(const std::string& file) {
   const firvalve::config::Reading reading = firvalve::config::read_operator_file(file);
   for (const auto& fault : reading.faults)
     std::fprintf(stderr, "%s\n", firvalve::config::line_of(file, fault).c_str());
@@ -20,29 +22,31 @@
 
 }  // namespace
 
+// What building the command line throws is a fault of the program itself: it ends by std::terminate().
+// NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   CLI::App app("An admission controller for queries on pooled engines.", "firvalve");
   int exit_code = 0;
-  std::string operator_file, checked;
+  std::string operator_file, checked_file;
   app.set_version_flag("--version", FIRVALVE_VERSION);
   app.add_option("--operator", operator_file, "the operator's own file, which switches features on");
   app.footer("Without a sub-command: the gateway told by the file that NODE_CONFIG names.");
   app.require_subcommand(0, 1);
-  firvalve::add_call(app, exit_code);
-  firvalve::add_ping(app, exit_code);
-  CLI::App* const checking = app.add_subcommand("check", "Reads an operator's file and tells what it says");
-  checking->add_option("file", checked)->required();
-  checking->callback([&] { exit_code = check(checked); });
+  firvalve::add_call_command(app, exit_code);
+  firvalve::add_ping_command(app, exit_code);
+  CLI::App* const check = app.add_subcommand("check", "Reads an operator's file and tells what it says");
+  check->add_option("file", checked_file)->required();
+  check->callback([&] { exit_code = check_operator_file(checked_file); });
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : firvalve::kExitUsage;
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? 0 : firvalve::kExitUsage;
   }
   if (!app.get_subcommands().empty()) return exit_code;
   try {
     return firvalve::serve(operator_file);
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "firvalve: %s\n", e.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "firvalve: %s\n", error.what());
     return 1;
   }
 }
--- /dev/null
+++ b/src/gateway/paged_call.cpp
@@ -0,0 +1,105 @@
+#include "gateway/paged_call.h"
+
+#include <unistd.h>
+
+#include <cstdio>
+#include <utility>
+
+#include "gateway/call_report.h"
+
+namespace firvalve {
+namespace {
+
+using client::Outcome;
+using Next = client::Pages::Next;
+using Number = unsigned long long;
+
+// Standard output, or a file that is closed at the end.
+class Output {
+ public:
+  Output(const std::string& file_name, bool appends)
+      : is_file_(!file_name.empty()),
+        stream_(is_file_ ? std::fopen(file_name.c_str(), appends ? "ab" : "wb") : stdout) {}
+  ~Output() {
+    if (is_file_ && stream_) std::fclose(stream_);
+  }
+  Output(const Output&) = delete;
+  Output& operator=(const Output&) = delete;
+
+  bool is_open() const { return stream_ != nullptr; }
+  bool write(const std::string& rows) {
+    return std::fwrite(rows.data(), 1, rows.size(), stream_) == rows.size();
+  }
+  bool finish() {  // false: not all could be written
+    std::FILE* const stream = std::exchange(stream_, nullptr);
+    return (is_file_ ? std::fclose(stream) : std::fflush(stream)) == 0;
+  }
+
+ private:
+  const bool is_file_;
+  std::FILE* stream_;
+};
+
+// Copies all pages that are left; the last answer of the reader, or kFailed where a page cannot be written.
+Next copy_pages(const PagedCallOptions& options, client::Pages& pages, Output& output) {
+  const bool shows_progress =
+      !options.is_quiet && ::isatty(STDERR_FILENO) != 0 && !options.output_file.empty();
+  std::string rows;
+  Next next;
+  while ((next = pages.next(rows)) == Next::kPage) {
+    if (!output.write(rows)) {
+      std::fprintf(stderr, "firvalve call: %s cannot be written; page %llu is the last whole one\n",
+                   options.output_file.c_str(), static_cast<Number>(pages.at() - 1));
+      next = Next::kFailed;
+      break;
+    }
+    if (shows_progress)
+      std::fprintf(stderr, "\rpage %llu of %llu", static_cast<Number>(pages.at()),
+                   static_cast<Number>(pages.pages()));
+  }
+  if (shows_progress) std::fputc('\n', stderr);
+  return next;
+}
+
+int read_pages(const PagedCallOptions& options, client::Pages& pages) {
+  Output output(options.output_file, options.first_page > 1);
+  if (!output.is_open()) {
+    std::fprintf(stderr, "firvalve call: %s cannot be written\n", options.output_file.c_str());
+    return kExitUsage;
+  }
+  Next next = copy_pages(options, pages, output);
+  if (!output.finish()) next = Next::kFailed;
+  if (next == Next::kEnd) {
+    pages.release();
+    return kExitAnswered;
+  }
+  if (!options.is_quiet)
+    std::fprintf(stderr, "firvalve call: %s after page %llu\n",
+                 next == Next::kGone ? "the result is gone" : "no gateway answered",
+                 static_cast<Number>(pages.at()));
+  return kExitFailed;
+}
+
+}  // namespace
+
+int run_paged_call(const PagedCallOptions& options) {
+  client::Client client(options.client);
+  if (!options.resume_token.empty()) {
+    client::Pages pages(client, options.client.gateways, options.resume_token, options.command.key,
+                        options.first_page, {});
+    return read_pages(options, pages);
+  }
+  const client::Result result = client.call(options.command);
+  if (result.outcome != Outcome::kAnswered) {
+    if (!options.is_quiet) print_result(result);
+    return exit_code_of(result);
+  }
+  if (!options.is_quiet && !result.token.empty())
+    std::fprintf(stderr, "firvalve call: token %s at %s, %llu pages, %llu rows\n", result.token.c_str(),
+                 result.gateway.c_str(), static_cast<Number>(result.pages),
+                 static_cast<Number>(result.all_rows));
+  client::Pages pages(client, result, options.command.key, {});
+  return read_pages(options, pages);
+}
+
+}  // namespace firvalve
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -1,366 +1,195 @@
 #include "gateway/serve.h"
 
-#include <fmt/format.h>
 #include <signal.h>
 
-#include <cstdlib>
-#include <fstream>
-#include <functional>
-#include <iostream>
+#include <memory>
 #include <optional>
 #include <random>
-#include <sstream>
 
-#include "base/monotonic_clock.h"
 #include "cluster/cluster_service.h"
-#include "config/operator_config.h"
 #include "core/settings.h"
-#include "log/log.h"
+#include "gateway/event_log.h"
+#include "gateway/gateway_config.h"
+#include "gateway/reload.h"
+#include "gateway/result_store_wiring.h"
+#include "gateway/shutdown.h"
+#include "gateway/wall_clock_monitor.h"
 #include "net/client_server.h"
-#include "net/clock_watch.h"
 #include "net/endpoint_watcher.h"
 #include "net/engine_connections.h"
 #include "net/signals.h"
-#include "net/waker.h"
-#include "proto/term.h"
-#include "results/paged_result_store.h"
 
 namespace firvalve {
-namespace {
-
-constexpr Ms kEndLook = 5;  // between looks whether all is answered, while ending
-// Beside those of the links: standard streams, the reactor, its timer, the listener, files, and some to
-// spare.
-constexpr int kDescriptorsKept = 20;
-// Parts of the memory limit: of links' buffers, of the statements in hand, and of a keeper's record. The rest
-// is the program's own.
-constexpr double kBufferPart = 0.4, kStatementPart = 0.2, kRecordPart = 0.1;
-
-constexpr double kFirstPart =
-    0.1;  // of the grace for drains: by then the event bus is asked for the first time
-
-using log::Level;
 
-constexpr Ms kClockLook = 1000;  // between looks whether the wall clock was stepped
+using namespace std::chrono_literals;
 
-void set_log(log::Log& logger, const config::OperatorConfig::Log& wish) {
-  static constexpr std::pair<std::string_view, Level> kLevels[] = {{"debug", Level::kDebug},
-                                                                   {"info", Level::kInfo},
-                                                                   {"warning", Level::kWarning},
-                                                                   {"error", Level::kError}};
-  for (const auto& [name, level] : kLevels)
-    if (name == wish.level) logger.set(wish.form == "json" ? log::Form::kJson : log::Form::kLogfmt, level);
-}
-
-struct ConfigError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
+namespace {
 
-const rapidjson::Value& field(const rapidjson::Value& of, const char* name) {
-  const auto at = of.FindMember(name);
-  if (at == of.MemberEnd()) throw ConfigError(fmt::format("configuration: {} is missing", name));
-  return at->value;
-}
+constexpr Duration kShutdownCheckInterval = 5ms;
+constexpr Duration kDefaultConnectTimeout = 250ms;
+constexpr Duration kDefaultIdleTimeout = 15000ms;
 
-std::string text(const rapidjson::Value& of, const char* name) {
-  const rapidjson::Value& v = field(of, name);
-  if (!v.IsString()) throw ConfigError(fmt::format("configuration: {} is not a string", name));
-  return v.GetString();
-}
+// Beside those of the connections: standard streams, the reactor, its timer, the listener, files, and a
+// reserve.
+constexpr int kReservedDescriptors = 20;
 
-// What NODE_CONFIG's file says, read whole before any of it is used.
-struct GatewayConfig {
-  std::string listen, bus;
-  uint64_t seed = 0;
-  int sockets = 0;
-  double memory_mb = 0;
-  int64_t last = 0;  // the number of the last event known
-  std::vector<proto::BusEvent> known;
-  Settings settings;
-};
+// Shares of the memory limit: of the connections' buffers, of the statements in flight, and of a replica's
+// registers. The rest is the program's own.
+constexpr double kBufferShare = 0.4, kStatementShare = 0.2, kRegisterShare = 0.1;
 
-GatewayConfig read_told() {
-  const char* const path = std::getenv("NODE_CONFIG");
-  if (!path) throw ConfigError("NODE_CONFIG is not set");
-  std::ifstream file(path);
-  if (!file) throw ConfigError(fmt::format("configuration {} cannot be read", path));
-  std::stringstream all;
-  all << file.rdbuf();
-  const std::string json = all.str();
-  rapidjson::Document config;
-  config.Parse<rapidjson::kParseIterativeFlag>(json.c_str());
-  if (config.HasParseError() || !config.IsObject()) throw ConfigError("configuration is not a JSON object");
-  GatewayConfig told;
-  const rapidjson::Value& settings = field(config, "settings");
-  if (!settings.IsObject()) throw ConfigError("configuration: settings is not an object");
-  told.settings = parse_settings(settings);
-  told.seed = std::strtoull(text(config, "seed").c_str(), nullptr, 16);
-  told.listen = text(config, "listen");
-  told.bus = text(config, "bus");
-  const rapidjson::Value& limits = field(config, "limits");
-  if (!limits.IsObject() || !field(limits, "sockets").IsInt())
-    throw ConfigError("configuration: limits.sockets");
-  if (!field(limits, "memory_mb").IsNumber()) throw ConfigError("configuration: limits.memory_mb");
-  told.sockets = field(limits, "sockets").GetInt();
-  told.memory_mb = field(limits, "memory_mb").GetDouble();
-  const rapidjson::Value& known = field(config, "known");
-  if (!known.IsObject()) throw ConfigError("configuration: known is not an object");
-  const rapidjson::Value& batch = field(known, "batch");
-  if (!batch.IsArray()) throw ConfigError("configuration: known.batch is not a list");
-  for (const rapidjson::Value& one : batch.GetArray()) {
-    auto event = proto::read_bus_event(one);
-    if (!event) throw ConfigError("configuration: an event of known.batch cannot be read");
-    told.known.push_back(std::move(*event));
-  }
-  const rapidjson::Value& offset = field(known, "offset");
-  told.last = offset.IsInt64() ? offset.GetInt64() : 0;
-  return told;
-}
+// Of the grace for drains: the event bus is asked for the first time within it.
+constexpr double kFirstWatchShare = 0.1;
 
-// A time of the settings; one of nothing is taken as not told.
-Ms told_or(const Settings& settings, const char* name, Ms otherwise) {
-  const Ms told = number(settings, name, otherwise);
-  return told > 0 ? told : otherwise;
+// A time of the settings; one that is not above 0 counts as missing.
+Duration duration_setting(const Settings& settings, const char* name, Duration otherwise) {
+  const Ms value = number(settings, name, to_ms(otherwise));
+  return value > 0 ? duration_of(value) : otherwise;
 }
 
-config::OperatorConfig read_wishes(const std::string& file) {
-  if (file.empty()) return {};
-  const config::Reading reading = config::read_operator_file(file);
-  if (reading.good()) return reading.values;
-  std::string all;
-  for (const config::Fault& fault : reading.faults)
-    all += (all.empty() ? "" : "; ") + config::line_of(file, fault);
-  throw ConfigError(all);
+cluster::ClusterOptions cluster_options(const config::OperatorConfig::Fleet& fleet, double memory_bytes) {
+  cluster::ClusterOptions options = cluster::options_from(fleet);
+  options.record_bytes = static_cast<size_t>(kRegisterShare * memory_bytes);
+  std::random_device device;
+  options.draw = (static_cast<uint64_t>(device()) << 32) | device();
+  return options;
 }
 
-// The spool with its files, where the operator wants them. The files end before the waker that they ring.
-struct ResultStoreWiring {
-  ResultStoreWiring(const config::OperatorConfig::Spool& wish, net::Loop& loop, Metrics& counters,
-                    log::Log& logger) {
-    if (!wish.on) return;
-    results::PagedResultStoreOptions options;
-    options.keeping.memory = wish.memory_mb * 1e6;
-    options.keeping.disk = wish.folder.empty() ? 0 : wish.disk_mb * 1e6;
-    options.keeping.result_most = wish.result_mb * 1e6;
-    options.keeping.lease = wish.lease_s * 1000;
-    options.keeping.results_most = static_cast<size_t>(wish.results);
-    options.first_expected = wish.first_expected_kb * 1000;
-    options.backlog_most = options.keeping.memory / 4;
-    std::random_device device;
-    const uint64_t life = (static_cast<uint64_t>(device()) << 32) | device();
-    spool = std::make_unique<results::PagedResultStore>(
-        options, life, [&counters](std::string_view what) { counters.add(what); });
-    if (wish.folder.empty()) return;
-    waker = std::make_unique<net::Waker>(loop);  // the turn that follows looks at what the files have done
-    results::SegmentFiles::Options files_options;
-    files_options.folder = wish.folder;
-    files_options.boot = results::boot_time();
-    files =
-        std::make_unique<results::SegmentFiles>(files_options, loop.now(), [w = waker.get()] { w->wake(); });
-    if (files->cut + files->broken > 0)
-      logger.write(loop.now(), Level::kWarning, "parts of the spool's folder left out",
-                   {{"component", "spool"},
-                    {"torn_tails_cut", std::to_string(files->cut)},
-                    {"results_broken", std::to_string(files->broken)}});
-    spool->use(loop.now(), *files, files->found, files->lease_offset());
-    files->found.clear();
-  }
-  std::unique_ptr<net::Waker> waker;
-  std::unique_ptr<results::SegmentFiles> files;
-  std::unique_ptr<results::PagedResultStore> spool;
+// All that has work at the end of a turn of the loop.
+struct TurnParts {
+  WallClockMonitor& wall_clock_monitor;
+  net::EndpointWatcher& endpoint_watcher;
+  log::Log& log;
+  net::EngineConnections& engines;
+  results::PagedResultStore* result_store = nullptr;  // null: switched off
+  net::ClientServer& clients;
+  cluster::ClusterService* cluster = nullptr;  // null: switched off
+  Core& core;
 };
 
-using LogSink = std::function<void(Level, std::string_view, log::Fields)>;
-
-void tell_bus_change(const LogSink& say, const net::EndpointChange& change) {
-  using Kind = net::EndpointChange::Kind;
-  const auto offset = std::to_string(change.offset);
-  const auto address = std::string(change.address);
-  switch (change.kind) {
-    case Kind::kConnected:
-      return say(Level::kInfo, "connected", {{"component", "bus"}, {"address", address}, {"from", offset}});
-    case Kind::kLost:
-      return say(Level::kInfo, "connection lost",
-                 {{"component", "bus"}, {"address", address}, {"why", std::string(name_of(change.why))}});
-    case Kind::kMoveDue:
-      return say(Level::kInfo, "moves to another address", {{"component", "bus"}, {"address", address}});
-    case Kind::kListTaken:
-      return say(Level::kInfo, "list of engines changed",
-                 {{"component", "bus"},
-                  {"offset", offset},
-                  {"serving", std::to_string(change.serving)},
-                  {"draining", std::to_string(change.draining)},
-                  {"gone", std::to_string(change.gone)}});
-  }
-}
-
-void tell_command_event(log::Log& logger, Ms now, const CommandEvent& event) {
-  logger.write(
-      now, Level::kDebug, name_of(event.kind),
-      {{"component", "command"},
-       {"command", std::string(event.command)},
-       {"profile", std::string(event.profile)},
-       {"engine", std::string(event.engine)},
-       {"attempt", std::to_string(event.attempt)},
-       {"outcome", event.kind == CommandEvent::Kind::kAttemptEnded ? std::string(name_of(event.outcome))
-                                                                   : std::string()},
-       {"why", std::string(name_of(event.reason))},
-       {"took_ms", fmt::format("{:.1f}", event.took)}});
+// The order is fixed: what has ended is handed to the core before the core decides.
+void run_due_work(const TurnParts& parts, TimePoint now) {
+  parts.wall_clock_monitor.check(now);
+  parts.endpoint_watcher.run_due(now);
+  parts.log.due(to_ms(now));
+  parts.engines.run_due(now);
+  if (parts.result_store) parts.result_store->due(to_ms(now));
+  parts.clients.run_due(now);
+  if (parts.cluster) parts.cluster->due(to_ms(now));
+  parts.core.turn(to_ms(now));
 }
 
-// Single commands, attempts and connections are told at the level `debug` alone: they are many.
-void observe(Core& core, net::ClientServer& clients, net::EngineConnections& engines, log::Log& logger) {
-  core.observe([&logger](Ms now, const CommandEvent& event) {
-    if (logger.level() == Level::kDebug) tell_command_event(logger, now, event);
-  });
-  const auto told_as = [&logger](const char* component) {
-    return [&logger, component](Ms now, const net::ConnectionEnded& ended) {
-      if (logger.level() != Level::kDebug) return;
-      logger.write(now, Level::kDebug, "connection ended",
-                   {{"component", component},
-                    {"peer", std::string(ended.peer)},
-                    {"why", std::string(name_of(ended.why))},
-                    {"open_calls", std::to_string(ended.open_calls)}});
-    };
-  };
-  clients.observe(told_as("clients"));
-  engines.observe(told_as("engines"));
+std::optional<TimePoint> optional_time_of(Ms time) {
+  return time > 0 ? std::optional(time_point_of(time)) : std::nullopt;
 }
 
-cluster::ClusterOptions fleet_options(const config::OperatorConfig::Fleet& wish, double memory) {
-  cluster::ClusterOptions options = cluster::options_from(wish);
-  options.record_bytes = static_cast<size_t>(kRecordPart * memory);
-  std::random_device device;
-  options.draw = (static_cast<uint64_t>(device()) << 32) | device();
-  return options;
+// The earliest time at which any part has work, if any has.
+std::optional<TimePoint> next_due(const TurnParts& parts, TimePoint now) {
+  std::optional<TimePoint> due = parts.endpoint_watcher.next_due();
+  if (parts.cluster) due = earlier_of(due, optional_time_of(parts.cluster->next_due(to_ms(now))));
+  if (parts.result_store) due = earlier_of(due, optional_time_of(parts.result_store->next_due()));
+  due = earlier_of(due, optional_time_of(parts.log.next_due()));
+  due = earlier_of(due, parts.clients.next_due());
+  due = earlier_of(due, parts.engines.next_due());
+  return earlier_of(due, optional_time_of(parts.core.next_due()));
 }
 
 }  // namespace
 
 int serve(const std::string& operator_file) {
-  net::hold_signals();
-  const config::OperatorConfig wishes = read_wishes(operator_file);
-  GatewayConfig told = read_told();
-  // Guards against a spool that takes the memory which connections and statements need: the gateway would be
-  // ended for it. Half is more than they ever had.
-  if (wishes.spool.on && wishes.spool.memory_mb > told.memory_mb / 2)
-    throw ConfigError(fmt::format("{}: spool.memory_mb: {} is more than half of the gateway's own {} MB",
-                                  operator_file, wishes.spool.memory_mb, told.memory_mb));
-  const Settings& settings = told.settings;
-  const double bytes = told.memory_mb * 1024 * 1024;
-  log::Log logger;
-  set_log(logger, wishes.log);
+  net::block_signals();
+
+  // What is to be served.
+  const config::OperatorConfig operator_config = read_operator_config(operator_file);
+  GatewayConfig config = read_gateway_config();
+  check_result_store_memory(operator_config, config, operator_file);
+  const Settings& settings = config.settings;
+  const double memory_bytes = config.memory_limit_bytes();
+
+  // The loop, its limits, the log.
+  log::Log log;
+  configure_log(log, operator_config.log);
   net::Loop loop;
-  loop.limit(told.sockets - kDescriptorsKept, static_cast<size_t>(kBufferPart * bytes));
-  Metrics counters;
-  const Ms longest = longest_timeout(settings);
-  const Ms connect = told_or(settings, "connect time-out", 250),
-           idle = told_or(settings, "idle close", 15000);
-  net::ClientServer clients(loop, counters);
-  clients.read_marks(wishes.clients.marks);
-  net::EngineConnections engines(loop, counters, {connect, idle});
-  const auto say = [&](Level level, std::string_view event, log::Fields fields) {
-    logger.write(loop.now(), level, event, fields);
-  };
-  std::unique_ptr<cluster::ClusterService> peers;
-  if (wishes.fleet.on)
-    peers = std::make_unique<cluster::ClusterService>(loop, counters, fleet_options(wishes.fleet, bytes),
-                                                      clients, say);
-  Core core(settings, told.seed, peers ? static_cast<ResponseSink&>(*peers) : clients, engines, counters,
+  loop.set_limits(config.max_descriptors - kReservedDescriptors,
+                  static_cast<size_t>(kBufferShare * memory_bytes));
+  EventLog event_log(log, loop);
+  Metrics metrics;
+
+  // Clients in front, engines behind, the core between them, and the cluster of gateways beside it.
+  const Duration connect_timeout = duration_setting(settings, "connect time-out", kDefaultConnectTimeout);
+  const Duration idle_timeout = duration_setting(settings, "idle close", kDefaultIdleTimeout);
+  net::ClientServer clients(loop, metrics);
+  clients.accept_repeat_marks(operator_config.clients.marks);
+  net::EngineConnections engines(loop, metrics, {connect_timeout, idle_timeout});
+  std::unique_ptr<cluster::ClusterService> cluster;
+  if (operator_config.fleet.on)
+    cluster = std::make_unique<cluster::ClusterService>(
+        loop, metrics, cluster_options(operator_config.fleet, memory_bytes), clients,
+        [&](log::Level level, std::string_view event, log::Fields fields) {
+          event_log.write(level, event, fields);
+        });
+  Core core(settings, config.seed, cluster ? static_cast<ResponseSink&>(*cluster) : clients, engines, metrics,
             [&](const std::string& text, const std::string& engine) {
-              say(Level::kWarning, text, {{"component", "module"}, {"engine", engine}});
+              event_log.log_policy_message(text, engine);
             });
-  core.limit(static_cast<size_t>(kStatementPart * bytes));
-  engines.serve(core);
-  if (peers) {
-    peers->serve(core);
-    clients.ask_fleet(*peers);
-  }
-  ResultStoreWiring shelving(wishes.spool, loop, counters, logger);
-  if (wishes.spool.on) {
-    engines.limit_page(static_cast<size_t>(wishes.spool.page_kb * 1000));
-    core.shelve(*shelving.spool);
-    clients.read_pages(*shelving.spool);
-    shelving.spool->on_room = [&core](Ms now) { core.room(now); };
+  core.limit(static_cast<size_t>(kStatementShare * memory_bytes));
+  engines.set_core(core);
+  if (cluster) {
+    cluster->serve(core);
+    clients.set_cluster(*cluster);
   }
-  observe(core, clients, engines, logger);
-  net::EndpointWatcher bus(loop, counters, told.bus, connect, kFirstPart * number(settings, "drain grace"),
-                           told.seed);
 
-  for (proto::BusEvent& event : told.known) net::tell_roster(core, loop.now(), std::move(event));
-  bus.follow(core, told.last);
-  bus.on_unreadable = [&](std::string_view line) {
-    say(Level::kWarning, "a line of the event bus cannot be read; connecting anew",
-        {{"component", "bus"}, {"line", std::string(line)}});
+  ResultStoreWiring result_store_wiring(operator_config.spool, loop, metrics, event_log);
+  results::PagedResultStore* const result_store = result_store_wiring.store();
+  if (result_store) {
+    engines.set_max_page_bytes(static_cast<size_t>(operator_config.spool.page_kb * 1000));
+    core.shelve(*result_store);
+    clients.set_result_store(*result_store);
+    result_store->on_room = [&core](Ms now) { core.room(now); };
+  }
+  event_log.observe(core, clients, engines);
+
+  // The endpoint list: what the configuration knows of it, then what the event bus says.
+  net::EndpointWatcher endpoint_watcher(loop, metrics, config.event_bus_address, connect_timeout,
+                                        duration_of(kFirstWatchShare * number(settings, "drain grace")),
+                                        config.seed);
+  for (proto::BusEvent& event : config.known_events)
+    net::apply_endpoint_event(core, loop.now(), std::move(event));
+  endpoint_watcher.watch(core, config.last_event_offset);
+  endpoint_watcher.on_unreadable = [&](std::string_view line) { event_log.log_unreadable_event(line); };
+  endpoint_watcher.on_change = [&](TimePoint, const net::EndpointChange& change) {
+    event_log.log_endpoint_change(change);
   };
-  bus.on_change = [&](Ms, const net::EndpointChange& change) { tell_bus_change(say, change); };
-  clients.listen(told.listen, core);
-  Ms ended_at = 0;  // SIGTERM came then
-  net::Signals signals(loop, [&](int number) {
-    if (number == SIGUSR1) {
-      if (peers) peers->tell();
-      return say(Level::kInfo, "counters", {{"component", "gateway"}, {"counts", counters.text()}});
-    }
-    // The event bus has moved. Everything else that a new file may say holds from the next start.
-    if (number == SIGHUP) {
-      counters.add("configurations read anew");
-      // Each file by itself: a fault in one leaves the other its effect.
-      const auto try_to = [&](const std::function<void()>& take) {
-        try {
-          take();
-        } catch (const std::exception& e) {
-          say(Level::kError, "the one before stays in force", {{"component", "gateway"}, {"why", e.what()}});
-        }
-      };
-      say(Level::kInfo, "configuration read anew", {{"component", "gateway"}});
-      try_to([&] { bus.move(loop.now(), read_told().bus); });
-      try_to([&] {
-        if (!operator_file.empty()) set_log(logger, read_wishes(operator_file).log);
-      });
-      return;
+
+  clients.listen(config.listen_address, core);
+
+  // Signals.
+  Shutdown shutdown({core, clients, event_log, cluster.get(), result_store},
+                    duration_of(longest_timeout(settings)));
+  ConfigReloader reloader(operator_file, loop, endpoint_watcher, log, event_log, metrics);
+  net::Signals signals(loop, [&](int signal_number) {
+    switch (signal_number) {
+      case SIGUSR1:
+        if (cluster) cluster->tell();
+        return event_log.log_metrics(metrics);
+      case SIGHUP:
+        return reloader.reload();
+      default:  // SIGTERM, SIGINT
+        return shutdown.start(loop.now());
     }
-    if (ended_at > 0) return;
-    ended_at = loop.now();
-    const Ms answered_by = ended_at + proto::answers_end(longest);
-    core.closing(ended_at, answered_by);
-    if (peers) peers->leave(ended_at, answered_by);
-    say(Level::kInfo, "ending: everything taken is answered first", {{"component", "gateway"}});
   });
-  say(Level::kInfo, "serving", {{"component", "gateway"}, {"address", told.listen}});
-  net::ClockWatch clock_watch;
-  Ms clock_looked_at = 0;
-  const auto watch_clock = [&](Ms now) {
-    if (now < clock_looked_at + kClockLook) return;
-    clock_looked_at = now;
-    const std::optional<Ms> step = clock_watch.step(monotonic_ms(), wall_clock_ms());
-    if (!step) return;
-    counters.add("wall clock steps");
-    say(Level::kWarning, "the wall clock was stepped",
-        {{"component", "gateway"}, {"by_ms", fmt::format("{:.0f}", *step)}});
-  };
-  loop.on_turn = [&](Ms now) {
-    watch_clock(now);
-    bus.due(now);
-    logger.due(now);
-    engines.due(now);
-    if (shelving.spool) shelving.spool->due(now);
-    clients.due(now);
-    if (peers) peers->due(now);
-    core.turn(now);
-    const bool settled = ended_at > 0 && now >= ended_at + proto::kComingOn && core.unanswered() == 0 &&
-                         clients.unsent() == 0 && (!shelving.spool || shelving.spool->settled()) &&
-                         (!peers || peers->left(now));
-    if (settled && clients.leave(now)) loop.stop();
-    if (ended_at > 0 && now >= ended_at + proto::leaving_end(longest)) loop.stop();
-    if (ended_at > 0) return now + kEndLook;
-    const Ms fleet_due = peers ? peers->next_due(now) : 0;
-    const Ms spooled = shelving.spool ? shelving.spool->next_due() : 0;
-    return sooner(
-        sooner(sooner(spooled, fleet_due), logger.next_due()),
-        sooner(sooner(bus.next_due(), clients.next_due()), sooner(engines.next_due(), core.next_due())));
+  event_log.log_serving(config.listen_address);
+
+  WallClockMonitor wall_clock_monitor(event_log, metrics);
+  const TurnParts parts{wall_clock_monitor, endpoint_watcher, log,           engines,
+                        result_store,       clients,          cluster.get(), core};
+  loop.on_turn = [&](TimePoint now) -> std::optional<TimePoint> {
+    run_due_work(parts, now);
+    if (!shutdown.is_started()) return next_due(parts, now);
+    if (shutdown.is_complete(now)) loop.stop();
+    return now + kShutdownCheckInterval;
   };
   loop.run();
-  say(Level::kInfo, "counters", {{"component", "gateway"}, {"counts", counters.text()}});
+  event_log.log_metrics(metrics);
   return 0;
 }
 
--- /dev/null
+++ b/src/gateway/shutdown.cpp
@@ -0,0 +1,27 @@
+#include "gateway/shutdown.h"
+
+#include "proto/restart_times.h"
+
+namespace firvalve {
+
+void Shutdown::start(TimePoint now) {
+  if (started_at_) return;
+  started_at_ = now;
+  const TimePoint answers_due_at = now + proto::time_to_answer(longest_client_timeout_);
+  parts_.core.closing(to_ms(now), to_ms(answers_due_at));
+  if (parts_.cluster) parts_.cluster->leave(to_ms(now), to_ms(answers_due_at));
+  parts_.event_log.log_shutdown_started();
+}
+
+bool Shutdown::is_all_answered(TimePoint now) const {
+  return now >= *started_at_ + proto::kLastRequestsWithin && parts_.core.unanswered() == 0 &&
+         parts_.clients.unsent_bytes() == 0 && (!parts_.result_store || parts_.result_store->settled()) &&
+         (!parts_.cluster || parts_.cluster->left(to_ms(now)));
+}
+
+bool Shutdown::is_complete(TimePoint now) {
+  const bool are_clients_closed = is_all_answered(now) && parts_.clients.close_connections(now);
+  return are_clients_closed || now >= *started_at_ + proto::time_to_exit(longest_client_timeout_);
+}
+
+}  // namespace firvalve
--- /dev/null
+++ b/src/gateway/wall_clock_monitor.h
@@ -0,0 +1,25 @@
+// Looks once a second whether the wall clock was stepped, and logs and counts it.
+#pragma once
+
+#include <optional>
+
+#include "base/time.h"
+#include "gateway/event_log.h"
+#include "net/clock_step_detector.h"
+
+namespace firvalve {
+
+class WallClockMonitor {
+ public:
+  // Both outlive this.
+  WallClockMonitor(EventLog& event_log, Metrics& metrics) : event_log_(event_log), metrics_(metrics) {}
+  void check(TimePoint now);
+
+ private:
+  EventLog& event_log_;
+  Metrics& metrics_;
+  net::ClockStepDetector detector_;
+  std::optional<TimePoint> checked_at_;
+};
+
+}  // namespace firvalve
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -26,7 +26,8 @@
 namespace {
 
 // As the program itself has them where its settings do not say otherwise (gateway/serve.cpp).
-constexpr Ms kConnectMost = 250, kIdleClose = 15000;
+constexpr Duration kConnectMost = std::chrono::milliseconds(250),
+                   kIdleClose = std::chrono::milliseconds(15000);
 constexpr double kFirstAskPart = 0.1;  // of the grace for drains
 constexpr Ms kEndMost = 3000;          // for an end in good order
 constexpr std::chrono::milliseconds kEndLook{5};
@@ -98,12 +99,12 @@
         fleet(make_fleet(options)),
         core(settings, options.seed, fleet ? static_cast<ResponseSink&>(*fleet) : no_clients, engines,
              counters, [](const std::string&, const std::string&) {}) {
-    loop.limit(kDescriptorsMost, kBufferBytesMost);
-    engines.serve(core);
+    loop.set_limits(kDescriptorsMost, kBufferBytesMost);
+    engines.set_core(core);
     if (fleet) fleet->serve(core);
     follow_list(options);
     waker = std::make_unique<net::Waker>(loop, [this] { run_posted(); });
-    loop.on_turn = [this](Ms now) { return turn(now); };
+    loop.on_turn = [this](TimePoint now) { return turn(now); };
     thread = std::thread([this] { loop.run(); });
   }
   ~Running() {
@@ -121,12 +122,12 @@
 
   void begin_end() {
     post([this] {
-      if (fleet) fleet->leave(loop.now(), loop.now() + kEndMost);
+      if (fleet) fleet->leave(loop.now_ms(), loop.now_ms() + kEndMost);
     });
   }
   bool has_left() {
     std::promise<bool> promise;
-    post([&] { promise.set_value(!fleet || fleet->left(loop.now())); });
+    post([&] { promise.set_value(!fleet || fleet->left(loop.now_ms())); });
     return promise.get_future().get();
   }
 
@@ -148,24 +149,28 @@
       std::optional<proto::BusEvent> event = proto::read_bus_line(line);
       if (!event) throw ScaleError("hollow gateway: its engine list cannot be read");
       last = event->offset;
-      net::tell_roster(core, loop.now(), std::move(*event));
+      net::apply_endpoint_event(core, loop.now(), std::move(*event));
     }
     if (options.bus.empty()) return;
-    bus =
-        std::make_unique<net::EndpointWatcher>(loop, counters, options.bus, kConnectMost,
-                                               kFirstAskPart * number(settings, "drain grace"), options.seed);
-    bus->follow(core, last);
+    bus = std::make_unique<net::EndpointWatcher>(loop, counters, options.bus, kConnectMost,
+                                                 duration_of(kFirstAskPart * number(settings, "drain grace")),
+                                                 options.seed);
+    bus->watch(core, last);
   }
 
-  Ms turn(Ms now) {
-    if (bus) bus->due(now);
-    engines.due(now);
-    if (fleet) fleet->due(now);
+  std::optional<TimePoint> turn(TimePoint now) {
+    if (bus) bus->run_due(now);
+    engines.run_due(now);
+    if (fleet) fleet->due(to_ms(now));
     if (const uint64_t updates = counters.counts["bus events"]; updates != list_updates) {
       list_updates = updates;
       list_updated_at = hollow_clock();
     }
-    return sooner(sooner(bus ? bus->next_due() : 0, fleet ? fleet->next_due(now) : 0), engines.next_due());
+    std::optional<TimePoint> due = engines.next_due();
+    if (bus) due = earlier_of<TimePoint>(bus->next_due(), due);
+    if (const Ms fleet_due = fleet ? fleet->next_due(to_ms(now)) : 0; fleet_due > 0)
+      due = earlier_of<TimePoint>(time_point_of(fleet_due), due);
+    return due;
   }
 
   void note(std::string_view event, log::Fields fields) {
--- a/src/lab/scale/idle_clients.h
+++ b/src/lab/scale/idle_clients.h
@@ -12,7 +12,7 @@
  public:
   // Throws ScaleError where one is refused, or isn't answered.
   IdleClients(const std::string& gateway, int count);
-  // The gateway ends connections that have been idle for proto::kRpcIdleMost.
+  // The gateway ends connections that have been idle for proto::kRpcIdleTimeout.
   int still_open() const;
 
  private:
--- /dev/null
+++ b/src/net/client_connection.cpp
@@ -0,0 +1,301 @@
+#include "net/client_connection.h"
+
+#include "proto/statement.h"
+
+namespace firvalve::net {
+
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr size_t kMaxUnsentBytes = size_t{128} * 1024;  // of answers: past it a client's requests are not read
+// Of a lingering close, for the client's own end. A client that is rejected is closed within 3 s in all.
+constexpr Duration kMaxLinger = 500ms;
+
+}  // namespace
+
+ClientConnection::ClientConnection(ClientServer& server, const Poco::Net::StreamSocket& socket)
+    : Connection(server.loop_, socket, Kind::kClient), server_(server), active_at_(loop_.now()) {
+  if (server_.result_store_) peer_address_ = socket.peerAddress().host().toString();
+}
+
+void ClientConnection::evict() {
+  server_.metrics_.add("client connections evicted");
+  finish(CloseReason::kEvicted);
+}
+
+void ClientConnection::cancel_open_calls() {
+  const TimePoint now = loop_.now();
+  for (const auto& [id, call] : open_calls_) {
+    server_.open_calls_.erase(call);
+    server_.handle_client_gone(now, call);
+  }
+  open_calls_.clear();
+}
+
+void ClientConnection::finish(CloseReason reason) {
+  const size_t open_calls = open_calls_.size();
+  cancel_open_calls();
+  close();
+  server_.forget(*this, reason, open_calls);
+}
+
+void ClientConnection::leave() {
+  cancel_open_calls();
+  active_at_ = loop_.now();
+  start_lingering_close();
+}
+
+// It can't be understood any further: an error without an id, the end of each open call, and its own.
+void ClientConnection::reject_connection(const char* reason) {
+  server_.metrics_.add("client connections rejected:", reason);
+  std::string out;
+  proto::append_error(out, 0, false, proto::kRpcUnreadable, reason);
+  for (const auto& [id, call] : open_calls_) proto::append_error(out, id, true, proto::kRpcFailed, "failed");
+  write(out);
+  leave();
+}
+
+void ClientConnection::handle_answered() {
+  active_at_ = loop_.now();
+  if (is_peer_done_ && open_calls_.empty() && unsent_bytes() == 0) finish(CloseReason::kClosedByPeer);
+}
+
+// Guards against clients that connect and send nothing, stop within a message, send one request and stay, or
+// do not read what they asked for. It may end a slow client's message; none that we know takes a part of that
+// time.
+void ClientConnection::check_timeouts(TimePoint now) {
+  if (is_lingering()) {
+    if (now - active_at_ > kMaxLinger) finish(CloseReason::kGracefulClose);
+    return;
+  }
+  if (partial_since_ && now - *partial_since_ > proto::kRpcMessageTimeout)
+    return reject_connection("message cut short");
+  if (!has_sent_message_ && now - active_at_ > proto::kRpcMessageTimeout)
+    return reject_connection("no message");
+  // What has arrived by now is handled first.
+  if (open_calls_.empty() && now - active_at_ > proto::kRpcIdleTimeout && has_nothing_to_read()) leave();
+}
+
+void ClientConnection::on_bytes() {
+  std::span<char> message;
+  for (;;) {
+    // Guards the memory limit against a client that sends but does not read: its requests wait in the system.
+    if (unsent_bytes() > kMaxUnsentBytes) return set_reading(false);
+    const proto::Read read = frames_.next(inbox_, message);
+    if (read == proto::Read::kMore) return note_partial_message();
+    partial_since_.reset();
+    if (read == proto::Read::kBroken) return reject_connection("broken framing");
+    has_sent_message_ = true;
+    active_at_ = loop_.now();
+    handle(message);
+    if (!is_open() || is_lingering()) return;
+  }
+}
+
+void ClientConnection::note_partial_message() {
+  const bool is_partial = frames_.in_message() || !inbox_.text().empty();
+  if (!is_partial)
+    partial_since_.reset();
+  else if (!partial_since_)
+    partial_since_ = loop_.now();
+}
+
+void ClientConnection::on_written() {
+  if (!is_peer_done_) set_reading(true);
+  if (!inbox_.text().empty()) on_bytes();
+  if (is_open() && !is_lingering()) handle_answered();
+}
+
+// A client that has closed looks like one that has only ended its stream. What is owed to both: each command
+// taken in gets its answer, in case the client still reads; none is sent to an engine for it any more but at
+// once.
+bool ClientConnection::keeps_half_open() {
+  is_peer_done_ = true;
+  const TimePoint now = loop_.now();
+  for (const auto& [id, call] : open_calls_) server_.core_->half_closed(to_ms(now), call);
+  return !open_calls_.empty() || unsent_bytes() > 0;
+}
+
+void ClientConnection::on_end(End end) {
+  finish(is_lingering() ? CloseReason::kGracefulClose : close_reason_of(end));
+}
+
+void ClientConnection::handle(std::span<char> message) {
+  using Kind = proto::RpcCall::Kind;
+  proto::RpcCall call = proto::read_call(message);
+  std::string out;
+  switch (call.kind) {
+    case Kind::kHeartbeat:
+      handle_heartbeat(call, out);
+      break;
+    case Kind::kRevoke:
+      handle_revoke(call);
+      break;
+    case Kind::kTopic:
+      handle_topic(call, out);
+      break;
+    case Kind::kRunOnce:
+      handle_run_once(call, out);
+      break;
+    case Kind::kCommand:
+      handle_command(call, out);
+      break;
+    case Kind::kPage:
+      handle_page_read(call, out);
+      break;
+    case Kind::kRelease:
+      handle_release(call, out);
+      break;
+    case Kind::kInvalid:
+      refuse(call, out, call.error_code, call.error_message);
+      break;
+  }
+  if (!out.empty()) write(out);
+}
+
+void ClientConnection::handle_heartbeat(const proto::RpcCall& call, std::string& out) {
+  if (call.has_id) proto::append_healthy(out, call.id, true, server_.reads_repeat_marks_);
+}
+
+void ClientConnection::refuse(const proto::RpcCall& call, std::string& out, int code,
+                              std::string_view reason) {
+  server_.metrics_.add("calls not understood");
+  proto::append_error(out, call.id, call.has_id, code, reason);
+}
+
+// Two calls under one id end the connection: no answer would tell which one it is for.
+bool ClientConnection::can_open(const proto::RpcCall& call, std::string& out) {
+  if (open_calls_.size() >= proto::kMaxRpcOpenCalls) {
+    refuse(call, out, proto::kRpcBadRequest, "too many open requests");
+    return false;
+  }
+  if (open_calls_.count(call.id)) {
+    reject_connection("number in use");
+    return false;
+  }
+  return true;
+}
+
+void ClientConnection::open_call(CallRef call, int64_t id, std::string_view key) {
+  add_call(id, call);
+  server_.open_calls_[call] = {this, id, std::string(key)};
+}
+
+// Only what came over this connection: nobody revokes another's command.
+void ClientConnection::handle_revoke(const proto::RpcCall& request) {
+  const auto at = open_calls_.find(request.revoked_id);
+  const CallRef call = at != open_calls_.end() ? at->second : server_.core_->call_of(request.command);
+  const auto open = server_.open_calls_.find(call);
+  if (open == server_.open_calls_.end() || open->second.connection != this) return;
+  server_.close_call(call);
+  server_.handle_client_gone(loop_.now(), call);
+}
+
+bool ClientConnection::is_cluster_call_valid(const proto::RpcCall& call, std::string& out) {
+  if (!server_.cluster_) {
+    refuse(call, out, proto::kRpcNoMethod, "no such method");
+    return false;
+  }
+  if (call.name.empty() || call.name.size() > kFleetNameMost) {
+    refuse(call, out, proto::kRpcBadParams, "name is not 1 to 128 bytes");
+    return false;
+  }
+  return true;
+}
+
+void ClientConnection::handle_topic(const proto::RpcCall& request, std::string& out) {
+  if (!is_cluster_call_valid(request, out) || !can_open(request, out)) return;
+  const CallRef call = ++server_.last_call_;
+  open_call(call, request.id);
+  server_.cluster_->bulletin(
+      to_ms(loop_.now()), request.profile, request.name, request.statement, to_ms(request.timeout),
+      [&server = server_, call](const ClusterRequests::ClusterReply& reply) { server.reply(call, reply); });
+}
+
+// None: it was refused.
+std::optional<CommandRequest> ClientConnection::command_request_of(proto::RpcCall& call, std::string& out) {
+  CommandRequest request;
+  request.command = call.command;
+  request.profile = call.profile;
+  request.tables = proto::table_group(call.statement).value_or(-1);
+  request.statement = std::move(call.statement);
+  if (server_.reads_repeat_marks_ && !call.first_command.empty()) {
+    if (!proto::is_command_id(call.first_command)) {
+      refuse(call, out, proto::kRpcBadParams, "first is not 16 hex digits");
+      return std::nullopt;
+    }
+    request.first = call.first_command;
+  }
+  if (server_.result_store_ && call.is_paged) {
+    request.paged = true;
+    request.key = call.key;
+    request.owner = call.key.empty() ? std::string_view(peer_address_) : call.key;
+  }
+  request.timeout = to_ms(call.timeout);
+  request.estimate = to_ms(call.estimate);
+  request.memory_mb = call.memory_mb;
+  return request;
+}
+
+void ClientConnection::handle_run_once(proto::RpcCall& call, std::string& out) {
+  if (!is_cluster_call_valid(call, out) || !can_open(call, out)) return;
+  std::optional<CommandRequest> request = command_request_of(call, out);
+  if (!request) return;
+  const CallRef ref = ++server_.last_call_;
+  open_call(ref, call.id);
+  server_.cluster_->merge(to_ms(loop_.now()), ref, call.name, std::move(*request));
+}
+
+void ClientConnection::handle_command(proto::RpcCall& call, std::string& out) {
+  if (!can_open(call, out)) return;
+  std::optional<CommandRequest> request = command_request_of(call, out);
+  if (!request) return;
+  const CallRef ref = ++server_.last_call_;
+  switch (server_.core_->admit(to_ms(loop_.now()), ref, std::move(*request))) {
+    case AdmissionResult::kTaken:
+      return open_call(ref, call.id, call.key);
+    case AdmissionResult::kFound:
+      open_call(ref, call.id, call.key);
+      return server_.answer_paged(ref, server_.core_->found());
+    case AdmissionResult::kUnknownProfile:
+      return refuse(call, out, proto::kRpcNoMethod, "no such method");
+    case AdmissionResult::kOutOfRange:
+      return refuse(call, out, proto::kRpcBadParams, "a figure is out of range");
+    case AdmissionResult::kNoRoom:
+      server_.metrics_.add("calls rejected: out of memory");
+      return proto::append_error(out, call.id, true, proto::kRpcFailed, "failed");
+    case AdmissionResult::kNotNew:
+      return refuse(call, out, proto::kRpcBadParams, "req is in hand already");
+  }
+}
+
+void ClientConnection::handle_release(const proto::RpcCall& call, std::string& out) {
+  if (!server_.result_store_) return refuse(call, out, proto::kRpcNoMethod, "no such method");
+  if (server_.result_store_->release(to_ms(loop_.now()), call.token, call.key))
+    proto::append_released(out, call.id);
+  else
+    proto::append_error(out, call.id, true, proto::kRpcGone, "gone");
+}
+
+void ClientConnection::handle_page_read(const proto::RpcCall& request, std::string& out) {
+  if (!server_.result_store_) return refuse(request, out, proto::kRpcNoMethod, "no such method");
+  if (!can_open(request, out)) return;
+  const CallRef call = ++server_.last_call_;
+  open_call(call, request.id);
+  server_.metrics_.add("pages read");
+  const auto reply = [&server = server_, call, page = request.page](
+                         Ms, ResultStore::Read outcome, std::string_view rows, uint64_t page_count) {
+    server.reply(call, [&](std::string& text, int64_t id) {
+      if (outcome == ResultStore::Read::kRows)
+        proto::append_page(text, id, page, page_count, rows);
+      else if (outcome == ResultStore::Read::kGone)
+        proto::append_error(text, id, true, proto::kRpcGone, "gone");
+      else
+        proto::append_error(text, id, true, proto::kRpcNoSuchPage, "no such page");
+    });
+  };
+  server_.result_store_->read(to_ms(loop_.now()), request.token, request.key, request.page, reply);
+}
+
+}  // namespace firvalve::net
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -1,68 +1,83 @@
 // The clients' side: the listener, their connections, and the calls open on them.
 #pragma once
 
-#include <Poco/Net/ServerSocket.h>
-
+#include <functional>
 #include <map>
 #include <memory>
+#include <optional>
+#include <string>
 
 #include "core/cluster_requests.h"
 #include "core/core.h"
+#include "net/close_reason.h"
 #include "net/connection.h"
-#include "net/connection_end.h"
-#include "proto/jsonrpc/rpc.h"
+#include "net/listener.h"
 
 namespace firvalve::net {
 
+class ClientConnection;
+
+// Each call taken in gets exactly one answer, unless its client went first. The loop's thread alone.
 class ClientServer : public ResponseSink {
  public:
-  ClientServer(Loop& loop, Metrics& counters);
+  // Both outlive this.
+  ClientServer(Loop& loop, Metrics& metrics);
   ~ClientServer() override;
 
-  void due(Ms now);  // ends connections that have had their time, and accepts again once there is room
-  Ms next_due() const { return look_at_; }
-  size_t unsent() const;  // bytes of answers that clients have not taken yet
-  // The gateway ends, and everything taken has its answer: accepts no more and ends the connections. True
-  // once none is left that could lose anything; until then it is called again each turn.
-  bool leave(Ms now);
-
-  void read_pages(ResultStore& shelf) { shelf_ = &shelf; }
-  void ask_fleet(ClusterRequests& fleet) { fleet_ = &fleet; }
+  // Before listen(); what they refer to outlives this.
+  void set_result_store(ResultStore& result_store) { result_store_ = &result_store; }
+  void set_cluster(ClusterRequests& cluster) { cluster_ = &cluster; }
   void observe(ConnectionObserver observer) { observer_ = std::move(observer); }
-  void read_marks(bool on) { marks_ = on; }  // of repeats; the operator's wish
+  // Whether the marks of repeated commands are read: as the operator's file has it.
+  void accept_repeat_marks(bool on) { reads_repeat_marks_ = on; }
+  // Throws Poco::Exception where the address cannot be listened on.
   void listen(const std::string& address, Core& core);
+
+  void run_due(TimePoint now);  // ends connections whose time is over, and accepts again
+  std::optional<TimePoint> next_due() const { return check_at_; }
+  size_t unsent_bytes() const;  // of answers that clients have not received yet
+  // For the shutdown, once everything taken in has its answer: accepts no more and closes the connections.
+  // True once none is left that could lose anything; until then it is called again each turn.
+  bool close_connections(TimePoint now);
+
   void answer(CallRef call, std::string_view rows) override;
   void shed(CallRef call, Ms advice) override;
-  void fail(CallRef call, std::string_view why) override;
-  void answer_paged(CallRef call, ResultHandle no) override;
+  void fail(CallRef call, std::string_view reason) override;
+  void answer_paged(CallRef call, ResultHandle result) override;
 
  private:
-  class ClientConnection;
-  struct Open {
+  friend class ClientConnection;
+
+  struct OpenCall {
     ClientConnection* connection = nullptr;
-    int64_t id = 0;
+    int64_t id = 0;   // the client's
     std::string key;  // that its pages are bound to
   };
+  struct ClosedCall {
+    ClientConnection* connection = nullptr;
+    int64_t id = 0;
+  };
+  using AppendReply = std::function<void(std::string& out, int64_t id)>;
 
-  void accept_on(bool on);
-  void on_accept(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { accept(); }
-  void accept();
-  void reply(CallRef call, const std::function<void(std::string&, int64_t)>& append);
-  void reply(CallRef call, const ClusterRequests::ClusterReply& told);
-  ClientConnection* close_call(CallRef call, int64_t& id);  // null: no such call
-  void gone(Ms now, CallRef call);                          // its client waits no longer
+  void accept(const Poco::Net::StreamSocket& socket);
+  void accept_all_pending();
+  std::optional<ClosedCall> close_call(CallRef call);  // none: there is no such call
+  void reply(CallRef call, const AppendReply& append);
+  void reply(CallRef call, const ClusterRequests::ClusterReply& cluster_reply);
+  void handle_client_gone(TimePoint now, CallRef call);
+  void forget(ClientConnection& connection, CloseReason reason, size_t open_calls);
 
   Loop& loop_;
-  Metrics& counters_;
+  Metrics& metrics_;
   Core* core_ = nullptr;
   ConnectionObserver observer_;
-  ClusterRequests* fleet_ = nullptr;  // none: this gateway is in no fleet
-  ResultStore* shelf_ = nullptr;      // none: there are no paged answers
-  Poco::Net::ServerSocket listener_;
-  bool accepting_ = false, marks_ = false, left_ = false;
-  Ms look_at_ = 0, leaving_since_ = 0;
+  ClusterRequests* cluster_ = nullptr;   // null: this gateway is in no cluster
+  ResultStore* result_store_ = nullptr;  // null: there are no paged answers
+  Listener listener_;
+  bool reads_repeat_marks_ = false, is_listener_closed_ = false;
+  std::optional<TimePoint> check_at_, all_lingering_since_;
   std::map<ClientConnection*, std::unique_ptr<ClientConnection>> connections_;
-  std::map<CallRef, Open> open_;
+  std::map<CallRef, OpenCall> open_calls_;
   CallRef last_call_ = 0;
 };
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -11,44 +11,49 @@
 using namespace Poco::Net;
 
 namespace {
-constexpr size_t kReadAtOnce = 16 * 1024;  // bytes: several messages, little for a thousand connections
+constexpr size_t kReadBytes = size_t{16} * 1024;  // bytes: several messages, little for a thousand connections
 }
 
-Connection::Connection(Loop& loop, const StreamSocket& up, Kind kind)
-    : loop_(loop), socket_(up), client_(kind == Kind::kClient), place_(loop.enter(*this)), up_(true) {
+Connection::Connection(Loop& loop, const StreamSocket& accepted, Kind kind)
+    : loop_(loop),
+      socket_(accepted),
+      is_from_client_(kind == Kind::kClient),
+      entry_(loop.add_connection(*this)),
+      is_connected_(true) {
   socket_.setBlocking(false);
   if (kind != Kind::kLocal) socket_.setNoDelay(true);
   loop_.addEventHandler(socket_,
                         Poco::NObserver<Connection, ErrorNotification>(*this, &Connection::on_error));
-  want(true, false);
+  set_interest(true, false);
 }
 
-Connection::Connection(Loop& loop, const SocketAddress& address) : loop_(loop), place_(loop.enter(*this)) {
+Connection::Connection(Loop& loop, const SocketAddress& address)
+    : loop_(loop), entry_(loop.add_connection(*this)) {
   try {
     socket_.connectNB(address);
     socket_.setNoDelay(true);
   } catch (const Poco::Exception&) {
-    refused_ = true;
+    was_refused_ = true;
   }
-  if (refused_) return;
+  if (was_refused_) return;
   loop_.addEventHandler(socket_,
                         Poco::NObserver<Connection, ErrorNotification>(*this, &Connection::on_error));
-  want(false, true);
+  set_interest(false, true);
 }
 
 Connection::~Connection() { close(); }
 
 void Connection::close() {
-  if (!open_) return;
-  open_ = false;
-  loop_.buffered(buffered_, 0);
-  buffered_ = 0;
-  loop_.leave(place_);
-  if (!refused_) {
-    if (reading_)
+  if (!is_open_) return;
+  is_open_ = false;
+  loop_.account_buffered(buffered_bytes_, 0);
+  buffered_bytes_ = 0;
+  loop_.remove_connection(entry_);
+  if (!was_refused_) {
+    if (is_reading_)
       loop_.removeEventHandler(
           socket_, Poco::NObserver<Connection, ReadableNotification>(*this, &Connection::on_readable));
-    if (writing_)
+    if (is_writing_)
       loop_.removeEventHandler(
           socket_, Poco::NObserver<Connection, WritableNotification>(*this, &Connection::on_writable));
     loop_.removeEventHandler(socket_,
@@ -57,66 +62,66 @@
   socket_.close();
 }
 
-void Connection::account() {
-  if (!open_) return;
-  const size_t now = inbox_.space() + out_.capacity();
-  loop_.buffered(buffered_, now);
-  buffered_ = now;
+void Connection::account_buffers() {
+  if (!is_open_) return;
+  const size_t bytes_now = inbox_.space() + output_.capacity();
+  loop_.account_buffered(buffered_bytes_, bytes_now);
+  buffered_bytes_ = bytes_now;
 }
 
-bool Connection::quiet() const {
+bool Connection::has_nothing_to_read() const {
   char byte;
   return ::recv(socket_.impl()->sockfd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
          (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-void Connection::linger() {
-  if (!open_ || lingers_) return;
-  lingers_ = true;
-  loop_.yield(place_);
+void Connection::start_lingering_close() {
+  if (!is_open_ || is_lingering_) return;
+  is_lingering_ = true;
+  loop_.mark_idlest(entry_);
   inbox_.used(inbox_.text().size());
   inbox_.rest();
-  account();
-  want(true, writing_);
-  if (unsent() == 0) end_stream();
+  account_buffers();
+  set_interest(true, is_writing_);
+  if (unsent_bytes() == 0) end_stream();
 }
 
 void Connection::end_stream() { ::shutdown(socket_.impl()->sockfd(), SHUT_WR); }
 
-// Bounded a turn: a peer that sends without end must not keep the others waiting.
-void Connection::discard() {
-  char bytes[kReadAtOnce];
+// One read a turn: a peer that sends without end must not keep the others waiting.
+void Connection::discard_input() {
+  char bytes[kReadBytes];
   const ssize_t got = ::recv(socket_.impl()->sockfd(), bytes, sizeof bytes, 0);
-  if (got == 0) return ended(End::kClosed);
-  if (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) ended(End::kReset);
+  if (got == 0) return close_and_report(End::kClosed);
+  if (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) close_and_report(End::kReset);
 }
 
 void Connection::abort() {
-  if (open_ && up_) {
-    const struct ::linger now { 1, 0 };
-    ::setsockopt(socket_.impl()->sockfd(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+  if (is_open_ && is_connected_) {
+    const struct ::linger reset { 1, 0 };
+    ::setsockopt(socket_.impl()->sockfd(), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
   }
   close();
 }
 
-void Connection::want(bool read, bool write) {
+void Connection::set_interest(bool read, bool write) {
   const Poco::NObserver<Connection, ReadableNotification> reader(*this, &Connection::on_readable);
   const Poco::NObserver<Connection, WritableNotification> writer(*this, &Connection::on_writable);
-  if (read != reading_)
+  if (read != is_reading_)
     read ? loop_.addEventHandler(socket_, reader) : loop_.removeEventHandler(socket_, reader);
-  if (write != writing_)
+  if (write != is_writing_)
     write ? loop_.addEventHandler(socket_, writer) : loop_.removeEventHandler(socket_, writer);
   // Guards against a whole core spent on sockets that are always writable: the reactor (POCO 1.11) goes on
   // asking for what a removed handler wanted until a handler, even one it has, is added.
-  if ((reading_ && !read) || (writing_ && !write))
+  if ((is_reading_ && !read) || (is_writing_ && !write))
     loop_.addEventHandler(socket_,
                           Poco::NObserver<Connection, ErrorNotification>(*this, &Connection::on_error));
-  reading_ = read;
-  writing_ = write;
+  is_reading_ = read;
+  is_writing_ = write;
 }
 
-void Connection::read_on(bool on) {
-  if (open_ && up_) want(on, writing_);
+void Connection::set_reading(bool on) {
+  if (is_open_ && is_connected_) set_interest(on, is_writing_);
 }
 
 int Connection::socket_error() {
@@ -126,88 +131,96 @@
   return error;
 }
 
-void Connection::ended(End end) {
-  if (!open_) return;
+void Connection::close_and_report(End end) {
+  if (!is_open_) return;
   close();
   on_end(end);
 }
 
 void Connection::on_error(const Poco::AutoPtr<ErrorNotification>&) {
-  if (!open_) return;
-  if (!up_) return ended(socket_error() == ECONNREFUSED ? End::kRefused : End::kReset);
+  if (!is_open_) return;
+  if (!is_connected_) return close_and_report(socket_error() == ECONNREFUSED ? End::kRefused : End::kReset);
   // What came before the reset is still read.
-  ready();
-  if (open_ && socket_error() != 0) ended(End::kReset);
+  read_available();
+  if (is_open_ && socket_error() != 0) close_and_report(End::kReset);
 }
 
 void Connection::on_writable(const Poco::AutoPtr<WritableNotification>&) {
-  if (!open_) return;
-  if (!up_) {
-    if (const int error = socket_error()) return ended(error == ECONNREFUSED ? End::kRefused : End::kReset);
-    up_ = true;
-    want(true, false);
-    on_up();
-    if (!open_) return;
-  }
+  if (!is_open_) return;
+  if (!is_connected_ && !finish_connecting()) return;
   flush();
 }
 
-void Connection::ready() {
-  if (!open_) return;
-  if (!up_) return;
-  if (lingers_) return discard();
-  const auto room = inbox_.room(kReadAtOnce);
-  const ssize_t got = ::recv(socket_.impl()->sockfd(), room.data(), room.size(), 0);
+// False: the connect has failed, or on_connected() has closed the connection.
+bool Connection::finish_connecting() {
+  if (const int error = socket_error()) {
+    close_and_report(error == ECONNREFUSED ? End::kRefused : End::kReset);
+    return false;
+  }
+  is_connected_ = true;
+  set_interest(true, false);
+  on_connected();
+  return is_open_;
+}
+
+void Connection::read_available() {
+  if (!is_open_) return;
+  if (!is_connected_) return;
+  if (is_lingering_) return discard_input();
+  const auto space = inbox_.room(kReadBytes);
+  const ssize_t got = ::recv(socket_.impl()->sockfd(), space.data(), space.size(), 0);
   if (got > 0) {
     inbox_.filled(static_cast<size_t>(got));
-    loop_.touch(place_);
+    loop_.mark_active(entry_);
     on_bytes();
-    if (!open_) return;
+    if (!is_open_) return;
     inbox_.rest();
-    account();
+    account_buffers();
   } else if (got == 0) {
-    if (half_open()) return want(false, writing_);
-    ended(End::kClosed);
+    if (keeps_half_open()) return set_interest(false, is_writing_);
+    close_and_report(End::kClosed);
   } else if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
-    ended(End::kReset);
+    close_and_report(End::kReset);
   }
 }
 
 void Connection::write(std::string_view bytes) {
-  if (!open_) return;
-  out_ += bytes;
-  if (up_ && !writing_) flush();
-  account();
+  if (!is_open_) return;
+  output_ += bytes;
+  if (is_connected_ && !is_writing_) flush();
+  account_buffers();
 }
 
 void Connection::flush() {
-  while (open_ && out_sent_ < out_.size()) {
-    const ssize_t sent =
-        ::send(socket_.impl()->sockfd(), out_.data() + out_sent_, out_.size() - out_sent_, MSG_NOSIGNAL);
+  while (is_open_ && output_sent_ < output_.size()) {
+    const ssize_t sent = ::send(socket_.impl()->sockfd(), output_.data() + output_sent_,
+                                output_.size() - output_sent_, MSG_NOSIGNAL);
     if (sent >= 0) {
-      if (!lingers_) loop_.touch(place_);
-      out_sent_ += static_cast<size_t>(sent);
+      if (!is_lingering_) loop_.mark_active(entry_);
+      output_sent_ += static_cast<size_t>(sent);
     } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
       break;
     } else if (errno != EINTR) {
-      // The end is told by the reactor's next turn, never within the call that writes.
-      want(true, false);
+      // The reactor's next turn reports the end, never the call that writes.
+      set_interest(true, false);
       return;
     }
   }
-  if (!open_) return;
-  const bool all = out_sent_ == out_.size();
-  if (all) {
-    const bool waited = writing_;
-    std::string().swap(out_);
-    out_sent_ = 0;
-    account();
-    if (waited) want(reading_, false);
-    if (lingers_) return end_stream();
-    if (waited) on_written();
-  } else if (!writing_) {
-    want(reading_, true);
-  }
+  if (!is_open_) return;
+  if (output_sent_ == output_.size())
+    on_flushed();
+  else if (!is_writing_)
+    set_interest(is_reading_, true);
+}
+
+void Connection::on_flushed() {
+  const bool was_buffered = is_writing_;
+  std::string().swap(output_);
+  output_sent_ = 0;
+  account_buffers();
+  if (was_buffered) set_interest(is_reading_, false);
+  if (is_lingering_) return end_stream();
+  if (was_buffered) on_written();
 }
 
 }  // namespace firvalve::net
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,4 +1,4 @@
-// One connection, non-blocking: bytes in, bytes out, and its end. It owns the descriptor.
+// One non-blocking stream connection: bytes in, bytes out, and its end. It owns the descriptor.
 #pragma once
 
 #include <Poco/Net/SocketNotification.h>
@@ -11,68 +11,73 @@
 
 namespace firvalve::net {
 
+// The loop's thread alone. A subclass says what is read and what the end means.
 class Connection {
  public:
   enum class End { kClosed, kReset, kRefused };
 
   enum class Kind { kTcp, kClient, kLocal };
 
-  Connection(Loop& loop, const Poco::Net::StreamSocket& up, Kind kind = Kind::kTcp);  // accepted
-  Connection(Loop& loop, const Poco::Net::SocketAddress& address);                    // to be connected
+  Connection(Loop& loop, const Poco::Net::StreamSocket& accepted, Kind kind = Kind::kTcp);
+  Connection(Loop& loop, const Poco::Net::SocketAddress& address);  // connects
   virtual ~Connection();
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  bool from_client() const { return client_; }
-  virtual bool spare() const { return false; }  // nothing depends on it: it may be ended to make room
-  virtual void spared() {}                      // the room is wanted: it ends
-  size_t held() const { return buffered_; }     // bytes in its buffers
+  bool is_from_client() const { return is_from_client_; }
+  virtual bool is_evictable() const { return false; }  // nothing depends on it: it may be closed to make room
+  virtual void evict() {}                              // closes it, to make room
+  size_t buffered_bytes() const { return buffered_bytes_; }
 
-  void write(std::string_view bytes);  // what the socket does not take at once waits
-  size_t unsent() const { return out_.size() - out_sent_; }
-  bool up() const { return up_; }
-  bool open() const { return open_; }
-  bool refused() const { return refused_; }  // at once, when it was to be connected: its owner ends it
-  void read_on(bool on);
-  void close();  // without a word to the subclass
-  // The end in good order (a lingering close): what was written still goes out, then the end of the stream;
-  // what comes is thrown away. Guards answers against the reset that a close over unread bytes sends. The
-  // peer's end is told by on_end(); until then the descriptor is held, and its owner must close it in bounded
-  // time.
-  void linger();
-  bool lingers() const { return lingers_; }
-  bool quiet() const;  // nothing has come that was not read, not even its end
-  void abort();        // the same, and what the peer has not taken yet never reaches it
+  void write(std::string_view bytes);  // what the socket does not take at once is buffered
+  size_t unsent_bytes() const { return output_.size() - output_sent_; }
+  bool is_connected() const { return is_connected_; }
+  bool is_open() const { return is_open_; }
+  // The connect failed at once. on_end() is not called for it: the owner closes the connection.
+  bool was_refused() const { return was_refused_; }
+  void set_reading(bool on);
+  void close();  // without calling on_end()
+  // Starts a lingering close: what was written still goes out, then the end of the stream; what arrives is
+  // discarded. Guards answers against the reset that a close over unread bytes sends. on_end() reports the
+  // peer's end; until then the descriptor is held, and the owner must close it in bounded time.
+  void start_lingering_close();
+  bool is_lingering() const { return is_lingering_; }
+  bool has_nothing_to_read() const;  // nothing has arrived that was not read, not even the peer's end
+  void abort();  // as close(), with a reset: what the peer has not received yet never reaches it
 
  protected:
-  virtual void on_up() {}
-  virtual void on_bytes() = 0;       // inbox holds more than before
-  virtual void on_written() {}       // what had to wait has gone out
-  virtual void on_end(End end) = 0;  // once; the link is closed by then, save after kClosed with half_open()
-  virtual bool half_open() { return false; }  // after the peer's end: keep the connection to write on
+  virtual void on_connected() {}
+  virtual void on_bytes() = 0;  // inbox_ holds more than before
+  virtual void on_written() {}  // what was buffered has been sent
+  // Called once. The connection is closed by then, save after kClosed with keeps_half_open().
+  virtual void on_end(End end) = 0;
+  virtual bool keeps_half_open() { return false; }  // after the peer's end: go on writing
 
   Loop& loop_;
   proto::Inbox inbox_;
 
  private:
-  void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { ready(); }
+  void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { read_available(); }
   void on_writable(const Poco::AutoPtr<Poco::Net::WritableNotification>&);
   void on_error(const Poco::AutoPtr<Poco::Net::ErrorNotification>&);
-  void ready();
+  void read_available();
+  bool finish_connecting();
   void flush();
-  void discard();
+  void on_flushed();
+  void discard_input();
   void end_stream();
-  void account();
-  void want(bool read, bool write);
-  void ended(End end);
+  void account_buffers();
+  void set_interest(bool read, bool write);
+  void close_and_report(End end);
   int socket_error();
 
   Poco::Net::StreamSocket socket_;
-  std::string out_;
-  size_t out_sent_ = 0, buffered_ = 0;
-  const bool client_ = false;
-  Loop::Place place_;
-  bool up_ = false, open_ = true, reading_ = false, writing_ = false, refused_ = false, lingers_ = false;
+  std::string output_;
+  size_t output_sent_ = 0, buffered_bytes_ = 0;
+  const bool is_from_client_ = false;
+  Loop::Entry entry_;
+  bool is_connected_ = false, is_open_ = true, is_reading_ = false, is_writing_ = false;
+  bool was_refused_ = false, is_lingering_ = false;
 };
 
 }  // namespace firvalve::net
--- a/src/net/endpoint_watcher.cpp
+++ b/src/net/endpoint_watcher.cpp
@@ -6,133 +6,142 @@
 
 namespace firvalve::net {
 
+using namespace std::chrono_literals;
+
 class EndpointWatcher::WatchConnection : public Connection {
  public:
   WatchConnection(EndpointWatcher& owner, const Poco::Net::SocketAddress& address)
       : Connection(owner.loop_, address), owner_(owner) {}
 
  protected:
-  void on_up() override {
-    write(proto::bus_request(owner_.last_));
-    owner_.listen(loop_.now());
-    owner_.tell(loop_.now(), EndpointChange::Kind::kConnected);
+  void on_connected() override {
+    write(proto::bus_request(owner_.last_offset_));
+    owner_.restart_read_timeout(loop_.now());
+    owner_.report(loop_.now(), EndpointChange::Kind::kConnected);
   }
   void on_bytes() override {
-    const Ms now = loop_.now();
+    const TimePoint now = loop_.now();
     std::span<char> line;
     for (;;) {
       const proto::Read read = proto::next_line(inbox_, line);
       if (read == proto::Read::kMore) return;
-      if (read == proto::Read::kBroken) return owner_.lost(now, ConnectionEnd::kUnreadable);
-      owner_.handle(now, line);
-      if (!open()) return;
+      if (read == proto::Read::kBroken) return owner_.handle_disconnect(now, CloseReason::kProtocolError);
+      owner_.handle_line(now, line);
+      if (!is_open()) return;
     }
   }
-  void on_end(End end) override { owner_.lost(loop_.now(), end_of(end)); }
+  void on_end(End end) override { owner_.handle_disconnect(loop_.now(), close_reason_of(end)); }
 
  private:
   EndpointWatcher& owner_;
 };
 
 namespace {
-// The protocol counts what the bus would have told as told 4 s after it went silent or moved, and 2 s after a
-// break: with the silence before it a lost bus has been asked again by then.
-constexpr Ms kAgainMost = 1000;   // between attempts to reach it
-constexpr Ms kMoveSpread = 1000;  // over which the gateways go where a new configuration sends them
-
-EndpointChange change_of(const proto::BusEvent& event, std::string_view address) {
-  EndpointChange change{EndpointChange::Kind::kListTaken, address, {}, event.offset};
-  for (const proto::BusListing& l : event.listings) {
-    change.serving += l.listing.life == EngineState::kReady;
-    change.draining += l.listing.life == EngineState::kDraining;
-    change.gone += l.listing.life == EngineState::kGone;
+
+// The protocol counts what the bus would have sent as known 4 s after it went silent or moved, and 2 s after
+// a break: with the read timeout before it a lost bus has been asked again by then.
+constexpr Duration kMaxReconnectDelay = 1000ms;
+constexpr Duration kMigrationSpread = 1000ms;  // over which all gateways go to a new address
+constexpr size_t kMaxReportedLineBytes = 200;
+
+EndpointChange list_update_of(const proto::BusEvent& event, std::string_view address) {
+  EndpointChange change{EndpointChange::Kind::kListUpdated, address, {}, event.offset};
+  for (const proto::BusListing& endpoint : event.listings) {
+    change.serving += endpoint.listing.life == EngineState::kReady;
+    change.draining += endpoint.listing.life == EngineState::kDraining;
+    change.gone += endpoint.listing.life == EngineState::kGone;
   }
   return change;
 }
+
 }  // namespace
 
-// A fleet that starts together does not come to the bus in one moment. But what a gateway knows at its start
-// may be long out of date, and what the bus would have told counts as told: it is asked well within the grace
-// for drains, whatever the time for a connection is.
-EndpointWatcher::EndpointWatcher(Loop& loop, Metrics& counters, std::string address, Ms connect_most,
-                                 Ms first_within, uint64_t seed)
+// The first connect is drawn, so that gateways that start together do not reach the bus in one moment. But
+// what a gateway knows at its start may be long out of date, and what the bus would have sent counts as
+// known: it is asked well within the grace for drains, whatever the connect timeout is.
+EndpointWatcher::EndpointWatcher(Loop& loop, Metrics& metrics, std::string address, Duration connect_timeout,
+                                 Duration max_first_delay, uint64_t seed)
     : loop_(loop),
-      counters_(counters),
+      metrics_(metrics),
       address_(std::move(address)),
-      connect_most_(connect_most),
-      backoff_(connect_most, kAgainMost, seed) {
-  due_at_ = loop_.now() + backoff_.spread(std::min(connect_most_, first_within));
+      connect_timeout_(connect_timeout),
+      backoff_(to_ms(connect_timeout), to_ms(kMaxReconnectDelay), seed) {
+  due_at_ = loop_.now() + duration_of(backoff_.spread(to_ms(std::min(connect_timeout_, max_first_delay))));
 }
 EndpointWatcher::~EndpointWatcher() = default;
 
-void tell_roster(Core& core, Ms now, proto::BusEvent event, Ms current_at) {
-  std::vector<NamedEngineInfo> listings;
-  for (proto::BusListing& l : event.listings)
-    listings.push_back({std::move(l.name), std::move(l.address), std::move(l.listing)});
-  core.roster(now, event.full, std::move(listings), current_at);
+void apply_endpoint_event(Core& core, TimePoint now, proto::BusEvent event,
+                          std::optional<TimePoint> list_current_at) {
+  std::vector<NamedEngineInfo> engines;
+  for (proto::BusListing& endpoint : event.listings)
+    engines.push_back({std::move(endpoint.name), std::move(endpoint.address), std::move(endpoint.listing)});
+  core.roster(to_ms(now), event.full, std::move(engines), list_current_at ? to_ms(*list_current_at) : 0);
 }
 
-void EndpointWatcher::handle(Ms now, std::span<char> line) {
+void EndpointWatcher::handle_line(TimePoint now, std::span<char> line) {
   auto event = proto::read_bus_line(line);
   if (!event) {
-    counters_.add("bus lines unreadable");
-    if (on_unreadable) on_unreadable({line.data(), std::min<size_t>(line.size(), 200)});
-    return lost(now, ConnectionEnd::kUnreadable);
+    metrics_.add("bus lines unreadable");
+    if (on_unreadable) on_unreadable({line.data(), std::min<size_t>(line.size(), kMaxReportedLineBytes)});
+    return handle_disconnect(now, CloseReason::kProtocolError);
   }
-  listen(now);
+  restart_read_timeout(now);
   backoff_.reset();
-  const bool is_number_alone = event->listings.empty() && !event->full;
-  if (is_number_alone && event->offset == last_) current_at_ = now;
-  if (event->offset <= last_ || is_number_alone) return;
-  last_ = event->offset;
-  counters_.add("bus events");
-  if (on_change) on_change(now, change_of(*event, address_));
-  tell_roster(*core_, now, std::move(*event), current_at_);
+  const bool is_heartbeat = event->listings.empty() && !event->full;
+  if (is_heartbeat && event->offset == last_offset_) current_at_ = now;
+  if (event->offset <= last_offset_ || is_heartbeat) return;
+  last_offset_ = event->offset;
+  metrics_.add("bus events");
+  if (on_change) on_change(now, list_update_of(*event, address_));
+  apply_endpoint_event(*core_, now, std::move(*event), current_at_);
 }
 
-void EndpointWatcher::tell(Ms now, EndpointChange::Kind kind, ConnectionEnd why) const {
-  if (on_change) on_change(now, {kind, address_, why, last_});
+void EndpointWatcher::report(TimePoint now, EndpointChange::Kind kind, CloseReason reason) const {
+  if (on_change) on_change(now, {kind, address_, reason, last_offset_});
 }
 
-void EndpointWatcher::lost(Ms now, ConnectionEnd why) {
-  if (!link_) return;
-  leave();
-  tell(now, EndpointChange::Kind::kLost, why);
-  counters_.add("bus connections lost");
-  if (!moving_) due_at_ = now + backoff_.next_delay();
+void EndpointWatcher::handle_disconnect(TimePoint now, CloseReason reason) {
+  if (!connection_) return;
+  close_connection();
+  report(now, EndpointChange::Kind::kDisconnected, reason);
+  metrics_.add("bus connections lost");
+  if (!is_migrating_) due_at_ = now + duration_of(backoff_.next_delay());
 }
 
-void EndpointWatcher::listen(Ms now) {
-  if (!moving_) due_at_ = now + proto::kBusSilence;
+// While a migration is scheduled, its time stands.
+void EndpointWatcher::restart_read_timeout(TimePoint now) {
+  if (!is_migrating_) due_at_ = now + proto::kBusReadTimeout;
 }
 
-void EndpointWatcher::leave() {
-  if (!link_) return;
-  link_->close();
-  loop_.bury(std::move(link_));
+void EndpointWatcher::close_connection() {
+  if (!connection_) return;
+  connection_->close();
+  loop_.destroy_after_turn(std::move(connection_));
 }
 
-void EndpointWatcher::move(Ms now, std::string address) {
+void EndpointWatcher::migrate(TimePoint now, std::string address) {
   if (address == address_) return;
   address_ = std::move(address);
-  // Guards against configurations in a row that would each put the move off: the first one's moment stands.
-  if (!moving_) due_at_ = now + backoff_.spread(kMoveSpread);
-  moving_ = true;
-  tell(now, EndpointChange::Kind::kMoveDue);
+  // Guards against configurations in a row that would each put the migration off: the first one's time
+  // stands.
+  if (!is_migrating_) due_at_ = now + duration_of(backoff_.spread(to_ms(kMigrationSpread)));
+  is_migrating_ = true;
+  report(now, EndpointChange::Kind::kMigrationScheduled);
 }
 
-void EndpointWatcher::due(Ms now) {
+void EndpointWatcher::run_due(TimePoint now) {
   if (now < due_at_) return;
-  if (link_ && !moving_)
-    return lost(now, link_->up() ? ConnectionEnd::kSilent : ConnectionEnd::kConnectTimeout);
-  moving_ = false;
-  leave();
+  if (connection_ && !is_migrating_)
+    return handle_disconnect(
+        now, connection_->is_connected() ? CloseReason::kReadTimeout : CloseReason::kConnectTimeout);
+  is_migrating_ = false;
+  close_connection();
   try {
-    link_ = std::make_unique<WatchConnection>(*this, Poco::Net::SocketAddress(address_));
+    connection_ = std::make_unique<WatchConnection>(*this, Poco::Net::SocketAddress(address_));
   } catch (const Poco::Exception&) {
-    counters_.add("bus connections lost");
+    metrics_.add("bus connections lost");
   }
-  due_at_ = now + connect_most_;
+  due_at_ = now + connect_timeout_;
 }
 
 }  // namespace firvalve::net
--- a/src/net/engine_connections.h
+++ b/src/net/engine_connections.h
@@ -1,101 +1,141 @@
-// The engines' side: a pool of connections for each engine, and the sends that they carry.
+// The engines' side: a pool of connections for each engine, and the attempts that they carry.
+//
+// What it keeps to: no start is written after its client has closed or its engine began to drain; a start
+// that may have arrived is never written again; an attempt that may run is polled, or cancelled, until it has
+// ended or nobody has polled it for so long that its engine has ended it. The loop's thread alone.
 #pragma once
 
 #include <map>
 #include <memory>
+#include <optional>
 #include <vector>
 
 #include "core/core.h"
+#include "net/close_reason.h"
 #include "net/connection.h"
-#include "net/connection_end.h"
-#include "proto/store/query.h"
+#include "net/engine_connection.h"
+#include "proto/store/attempt_exchange.h"
 
 namespace firvalve::net {
 
-class EngineConnections : public EngineTransport {
+class EngineConnections : public EngineTransport, private EngineConnection::Owner {
  public:
-  struct Times {
-    Ms connect = 0, idle = 0;  // until a connection must be up; until the engine closes an idle one
+  struct Timeouts {
+    Duration connect{};  // until a connection must be established
+    Duration idle{};     // until the engine closes an idle connection
   };
-  // Bytes of a page; the platform's own figure unless the operator's file states another. What a paged result
-  // may have, the shelf decides.
-  EngineConnections(Loop& loop, Metrics& counters, Times times);
-  void limit_page(size_t bytes) { page_most_ = bytes; }
+  // The loop and the metrics outlive this.
+  EngineConnections(Loop& loop, Metrics& metrics, const Timeouts& timeouts);
   ~EngineConnections() override;
 
-  void serve(Core& core) { core_ = &core; }
+  // Of an engine's page; the platform's own figure unless it is set. What a paged result may have in all, the
+  // result store decides.
+  void set_max_page_bytes(size_t bytes) { max_page_bytes_ = bytes; }
+  void set_core(Core& core) { core_ = &core; }  // before the first attempt
   void observe(ConnectionObserver observer) { observer_ = std::move(observer); }
-  void start(Ms now, const AttemptRequest& order) override;
-  void withdraw(Ms now, uint64_t send, Outcome as) override;
-  void rank(Ms now, uint64_t send, int priority) override;
-  void list(Ms now, uint32_t engine, std::string_view address, EngineState life) override;
 
-  void due(Ms now);  // ends what has run out of time, and tells the core of what has ended
-  Ms next_due() const { return endings_.empty() ? look_at_ : 1; }  // 0: nothing is due; 1: at once
+  void start(Ms now, const AttemptRequest& request) override;
+  void withdraw(Ms now, uint64_t attempt, Outcome outcome) override;
+  void rank(Ms now, uint64_t attempt, int priority) override;
+  void list(Ms now, uint32_t engine, std::string_view address, EngineState state) override;
+
+  void run_due(TimePoint now);  // ends what has run out of time, and gives the core the finished attempts
+  std::optional<TimePoint> next_due() const;
 
  private:
-  class EngineConnection;
-  enum class Task { kIdle, kSend, kErrand, kDiscard };
-  struct Send {
-    AttemptRequest order;
-    proto::Query query;
-    EngineConnection* on = nullptr;  // the connection that starts it or asks for its news
-    bool begun = false;              // some of its start has been handed to a connection that is up
-    bool told = false;               // all of it: it may have run
-    Outcome as = Outcome::kCancelled;
-    Ms asked_at = 0;                  // the last call for it that may have come to its engine
-    Ms spoilt_since = 0, ask_at = 0;  // 0: not so; when to ask again, 0: not by itself
-    Ms refused_since = 0;             // no connection was to be had for it: one that is free is used at once
-    Ms ends_at = 0;                   // 0: not by itself; set once it is given up
+  using Task = EngineConnection::Task;
+
+  struct Attempt {
+    AttemptRequest request;
+    proto::AttemptExchange exchange;
+    EngineConnection* connection = nullptr;  // starts or polls it
+    bool is_start_written = false;           // at least in part, to an established connection
+    bool may_have_run = false;               // all of the start was sent
+    Outcome cancelled_as = Outcome::kCancelled;
+    std::optional<TimePoint> last_call_at;      // the last of its calls that may have reached its engine
+    std::optional<TimePoint> unreadable_since;  // no poll since then had a usable response
+    std::optional<TimePoint> poll_at;           // the next poll, where one is scheduled
+    std::optional<TimePoint>
+        unreachable_since;  // no connection could be had: the next one that is free polls it
+    std::optional<TimePoint> cancel_expires_at;  // it is being cancelled, and ends then at the latest
   };
-  struct Pool {
+  struct EnginePool {
     std::string address;  // empty: it belongs to another engine by now
-    bool gone = false;
-    int sends = 0;
-    std::map<EngineConnection*, std::unique_ptr<EngineConnection>> links;
-    std::vector<EngineConnection*> idle;  // the one that has rested longest first
+    bool is_delisted = false;
+    int attempt_count = 0;
+    std::map<EngineConnection*, std::unique_ptr<EngineConnection>> connections;
+    std::vector<EngineConnection*> idle;  // the one that has been idle longest first
   };
-  struct Ending {
-    uint64_t send = 0;
+  struct FinishedAttempt {
+    uint64_t attempt = 0;
     Outcome outcome = Outcome::kOk;
     std::string rows;
   };
 
-  EngineConnection* link_to(uint32_t engine, Ms now);  // idle or new; null: none can be had
-  static Ms unasked_end(const Send& send);             // it has ended by then, unless it is asked for again
-  void drop(EngineConnection& link, ConnectionEnd why);
-  void drop_idle(uint32_t engine);
-  void rest(EngineConnection& link, Ms now);
-  void carry(EngineConnection& link, Ms now);  // the link is up: what it is for goes out
-  void handle(EngineConnection& link, const proto::HttpAnswer& answer);
-  void lost(EngineConnection& link, ConnectionEnd why);
-  static ConnectionEnd why_late(const EngineConnection& link);
-  void begin(EngineConnection& link, Ms now);
-  Ms ends_at(const EngineConnection& link) const;  // 0: not by itself
-  void look(Ms now);
-  void give(EngineConnection& link, uint64_t id, Send& send, Ms now);
-  void ask(uint64_t id, Ms now);  // for its news, or that it be given up
-  void ask_past_refusal(uint64_t id, Ms now);
-  void ask_again(uint64_t id, Ms now);
-  void ask_later(Send& send, Ms now, Ms wait = proto::kNewsWait);
-  void errand(EngineConnection& link, uint64_t send, std::string call, bool ends_send, Ms now);
-  void errand(uint64_t send, std::string call, Ms now);  // one that nothing waits for
-  void give_up(uint64_t id, Outcome as, Ms now);
-  void end(uint64_t send, Outcome outcome, std::string rows = {});
-  void release_address(uint32_t engine, Pool& pool);
-  void forget(uint32_t engine);  // once it has gone and nothing of it is left
+  // Of EngineConnection::Owner.
+  void handle_connected(EngineConnection& connection, TimePoint now) override { write_call(connection, now); }
+  void handle_response(EngineConnection& connection, const proto::HttpResponse& response) override;
+  void handle_lost(EngineConnection& connection, CloseReason reason) override;
+  void evict(EngineConnection& connection) override { close_connection(connection, CloseReason::kEvicted); }
+
+  // Pools and connections (engine_connections.cpp).
+  EngineConnection* acquire_connection(uint32_t engine, TimePoint now);  // idle or new; null: none can be had
+  EngineConnection* take_idle_connection(EnginePool& pool);
+  EngineConnection* open_connection(EnginePool& pool, uint32_t engine, TimePoint now);
+  void close_connection(EngineConnection& connection, CloseReason reason);
+  void close_idle_connections(uint32_t engine);
+  void make_idle(EngineConnection& connection, TimePoint now);
+  void make_idle_or_close(EngineConnection& connection, const proto::HttpResponse& response, TimePoint now);
+  void restart_timeout(EngineConnection& connection, TimePoint now);
+  TimePoint timeout_at(const EngineConnection& connection) const;
+  static CloseReason timeout_reason(const EngineConnection& connection);
+  void release_address(uint32_t engine, EnginePool& pool);
+  void forget_if_unused(uint32_t engine);  // a delisted engine of which nothing is left
+  void check_timeouts(TimePoint now);
+  void check_attempt_timeouts(TimePoint now);
+  void check_connection_timeouts(TimePoint now);
+  void check_at(TimePoint time) { check_at_ = earlier_of<TimePoint>(check_at_, time); }
+
+  // Attempts: their calls, and what the responses mean (engine_attempts.cpp).
+  void assign_attempt(EngineConnection& connection, uint64_t id, Attempt& attempt, TimePoint now);
+  void write_call(EngineConnection& connection, TimePoint now);  // once it is established: what it is for
+  bool append_attempt_start(std::string& request, const EngineConnection& connection, Attempt& attempt,
+                            TimePoint now);
+  void poll_attempt(uint64_t id, TimePoint now);  // or cancel it again, where it is being cancelled
+  void poll_unreachable(uint64_t id, TimePoint now);
+  void poll_elsewhere(uint64_t id, TimePoint now);
+  void schedule_poll(Attempt& attempt, TimePoint now, Duration delay);
+  void handle_attempt_response(EngineConnection& connection, const proto::HttpResponse& response, uint64_t id,
+                               TimePoint now);
+  void handle_cancel_response(EngineConnection& connection, const proto::HttpResponse& response, uint64_t id,
+                              TimePoint now);
+  void handle_unusable_response(EngineConnection& connection, uint64_t id, Attempt& attempt, TimePoint now);
+  ResultStore::Put store_rows(uint64_t id, Attempt& attempt, TimePoint now);
+  void finish_from_response(uint64_t id, Attempt& attempt, Outcome outcome, TimePoint now);
+  void detach_connection(Attempt& attempt, Outcome outcome, TimePoint now);
+  void cancel_and_await(uint64_t id, Outcome outcome, TimePoint now);
+  void cancel_at_engine(uint64_t id, TimePoint now);  // nothing waits for the response
+  std::string cancel_call(uint64_t id, const EngineConnection& connection) const;
+  void make_side_call(EngineConnection& connection, uint64_t id, std::string call, bool finishes_attempt,
+                      TimePoint now);
+  void finish_attempt(uint64_t id, Outcome outcome, std::string rows = {});
+  static TimePoint unpolled_expiry(
+      const Attempt& attempt);  // it has ended by then, unless it is polled again
+
+  static constexpr Duration kNetworkSlack =
+      std::chrono::milliseconds(100);  // past times that the protocol states
 
   Loop& loop_;
-  Metrics& counters_;
-  Times times_;
-  size_t page_most_ = proto::kHttpBodyMost;
+  Metrics& metrics_;
+  const Timeouts timeouts_;
+  size_t max_page_bytes_ = proto::kMaxHttpBodyBytes;
   Core* core_ = nullptr;
   ConnectionObserver observer_;
-  std::map<uint32_t, Pool> pools_;
+  std::map<uint32_t, EnginePool> pools_;
   std::map<std::string, uint32_t, std::less<>> engine_at_;  // by address: the pool that has it
-  std::map<uint64_t, Send> sends_;
-  std::vector<Ending> endings_, telling_;
-  Ms look_at_ = 0;  // nothing runs out of time before; 0: nothing does
+  std::map<uint64_t, Attempt> attempts_;
+  std::vector<FinishedAttempt> finished_, reporting_;
+  std::optional<TimePoint> check_at_;  // nothing runs out of time before
 };
 
 }  // namespace firvalve::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -1,85 +1,91 @@
 #include "net/loop.h"
 
+#include <algorithm>
 #include <cmath>
 
-#include "base/monotonic_clock.h"
 #include "net/connection.h"
 
 namespace firvalve::net {
 
-Ms Loop::now() {
-  if (now_ == 0 || !turn_open_) {
-    now_ = monotonic_ms();
-    turn_open_ = true;
+using namespace std::chrono_literals;
+
+TimePoint Loop::now() {
+  if (!is_turn_open_) {
+    now_ = MonotonicClock::now();
+    is_turn_open_ = true;
   }
   return now_;
 }
 
-void Loop::limit(int descriptors, size_t bytes) {
-  most_descriptors_ = descriptors;
-  most_bytes_ = bytes;
+void Loop::set_limits(int max_descriptors, size_t max_buffered_bytes) {
+  max_descriptors_ = max_descriptors;
+  max_buffered_bytes_ = max_buffered_bytes;
 }
 
-Loop::Place Loop::enter(Connection& link) {
-  clients_ += link.from_client();
-  return links_.insert(links_.end(), &link);
+Loop::Entry Loop::add_connection(Connection& connection) {
+  client_count_ += connection.is_from_client() ? 1 : 0;
+  return connections_.insert(connections_.end(), &connection);
 }
 
-void Loop::leave(Place place) {
-  clients_ -= (*place)->from_client();
-  links_.erase(place);
+void Loop::remove_connection(Entry entry) {
+  client_count_ -= (*entry)->is_from_client() ? 1 : 0;
+  connections_.erase(entry);
 }
 
-Connection* Loop::idlest(bool clients_alone, bool with_bytes, bool spare_alone) const {
-  for (Connection* const link : links_)
-    if ((!clients_alone || link->from_client()) && (!with_bytes || link->held() > 0) &&
-        (!spare_alone || link->spare()))
-      return link;
+Connection* Loop::find_idlest(const EvictionFilter& filter) const {
+  for (Connection* const connection : connections_)
+    if ((!filter.only_clients || connection->is_from_client()) &&
+        (!filter.only_buffering || connection->buffered_bytes() > 0) &&
+        (!filter.only_evictable || connection->is_evictable()))
+      return connection;
   return nullptr;
 }
 
 // Guards against peers that connect and stay, or connect by hundreds: without a descriptor nobody is served.
-// It may cost a peer that would have spoken again a new connection.
-bool Loop::room(bool for_client) {
-  const auto most = static_cast<size_t>(most_descriptors_);
-  if (links_.size() < most) return true;
-  Connection* const goes = idlest(for_client && clients_ * 3 >= most_descriptors_, false, true);
-  if (!goes) return false;
-  goes->spared();
-  return links_.size() < most;
+// It may cost a peer that would have sent more a new connection.
+bool Loop::make_room(bool for_client) {
+  const auto limit = static_cast<size_t>(max_descriptors_);
+  if (connections_.size() < limit) return true;
+  const bool only_clients = for_client && client_count_ * 3 >= max_descriptors_;
+  Connection* const evicted = find_idlest({.only_clients = only_clients, .only_evictable = true});
+  if (!evicted) return false;
+  evicted->evict();
+  return connections_.size() < limit;
 }
 
 // Guards the memory limit against clients that send half a message and wait, or do not read what they asked
-// for: the idlest goes, those without a command in hand first.
-void Loop::shrink() {
-  while (bytes_ > most_bytes_) {
-    Connection* goes = idlest(true, true, true);
-    if (!goes) goes = idlest(true, true, false);
-    if (!goes) return;
-    goes->spared();
+// for: the idlest is evicted, those without a command in flight first.
+void Loop::evict_over_memory_limit() {
+  while (buffered_bytes_ > max_buffered_bytes_) {
+    Connection* evicted = find_idlest({.only_clients = true, .only_buffering = true, .only_evictable = true});
+    if (!evicted) evicted = find_idlest({.only_clients = true, .only_buffering = true});
+    if (!evicted) return;
+    evicted->evict();
   }
 }
 
-void Loop::bury(std::unique_ptr<Connection> link) { buried_.push_back(std::move(link)); }
+void Loop::destroy_after_turn(std::unique_ptr<Connection> connection) {
+  to_destroy_.push_back(std::move(connection));
+}
 
 // The reactor calls this before it hands out a turn's events. The turn before is ended here, when its events
 // were followed by others at once, so that decisions never wait for a quiet moment.
 void Loop::onBusy() {
-  if (turn_open_) end_turn();
+  if (is_turn_open_) end_turn();
   setTimeout(Poco::Timespan(0));
 }
 
 void Loop::end_turn() {
-  turn_open_ = false;
-  shrink();
-  const Ms due = on_turn ? on_turn(now()) : 0;
-  turn_open_ = false;
-  buried_.clear();
-  constexpr Ms kLongest = 1000;  // nothing is due: an idle look a second
-  const Ms wait = due > 0 ? std::clamp(due - now(), 0.0, kLongest) : kLongest;
-  if (wait > 0) wake_timer_.ensure(now(), now() + wait);
-  turn_open_ = false;
-  setTimeout(Poco::Timespan(static_cast<Poco::Timespan::TimeDiff>(std::ceil(wait) * 1000)));
+  is_turn_open_ = false;
+  evict_over_memory_limit();
+  const std::optional<TimePoint> due_at = on_turn ? on_turn(now()) : std::nullopt;
+  is_turn_open_ = false;
+  to_destroy_.clear();
+  constexpr Duration kMaxWait = 1000ms;  // where nothing is due
+  const Duration wait = due_at ? std::clamp<Duration>(*due_at - now(), Duration::zero(), kMaxWait) : kMaxWait;
+  if (wait > Duration::zero()) wake_timer_.ensure(now(), now() + wait);
+  is_turn_open_ = false;
+  setTimeout(Poco::Timespan(static_cast<Poco::Timespan::TimeDiff>(std::ceil(to_ms(wait)) * 1000)));
 }
 
 }  // namespace firvalve::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,5 +1,7 @@
-// The reactor's turns: sockets are heard first, then what is due, then the decisions, once. And the two
-// accounts that all links share: of descriptors and of buffered bytes.
+// The event loop. Each turn handles the sockets' events first, then the work that is due, then the decisions,
+// once. It also keeps the two accounts that all connections share: descriptors and buffered bytes.
+//
+// One thread; only Waker::wake() may be called from others.
 #pragma once
 
 #include <Poco/Net/SocketReactor.h>
@@ -7,10 +9,11 @@
 #include <functional>
 #include <list>
 #include <memory>
+#include <optional>
 #include <vector>
 
+#include "base/time.h"
 #include "net/wake_timer.h"
-#include "policy/rules.h"
 
 namespace firvalve::net {
 
@@ -18,43 +21,53 @@
 
 class Loop : public Poco::Net::SocketReactor {
  public:
-  // Called at the end of each turn; returns the next moment that something is due, 0: nothing is.
-  std::function<Ms(Ms)> on_turn;
-
-  // By monotonic_ms(): no step of the wall clock moves it. One value for the whole of a turn.
-  Ms now();
-  void bury(std::unique_ptr<Connection> link);  // destroyed once nothing of this turn can refer to it
-
-  // The most that all links together may hold: descriptors, and bytes in their buffers.
-  void limit(int descriptors, size_t bytes);
-  // Whether there is a descriptor for one more link. Where none is left, the idlest link that nothing depends
-  // on goes; a new client takes no engine's place once clients hold their third.
-  bool room(bool for_client);
-
-  // For links alone: what they hold.
-  using Place = std::list<Connection*>::iterator;
-  Place enter(Connection& link);
-  void leave(Place place);
-  void touch(Place place) { links_.splice(links_.end(), links_, place); }    // the least idle now
-  void yield(Place place) { links_.splice(links_.begin(), links_, place); }  // the first to go
-  void buffered(size_t before, size_t now) { bytes_ += now - before; }
+  // Called at the end of each turn. Returns the next time at which something is due, if anything is.
+  std::function<std::optional<TimePoint>(TimePoint now)> on_turn;
+
+  // One value for the whole of a turn.
+  TimePoint now();
+  Ms now_ms() { return to_ms(now()); }  // for callers that pass times as plain Ms
+
+  // Destroys the connection at the end of the turn, when no event refers to it any more.
+  void destroy_after_turn(std::unique_ptr<Connection> connection);
+
+  // The most that all connections together may hold.
+  void set_limits(int max_descriptors, size_t max_buffered_bytes);
+
+  // True: there is a descriptor for one more connection. Where none is left, the idlest evictable connection
+  // is evicted; once clients hold their third of the descriptors, a new client evicts clients alone.
+  bool make_room(bool for_client);
+
+  // For Connection alone: its entry in the accounts.
+  using Entry = std::list<Connection*>::iterator;
+  Entry add_connection(Connection& connection);
+  void remove_connection(Entry entry);
+  void mark_active(Entry entry) { connections_.splice(connections_.end(), connections_, entry); }
+  void mark_idlest(Entry entry) { connections_.splice(connections_.begin(), connections_, entry); }
+  void account_buffered(size_t bytes_before, size_t bytes_now) {
+    buffered_bytes_ += bytes_now - bytes_before;
+  }
 
  protected:
   void onBusy() override;
   void onTimeout() override { end_turn(); }
 
  private:
+  struct EvictionFilter {
+    bool only_clients = false, only_buffering = false, only_evictable = false;
+  };
+
   void end_turn();
-  void shrink();
-  Connection* idlest(bool clients_alone, bool with_bytes, bool spare_alone) const;
+  void evict_over_memory_limit();
+  Connection* find_idlest(const EvictionFilter& filter) const;
 
   WakeTimer wake_timer_{*this};
-  Ms now_ = 0;
-  bool turn_open_ = false;
-  std::list<Connection*> links_;  // the idlest first
-  int clients_ = 0, most_descriptors_ = 1024;
-  size_t bytes_ = 0, most_bytes_ = 16 * 1024 * 1024;
-  std::vector<std::unique_ptr<Connection>> buried_;
+  TimePoint now_;
+  bool is_turn_open_ = false;
+  std::list<Connection*> connections_;  // the idlest first
+  int client_count_ = 0, max_descriptors_ = 1024;
+  size_t buffered_bytes_ = 0, max_buffered_bytes_ = size_t{16} * 1024 * 1024;
+  std::vector<std::unique_ptr<Connection>> to_destroy_;
 };
 
 }  // namespace firvalve::net
--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -5,6 +5,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <atomic>
 #include <cerrno>
 #include <stdexcept>
 
@@ -12,63 +13,70 @@
 
 namespace {
 
-constexpr int kHeard[] = {SIGTERM, SIGINT, SIGHUP, SIGUSR1};
+constexpr int kHandledSignals[] = {SIGTERM, SIGINT, SIGHUP, SIGUSR1};
+constexpr int kNoDescriptor = -1;
 
-volatile sig_atomic_t tell = -1;
+// A handler gets no argument of ours, so the write end of the instance's pipe stands here while there is one.
+std::atomic<int> handler_write_end = kNoDescriptor;
+static_assert(std::atomic<int>::is_always_lock_free, "a signal handler may use lock-free atomics alone");
 
-void on_signal(int number) {
-  const int kept = errno;
-  const char byte = static_cast<char>(number);
-  [[maybe_unused]] const ssize_t written = ::write(tell, &byte, 1);
-  errno = kept;
+void write_signal_number(int signal_number) {
+  const int saved_errno = errno;
+  const char byte = static_cast<char>(signal_number);
+  [[maybe_unused]] const ssize_t written = ::write(handler_write_end, &byte, 1);
+  errno = saved_errno;
 }
 
-sigset_t heard_set() {
+sigset_t handled_set() {
   sigset_t set;
   ::sigemptyset(&set);
-  for (const int number : kHeard) ::sigaddset(&set, number);
+  for (const int signal_number : kHandledSignals) ::sigaddset(&set, signal_number);
   return set;
 }
 
-Poco::Net::StreamSocket read_end() {
+}  // namespace
+
+void block_signals() {
+  const sigset_t set = handled_set();
+  ::pthread_sigmask(SIG_BLOCK, &set, nullptr);
+}
+
+Signals::Pipe Signals::open_pipe() {
   int ends[2];
   if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0, ends) != 0)
     throw std::runtime_error("no socket pair for signals");
-  tell = ends[1];
-  return Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(ends[0]));
+  return {ends[0], ends[1]};
 }
 
-}  // namespace
-
-void hold_signals() {
-  const sigset_t set = heard_set();
-  ::pthread_sigmask(SIG_BLOCK, &set, nullptr);
-}
+Signals::Signals(Loop& loop, std::function<void(int signal_number)> on_signal)
+    : Signals(loop, std::move(on_signal), open_pipe()) {}
 
-Signals::Signals(Loop& loop, std::function<void(int)> heard)
-    : Connection(loop, read_end(), Kind::kLocal), heard_(std::move(heard)) {
-  write_end_ = tell;
+Signals::Signals(Loop& loop, std::function<void(int signal_number)> on_signal, const Pipe& pipe)
+    : Connection(loop, Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(pipe.read_end)), Kind::kLocal),
+      on_signal_(std::move(on_signal)),
+      write_end_(pipe.write_end) {
+  handler_write_end = write_end_;
   struct sigaction action {};
-  action.sa_handler = on_signal;
+  action.sa_handler = write_signal_number;
   action.sa_flags = SA_RESTART;
-  for (const int number : kHeard) ::sigaction(number, &action, nullptr);
+  for (const int signal_number : kHandledSignals) ::sigaction(signal_number, &action, nullptr);
   ::signal(SIGPIPE, SIG_IGN);
-  const sigset_t set = heard_set();
+  const sigset_t set = handled_set();
   ::pthread_sigmask(SIG_UNBLOCK, &set, nullptr);
 }
 
 // Guards the exit against a signal that comes again: it must not end the process before its own end.
 Signals::~Signals() {
-  for (const int number : kHeard) ::signal(number, SIG_IGN);
-  tell = -1;
+  for (const int signal_number : kHandledSignals) ::signal(signal_number, SIG_IGN);
+  handler_write_end = kNoDescriptor;
   ::close(write_end_);
 }
 
 void Signals::on_bytes() {
   while (!inbox_.text().empty()) {
-    const int number = inbox_.text().front();
+    const int signal_number = inbox_.text().front();
     inbox_.used(1);
-    heard_(number);
+    on_signal_(signal_number);
   }
 }
 
--- a/src/net/signals.h
+++ b/src/net/signals.h
@@ -1,4 +1,5 @@
-// Signals as the loop hears them: a handler may do no more than write a byte, which arrives as on any socket.
+// Signals as events of the loop: the handler writes one byte to a pipe of the loop's (self-pipe), which
+// arrives as bytes do on any connection.
 #pragma once
 
 #include <Poco/Net/StreamSocket.h>
@@ -9,13 +10,17 @@
 
 namespace firvalve::net {
 
-// Keeps back what Signals hears until there is one: a signal before that would end the process.
-void hold_signals();
+// Blocks the signals that Signals handles until there is one: before that they would end the process. For the
+// calling thread, and those that it starts from then on.
+void block_signals();
 
-// One instance at a time. Also lets writes to ended connections fail with an error instead of a signal.
+// Handles SIGTERM, SIGINT, SIGHUP and SIGUSR1, and ignores SIGPIPE: writes to closed connections fail with an
+// error. One instance at a time: it owns the process's handlers and both ends of their pipe. After its end
+// the signals are ignored.
 class Signals : public Connection {
  public:
-  Signals(Loop& loop, std::function<void(int)> heard);
+  // on_signal is called on the loop's thread. Throws std::runtime_error where no descriptor is left.
+  Signals(Loop& loop, std::function<void(int signal_number)> on_signal);
   ~Signals() override;
 
  protected:
@@ -23,8 +28,14 @@
   void on_end(End) override {}
 
  private:
-  std::function<void(int)> heard_;
-  int write_end_ = -1;
+  struct Pipe {
+    int read_end = -1, write_end = -1;
+  };
+  Signals(Loop& loop, std::function<void(int signal_number)> on_signal, const Pipe& pipe);
+  static Pipe open_pipe();
+
+  std::function<void(int signal_number)> on_signal_;
+  const int write_end_;
 };
 
 }  // namespace firvalve::net
--- a/src/net/wake_timer.cpp
+++ b/src/net/wake_timer.cpp
@@ -6,6 +6,7 @@
 #include <sys/timerfd.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cmath>
 #include <stdexcept>
 
@@ -17,16 +18,18 @@
 
 namespace {
 
+constexpr Duration kShortest = std::chrono::milliseconds(1);  // 0 would disarm the timer
+
 StreamSocket new_timer() {
   const int descriptor = ::timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
   if (descriptor < 0) throw std::runtime_error("no timer to wake a loop by");
   return StreamSocket(new StreamSocketImpl(descriptor));
 }
 
-timespec span_of(Ms span) {
-  constexpr Ms kSecond = 1000;
-  const Ms seconds = std::floor(span / kSecond);
-  return {static_cast<time_t>(seconds), static_cast<long>((span - seconds * kSecond) * 1e6)};
+timespec timespec_of(Duration span) {
+  constexpr double kMsPerSecond = 1000;
+  const double seconds = std::floor(to_ms(span) / kMsPerSecond);
+  return {static_cast<time_t>(seconds), static_cast<long>((to_ms(span) - seconds * kMsPerSecond) * 1e6)};
 }
 
 }  // namespace
@@ -41,18 +44,18 @@
       socket_, Poco::NObserver<WakeTimer, ReadableNotification>(*this, &WakeTimer::on_readable));
 }
 
-void WakeTimer::ensure(Ms now, Ms at) {
-  if (set_for_ > now && set_for_ <= at + kSlack) return;
+void WakeTimer::ensure(TimePoint now, TimePoint at) {
+  if (set_for_ && *set_for_ > now && *set_for_ <= at + kSlack) return;
   set_for_ = at + kSlack / 2;
   itimerspec when{};
-  when.it_value = span_of(std::max(1.0, set_for_ - now));
+  when.it_value = timespec_of(std::max<Duration>(kShortest, *set_for_ - now));
   ::timerfd_settime(socket_.impl()->sockfd(), 0, &when, nullptr);
 }
 
 void WakeTimer::on_readable(const Poco::AutoPtr<ReadableNotification>&) {
-  uint64_t times;
-  [[maybe_unused]] const ssize_t n = ::read(socket_.impl()->sockfd(), &times, sizeof times);
-  set_for_ = 0;
+  uint64_t expirations;
+  [[maybe_unused]] const ssize_t read = ::read(socket_.impl()->sockfd(), &expirations, sizeof expirations);
+  set_for_.reset();
 }
 
 }  // namespace firvalve::net
--- a/src/net/wake_timer.h
+++ b/src/net/wake_timer.h
@@ -8,7 +8,9 @@
 #include <Poco/Net/SocketNotification.h>
 #include <Poco/Net/SocketReactor.h>
 
-#include "base/units.h"
+#include <optional>
+
+#include "base/time.h"
 
 namespace firvalve::net {
 
@@ -20,18 +22,18 @@
   WakeTimer(const WakeTimer&) = delete;
   WakeTimer& operator=(const WakeTimer&) = delete;
 
-  // The reactor wakes at a moment from `at` to `at` + kSlack at the latest; it may wake earlier. In the time
-  // of monotonic_ms(). Costs a system call only where the moment set before does not do.
-  void ensure(Ms now, Ms at);
+  // The reactor wakes from `at` to `at` + kSlack at the latest; it may wake earlier. Costs a system call only
+  // where the time set before is not in that span.
+  void ensure(TimePoint now, TimePoint at);
 
-  static constexpr Ms kSlack = 50;
+  static constexpr Duration kSlack = std::chrono::milliseconds(50);
 
  private:
   void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
 
   Poco::Net::SocketReactor& reactor_;
   Poco::Net::Socket socket_;  // owns the descriptor
-  Ms set_for_ = 0;            // 0: not set
+  std::optional<TimePoint> set_for_;
 };
 
 }  // namespace firvalve::net
--- a/src/net/waker.h
+++ b/src/net/waker.h
@@ -1,4 +1,4 @@
-// Turns a loop from another thread.
+// Wakes a loop from another thread.
 #pragma once
 
 #include <functional>
@@ -7,8 +7,8 @@
 
 namespace firvalve::net {
 
-// wake() may be called from any thread as long as this stands; on_wake then runs once or more on the loop's.
-// Throws std::runtime_error where no descriptor is left.
+// wake() may be called from any thread while this lives; on_wake then runs at least once on the loop's
+// thread. Throws std::runtime_error where no descriptor is left.
 class Waker : public Connection {
  public:
   explicit Waker(Loop& loop, std::function<void()> on_wake = {});
--- a/src/proto/bus/bus.cpp
+++ b/src/proto/bus/bus.cpp
@@ -39,7 +39,7 @@
 
 Read next_line(Inbox& in, std::span<char>& line) {
   const size_t end = in.text().find('\n');
-  if (end == std::string_view::npos) return in.text().size() > kBusLineMost ? Read::kBroken : Read::kMore;
+  if (end == std::string_view::npos) return in.text().size() > kMaxBusLineBytes ? Read::kBroken : Read::kMore;
   line = in.held().first(end);
   in.used(end + 1);
   return Read::kWhole;
--- a/src/proto/bus/bus.h
+++ b/src/proto/bus/bus.h
@@ -8,13 +8,15 @@
 #include <string>
 #include <vector>
 
+#include "base/time.h"
 #include "policy/rules.h"
 #include "proto/inbox.h"
 
 namespace firvalve::proto {
 
-constexpr Ms kBusSilence = 2200;              // without a line: two of its seconds missed, the bus is lost
-constexpr size_t kBusLineMost = 1024 * 1024;  // bytes of a line: a list of thousands of engines
+// Without a line: two of its seconds were missed, the bus is lost.
+constexpr Duration kBusReadTimeout = std::chrono::milliseconds(2200);
+constexpr size_t kMaxBusLineBytes = size_t{1024} * 1024;  // a list of thousands of engines
 
 struct BusListing {
   std::string name, address;
--- a/src/proto/jsonrpc/reply.h
+++ b/src/proto/jsonrpc/reply.h
@@ -13,7 +13,7 @@
 namespace firvalve::proto {
 
 // The longest statement that a gateway reads: base64 and the fields round it fill a message.
-constexpr size_t kRpcStatementMost = (kRpcBodyMost - 1024) / 4 * 3;
+constexpr size_t kMaxRpcStatementBytes = (kMaxRpcBodyBytes - 1024) / 4 * 3;
 
 struct RpcCommand {
   int64_t id = 0;
--- a/src/proto/jsonrpc/rpc.cpp
+++ b/src/proto/jsonrpc/rpc.cpp
@@ -15,29 +15,129 @@
 
 using rapidjson::Value;
 
-std::string_view text_of(const Value& v) { return {v.GetString(), v.GetStringLength()}; }
+std::string_view text_of(const Value& value) { return {value.GetString(), value.GetStringLength()}; }
 
-bool put_text(const Value& params, const char* name, std::string_view& out) {
-  const Value* v = member(params, name);
-  if (!v || !v->IsString()) return false;
-  out = text_of(*v);
+bool read_text(const Value& params, const char* name, std::string_view& out) {
+  const Value* value = member(params, name);
+  if (!value || !value->IsString()) return false;
+  out = text_of(*value);
   return true;
 }
 
-// A figure of zero or more; what is absent is left as it was.
-bool put_figure(const Value& params, const char* name, double& out) {
-  const Value* v = member(params, name);
-  if (!v) return true;
-  if (!v->IsNumber() || !(v->GetDouble() >= 0)) return false;
-  out = v->GetDouble();
+// A number of zero or more; where it is missing, `out` stays as it was.
+bool read_number(const Value& params, const char* name, double& out) {
+  const Value* value = member(params, name);
+  if (!value) return true;
+  if (!value->IsNumber() || !(value->GetDouble() >= 0)) return false;
+  out = value->GetDouble();
   return true;
 }
 
-RpcCall invalid(RpcCall call, int code, const char* why) {
+bool read_duration(const Value& params, const char* name, Duration& out) {
+  Ms ms = to_ms(out);
+  if (!read_number(params, name, ms)) return false;
+  out = duration_of(ms);
+  return true;
+}
+
+// Each of these reads a part of a request into the call; false: it is invalid, and the call says why.
+bool fail(RpcCall& call, int code, const char* message) {
   call.kind = RpcCall::Kind::kInvalid;
-  call.code = code;
-  call.why = why;
-  return call;
+  call.error_code = code;
+  call.error_message = message;
+  return false;
+}
+
+bool read_envelope(const Value& message, RpcCall& call) {
+  if (!message.IsObject()) return fail(call, kRpcBadRequest, "not a request");
+  if (const Value* id = member(message, "id")) {
+    if (!id->IsInt64() || id->GetInt64() < 1) return fail(call, kRpcBadRequest, "id is no number from 1 up");
+    call.has_id = true;
+    call.id = id->GetInt64();
+  }
+  std::string_view version;
+  if (!read_text(message, "jsonrpc", version) || version != "2.0")
+    return fail(call, kRpcBadRequest, "not 2.0");
+  if (!read_text(message, "method", call.profile)) return fail(call, kRpcBadRequest, "no method");
+  return true;
+}
+
+void read_revoke(const Value& params, RpcCall& call) {
+  call.kind = RpcCall::Kind::kRevoke;
+  read_text(params, "req", call.command);
+  if (const Value* id = member(params, "id"); id && id->IsInt64()) call.revoked_id = id->GetInt64();
+}
+
+// False: it is not about pages. Without a token a deployment may have profiles of these names.
+bool read_page_call(const Value& params, RpcCall& call) {
+  if (call.profile != "page" && call.profile != "release") return false;
+  if (!read_text(params, "token", call.token)) return false;
+  call.kind = call.profile == "page" ? RpcCall::Kind::kPage : RpcCall::Kind::kRelease;
+  if (const Value* page = member(params, "page"); page && page->IsUint64()) call.page = page->GetUint64();
+  return true;
+}
+
+// False: it is not about a topic. Without one that is named a deployment may have profiles of these names.
+bool read_topic_call(const Value& params, RpcCall& call) {
+  if (!is_topic_method(call.profile) || !read_text(params, "bulletin", call.name)) return false;
+  rapidjson::StringBuffer text;
+  rapidjson::Writer<rapidjson::StringBuffer> writer(text);
+  params.Accept(writer);
+  call.statement.assign(text.GetString(), text.GetSize());
+  call.timeout = kDefaultTopicTimeout;
+  read_duration(params, "timeout", call.timeout);
+  call.kind = RpcCall::Kind::kTopic;
+  return true;
+}
+
+bool read_statement(const Value& params, RpcCall& call) {
+  std::string_view bytes;
+  if (!read_text(params, "bytes", bytes)) return fail(call, kRpcBadParams, "no bytes");
+  auto statement = from_base64(bytes);
+  if (!statement) return fail(call, kRpcBadParams, "bytes are not base64");
+  call.statement = std::move(*statement);
+  return true;
+}
+
+// A command that runs once under a name is a `merge`; without one a deployment may have a profile of this
+// name.
+bool read_command(const Value& params, RpcCall& call) {
+  constexpr Duration kMinTimeout = std::chrono::milliseconds(1);
+  const bool runs_once = call.profile == "merge" && read_text(params, "name", call.name);
+  if (runs_once && !read_text(params, "profile", call.profile))
+    return fail(call, kRpcBadParams, "no profile");
+  if (const Value* paged = member(params, "paged")) call.is_paged = paged->IsBool() && paged->GetBool();
+  if (!read_text(params, "req", call.command) || !is_command_id(call.command))
+    return fail(call, kRpcBadParams, "req is not 16 hex digits");
+  read_text(params, "first", call.first_command);
+  if (!member(params, "timeout") || !read_duration(params, "timeout", call.timeout) ||
+      call.timeout < kMinTimeout)
+    return fail(call, kRpcBadParams, "timeout is not a number of milliseconds");
+  if (!read_duration(params, "ms", call.estimate) || !read_number(params, "mem", call.memory_mb))
+    return fail(call, kRpcBadParams, "an estimate is not a number");
+  if (!read_statement(params, call)) return false;
+  call.kind = runs_once ? RpcCall::Kind::kRunOnce : RpcCall::Kind::kCommand;
+  return true;
+}
+
+bool read_request(const Value& message, RpcCall& call) {
+  if (!read_envelope(message, call)) return false;
+  const Value* params = member(message, "params");
+  const bool has_params = params && params->IsObject();
+  // With a body they are commands: a deployment may have profiles of these names.
+  const bool has_body = has_params && member(*params, "bytes");
+  if (call.profile == "heartbeat" && !has_body) {
+    call.kind = RpcCall::Kind::kHeartbeat;
+    return true;
+  }
+  if (!has_params) return fail(call, kRpcBadParams, "no params");
+  if (call.profile == "revoke" && !has_body) {
+    read_revoke(*params, call);
+    return true;
+  }
+  if (!call.has_id) return fail(call, kRpcBadRequest, "no id");
+  read_text(*params, "key", call.key);
+  return read_page_call(*params, call) || read_topic_call(*params, call) || read_command(*params, call);
 }
 
 void append_message(std::string& out, std::string_view body) {
@@ -55,7 +155,7 @@
 
 }  // namespace
 
-bool is_bulletin_method(std::string_view method) {
+bool is_topic_method(std::string_view method) {
   return method == "bulletin" || method == "propose" || method == "deprecate" || method == "retire" ||
          method == "declare" || method == "withdraw";
 }
@@ -65,96 +165,43 @@
 }
 
 Read RpcFrames::next(Inbox& in, std::span<char>& body) {
-  if (!in_body_) {
-    const size_t end = head_end(in.text().substr(0, kRpcHeadMost));
-    if (end == std::string_view::npos) return in.text().size() >= kRpcHeadMost ? Read::kBroken : Read::kMore;
-    std::string_view head = in.text().substr(0, end);
-    bool found = false;
-    for (std::string_view line = take_line(head); !line.empty(); line = take_line(head)) {
-      const auto field = field_of(line);
-      if (!field) return Read::kBroken;
-      if (!same_name(field->name, "Content-Length")) continue;
-      const auto length = whole_number(field->value, static_cast<int64_t>(most_));
-      if (!length || found) return Read::kBroken;
-      found = true;
-      length_ = static_cast<size_t>(*length);
-    }
-    if (!found || length_ == 0) return Read::kBroken;
-    in.used(end);
-    in_body_ = true;
-  }
-  if (in.held().size() < length_) return Read::kMore;
-  body = in.held().first(length_);
-  in.used(length_);
+  if (!in_body_)
+    if (const Read head = read_head(in); head != Read::kWhole) return head;
+  if (in.held().size() < body_bytes_) return Read::kMore;
+  body = in.held().first(body_bytes_);
+  in.used(body_bytes_);
   in_body_ = false;
   return Read::kWhole;
 }
 
+Read RpcFrames::read_head(Inbox& in) {
+  const size_t end = head_end(in.text().substr(0, kMaxRpcHeadBytes));
+  if (end == std::string_view::npos)
+    return in.text().size() >= kMaxRpcHeadBytes ? Read::kBroken : Read::kMore;
+  std::string_view head = in.text().substr(0, end);
+  bool has_length = false;
+  for (std::string_view line = take_line(head); !line.empty(); line = take_line(head)) {
+    const auto field = field_of(line);
+    if (!field) return Read::kBroken;
+    if (!same_name(field->name, "Content-Length")) continue;
+    const auto length = whole_number(field->value, static_cast<int64_t>(max_body_bytes_));
+    if (!length || has_length) return Read::kBroken;
+    has_length = true;
+    body_bytes_ = static_cast<size_t>(*length);
+  }
+  if (!has_length || body_bytes_ == 0) return Read::kBroken;
+  in.used(end);
+  in_body_ = true;
+  return Read::kWhole;
+}
+
 RpcCall read_call(std::span<char> body) {
   RpcCall call;
   rapidjson::Document message;
-  if (!parse_in_place(body, message)) return invalid(call, kRpcUnreadable, "not JSON");
-  if (!message.IsObject()) return invalid(call, kRpcBadRequest, "not a request");
-  if (const Value* id = member(message, "id")) {
-    if (!id->IsInt64() || id->GetInt64() < 1)
-      return invalid(call, kRpcBadRequest, "id is no number from 1 up");
-    call.has_id = true;
-    call.id = id->GetInt64();
-  }
-  std::string_view version;
-  if (!put_text(message, "jsonrpc", version) || version != "2.0")
-    return invalid(call, kRpcBadRequest, "not 2.0");
-  if (!put_text(message, "method", call.profile)) return invalid(call, kRpcBadRequest, "no method");
-  const Value* params = member(message, "params");
-  // With a body they are commands: a deployment may have profiles of these names.
-  const bool has_body = params && params->IsObject() && member(*params, "bytes");
-  if (call.profile == "heartbeat" && !has_body) {
-    call.kind = RpcCall::Kind::kHeartbeat;
-    return call;
-  }
-  if (!params || !params->IsObject()) return invalid(call, kRpcBadParams, "no params");
-  if (call.profile == "revoke" && !has_body) {
-    call.kind = RpcCall::Kind::kRevoke;
-    put_text(*params, "req", call.command);
-    if (const Value* id = member(*params, "id"); id && id->IsInt64()) call.revoked = id->GetInt64();
-    return call;
-  }
-  if (!call.has_id) return invalid(call, kRpcBadRequest, "no id");
-  put_text(*params, "key", call.key);
-  // With a token they are about pages; without one a deployment may have profiles of these names.
-  if ((call.profile == "page" || call.profile == "release") && put_text(*params, "token", call.token)) {
-    call.kind = call.profile == "page" ? RpcCall::Kind::kPage : RpcCall::Kind::kRelease;
-    if (const Value* page = member(*params, "page"); page && page->IsUint64()) call.page = page->GetUint64();
-    return call;
-  }
-  // About a bulletin that is named; without a name a deployment may have profiles of these names.
-  if (is_bulletin_method(call.profile) && put_text(*params, "bulletin", call.name)) {
-    rapidjson::StringBuffer text;
-    rapidjson::Writer<rapidjson::StringBuffer> writer(text);
-    params->Accept(writer);
-    call.statement.assign(text.GetString(), text.GetSize());
-    call.timeout = kRpcBulletinMost;
-    put_figure(*params, "timeout", call.timeout);
-    call.kind = RpcCall::Kind::kBulletin;
-    return call;
-  }
-  // A command that runs once under a name; without one a deployment may have a profile of this name.
-  const bool merge = call.profile == "merge" && put_text(*params, "name", call.name);
-  if (merge && !put_text(*params, "profile", call.profile)) return invalid(call, kRpcBadParams, "no profile");
-  if (const Value* paged = member(*params, "paged")) call.paged = paged->IsBool() && paged->GetBool();
-  std::string_view bytes;
-  if (!put_text(*params, "req", call.command) || !is_command_id(call.command))
-    return invalid(call, kRpcBadParams, "req is not 16 hex digits");
-  put_text(*params, "first", call.first);
-  if (!member(*params, "timeout") || !put_figure(*params, "timeout", call.timeout) || call.timeout < 1)
-    return invalid(call, kRpcBadParams, "timeout is not a number of milliseconds");
-  if (!put_figure(*params, "ms", call.estimate) || !put_figure(*params, "mem", call.memory_mb))
-    return invalid(call, kRpcBadParams, "an estimate is not a number");
-  if (!put_text(*params, "bytes", bytes)) return invalid(call, kRpcBadParams, "no bytes");
-  auto statement = from_base64(bytes);
-  if (!statement) return invalid(call, kRpcBadParams, "bytes are not base64");
-  call.statement = std::move(*statement);
-  call.kind = merge ? RpcCall::Kind::kMerge : RpcCall::Kind::kCommand;
+  if (parse_in_place(body, message))
+    read_request(message, call);
+  else
+    fail(call, kRpcUnreadable, "not JSON");
   return call;
 }
 
@@ -182,20 +229,20 @@
   append_message(out, fmt::format(R"({{"jsonrpc":"2.0","id":{},"result":{{"released":true}}}})", id));
 }
 
-void append_healthy(std::string& out, int64_t id, bool healthy, bool marks) {
-  append_message(out, fmt::format(R"({{"jsonrpc":"2.0","id":{},"result":{{"healthy":{}{}}}}})", id, healthy,
-                                  marks ? R"(,"marks":true)" : ""));
+void append_healthy(std::string& out, int64_t id, bool is_healthy, bool reads_repeat_marks) {
+  append_message(out, fmt::format(R"({{"jsonrpc":"2.0","id":{},"result":{{"healthy":{}{}}}}})", id,
+                                  is_healthy, reads_repeat_marks ? R"(,"marks":true)" : ""));
 }
 
 void append_json_result(std::string& out, int64_t id, std::string_view json) {
   append_message(out, fmt::format(R"({{"jsonrpc":"2.0","id":{},"result":{}}})", id, json));
 }
 
-void append_refused_change(std::string& out, int64_t id, std::string_view breaches) {
+void append_refused_change(std::string& out, int64_t id, std::string_view violations) {
   append_message(out,
                  fmt::format(R"({{"jsonrpc":"2.0","id":{},"error":{{"code":{},"message":"refused: it would )"
                              R"(break subscribers or itself","data":{{"breaches":{}}}}}}})",
-                             id, kRpcRefusedChange, breaches));
+                             id, kRpcRefusedChange, violations));
 }
 
 void append_error(std::string& out, int64_t id, bool has_id, int code, std::string_view message) {
@@ -203,9 +250,9 @@
                                   has_id ? std::to_string(id) : "null", code, message));
 }
 
-void append_shed(std::string& out, int64_t id, double stay_away_ms) {
+void append_shed(std::string& out, int64_t id, double retry_after_ms) {
   std::string data;
-  if (stay_away_ms > 0) data = fmt::format(R"(,"data":{{"holdoff":{:.0f}}})", stay_away_ms);
+  if (retry_after_ms > 0) data = fmt::format(R"(,"data":{{"holdoff":{:.0f}}})", retry_after_ms);
   append_message(out, fmt::format(R"({{"jsonrpc":"2.0","id":{},"error":{{"code":{},"message":"shed"{}}}}})",
                                   id, kRpcShed, data));
 }
--- a/src/proto/statement.cpp
+++ b/src/proto/statement.cpp
@@ -12,8 +12,8 @@
 bool is_blank(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n' || c == '\f' || c == '\v'; }
 
 // Where the quoted text that begins at `at` ends, past its closing mark; a doubled mark stands for itself.
-size_t past_quoted(std::string_view s, size_t at) {
-  const char mark = s[at] == '[' ? ']' : s[at];
+size_t skip_quoted(std::string_view s, size_t at) {
+  const char mark = s[at];
   for (++at; at < s.size(); ++at) {
     if (s[at] != mark) continue;
     if (at + 1 < s.size() && s[at + 1] == mark) {
@@ -25,20 +25,27 @@
   return s.size();
 }
 
-// Where the blanks and comments that begin at `at` end. Block comments nest, as in SQL.
-size_t past_blanks(std::string_view s, size_t at) {
-  while (at < s.size()) {
-    if (is_blank(s[at])) {
+// Where the block comment that begins at `at` ends. Block comments nest, as in SQL.
+size_t skip_block_comment(std::string_view text, size_t at) {
+  int depth = 1;
+  for (at += 2; at < text.size() && depth > 0;) {
+    const std::string_view two = text.substr(at, 2);
+    if (two == "/*") ++depth;
+    if (two == "*/") --depth;
+    at += two == "/*" || two == "*/" ? 2 : 1;
+  }
+  return at;
+}
+
+// Where the blanks and comments that begin at `at` end.
+size_t skip_blanks(std::string_view text, size_t at) {
+  while (at < text.size()) {
+    if (is_blank(text[at])) {
       ++at;
-    } else if (s.substr(at, 2) == "--") {
-      at = std::min(s.find('\n', at), s.size());
-    } else if (s.substr(at, 2) == "/*") {
-      int depth = 1;
-      for (at += 2; at < s.size() && depth > 0;) {
-        const std::string_view two = s.substr(at, 2);
-        depth += two == "/*" ? 1 : two == "*/" ? -1 : 0;
-        at += two == "/*" || two == "*/" ? 2 : 1;
-      }
+    } else if (text.substr(at, 2) == "--") {
+      at = std::min(text.find('\n', at), text.size());
+    } else if (text.substr(at, 2) == "/*") {
+      at = skip_block_comment(text, at);
     } else {
       break;
     }
@@ -46,42 +53,58 @@
   return at;
 }
 
-int64_t group_of(std::string_view schema) {
+size_t skip_name(std::string_view text, size_t at) {
+  while (at < text.size() && in_name(text[at])) ++at;
+  return at;
+}
+
+size_t skip_number(std::string_view text, size_t at) {
+  while (at < text.size() && (in_name(text[at]) || text[at] == '.')) ++at;
+  return at;
+}
+
+// Takes the token that begins at `at`, and moves `at` past it. Empty: it is no name.
+std::string_view take_name(std::string_view text, size_t& at) {
+  const size_t begin = at;
+  const char first = text[at];
+  if (first == '"' || first == '`') {
+    at = skip_quoted(text, at);
+    return text.substr(begin + 1, std::max<size_t>(at - begin, 2) - 2);
+  }
+  if (starts_name(first)) {
+    at = skip_name(text, at);
+    return text.substr(begin, at - begin);
+  }
+  if (first == '\'')
+    at = skip_quoted(text, at);
+  else if (first >= '0' && first <= '9')
+    at = skip_number(text, at);
+  else
+    ++at;
+  return {};
+}
+
+std::optional<int64_t> group_of_schema(std::string_view schema) {
   const size_t underscore = schema.rfind('_');
-  if (underscore == std::string_view::npos || underscore == 0) return -1;
-  return whole_number(schema.substr(underscore + 1), INT64_MAX).value_or(-1);
+  if (underscore == std::string_view::npos || underscore == 0) return std::nullopt;
+  return whole_number(schema.substr(underscore + 1), INT64_MAX);
 }
 
 }  // namespace
 
-int64_t table_group(std::string_view s) {
-  bool behind_dot = false;  // a name there is a table or a column, no schema
-  for (size_t at = past_blanks(s, 0); at < s.size(); at = past_blanks(s, at)) {
-    const char c = s[at];
-    std::string_view name;
-    if (c == '\'') {
-      at = past_quoted(s, at);
-    } else if (c == '"' || c == '`') {
-      const size_t end = past_quoted(s, at);
-      name = s.substr(at + 1, std::max<size_t>(end - at, 2) - 2);
-      at = end;
-    } else if (starts_name(c)) {
-      const size_t begin = at;
-      while (at < s.size() && in_name(s[at])) ++at;
-      name = s.substr(begin, at - begin);
-    } else if (c >= '0' && c <= '9') {
-      while (at < s.size() && (in_name(s[at]) || s[at] == '.')) ++at;
-    } else {
-      ++at;
-    }
-    const bool first = !name.empty() && !behind_dot;
-    behind_dot = c == '.';
-    if (!first) continue;
-    const size_t next = past_blanks(s, at);
-    if (next >= s.size() || s[next] != '.' || same_name(name, "staging")) continue;
-    if (const int64_t group = group_of(name); group >= 0) return group;
+std::optional<int64_t> table_group(std::string_view statement) {
+  bool is_after_dot = false;  // a name there is a table or a column, no schema
+  for (size_t at = skip_blanks(statement, 0); at < statement.size(); at = skip_blanks(statement, at)) {
+    const bool is_dot = statement[at] == '.';
+    const std::string_view name = take_name(statement, at);
+    const bool may_be_schema = !name.empty() && !is_after_dot;
+    is_after_dot = is_dot;
+    if (!may_be_schema) continue;
+    const size_t next = skip_blanks(statement, at);
+    if (next >= statement.size() || statement[next] != '.' || same_name(name, "staging")) continue;
+    if (const auto group = group_of_schema(name)) return group;
   }
-  return -1;
+  return std::nullopt;
 }
 
 }  // namespace firvalve::proto
--- a/src/proto/store/http.h
+++ b/src/proto/store/http.h
@@ -1,35 +1,41 @@
-// HTTP/1.1 as the engines speak it: our calls, their answers, one at a time on a connection.
+// HTTP/1.1 as the engines speak it: the responses to our requests, one at a time on a connection.
 #pragma once
 
 #include <cstdint>
-#include <string>
+#include <optional>
+#include <string_view>
 
 #include "proto/inbox.h"
 
 namespace firvalve::proto {
 
-constexpr size_t kHttpHeadMost = 8 * 1024;  // bytes of an answer's head
-constexpr size_t kHttpBodyMost = 6000;      // bytes of an answer's body: the largest page
-
-struct HttpAnswer {
-  int status = 0;
-  bool not_begun = false, keeps = true;  // keeps: the connection may carry another call
-  int64_t pages = -1, page = -1;         // -1: not told
-  std::string_view note, value;          // slices, as the body
+constexpr size_t kMaxHttpHeadBytes = size_t{8} * 1024;
+constexpr size_t kMaxHttpBodyBytes = 6000;  // the largest page
+
+// The views are slices of what was read.
+struct HttpResponse {
+  int status = 0;                              // 0: no response that can be used
+  bool is_not_started = false;                 // Not-Begun: the query never ran
+  bool is_reusable = true;                     // the connection may carry another request
+  std::optional<int64_t> page_count;           // X-Sheets: of the result
+  std::optional<int64_t> page;                 // X-Sheet: the number of this one
+  std::string_view status_kind, status_value;  // Detail and X-Val: how the query fares
   std::string_view body;
 };
 
-// Reads one answer, past any 1xx ahead of it; wants reset() before the next.
-class HttpReader {
+// Reads one response, past any 1xx ahead of it; wants reset() before the next.
+class HttpResponseReader {
  public:
-  explicit HttpReader(size_t body_most = kHttpBodyMost) : body_most_(body_most) {}
-  Read next(Inbox& in, HttpAnswer& answer);  // slices are good until the inbox's next room()
-  void reset() { head_length_ = body_length_ = 0; }
+  explicit HttpResponseReader(size_t max_body_bytes = kMaxHttpBodyBytes) : max_body_bytes_(max_body_bytes) {}
+  Read next(Inbox& in, HttpResponse& response);  // the views are good until the inbox's next room()
+  void reset() { head_bytes_ = body_bytes_ = 0; }
 
  private:
-  Read read_head(std::string_view head, HttpAnswer& answer);
+  Read find_head(Inbox& in);
+  Read read_head(std::string_view head, HttpResponse& response);
+  bool read_content_length(std::string_view value, int status);
 
-  size_t body_most_, head_length_ = 0, body_length_ = 0;
+  size_t max_body_bytes_, head_bytes_ = 0, body_bytes_ = 0;
 };
 
 }  // namespace firvalve::proto
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -334,7 +334,7 @@
   EXPECT_EQ(merge({4}, "one", "insert one").outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert one"), 1);
   EXPECT_EQ(c.end(0), 0);
-  EXPECT_EQ(c.count(0, "counters", "record steps not written"),
+  EXPECT_EQ(c.count(0, "gateway.metrics", "record steps not written"),
             1u);  // its log could not be written meanwhile, either
 }
 
--- a/tests/gateway/endings_test.cpp
+++ b/tests/gateway/endings_test.cpp
@@ -224,7 +224,7 @@
   start(fleet_.config(address_));
   { Client first(address_); }  // it serves
   process_->signal(SIGTERM);
-  ASSERT_TRUE(counted("ending: everything taken"));
+  ASSERT_TRUE(counted("gateway.shutdown_started"));
   process_->signal(SIGSTOP);
   Client late(address_);
   late.send(command(1, "select 1"));
--- a/tests/proto/proto_test.cpp
+++ b/tests/proto/proto_test.cpp
@@ -5,8 +5,8 @@
 #include "proto/jsonrpc/reply.h"
 #include "proto/jsonrpc/rpc.h"
 #include "proto/statement.h"
+#include "proto/store/attempt_exchange.h"
 #include "proto/store/http.h"
-#include "proto/store/query.h"
 
 namespace firvalve::proto {
 namespace {
@@ -26,7 +26,7 @@
   return call;
 }
 
-Read feed(HttpReader& reader, Inbox& in, std::string_view bytes, HttpAnswer& answer) {
+Read feed(HttpResponseReader& reader, Inbox& in, std::string_view bytes, HttpResponse& answer) {
   in.add(bytes);
   return reader.next(in, answer);
 }
@@ -51,7 +51,8 @@
        {std::string("Content-Length: x\r\n\r\n"), std::string("Length: 3\r\n\r\nabc"),
         std::string("\r\n\r\n"), std::string("Content-Length: 999999999\r\n\r\n"),
         std::string("Content-Length: -1\r\n\r\n"), std::string("no colon\r\n\r\n"),
-        std::string(kRpcHeadMost, 'a'), std::string("Content-Length: 2\r\nContent-Length: 3\r\n\r\n{}")}) {
+        std::string(kMaxRpcHeadBytes, 'a'),
+        std::string("Content-Length: 2\r\nContent-Length: 3\r\n\r\n{}")}) {
     RpcFrames frames;
     Inbox in;
     std::span<char> body;
@@ -64,8 +65,8 @@
   const RpcCall call = read(kBody);
   ASSERT_EQ(call.kind, RpcCall::Kind::kCommand);
   EXPECT_EQ(call.id, 7);
-  EXPECT_EQ(call.timeout, 1500);
-  EXPECT_EQ(call.estimate, 820);
+  EXPECT_EQ(to_ms(call.timeout), 1500);
+  EXPECT_EQ(to_ms(call.estimate), 820);
   EXPECT_EQ(call.memory_mb, 96);
   EXPECT_EQ(call.statement, "select 1");
 }
@@ -76,7 +77,7 @@
     std::string body = kBody;
     const RpcCall call = read(body.replace(body.find("report"), 6, name));
     EXPECT_EQ(call.kind, RpcCall::Kind::kCommand) << name;
-    EXPECT_EQ(call.timeout, 1500) << name;
+    EXPECT_EQ(to_ms(call.timeout), 1500) << name;
   }
 }
 
@@ -91,8 +92,8 @@
        R"({"jsonrpc":"2.0","id":1,"method":"report","params":{"req":"9b1f03aa5c7e2d41","timeout":-1,"bytes":""}})"}) {
     const RpcCall call = read(body);
     EXPECT_EQ(call.kind, RpcCall::Kind::kInvalid) << body;
-    EXPECT_NE(call.code, kRpcShed) << body;
-    EXPECT_LT(call.code, -32000) << body;
+    EXPECT_NE(call.error_code, kRpcShed) << body;
+    EXPECT_LT(call.error_code, -32000) << body;
   }
 }
 
@@ -121,15 +122,15 @@
 }
 
 TEST(Http, AByteAtATimeGivesTheWholeAnswer) {
-  HttpReader reader;
+  HttpResponseReader reader;
   Inbox in;
-  HttpAnswer answer;
+  HttpResponse answer;
   const std::string bytes = "HTTP/1.1 200 OK\r\nx-sheets: 3\r\nContent-Length: 4\r\n\r\na\tb\n";
   for (size_t i = 0; i + 1 < bytes.size(); ++i)
     ASSERT_EQ(feed(reader, in, bytes.substr(i, 1), answer), Read::kMore);
   ASSERT_EQ(feed(reader, in, bytes.substr(bytes.size() - 1), answer), Read::kWhole);
   EXPECT_EQ(answer.status, 200);
-  EXPECT_EQ(answer.pages, 3);
+  EXPECT_EQ(answer.page_count, 3);
   EXPECT_EQ(answer.body, "a\tb\n");
   EXPECT_TRUE(in.text().empty());
 }
@@ -139,20 +140,21 @@
        {std::string("HTTP/2 200 OK\r\n\r\n"), std::string("HTTP/1.1 abc OK\r\n\r\n"),
         std::string("HTTP/1.1 200 OK\r\n\r\n"),
         std::string("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"),
-        std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"), std::string(kHttpHeadMost, 'x'),
+        std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        std::string(kMaxHttpHeadBytes, 'x'),
         std::string("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n"),
         std::string("HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n")}) {
-    HttpReader reader;
+    HttpResponseReader reader;
     Inbox in;
-    HttpAnswer answer;
+    HttpResponse answer;
     EXPECT_EQ(feed(reader, in, bytes, answer), Read::kBroken) << bytes.substr(0, 40);
   }
 }
 
 TEST(Http, AnswersAheadArePassedOver) {
-  HttpReader reader;
+  HttpResponseReader reader;
   Inbox in;
-  HttpAnswer answer;
+  HttpResponse answer;
   ASSERT_EQ(
       feed(reader, in,
            "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 202 Ac", answer),
@@ -161,23 +163,23 @@
   EXPECT_EQ(answer.status, 202);
 }
 
-HttpAnswer told(int status) {
-  HttpAnswer answer;
+HttpResponse told(int status) {
+  HttpResponse answer;
   answer.status = status;
   return answer;
 }
 
 TEST(Queries, AllPagesMakeTheAnswer) {
-  Query query;
-  EXPECT_EQ(query.handle(told(202)).next, Query::Next::kAsk);
-  HttpAnswer first = told(200);
-  first.pages = 2;
+  AttemptExchange query;
+  EXPECT_EQ(query.handle(told(202)).next, AttemptExchange::Next::kPoll);
+  HttpResponse first = told(200);
+  first.page_count = 2;
   first.body = "a\tb\tc\n";
-  EXPECT_EQ(query.handle(first).next, Query::Next::kAsk);
+  EXPECT_EQ(query.handle(first).next, AttemptExchange::Next::kPoll);
   std::string ask;
-  query.append_ask(ask, "9b1f03aa5c7e2d41", "h");
+  query.append_poll(ask, "9b1f03aa5c7e2d41", "h");
   EXPECT_TRUE(ask.starts_with("GET /v1/store/9b1f03aa5c7e2d41/1 HTTP/1.1\r\n"));
-  HttpAnswer second = told(200);
+  HttpResponse second = told(200);
   second.page = 1;
   second.body = "d\te\tf\n";
   EXPECT_EQ(query.handle(second).outcome, Outcome::kOk);
@@ -186,29 +188,29 @@
 
 TEST(Queries, OnlyNotBegunProvesThatNothingRan) {
   const auto step = [](int status, bool not_begun, bool to_start) {
-    Query query;
-    HttpAnswer answer = told(status);
-    answer.not_begun = not_begun;
+    AttemptExchange query;
+    HttpResponse answer = told(status);
+    answer.is_not_started = not_begun;
     return query.handle(answer, to_start);
   };
   EXPECT_EQ(step(503, true, true).outcome, Outcome::kFull);
   EXPECT_EQ(step(504, true, true).outcome, Outcome::kMoot);
   EXPECT_EQ(step(500, false, true).outcome, Outcome::kFailed);
   // Of a later call it says nothing: the query may run on.
-  EXPECT_EQ(step(503, true, false).next, Query::Next::kSpoilt);
-  EXPECT_EQ(step(504, true, false).next, Query::Next::kSpoilt);
+  EXPECT_EQ(step(503, true, false).next, AttemptExchange::Next::kUnusable);
+  EXPECT_EQ(step(504, true, false).next, AttemptExchange::Next::kUnusable);
 }
 
 TEST(Queries, WhatIsNoWholeAnswerIsAskedForAgain) {
   for (const int status : {0, 200, 204, 404, 503, 504})
-    EXPECT_EQ(Query().handle(told(status)).next, Query::Next::kSpoilt);
+    EXPECT_EQ(AttemptExchange().handle(told(status)).next, AttemptExchange::Next::kUnusable);
   for (const char* body :
        {"a\tb\tc", "a\tb\n", "a\tb\tc\td\n", "a\tb\t\x01\n", "a\tb\t\xff\n", "a\tb\t\xc3\n", "\n"}) {
-    Query query;
-    HttpAnswer answer = told(200);
-    answer.pages = 1;
+    AttemptExchange query;
+    HttpResponse answer = told(200);
+    answer.page_count = 1;
     answer.body = body;
-    EXPECT_EQ(query.handle(answer).next, Query::Next::kSpoilt) << body;
+    EXPECT_EQ(query.handle(answer).next, AttemptExchange::Next::kUnusable) << body;
     answer.body = "a\tb\t\xc3\xa9\n";
     EXPECT_EQ(query.handle(answer).outcome, Outcome::kOk);
     EXPECT_EQ(query.take_rows(), answer.body);
@@ -217,27 +219,27 @@
 
 TEST(Queries, AMissingOrWrongPageIsAskedForAgain) {
   for (const int64_t page : {-1, 0, 2}) {
-    Query query;
-    HttpAnswer first = told(200);
-    first.pages = 3;
+    AttemptExchange query;
+    HttpResponse first = told(200);
+    first.page_count = 3;
     query.handle(first);
-    HttpAnswer second = told(200);
+    HttpResponse second = told(200);
     second.page = page;
-    EXPECT_EQ(query.handle(second).next, Query::Next::kSpoilt);
+    EXPECT_EQ(query.handle(second).next, AttemptExchange::Next::kUnusable);
   }
 }
 
 TEST(Queries, NotesAreReadAndUnreadableOnesPassedOver) {
-  Query query;
-  HttpAnswer answer = told(202);
-  answer.note = "held";
-  answer.value = "2";
-  const Query::Step step = query.handle(answer);
-  EXPECT_TRUE(step.noted);
-  EXPECT_EQ(step.note, AttemptStatusKind::kWaits);
-  EXPECT_EQ(step.value, 2);
-  answer.value = "two";
-  EXPECT_FALSE(query.handle(answer).noted);
+  AttemptExchange query;
+  HttpResponse answer = told(202);
+  answer.status_kind = "held";
+  answer.status_value = "2";
+  const AttemptExchange::Step step = query.handle(answer);
+  ASSERT_TRUE(step.status);
+  EXPECT_EQ(step.status->kind, AttemptStatusKind::kWaits);
+  EXPECT_EQ(step.status->value, 2);
+  answer.status_value = "two";
+  EXPECT_FALSE(query.handle(answer).status);
 }
 
 std::optional<BusEvent> line(std::string text) { return read_bus_line({text.data(), text.size()}); }
@@ -264,7 +266,7 @@
     EXPECT_FALSE(line(text)) << text;
   Inbox in;
   std::span<char> out;
-  in.add(std::string(kBusLineMost + 1, ' '));
+  in.add(std::string(kMaxBusLineBytes + 1, ' '));
   EXPECT_EQ(next_line(in, out), Read::kBroken);
 }
 
@@ -273,20 +275,20 @@
   EXPECT_EQ(table_group("insert into \"sales_4\".\"orders\" values ('it''s log_9.x')"), 4);
   EXPECT_EQ(table_group("select 'old_1.t' /* at_2.t /* nested */ -- */ from -- no_3.t\n b_5.t"), 5);
   EXPECT_EQ(table_group("merge into staging.t_1 using x_6 . t"), 6);
-  EXPECT_EQ(table_group("select 1.5, t.c_7 from t"), -1);
+  EXPECT_EQ(table_group("select 1.5, t.c_7 from t"), std::nullopt);
   for (const char* text : {"", "'", "/*", "\"", "a_.b", "_1.b", "a_99999999999999999999.b", "a_1"})
-    EXPECT_EQ(table_group(text), -1) << text;
+    EXPECT_EQ(table_group(text), std::nullopt) << text;
 }
 
-TEST(Query, ANumberOfPagesThatNoResultCanHaveIsSpoilt) {
-  Query query;
-  HttpAnswer answer;
+TEST(AttemptExchange, ANumberOfPagesThatNoResultCanHaveIsSpoilt) {
+  AttemptExchange query;
+  HttpResponse answer;
   answer.status = 200;
-  answer.pages = 5000;
+  answer.page_count = 5000;
   answer.body = "a\tb\tc\n";
-  EXPECT_EQ(query.handle(answer).next, Query::Next::kSpoilt);
-  answer.pages = 2;
-  EXPECT_EQ(query.handle(answer).next, Query::Next::kAsk);
+  EXPECT_EQ(query.handle(answer).next, AttemptExchange::Next::kUnusable);
+  answer.page_count = 2;
+  EXPECT_EQ(query.handle(answer).next, AttemptExchange::Next::kPoll);
 }
 
 // ---- The clients' end of JSON-RPC ---------------------------------------------------------------
@@ -342,12 +344,12 @@
   EXPECT_EQ(call.kind, RpcCall::Kind::kCommand);
   EXPECT_EQ(call.profile, "a\"b");
   EXPECT_EQ(call.statement, "select 1");
-  EXPECT_EQ(call.first, "00000000000000a0");
-  EXPECT_EQ(call.timeout, 1500);
+  EXPECT_EQ(call.first_command, "00000000000000a0");
+  EXPECT_EQ(to_ms(call.timeout), 1500);
   ASSERT_EQ(frames.next(in, body), Read::kWhole);
   call = read_call(body);
   EXPECT_EQ(call.kind, RpcCall::Kind::kRevoke);
-  EXPECT_EQ(call.revoked, 5);
+  EXPECT_EQ(call.revoked_id, 5);
   ASSERT_EQ(frames.next(in, body), Read::kWhole);
   EXPECT_EQ(read_call(body).kind, RpcCall::Kind::kHeartbeat);
 }
