--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -1,448 +1,356 @@
 #include "core/core.h"
 
-#include <fmt/format.h>
-
 #include <algorithm>
 #include <utility>
 
 #include "core/settings.h"
+#include "policy/setting_keys.h"
 
 namespace firvalve {
-namespace {
-
-CommandId command_id(std::string_view text) {
-  CommandId id;
-  std::copy_n(text.begin(), std::min(text.size(), id.text.size()), id.text.begin());
-  return id;
-}
-std::string_view view(const std::array<char, 16>& id) { return {id.data(), id.size()}; }
-
-}  // namespace
-
-void Metrics::add(std::string_view what, std::string_view kind) {
-  std::string name(what);
-  if (!kind.empty()) name.append(" ").append(kind);
-  ++counts[name];
-}
-
-std::string Metrics::text() const {
-  std::string out = "counters";
-  for (const auto& [name, count] : counts) out += fmt::format("; {}: {}", name, count);
-  return out;
-}
 
-Core::Core(const Settings& settings, uint64_t seed, ResponseSink& front, EngineTransport& back,
-           Metrics& counters, LogSink say)
+Core::Core(const Settings& settings, uint64_t seed, ResponseSink& responses, EngineTransport& engines,
+           Metrics& metrics, EngineHealthObserver on_engine_health)
     : state_(open(settings, seed)),
-      profiles_(names_of(settings, "profile")),
-      front_(front),
-      back_(back),
-      counters_(counters),
-      say_(std::move(say)),
-      tick_(number(settings, "tick")),
-      may_cancel_(number(settings, "may cancel") > 0) {
-  double cores = 0, memory_mb = 0;
-  for (const auto& [name, value] : settings) {
-    if (name.starts_with("cores.")) cores = std::max(cores, number(settings, name));
-    if (name.starts_with("memory.")) memory_mb = std::max(memory_mb, number(settings, name));
-  }
-  // Where the settings do not tell what there is, any figure may be a client's.
-  const Ms longest = longest_timeout(settings);
-  if (longest > 0) most_timeout_ = 2 * longest;
-  if (longest * cores > 0) most_estimate_ = kRough * longest * cores;
-  if (memory_mb > 0) most_memory_mb_ = kRough * memory_mb;
-}
-
-Ms longest_timeout(const Settings& settings) {
-  Ms longest = 0;
-  for (size_t i = 0; i < names_of(settings, "profile").size(); ++i)
-    longest = std::max(longest, number(settings, fmt::format("profile.{}.client timeout", i)));
-  return longest;
-}
+      tick_(number(settings, setting::kTick)),
+      profiles_(names_of(settings, setting::kProfiles)),
+      limits_(settings),
+      may_cancel_(number(settings, setting::kMayCancel) > 0),
+      responses_(responses),
+      engines_(engines),
+      metrics_(metrics),
+      on_engine_health_(std::move(on_engine_health)) {}
 
-std::string_view Core::engine_name(uint32_t engine) const {
-  const auto at = listed_.find(engine);
-  return at == listed_.end() ? std::string_view() : at->second;
+const std::string& Core::profile_name(const PendingCommand& command) const {
+  return profiles_[static_cast<size_t>(command.profile)];
 }
 
-void Core::tell_observer(Ms now, CommandEvent::Kind kind, const Id& id, const Held& h, Reason reason,
-                         Outcome outcome, Ms took) const {
+void Core::notify_observer(TimePoint now, const PendingCommand& command, CommandEvent event) const {
   if (!observer_) return;
-  observer_(now, {kind, view(id), profiles_[static_cast<size_t>(h.profile)], engine_name(h.engine), h.sends,
-                  reason, outcome, took});
+  event.command = view_of(command.id);
+  event.profile = profile_name(command);
+  event.engine = directory_.name_of(command.engine);
+  event.attempts = command.attempt_count;
+  observer_(now, event);
 }
 
-void Core::handle_now(Ms now, const Event& event) {
-  now_ = now;
+void Core::handle_event(TimePoint now, const Event& event) {
+  last_event_at_ = now;
   handle(state_, now, event);
-  heard_ = true;
-}
-
-AdmissionResult Core::admit(Ms now, CallRef call, CommandRequest&& asked) {
-  const auto profile = std::find(profiles_.begin(), profiles_.end(), asked.profile);
-  if (profile == profiles_.end()) return AdmissionResult::kUnknownProfile;
-  // Guards the module's means against figures that no client of this deployment can have. It may cost one
-  // whose settings are long out of date.
-  if (asked.timeout > most_timeout_ || asked.estimate > most_estimate_ || asked.memory_mb > most_memory_mb_)
-    return AdmissionResult::kOutOfRange;
-  const int number_of_profile = static_cast<int>(profile - profiles_.begin());
-  if (!asked.first.empty() && join(now, call, asked, number_of_profile)) return AdmissionResult::kTaken;
-  const bool paged = asked.paged && shelf_;
-  if (paged && !asked.first.empty()) {
-    const ResultStore::Reservation wish{asked.owner,     asked.key,   asked.profile,
-                                        asked.statement, asked.first, asked.tables};
-    if ((found_ = shelf_->find(now, wish)) != 0) return AdmissionResult::kFound;
-  }
-  if (held_bytes_ + asked.statement.size() > most_held_) return AdmissionResult::kNoRoom;
-  const CommandId id = command_id(asked.command);
-  const auto [at, added] = held_.try_emplace(id.text);
-  if (!added) return AdmissionResult::kNotNew;
-  Held& h = at->second;
-  h.call = call;
-  h.statement = std::move(asked.statement);
-  held_bytes_ += h.statement.size();
-  h.profile = number_of_profile;
-  h.chain = asked.first.empty() ? id.text : command_id(asked.first).text;
-  if (h.chain != id.text) chains_[h.chain] = id.text;
-  h.gives_up_at = sooner(now + asked.timeout, closes_at_);
-  calls_[call] = {id.text};
-  counters_.add("taken", *profile);
-  Admitted t;
-  t.id = id;
-  t.profile = h.profile;
-  t.gives_up_at = h.gives_up_at;
-  t.estimate = asked.estimate;
-  t.memory_mb = asked.memory_mb;
-  t.tables = asked.tables;
-  t.repeat = !asked.first.empty();
-  tell_observer(now, CommandEvent::Kind::kAdmitted, id.text, h);
-  handle_now(now, t);
-  if (paged) {
-    h.paged = true;
-    h.owner = asked.owner;
-    h.key = asked.key;
-    h.tables = asked.tables;
-    if (!seek_place(now, at)) {
-      placeless_.push_back(id.text);
-      handle_now(now, ResultReservation{id, false});
-    }
-  }
-  return AdmissionResult::kTaken;
-}
-
-ResultStore::Reservation Core::wish_of(const Held& h) const {
-  return {h.owner, h.key, profiles_[static_cast<size_t>(h.profile)], h.statement, view(h.chain), h.tables};
+  has_new_events_ = true;
 }
 
-bool Core::seek_place(Ms now, HeldMap::iterator at) {
-  at->second.place = shelf_->reserve(now, wish_of(at->second));
-  return at->second.place != 0;
-}
-
-// In the order taken. One whose owner has no room leaves the turn to those behind it.
-void Core::room(Ms now) {
-  std::erase_if(placeless_, [&](const Id& id) {
-    const auto at = held_.find(id);
-    if (at == held_.end() || at->second.call == 0) return true;
-    if (!seek_place(now, at)) return false;
-    handle_now(now, ResultReservation{CommandId{id}, true});
-    return true;
-  });
-}
+// ---- Clients --------------------------------------------------------------------------------------
 
-ResultStore::Put Core::page(Ms now, uint64_t send, std::string_view rows) {
-  const auto at = sends_.find(send);
-  if (at == sends_.end()) return ResultStore::Put::kOutgrown;
-  const auto h = held_.find(at->second);
-  if (h->second.place == 0) return ResultStore::Put::kOutgrown;
-  const ResultStore::Put put = shelf_->page(now, h->second.place, rows);
-  if (put == ResultStore::Put::kOutgrown) {
-    h->second.place = 0;
-    give_up(now, h, "the result has outgrown the spool");
+AdmissionResult Core::admit(TimePoint now, CallId call, CommandRequest&& request) {
+  const auto profile = std::find(profiles_.begin(), profiles_.end(), request.profile);
+  if (profile == profiles_.end()) return AdmissionResult::kUnknownProfile;
+  if (!limits_.allow(request)) return AdmissionResult::kOutOfRange;
+  const int profile_number = static_cast<int>(profile - profiles_.begin());
+  const bool is_retry = !request.retry_of.empty();
+  if (is_retry && join_pending(now, call, request, profile_number)) return AdmissionResult::kAdmitted;
+  const bool paged = results_.applies_to(request);
+  if (is_retry && paged) {
+    found_result_ = results_.find(now, request);
+    if (found_result_) return AdmissionResult::kResultFound;
   }
-  return put;
-}
-
-// Its clients handle so, and the module gives up what is out.
-void Core::give_up(Ms now, HeldMap::iterator at, std::string_view why) {
-  counters_.add("failed", profiles_[static_cast<size_t>(at->second.profile)]);
-  tell(at->second, [&](CallRef call) { front_.fail(call, why); });
-  tell_observer(now, CommandEvent::Kind::kFailed, at->first, at->second);
-  const CommandId id{at->first};
-  finish(at);
-  handle_now(now, ClientGone{id});
-}
-
-// Guards against a second run of what is still in hand, when a client lost sight of it and says it again: it
+  if (!commands_.has_capacity_for(request.statement)) return AdmissionResult::kNoCapacity;
+  const CommandId id = command_id_of(request.command);
+  PendingCommand* const command =
+      commands_.add(id, call, is_retry ? command_id_of(request.retry_of) : id, std::move(request.statement));
+  if (!command) return AdmissionResult::kDuplicateId;
+  command->profile = profile_number;
+  command->deadline = now + request.timeout;
+  if (shutdown_ends_at_) command->deadline = std::min(command->deadline, *shutdown_ends_at_);
+  metrics_.add("commands admitted", *profile);
+  notify_observer(now, *command, {.kind = CommandEvent::Kind::kAdmitted});
+  tell_policy_admitted(now, *command, request);
+  if (paged && !results_.reserve(now, *command, *profile, request))
+    handle_event(now, ResultReservation{id, false});
+  return AdmissionResult::kAdmitted;
+}
+
+void Core::tell_policy_admitted(TimePoint now, const PendingCommand& command, const CommandRequest& request) {
+  Admitted admitted;
+  admitted.id = command.id;
+  admitted.profile = command.profile;
+  admitted.deadline = command.deadline;
+  if (request.estimated_work > Duration{}) admitted.estimated_work = request.estimated_work;
+  admitted.estimated_memory_mb = request.memory_mb;
+  if (request.table_group >= 0) admitted.table_group = request.table_group;
+  handle_event(now, admitted);
+}
+
+// Guards against a second run of what is still in hand, when a client lost sight of it and sends it again: it
 // runs once and each call gets the answer. Only the same statement of the same profile is the same command;
 // whoever can name both and the id could have read the answer anyway.
-bool Core::join(Ms now, CallRef call, const CommandRequest& asked, int profile) {
-  const Id chain = command_id(asked.first).text;
-  const auto repeat = chains_.find(chain);
-  const auto at = held_.find(repeat != chains_.end() ? repeat->second : chain);
-  if (at == held_.end() || at->second.call == 0) return false;
-  if (at->second.profile != profile || at->second.statement != asked.statement) return false;
-  if (at->second.paged != (asked.paged && shelf_) || at->second.key != asked.key) return false;
-  at->second.joined.push_back(call);
-  calls_[call] = {at->first};
-  counters_.add("joined", profiles_[static_cast<size_t>(profile)]);
-  review_clients(now, at->first);
+bool Core::join_pending(TimePoint now, CallId call, const CommandRequest& request, int profile) {
+  PendingCommand* const command = commands_.find_in_chain(command_id_of(request.retry_of));
+  if (!command) return false;
+  if (command->profile != profile || command->statement != request.statement) return false;
+  if (command->paged != results_.applies_to(request) || command->result_key != request.result_key)
+    return false;
+  commands_.join(*command, call);
+  metrics_.add("retries joined", profile_name(*command));
+  update_half_closed(now, *command);
   return true;
 }
 
-CallRef Core::call_of(std::string_view command) const {
-  const auto at = held_.find(command_id(command).text);
-  return at == held_.end() ? 0 : at->second.call;
+std::optional<CallId> Core::find_call(std::string_view command) const {
+  const PendingCommand* const found = commands_.find(command_id_of(command));
+  return found ? found->call : std::nullopt;
 }
 
-void Core::client_gone(Ms now, CallRef call) {
-  const auto at = calls_.find(call);
-  if (at == calls_.end()) return;
-  const CommandId id{at->second.id};
-  Held& h = held_.at(id.text);
-  counters_.add("given up by client", profiles_[static_cast<size_t>(h.profile)]);
-  if (!h.joined.empty()) {  // the others still wait for it
-    if (h.call == call)
-      h.call = h.joined.back(), h.joined.pop_back();
+void Core::client_gone(TimePoint now, CallId call) {
+  PendingCommand* const command = commands_.find_by_call(call);
+  if (!command) return;
+  metrics_.add("given up by client", profile_name(*command));
+  if (!command->joined_retries.empty()) {  // the others still wait for it
+    commands_.leave(*command, call);
+    return update_half_closed(now, *command);
+  }
+  notify_observer(now, *command, {.kind = CommandEvent::Kind::kClientGone});
+  finish(*command);
+  handle_event(now, ClientGone{command->id});
+}
+
+void Core::client_half_closed(TimePoint now, CallId call) {
+  PendingCommand* const command = commands_.find_by_call(call);
+  if (!command) return;
+  commands_.half_close(call);
+  update_half_closed(now, *command);
+}
+
+// The policy learns whether any client is sure to be there still.
+void Core::update_half_closed(TimePoint now, PendingCommand& command) {
+  bool all_half_closed = true;
+  command.for_each_call([&](CallId call) { all_half_closed &= commands_.is_half_closed(call); });
+  if (all_half_closed == command.half_closed) return;
+  command.half_closed = all_half_closed;
+  handle_event(now, ClientHalfClosed{command.id, all_half_closed});
+}
+
+// ---- Engines --------------------------------------------------------------------------------------
+
+void Core::update_engine_list(TimePoint now, bool full, std::vector<NamedEngineInfo> engines,
+                              std::optional<TimePoint> current_at) {
+  EngineListUpdate update;
+  update.is_complete = full;
+  update.current_at = current_at;
+  std::map<EngineId, std::string> present;
+  for (NamedEngineInfo& engine : engines) {
+    engine.info.engine = directory_.number_of(engine.name);
+    update.engines.push_back(engine.info);
+    engines_.update_engine(now, to_number(engine.info.engine), engine.address, engine.info.state);
+    if (engine.info.state == EngineState::kRemoved)
+      directory_.remove(engine.info.engine, engine.name);
     else
-      std::erase(h.joined, call);
-    calls_.erase(at);
-    return review_clients(now, id.text);
+      present[engine.info.engine] = engine.name;
   }
-  tell_observer(now, CommandEvent::Kind::kClientGone, id.text, h);
-  finish(held_.find(id.text));
-  handle_now(now, ClientGone{id});
-}
-
-void Core::half_closed(Ms now, CallRef call) {
-  const auto at = calls_.find(call);
-  if (at == calls_.end()) return;
-  at->second.half_closed = true;
-  review_clients(now, at->second.id);
+  if (full)
+    directory_.replace_all(std::move(present), [&](EngineId engine) {
+      engines_.update_engine(now, to_number(engine), {}, EngineState::kRemoved);
+    });
+  else
+    directory_.add(present);
+  handle_event(now, update);
+}
+
+bool Core::may_start_attempt(TimePoint now, AttemptId attempt) const {
+  const PendingCommand* const command = commands_.find_by_attempt(attempt);
+  return command && !command->is_finished() && now < command->deadline &&
+         firvalve::may_start_attempt(state_, command->id, now);
+}
+
+void Core::attempt_status_received(TimePoint now, AttemptId attempt, AttemptStatusKind kind, double value) {
+  const PendingCommand* const command = commands_.find_by_attempt(attempt);
+  if (!command) return;
+  metrics_.add("attempt statuses received");
+  handle_event(now, AttemptStatus{command->id, command->attempt_count - 1, kind, value});
+}
+
+ResultStore::AppendResult Core::append_page(TimePoint now, AttemptId attempt, std::string_view rows) {
+  PendingCommand* const command = commands_.find_by_attempt(attempt);
+  if (!command || !command->result) return ResultStore::AppendResult::kOutOfSpace;
+  const ResultStore::AppendResult appended = results_.append_page(now, *command, rows);
+  if (appended == ResultStore::AppendResult::kOutOfSpace) fail_out_of_space(now, *command);
+  return appended;
+}
+
+void Core::attempt_finished(TimePoint now, AttemptId attempt, Outcome outcome, std::string rows) {
+  PendingCommand* const command = commands_.end_attempt(attempt);
+  if (!command) return;
+  const Duration duration = now - command->attempt_started_at;
+  metrics_.add("attempts finished", name_of(outcome));
+  notify_observer(now, *command,
+                  {.kind = CommandEvent::Kind::kAttemptFinished, .outcome = outcome, .duration = duration});
+  AttemptFinished event;
+  event.id = command->id;
+  event.attempt = command->attempt_count - 1;
+  event.outcome = outcome;
+  event.elapsed = duration;
+  if (command->is_finished()) {
+    event.is_command_finished = true;
+    commands_.release(*command);
+  } else if (outcome == Outcome::kOk) {
+    event.is_command_finished = true;
+    answer(now, *command, rows);
+  } else {
+    results_.clear_pages(now, *command);  // no page has been given out: another attempt may start over
+  }
+  handle_event(now, event);
 }
 
-void Core::review_clients(Ms now, const Id& id) {
-  Held& h = held_.at(id);
-  bool all = true;
-  tell(h, [&](CallRef call) { all &= calls_.at(call).half_closed; });
-  if (all == h.half_closed) return;
-  h.half_closed = all;
-  handle_now(now, ClientHalfClosed{CommandId{id}, all});
-}
+// ---- The end of a command -------------------------------------------------------------------------
 
-bool Core::may_begin(Ms now, uint64_t send) const {
-  const auto at = sends_.find(send);
-  if (at == sends_.end()) return false;
-  const Held& h = held_.at(at->second);
-  return h.call != 0 && now < h.gives_up_at && firvalve::may_begin(state_, CommandId{at->second}, now);
+void Core::answer(TimePoint now, PendingCommand& command, std::string_view rows) {
+  metrics_.add("answered", profile_name(command));
+  if (command.paged) {
+    const ResultHandle result = results_.complete(now, command);
+    command.for_each_call([&](CallId call) { responses_.answer_paged(call, result); });
+    command.result.reset();  // the store's own from here on
+  } else {
+    command.for_each_call([&](CallId call) { responses_.answer(call, rows); });
+  }
+  notify_observer(now, command, {.kind = CommandEvent::Kind::kAnswered});
+  finish(command);
+}
+
+// As the policy has decided: it has been told of all there is to know.
+void Core::end_unserved(TimePoint now, PendingCommand& command, const Action& action) {
+  const bool is_shed = action.kind == Action::Kind::kShedCommand;
+  metrics_.add(is_shed ? "shed" : "failed", profile_name(command));
+  metrics_.add("commands ended unserved:", name_of(action.reason));
+  notify_observer(
+      now, command,
+      {.kind = is_shed ? CommandEvent::Kind::kShed : CommandEvent::Kind::kFailed, .reason = action.reason});
+  command.for_each_call([&](CallId call) {
+    is_shed ? responses_.shed(call, action.retry_after) : responses_.fail(call, "failed");
+  });
+  if (!command.is_finished()) finish(command);
 }
 
-void Core::finish(HeldMap::iterator at) {
-  tell(at->second, [&](CallRef call) { calls_.erase(call); });
-  at->second.call = 0;
-  at->second.joined.clear();
-  if (at->second.place != 0)
-    shelf_->drop(now_, std::exchange(at->second.place, 0));
-  else if (at->second.paged)
-    std::erase(placeless_, at->first);
-  if (const auto chain = chains_.find(at->second.chain); chain != chains_.end() && chain->second == at->first)
-    chains_.erase(chain);
-  if (at->second.send == 0) erase(at);
+// The policy learns that no client waits any more, and cancels the attempt that is out.
+void Core::fail_out_of_space(TimePoint now, PendingCommand& command) {
+  metrics_.add("failed", profile_name(command));
+  command.for_each_call([&](CallId call) { responses_.fail(call, "the result has outgrown the spool"); });
+  notify_observer(now, command, {.kind = CommandEvent::Kind::kFailed});
+  finish(command);
+  handle_event(now, ClientGone{command.id});
 }
 
-void Core::erase(HeldMap::iterator at) {
-  held_bytes_ -= at->second.statement.size();
-  std::string().swap(at->second.statement);
-  done_.push_back(at->first);
+void Core::finish(PendingCommand& command) {
+  results_.forget(last_event_at_, command);
+  commands_.finish(command);
 }
 
-// Gateways must agree on the order of engines, so the number comes from the name alone: its eight hex digits,
-// or else a hash of it.
-uint32_t Core::number_of(const std::string& name) {
-  const auto known = numbers_.find(name);
-  if (known != numbers_.end()) return known->second;
-  const std::string digits = name.substr(name.rfind('-') + 1);
-  uint32_t number = 2166136261u;
-  if (digits.size() == 8 && digits.find_first_not_of("0123456789abcdef") == std::string::npos) {
-    number = static_cast<uint32_t>(std::stoul(digits, nullptr, 16));
-  } else {
-    for (const char c : name) number = (number ^ static_cast<unsigned char>(c)) * 16777619u;
-  }
-  while (!numbers_in_use_.insert(number).second) ++number;
-  return numbers_[name] = number;
-}
+// ---- The result store and the process -------------------------------------------------------------
 
-void Core::forget_number(const std::string& name) {
-  const auto known = numbers_.find(name);
-  if (known == numbers_.end()) return;
-  numbers_in_use_.erase(known->second);
-  numbers_.erase(known);
+void Core::result_space_available(TimePoint now) {
+  results_.retry_waiting(
+      now, [&](const PendingCommand& command) -> std::string_view { return profile_name(command); },
+      [&](const PendingCommand& command) {
+        handle_event(now, ResultReservation{command.id, true});
+      });
 }
 
-void Core::roster(Ms now, bool full, std::vector<NamedEngineInfo> listings, Ms current_at) {
-  EngineListUpdate r;
-  r.full = full;
-  r.current_at = current_at;
-  std::map<uint32_t, std::string> kept;
-  for (NamedEngineInfo& l : listings) {
-    l.listing.engine = number_of(l.name);
-    r.listings.push_back(l.listing);
-    back_.list(now, l.listing.engine, l.address, l.listing.life);
-    if (l.listing.life != EngineState::kGone) kept[l.listing.engine] = l.name;
-    if (l.listing.life != EngineState::kGone) continue;
-    listed_.erase(l.listing.engine);
-    forget_number(l.name);
-  }
-  if (full) {
-    for (const auto& [engine, name] : listed_) {
-      if (kept.count(engine)) continue;
-      back_.list(now, engine, {}, EngineState::kGone);
-      forget_number(name);
-    }
-    listed_.clear();
-  }
-  listed_.insert(kept.begin(), kept.end());
-  handle_now(now, r);
+void Core::begin_shutdown(TimePoint now, TimePoint ends_at) {
+  shutdown_ends_at_ = ends_at;
+  commands_.for_each(
+      [&](PendingCommand& command) { command.deadline = std::min(command.deadline, ends_at); });
+  deadline_check_at_ = earlier_of<TimePoint>(deadline_check_at_, ends_at);
+  handle_event(now, ShutdownStarted{ends_at});
 }
 
-void Core::noted(Ms now, uint64_t send, AttemptStatusKind kind, double value) {
-  const auto at = sends_.find(send);
-  if (at == sends_.end()) return;
-  counters_.add("noted");
-  handle_now(now, AttemptStatus{CommandId{at->second}, held_.at(at->second).sends - 1, kind, value});
-}
+// ---- Decisions ------------------------------------------------------------------------------------
 
-void Core::ended(Ms now, uint64_t send, Outcome outcome, std::string rows) {
-  const auto at = sends_.find(send);
-  if (at == sends_.end()) return;
-  const Id id = at->second;
-  sends_.erase(at);
-  const auto h = held_.find(id);
-  counters_.add("sends ended", name_of(outcome));
-  AttemptFinished s;
-  s.id = CommandId{id};
-  s.send = h->second.sends - 1;
-  s.outcome = outcome;
-  s.took = now - h->second.sent_at;
-  h->second.send = 0;
-  tell_observer(now, CommandEvent::Kind::kAttemptEnded, id, h->second, Reason::kNone, outcome, s.took);
-  if (outcome == Outcome::kOk && h->second.call != 0) {
-    counters_.add("answered", profiles_[static_cast<size_t>(h->second.profile)]);
-    if (h->second.paged) {
-      shelf_->whole(now, h->second.place);
-      tell(h->second, [&](CallRef call) { front_.answer_paged(call, h->second.place); });
-      h->second.place = 0;  // the shelf's own from here on
-    } else {
-      tell(h->second, [&](CallRef call) { front_.answer(call, rows); });
-    }
-    tell_observer(now, CommandEvent::Kind::kAnswered, id, h->second);
-    finish(h);
-    s.finished = true;
-  } else if (h->second.call == 0) {
-    s.finished = true;
-    erase(h);
-  } else if (h->second.place != 0) {
-    shelf_->clear(now, h->second.place);  // nothing of it has been given out: another send may make it anew
-  }
-  handle_now(now, s);
+void Core::decide(TimePoint now) {
+  cancel_past_deadline(now);
+  fire_timers(now);
+  if (!has_new_events_ || now < decided_at_ + tick_) return;
+  has_new_events_ = false;
+  decided_at_ = now;
+  actions_.clear();
+  firvalve::decide(state_, now, actions_);
+  for (const Action& action : actions_) carry_out(now, action);
+  commands_.erase_released();
 }
 
-void Core::closing(Ms now, Ms at) {
-  closes_at_ = at;
-  for (auto& [id, h] : held_) h.gives_up_at = std::min(h.gives_up_at, at);
-  look_at_ = sooner(look_at_, at);
-  handle_now(now, ShutdownStarted{at});
+std::optional<TimePoint> Core::next_due() const {
+  std::optional<TimePoint> due = deadline_check_at_;
+  if (!timers_.empty()) due = earlier_of<TimePoint>(due, *timers_.begin());
+  if (has_new_events_) due = earlier_of<TimePoint>(due, decided_at_ + tick_);
+  return due;
 }
 
 // An attempt ends at its client's deadline at the latest, whatever its engine says.
-void Core::end_overdue(Ms now) {
-  if (look_at_ == 0 || now < look_at_) return;
-  look_at_ = 0;
-  for (auto& [id, h] : held_) {
-    if (h.send == 0 || h.overdue) continue;
-    if (now >= h.gives_up_at) {
-      h.overdue = true;
-      tell_observer(now, CommandEvent::Kind::kAttemptCancelled, id, h, Reason::kDeadlineOver);
-      back_.withdraw(now, h.send, Outcome::kTimedOut);
-    } else {
-      look_at_ = sooner(look_at_, h.gives_up_at);
+void Core::cancel_past_deadline(TimePoint now) {
+  if (!deadline_check_at_ || now < *deadline_check_at_) return;
+  deadline_check_at_.reset();
+  commands_.for_each([&](PendingCommand& command) {
+    if (!command.attempt || command.past_deadline) return;
+    if (now < command.deadline) {
+      deadline_check_at_ = earlier_of<TimePoint>(deadline_check_at_, command.deadline);
+      return;
     }
-  }
+    command.past_deadline = true;
+    notify_observer(now, command,
+                    {.kind = CommandEvent::Kind::kAttemptCancelled, .reason = Reason::kDeadlineExceeded});
+    engines_.cancel_attempt(now, *command.attempt, Outcome::kTimedOut);
+  });
 }
 
-void Core::turn(Ms now) {
-  end_overdue(now);
-  for (; !bells_.empty() && bells_.begin()->first <= now; bells_.erase(bells_.begin()))
-    handle_now(now, TimerFired{bells_.begin()->second});
-  if (!heard_ || now < decided_at_ + tick_) return;
-  heard_ = false;
-  decided_at_ = now;
-  actions_.clear();
-  decide(state_, now, actions_);
-  for (const Action& a : actions_) carry_out(now, a);
-  for (const Id& id : done_) held_.erase(id);
-  done_.clear();
+void Core::fire_timers(TimePoint now) {
+  for (; !timers_.empty() && *timers_.begin() <= now; timers_.erase(timers_.begin()))
+    handle_event(now, TimerFired{});
 }
 
-void Core::carry_out(Ms now, const Action& a) {
-  if (a.kind == Action::Kind::kBell) {
-    bells_.emplace(now + a.wait, static_cast<uint64_t>(a.number));
+void Core::carry_out(TimePoint now, const Action& action) {
+  using Kind = Action::Kind;
+  if (action.kind == Kind::kSetTimer) {
+    timers_.insert(now + action.timer_delay);
     return;
   }
-  if (a.kind == Action::Kind::kLog) {
-    return say_(a.text, std::string(engine_name(a.engine)));
-  }
-  const auto at = held_.find(a.id.text);
-  if (at == held_.end()) return;
-  Held& h = at->second;
-  const std::string& profile = profiles_[static_cast<size_t>(h.profile)];
-  switch (a.kind) {
-    case Action::Kind::kSend: {
-      counters_.add(h.sends > 0 ? "sent again" : "sent", profile);
-      h.send = ++last_send_;
-      h.sends += 1;
-      h.sent_at = now;
-      h.overdue = false;
-      h.engine = a.engine;
-      tell_observer(now, CommandEvent::Kind::kAttemptStarted, at->first, h);
-      sends_[h.send] = at->first;
-      look_at_ = sooner(look_at_, h.gives_up_at);
-      back_.start(now, {h.send, a.engine, view(at->first), profile, h.statement, h.gives_up_at, h.priority,
-                        h.paged, may_cancel_});
-      break;
-    }
-    case Action::Kind::kWithdraw:
-      if (h.send == 0 || a.number != h.sends - 1) break;
-      counters_.add("withdrawn", profile);
-      counters_.add("attempts cancelled:", name_of(a.reason));
-      tell_observer(now, CommandEvent::Kind::kAttemptCancelled, at->first, h, a.reason);
-      back_.withdraw(now, h.send, Outcome::kCancelled);
-      break;
-    case Action::Kind::kRank:
-      h.priority = a.number;
-      if (h.send != 0) back_.rank(now, h.send, a.number);
-      break;
-    case Action::Kind::kShed:
-    case Action::Kind::kFail:
-      counters_.add(a.kind == Action::Kind::kShed ? "shed" : "failed", profile);
-      counters_.add("commands ended unserved:", name_of(a.reason));
-      tell_observer(now,
-                    a.kind == Action::Kind::kShed ? CommandEvent::Kind::kShed : CommandEvent::Kind::kFailed,
-                    at->first, h, a.reason);
-      tell(h, [&](CallRef call) {
-        a.kind == Action::Kind::kShed ? front_.shed(call, a.wait) : front_.fail(call, "failed");
-      });
-      if (h.call != 0) finish(at);
-      break;
-    default:
-      break;
+  if (action.kind == Kind::kLogEngineHealth)
+    return on_engine_health_({directory_.name_of(action.engine), action.health});
+  PendingCommand* const command = commands_.find(action.command);
+  if (!command) return;
+  switch (action.kind) {
+    case Kind::kStartAttempt:
+      return start_attempt(now, *command, action.engine);
+    case Kind::kCancelAttempt:
+      return cancel_attempt(now, *command, action);
+    case Kind::kSetSchedulingHints:
+      return set_priority(now, *command, action.priority);
+    case Kind::kShedCommand:
+    case Kind::kFailCommand:
+      return end_unserved(now, *command, action);
+    case Kind::kSetTimer:
+    case Kind::kLogEngineHealth:
+      return;  // of no command
   }
 }
 
-Ms Core::next_due() const {
-  Ms due = sooner(look_at_, bells_.empty() ? 0 : bells_.begin()->first);
-  if (heard_) due = sooner(due, decided_at_ + tick_);
-  return due;
+void Core::start_attempt(TimePoint now, PendingCommand& command, EngineId engine) {
+  const std::string& profile = profile_name(command);
+  metrics_.add(command.attempt_count > 0 ? "retries started" : "first attempts started", profile);
+  const AttemptId attempt = commands_.start_attempt(now, command, engine);
+  notify_observer(now, command, {.kind = CommandEvent::Kind::kAttemptStarted});
+  deadline_check_at_ = earlier_of<TimePoint>(deadline_check_at_, command.deadline);
+  engines_.start_attempt(now, {attempt, to_number(engine), view_of(command.id), profile, command.statement,
+                               command.deadline, command.priority, command.paged, may_cancel_});
+}
+
+void Core::cancel_attempt(TimePoint now, PendingCommand& command, const Action& action) {
+  if (!command.attempt || action.attempt != command.attempt_count - 1) return;
+  metrics_.add("attempts cancelled", profile_name(command));
+  metrics_.add("attempts cancelled:", name_of(action.reason));
+  notify_observer(now, command, {.kind = CommandEvent::Kind::kAttemptCancelled, .reason = action.reason});
+  engines_.cancel_attempt(now, *command.attempt, Outcome::kCancelled);
+}
+
+void Core::set_priority(TimePoint now, PendingCommand& command, int priority) {
+  command.priority = priority;
+  if (command.attempt) engines_.set_priority(now, *command.attempt, priority);
 }
 
 }  // namespace firvalve
--- a/src/gateway/event_log.cpp
+++ b/src/gateway/event_log.cpp
@@ -48,8 +48,12 @@
         {{"component", "gateway"}, {"by_ms", fmt::format("{:.0f}", to_ms(step))}});
 }
 
-void EventLog::log_policy_message(const std::string& text, const std::string& engine) {
-  write(Level::kWarning, text, {{"component", "policy"}, {"engine", engine}});
+void EventLog::log_engine_health_change(const EngineHealthChange& change) {
+  const bool is_ejected = change.health != EngineHealth::kReinstated;
+  write(Level::kWarning, is_ejected ? "engine.ejected" : "engine.reinstated",
+        {{"component", "policy"},
+         {"engine", std::string(change.engine)},
+         {"reason", is_ejected ? std::string(name_of(change.health)) : std::string()}});
 }
 
 void EventLog::log_damaged_segments(const results::SegmentFiles& files) {
@@ -90,18 +94,18 @@
   }
 }
 
-void EventLog::log_command_event(Ms now, const CommandEvent& event) {
+void EventLog::log_command_event(TimePoint now, const CommandEvent& event) {
   log_.write(
-      now, Level::kDebug, name_of(event.kind),
+      to_ms(now), Level::kDebug, name_of(event.kind),
       {{"component", "command"},
        {"command", std::string(event.command)},
        {"profile", std::string(event.profile)},
        {"engine", std::string(event.engine)},
-       {"attempt", std::to_string(event.attempt)},
-       {"outcome", event.kind == CommandEvent::Kind::kAttemptEnded ? std::string(name_of(event.outcome))
-                                                                   : std::string()},
+       {"attempt", std::to_string(event.attempts)},
+       {"outcome", event.kind == CommandEvent::Kind::kAttemptFinished ? std::string(name_of(event.outcome))
+                                                                      : std::string()},
        {"reason", std::string(name_of(event.reason))},
-       {"took_ms", fmt::format("{:.1f}", event.took)}});
+       {"took_ms", fmt::format("{:.1f}", to_ms(event.duration.value_or(Duration::zero())))}});
 }
 
 net::ConnectionObserver EventLog::connection_observer(const char* component) {
@@ -116,7 +120,7 @@
 }
 
 void EventLog::observe(Core& core, net::ClientServer& clients, net::EngineConnections& engines) {
-  core.observe([this](Ms now, const CommandEvent& event) {
+  core.set_observer([this](TimePoint now, const CommandEvent& event) {
     if (log_.level() == Level::kDebug) log_command_event(now, event);
   });
   clients.observe(connection_observer("client_server"));
--- a/src/gateway/event_log.h
+++ b/src/gateway/event_log.h
@@ -31,7 +31,7 @@
   void log_config_rejected(std::string_view reason);  // the configuration before it stays in force
   void log_metrics(const Metrics& metrics);
   void log_wall_clock_step(Duration step);
-  void log_policy_message(const std::string& text, const std::string& engine);
+  void log_engine_health_change(const EngineHealthChange& change);
   void log_damaged_segments(const results::SegmentFiles& files);
   void log_endpoint_change(const net::EndpointChange& change);
   void log_unreadable_event(std::string_view line);
@@ -40,7 +40,7 @@
   void observe(Core& core, net::ClientServer& clients, net::EngineConnections& engines);
 
  private:
-  void log_command_event(Ms now, const CommandEvent& event);
+  void log_command_event(TimePoint now, const CommandEvent& event);
   net::ConnectionObserver connection_observer(const char* component);
 
   log::Log& log_;
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -75,7 +75,7 @@
   if (parts.result_store) parts.result_store->due(to_ms(now));
   parts.clients.run_due(now);
   if (parts.cluster) parts.cluster->due(to_ms(now));
-  parts.core.turn(to_ms(now));
+  parts.core.decide(now);
 }
 
 std::optional<TimePoint> optional_time_of(Ms time) {
@@ -90,7 +90,7 @@
   due = earlier_of(due, optional_time_of(parts.log.next_due()));
   due = earlier_of(due, parts.clients.next_due());
   due = earlier_of(due, parts.engines.next_due());
-  return earlier_of(due, optional_time_of(parts.core.next_due()));
+  return earlier_of(due, parts.core.next_due());
 }
 
 }  // namespace
@@ -128,10 +128,8 @@
           event_log.write(level, event, fields);
         });
   Core core(settings, config.seed, cluster ? static_cast<ResponseSink&>(*cluster) : clients, engines, metrics,
-            [&](const std::string& text, const std::string& engine) {
-              event_log.log_policy_message(text, engine);
-            });
-  core.limit(static_cast<size_t>(kStatementShare * memory_bytes));
+            [&](const EngineHealthChange& change) { event_log.log_engine_health_change(change); });
+  core.set_max_statement_bytes(static_cast<size_t>(kStatementShare * memory_bytes));
   engines.set_core(core);
   if (cluster) {
     cluster->serve(core);
@@ -142,9 +140,9 @@
   results::PagedResultStore* const result_store = result_store_wiring.store();
   if (result_store) {
     engines.set_max_page_bytes(static_cast<size_t>(operator_config.spool.page_kb * 1000));
-    core.shelve(*result_store);
+    core.set_result_store(*result_store);
     clients.set_result_store(*result_store);
-    result_store->on_room = [&core](Ms now) { core.room(now); };
+    result_store->on_room = [&core](Ms now) { core.result_space_available(time_point_of(now)); };
   }
   event_log.observe(core, clients, engines);
 
@@ -164,7 +162,7 @@
 
   // Signals.
   Shutdown shutdown({core, clients, event_log, cluster.get(), result_store},
-                    duration_of(longest_timeout(settings)));
+                    longest_client_timeout(settings).value_or(Duration::zero()));
   ConfigReloader reloader(operator_file, loop, endpoint_watcher, log, event_log, metrics);
   net::Signals signals(loop, [&](int signal_number) {
     switch (signal_number) {
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr size_t kMaxUnsentBytes = size_t{128} * 1024;  // of answers: past it a client's requests are not read
+constexpr size_t kMaxUnsentBytes =
+    size_t{128} * 1024;  // of answers: past it a client's requests are not read
 // Of a lingering close, for the client's own end. A client that is rejected is closed within 3 s in all.
 constexpr Duration kMaxLinger = 500ms;
 
@@ -113,7 +114,7 @@
 bool ClientConnection::keeps_half_open() {
   is_peer_done_ = true;
   const TimePoint now = loop_.now();
-  for (const auto& [id, call] : open_calls_) server_.core_->half_closed(to_ms(now), call);
+  for (const auto& [id, call] : open_calls_) server_.core_->client_half_closed(now, call);
   return !open_calls_.empty() || unsent_bytes() > 0;
 }
 
@@ -177,7 +178,7 @@
   return true;
 }
 
-void ClientConnection::open_call(CallRef call, int64_t id, std::string_view key) {
+void ClientConnection::open_call(CallId call, int64_t id, std::string_view key) {
   add_call(id, call);
   server_.open_calls_[call] = {this, id, std::string(key)};
 }
@@ -185,11 +186,13 @@
 // Only what came over this connection: nobody revokes another's command.
 void ClientConnection::handle_revoke(const proto::RpcCall& request) {
   const auto at = open_calls_.find(request.revoked_id);
-  const CallRef call = at != open_calls_.end() ? at->second : server_.core_->call_of(request.command);
-  const auto open = server_.open_calls_.find(call);
+  const std::optional<CallId> call =
+      at != open_calls_.end() ? at->second : server_.core_->find_call(request.command);
+  if (!call) return;
+  const auto open = server_.open_calls_.find(*call);
   if (open == server_.open_calls_.end() || open->second.connection != this) return;
-  server_.close_call(call);
-  server_.handle_client_gone(loop_.now(), call);
+  server_.close_call(*call);
+  server_.handle_client_gone(loop_.now(), *call);
 }
 
 bool ClientConnection::is_cluster_call_valid(const proto::RpcCall& call, std::string& out) {
@@ -197,7 +200,7 @@
     refuse(call, out, proto::kRpcNoMethod, "no such method");
     return false;
   }
-  if (call.name.empty() || call.name.size() > kFleetNameMost) {
+  if (call.name.empty() || call.name.size() > kMaxClusterNameBytes) {
     refuse(call, out, proto::kRpcBadParams, "name is not 1 to 128 bytes");
     return false;
   }
@@ -206,11 +209,11 @@
 
 void ClientConnection::handle_topic(const proto::RpcCall& request, std::string& out) {
   if (!is_cluster_call_valid(request, out) || !can_open(request, out)) return;
-  const CallRef call = ++server_.last_call_;
+  const CallId call = server_.next_call();
   open_call(call, request.id);
-  server_.cluster_->bulletin(
-      to_ms(loop_.now()), request.profile, request.name, request.statement, to_ms(request.timeout),
-      [&server = server_, call](const ClusterRequests::ClusterReply& reply) { server.reply(call, reply); });
+  server_.cluster_->handle_topic_request(
+      loop_.now(), request.profile, request.name, request.statement, request.timeout,
+      [&server = server_, call](const ClusterRequests::Reply& reply) { server.reply(call, reply); });
 }
 
 // None: it was refused.
@@ -218,22 +221,22 @@
   CommandRequest request;
   request.command = call.command;
   request.profile = call.profile;
-  request.tables = proto::table_group(call.statement).value_or(-1);
+  request.table_group = proto::table_group(call.statement).value_or(-1);
   request.statement = std::move(call.statement);
   if (server_.reads_repeat_marks_ && !call.first_command.empty()) {
     if (!proto::is_command_id(call.first_command)) {
       refuse(call, out, proto::kRpcBadParams, "first is not 16 hex digits");
       return std::nullopt;
     }
-    request.first = call.first_command;
+    request.retry_of = call.first_command;
   }
   if (server_.result_store_ && call.is_paged) {
     request.paged = true;
-    request.key = call.key;
+    request.result_key = call.key;
     request.owner = call.key.empty() ? std::string_view(peer_address_) : call.key;
   }
-  request.timeout = to_ms(call.timeout);
-  request.estimate = to_ms(call.estimate);
+  request.timeout = call.timeout;
+  if (call.estimate != Duration::zero()) request.estimated_work = call.estimate;
   request.memory_mb = call.memory_mb;
   return request;
 }
@@ -242,37 +245,37 @@
   if (!is_cluster_call_valid(call, out) || !can_open(call, out)) return;
   std::optional<CommandRequest> request = command_request_of(call, out);
   if (!request) return;
-  const CallRef ref = ++server_.last_call_;
+  const CallId ref = server_.next_call();
   open_call(ref, call.id);
-  server_.cluster_->merge(to_ms(loop_.now()), ref, call.name, std::move(*request));
+  server_.cluster_->run_once_job(loop_.now(), ref, call.name, std::move(*request));
 }
 
 void ClientConnection::handle_command(proto::RpcCall& call, std::string& out) {
   if (!can_open(call, out)) return;
   std::optional<CommandRequest> request = command_request_of(call, out);
   if (!request) return;
-  const CallRef ref = ++server_.last_call_;
-  switch (server_.core_->admit(to_ms(loop_.now()), ref, std::move(*request))) {
-    case AdmissionResult::kTaken:
+  const CallId ref = server_.next_call();
+  switch (server_.core_->admit(loop_.now(), ref, std::move(*request))) {
+    case AdmissionResult::kAdmitted:
       return open_call(ref, call.id, call.key);
-    case AdmissionResult::kFound:
+    case AdmissionResult::kResultFound:
       open_call(ref, call.id, call.key);
-      return server_.answer_paged(ref, server_.core_->found());
+      return server_.answer_paged(ref, server_.core_->found_result().value());
     case AdmissionResult::kUnknownProfile:
       return refuse(call, out, proto::kRpcNoMethod, "no such method");
     case AdmissionResult::kOutOfRange:
       return refuse(call, out, proto::kRpcBadParams, "a figure is out of range");
-    case AdmissionResult::kNoRoom:
+    case AdmissionResult::kNoCapacity:
       server_.metrics_.add("calls rejected: out of memory");
       return proto::append_error(out, call.id, true, proto::kRpcFailed, "failed");
-    case AdmissionResult::kNotNew:
+    case AdmissionResult::kDuplicateId:
       return refuse(call, out, proto::kRpcBadParams, "req is in hand already");
   }
 }
 
 void ClientConnection::handle_release(const proto::RpcCall& call, std::string& out) {
   if (!server_.result_store_) return refuse(call, out, proto::kRpcNoMethod, "no such method");
-  if (server_.result_store_->release(to_ms(loop_.now()), call.token, call.key))
+  if (server_.result_store_->release(loop_.now(), call.token, call.key))
     proto::append_released(out, call.id);
   else
     proto::append_error(out, call.id, true, proto::kRpcGone, "gone");
@@ -281,21 +284,22 @@
 void ClientConnection::handle_page_read(const proto::RpcCall& request, std::string& out) {
   if (!server_.result_store_) return refuse(request, out, proto::kRpcNoMethod, "no such method");
   if (!can_open(request, out)) return;
-  const CallRef call = ++server_.last_call_;
+  const CallId call = server_.next_call();
   open_call(call, request.id);
   server_.metrics_.add("pages read");
   const auto reply = [&server = server_, call, page = request.page](
-                         Ms, ResultStore::Read outcome, std::string_view rows, uint64_t page_count) {
+                         TimePoint, ResultStore::ReadStatus outcome, std::string_view rows,
+                         uint64_t page_count) {
     server.reply(call, [&](std::string& text, int64_t id) {
-      if (outcome == ResultStore::Read::kRows)
+      if (outcome == ResultStore::ReadStatus::kRows)
         proto::append_page(text, id, page, page_count, rows);
-      else if (outcome == ResultStore::Read::kGone)
+      else if (outcome == ResultStore::ReadStatus::kGone)
         proto::append_error(text, id, true, proto::kRpcGone, "gone");
       else
         proto::append_error(text, id, true, proto::kRpcNoSuchPage, "no such page");
     });
   };
-  server_.result_store_->read(to_ms(loop_.now()), request.token, request.key, request.page, reply);
+  server_.result_store_->read_page(loop_.now(), request.token, request.key, request.page, reply);
 }
 
 }  // namespace firvalve::net
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -26,7 +26,7 @@
   void evict() override;
 
   bool has_open_calls() const { return !open_calls_.empty(); }
-  void add_call(int64_t id, CallRef call) { open_calls_[id] = call; }
+  void add_call(int64_t id, CallId call) { open_calls_[id] = call; }
   void remove_call(int64_t id) { open_calls_.erase(id); }
   void handle_answered();  // an answer was written
 
@@ -61,13 +61,13 @@
   bool can_open(const proto::RpcCall& call, std::string& out);
   bool is_cluster_call_valid(const proto::RpcCall& call, std::string& out);
   std::optional<CommandRequest> command_request_of(proto::RpcCall& call, std::string& out);
-  void open_call(CallRef call, int64_t id, std::string_view key = {});
+  void open_call(CallId call, int64_t id, std::string_view key = {});
 
   ClientServer& server_;
   proto::RpcFrames frames_;
-  std::string peer_address_;               // where results count against somebody's share
-  std::map<int64_t, CallRef> open_calls_;  // by the client's id
-  bool is_peer_done_ = false;              // the client has ended its stream
+  std::string peer_address_;              // where results count against somebody's share
+  std::map<int64_t, CallId> open_calls_;  // by the client's id
+  bool is_peer_done_ = false;             // the client has ended its stream
   bool has_sent_message_ = false;
   TimePoint active_at_;                     // the last whole message or answer
   std::optional<TimePoint> partial_since_;  // a part of a message has arrived
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -86,12 +86,12 @@
   connections_.erase(at);
 }
 
-void ClientServer::handle_client_gone(TimePoint now, CallRef call) {
-  core_->client_gone(to_ms(now), call);
-  if (cluster_) cluster_->gone(to_ms(now), call);
+void ClientServer::handle_client_gone(TimePoint now, CallId call) {
+  core_->client_gone(now, call);
+  if (cluster_) cluster_->client_gone(now, call);
 }
 
-std::optional<ClientServer::ClosedCall> ClientServer::close_call(CallRef call) {
+std::optional<ClientServer::ClosedCall> ClientServer::close_call(CallId call) {
   const auto at = open_calls_.find(call);
   if (at == open_calls_.end()) return std::nullopt;
   const ClosedCall closed{at->second.connection, at->second.id};
@@ -100,7 +100,7 @@
   return closed;
 }
 
-void ClientServer::reply(CallRef call, const AppendReply& append) {
+void ClientServer::reply(CallId call, const AppendReply& append) {
   const std::optional<ClosedCall> closed = close_call(call);
   if (!closed) return;
   std::string out;
@@ -109,52 +109,53 @@
   if (closed->connection->is_open()) closed->connection->handle_answered();
 }
 
-void ClientServer::reply(CallRef call, const ClusterRequests::ClusterReply& cluster_reply) {
+void ClientServer::reply(CallId call, const ClusterRequests::Reply& cluster_reply) {
   reply(call, [&](std::string& out, int64_t id) {
-    using Kind = ClusterRequests::ClusterReply::Kind;
+    using Kind = ClusterRequests::Reply::Kind;
     switch (cluster_reply.kind) {
       case Kind::kDone:
         return proto::append_json_result(out, id, cluster_reply.text);
-      case Kind::kRefused:
+      case Kind::kRejected:
         return proto::append_refused_change(out, id, cluster_reply.text);
-      case Kind::kBadParams:
+      case Kind::kInvalidParams:
         return proto::append_error(out, id, true, proto::kRpcBadParams, cluster_reply.text);
-      case Kind::kNoMajority:
+      case Kind::kNoQuorum:
         return proto::append_error(out, id, true, proto::kRpcNoMajority,
                                    "no majority of keepers: nothing was changed");
-      case Kind::kUnknown:
+      case Kind::kOutcomeUnknown:
         return proto::append_error(out, id, true, proto::kRpcMayBeMade, "it may have been made: ask again");
     }
   });
 }
 
-void ClientServer::answer(CallRef call, std::string_view rows) {
+void ClientServer::answer(CallId call, std::string_view rows) {
   reply(call, [&](std::string& out, int64_t id) { proto::append_result(out, id, rows); });
 }
 
-void ClientServer::shed(CallRef call, Ms advice) {
-  reply(call, [&](std::string& out, int64_t id) { proto::append_shed(out, id, advice); });
+void ClientServer::shed(CallId call, std::optional<Duration> retry_after) {
+  reply(call, [&](std::string& out, int64_t id) { proto::append_shed(out, id, retry_after); });
 }
 
-void ClientServer::fail(CallRef call, std::string_view reason) {
+void ClientServer::fail(CallId call, std::string_view reason) {
   reply(call,
         [&](std::string& out, int64_t id) { proto::append_error(out, id, true, proto::kRpcFailed, reason); });
 }
 
-void ClientServer::answer_paged(CallRef call, ResultHandle result) {
+void ClientServer::answer_paged(CallId call, ResultHandle result) {
   const auto at = open_calls_.find(call);
   if (at == open_calls_.end()) return;
-  const PagedAnswer paged = result_store_->answer(result);
+  const PagedAnswer paged = result_store_->answer_of(result);
   const std::string key = at->second.key;
   // Its first page may have to come from the disk.
-  result_store_->read(to_ms(loop_.now()), paged.token, key, 1,
-                      [this, call, paged](Ms, ResultStore::Read outcome, std::string_view rows, uint64_t) {
-                        reply(call, [&](std::string& out, int64_t id) {
-                          outcome == ResultStore::Read::kGone
-                              ? proto::append_error(out, id, true, proto::kRpcFailed, "the result was lost")
-                              : proto::append_paged(out, id, paged.token, paged.pages, paged.rows, rows);
-                        });
-                      });
+  result_store_->read_page(
+      loop_.now(), paged.token, key, 1,
+      [this, call, paged](TimePoint, ResultStore::ReadStatus outcome, std::string_view rows, uint64_t) {
+        reply(call, [&](std::string& out, int64_t id) {
+          outcome == ResultStore::ReadStatus::kGone
+              ? proto::append_error(out, id, true, proto::kRpcFailed, "the result was lost")
+              : proto::append_paged(out, id, paged.token, paged.pages, paged.rows, rows);
+        });
+      });
 }
 
 }  // namespace firvalve::net
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -40,10 +40,10 @@
   // True once none is left that could lose anything; until then it is called again each turn.
   bool close_connections(TimePoint now);
 
-  void answer(CallRef call, std::string_view rows) override;
-  void shed(CallRef call, Ms advice) override;
-  void fail(CallRef call, std::string_view reason) override;
-  void answer_paged(CallRef call, ResultHandle result) override;
+  void answer(CallId call, std::string_view rows) override;
+  void shed(CallId call, std::optional<Duration> retry_after) override;
+  void fail(CallId call, std::string_view reason) override;
+  void answer_paged(CallId call, ResultHandle result) override;
 
  private:
   friend class ClientConnection;
@@ -61,10 +61,11 @@
 
   void accept(const Poco::Net::StreamSocket& socket);
   void accept_all_pending();
-  std::optional<ClosedCall> close_call(CallRef call);  // none: there is no such call
-  void reply(CallRef call, const AppendReply& append);
-  void reply(CallRef call, const ClusterRequests::ClusterReply& cluster_reply);
-  void handle_client_gone(TimePoint now, CallRef call);
+  CallId next_call() { return last_call_ = next_after(last_call_); }
+  std::optional<ClosedCall> close_call(CallId call);  // none: there is no such call
+  void reply(CallId call, const AppendReply& append);
+  void reply(CallId call, const ClusterRequests::Reply& cluster_reply);
+  void handle_client_gone(TimePoint now, CallId call);
   void forget(ClientConnection& connection, CloseReason reason, size_t open_calls);
 
   Loop& loop_;
@@ -77,8 +78,8 @@
   bool reads_repeat_marks_ = false, is_listener_closed_ = false;
   std::optional<TimePoint> check_at_, all_lingering_since_;
   std::map<ClientConnection*, std::unique_ptr<ClientConnection>> connections_;
-  std::map<CallRef, OpenCall> open_calls_;
-  CallRef last_call_ = 0;
+  std::map<CallId, OpenCall> open_calls_;
+  CallId last_call_{};
 };
 
 }  // namespace firvalve::net
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -11,7 +11,8 @@
 using namespace Poco::Net;
 
 namespace {
-constexpr size_t kReadBytes = size_t{16} * 1024;  // bytes: several messages, little for a thousand connections
+constexpr size_t kReadBytes =
+    size_t{16} * 1024;  // bytes: several messages, little for a thousand connections
 }
 
 Connection::Connection(Loop& loop, const StreamSocket& accepted, Kind kind)
--- a/src/net/endpoint_watcher.cpp
+++ b/src/net/endpoint_watcher.cpp
@@ -47,9 +47,9 @@
 EndpointChange list_update_of(const proto::BusEvent& event, std::string_view address) {
   EndpointChange change{EndpointChange::Kind::kListUpdated, address, {}, event.offset};
   for (const proto::BusListing& endpoint : event.listings) {
-    change.serving += endpoint.listing.life == EngineState::kReady;
-    change.draining += endpoint.listing.life == EngineState::kDraining;
-    change.gone += endpoint.listing.life == EngineState::kGone;
+    change.serving += endpoint.listing.state == EngineState::kReady;
+    change.draining += endpoint.listing.state == EngineState::kDraining;
+    change.gone += endpoint.listing.state == EngineState::kRemoved;
   }
   return change;
 }
@@ -75,7 +75,7 @@
   std::vector<NamedEngineInfo> engines;
   for (proto::BusListing& endpoint : event.listings)
     engines.push_back({std::move(endpoint.name), std::move(endpoint.address), std::move(endpoint.listing)});
-  core.roster(to_ms(now), event.full, std::move(engines), list_current_at ? to_ms(*list_current_at) : 0);
+  core.update_engine_list(now, event.full, std::move(engines), list_current_at);
 }
 
 void EndpointWatcher::handle_line(TimePoint now, std::span<char> line) {
--- a/src/net/engine_attempts.cpp
+++ b/src/net/engine_attempts.cpp
@@ -14,21 +14,20 @@
 
 }  // namespace
 
-void EngineConnections::start(Ms now_ms, const AttemptRequest& request) {
-  const TimePoint now = time_point_of(now_ms);
-  Attempt& attempt = attempts_[request.send];
+void EngineConnections::start_attempt(TimePoint now, const AttemptRequest& request) {
+  Attempt& attempt = attempts_[request.attempt];
   attempt.exchange =
       request.paged ? proto::AttemptExchange(SIZE_MAX, kMaxStoredPages) : proto::AttemptExchange();
   attempt.request = request;
   pools_[request.engine].attempt_count += 1;
   EngineConnection* const connection = acquire_connection(request.engine, now);
-  if (connection) return assign_attempt(*connection, request.send, attempt, now);
+  if (connection) return assign_attempt(*connection, request.attempt, attempt, now);
   // For want of a descriptor nothing has begun, and the engine is not to blame.
   const bool has_address = !pools_.at(request.engine).address.empty();
-  finish_attempt(request.send, has_address ? Outcome::kMoot : Outcome::kConnectFailed);
+  finish_attempt(request.attempt, has_address ? Outcome::kCancelledBeforeStart : Outcome::kConnectFailed);
 }
 
-void EngineConnections::assign_attempt(EngineConnection& connection, uint64_t id, Attempt& attempt,
+void EngineConnections::assign_attempt(EngineConnection& connection, AttemptId id, Attempt& attempt,
                                        TimePoint now) {
   attempt.connection = &connection;
   connection.task = Task::kAttempt;
@@ -62,20 +61,19 @@
 // repeats have run out.
 bool EngineConnections::append_attempt_start(std::string& request, const EngineConnection& connection,
                                              Attempt& attempt, TimePoint now) {
-  if (!core_->may_begin(to_ms(now), connection.attempt)) {
+  if (!core_->may_start_attempt(now, connection.attempt)) {
     attempt.connection = nullptr;
-    finish_attempt(connection.attempt, Outcome::kMoot);
+    finish_attempt(connection.attempt, Outcome::kCancelledBeforeStart);
     return false;
   }
   const AttemptRequest& start = attempt.request;
-  const std::optional<int> priority = start.priority < 0 ? std::nullopt : std::optional(start.priority);
   proto::append_start(request, {start.command, start.profile, start.statement, connection.address,
-                                time_point_of(start.until) - now, priority});
+                                start.deadline - now, start.priority});
   attempt.is_start_written = true;
   return true;
 }
 
-void EngineConnections::poll_attempt(uint64_t id, TimePoint now) {
+void EngineConnections::poll_attempt(AttemptId id, TimePoint now) {
   Attempt& attempt = attempts_.at(id);
   attempt.poll_at.reset();
   EngineConnection* const connection = acquire_connection(attempt.request.engine, now);
@@ -96,7 +94,7 @@
 // it has died cannot be known, so nothing ends by a refusal: it is polled over the first connection to it
 // that is idle again, or over a new one at growing intervals, until a query that is not polled has ended by
 // itself. Where the engine did die, that costs its commands this time before they go elsewhere.
-void EngineConnections::poll_unreachable(uint64_t id, TimePoint now) {
+void EngineConnections::poll_unreachable(AttemptId id, TimePoint now) {
   Attempt& attempt = attempts_.at(id);
   const TimePoint expires_at =
       attempt.cancel_expires_at ? *attempt.cancel_expires_at : unpolled_expiry(attempt);
@@ -118,7 +116,7 @@
 // status is due. Where an engine has become unresponsive that costs a connection each time, until the policy
 // or the client cancels the attempt; where all its responses stay unusable for as long as a query lives
 // unpolled, it is cancelled here.
-void EngineConnections::poll_elsewhere(uint64_t id, TimePoint now) {
+void EngineConnections::poll_elsewhere(AttemptId id, TimePoint now) {
   Attempt& attempt = attempts_.at(id);
   attempt.connection = nullptr;
   metrics_.add("attempts polled on another connection");
@@ -131,7 +129,7 @@
 
 void EngineConnections::handle_response(EngineConnection& connection, const proto::HttpResponse& response) {
   const TimePoint now = loop_.now();
-  const uint64_t id = connection.attempt;
+  const AttemptId id = connection.attempt;
   if (connection.task == Task::kAttempt) return handle_attempt_response(connection, response, id, now);
   if (connection.task == Task::kSideCall && connection.finishes_attempt)
     return handle_cancel_response(connection, response, id, now);
@@ -139,7 +137,7 @@
 }
 
 void EngineConnections::handle_cancel_response(EngineConnection& connection,
-                                               const proto::HttpResponse& response, uint64_t id,
+                                               const proto::HttpResponse& response, AttemptId id,
                                                TimePoint now) {
   if (response.status == 0) return handle_lost(connection, CloseReason::kProtocolError);
   if (const auto at = attempts_.find(id); at != attempts_.end()) finish_attempt(id, at->second.cancelled_as);
@@ -147,16 +145,16 @@
 }
 
 void EngineConnections::handle_attempt_response(EngineConnection& connection,
-                                                const proto::HttpResponse& response, uint64_t id,
+                                                const proto::HttpResponse& response, AttemptId id,
                                                 TimePoint now) {
   using Next = proto::AttemptExchange::Next;
   Attempt& attempt = attempts_.at(id);
   attempt.may_have_run = true;
   attempt.unreachable_since.reset();
   const proto::AttemptExchange::Step step = attempt.exchange.handle(response, connection.carries_start);
-  if (step.status) core_->noted(to_ms(now), id, step.status->kind, step.status->value);
-  const ResultStore::Put put = store_rows(id, attempt, now);
-  if (put == ResultStore::Put::kOutgrown) {
+  if (step.status) core_->attempt_status_received(now, id, step.status->kind, step.status->value);
+  const ResultStore::AppendResult put = store_rows(id, attempt, now);
+  if (put == ResultStore::AppendResult::kOutOfSpace) {
     // The query ends here; the core has answered its clients, and the policy cancels an attempt that is no
     // more.
     attempt.connection = nullptr;
@@ -170,7 +168,7 @@
     return make_idle_or_close(connection, response, now);
   }
   attempt.unreadable_since.reset();
-  const bool must_slow_down = put == ResultStore::Put::kSlow;
+  const bool must_slow_down = put == ResultStore::AppendResult::kStoredSlowDown;
   if (!must_slow_down && response.is_reusable) return write_call(connection, now);
   attempt.connection = nullptr;
   if (must_slow_down)
@@ -181,27 +179,27 @@
 }
 
 // Rows of a paged result go to the result store as they come.
-ResultStore::Put EngineConnections::store_rows(uint64_t id, Attempt& attempt, TimePoint now) {
-  if (!attempt.request.paged || !attempt.exchange.has_rows()) return ResultStore::Put::kTaken;
-  return core_->page(to_ms(now), id, attempt.exchange.take_rows());
+ResultStore::AppendResult EngineConnections::store_rows(AttemptId id, Attempt& attempt, TimePoint now) {
+  if (!attempt.request.paged || !attempt.exchange.has_rows()) return ResultStore::AppendResult::kStored;
+  return core_->append_page(now, id, attempt.exchange.take_rows());
 }
 
-void EngineConnections::finish_from_response(uint64_t id, Attempt& attempt, Outcome outcome, TimePoint now) {
+void EngineConnections::finish_from_response(AttemptId id, Attempt& attempt, Outcome outcome, TimePoint now) {
   attempt.connection = nullptr;
   // All of a paged result is here: the engine need hold it no longer. A plain result ends by itself there.
   if (outcome == Outcome::kOk && attempt.request.paged) cancel_at_engine(id, now);
   // After a call that may not have arrived, an engine that does not know the query is not at fault.
   const bool is_blameless = outcome == Outcome::kFailed && attempt.unreadable_since;
-  finish_attempt(id, is_blameless ? Outcome::kSpoilt : outcome, attempt.exchange.take_rows());
+  finish_attempt(id, is_blameless ? Outcome::kIndeterminate : outcome, attempt.exchange.take_rows());
 }
 
-void EngineConnections::handle_unusable_response(EngineConnection& connection, uint64_t id, Attempt& attempt,
+void EngineConnections::handle_unusable_response(EngineConnection& connection, AttemptId id, Attempt& attempt,
                                                  TimePoint now) {
   attempt.connection = nullptr;
   metrics_.add("engine responses unusable");
   close_connection(connection, CloseReason::kProtocolError);
   if (attempt.unreadable_since && now - *attempt.unreadable_since > proto::kUnpolledLifetime)
-    return cancel_and_await(id, Outcome::kSpoilt, now);
+    return cancel_and_await(id, Outcome::kIndeterminate, now);
   poll_elsewhere(id, now);
 }
 
@@ -210,7 +208,7 @@
 // of the connections that poll it.
 void EngineConnections::handle_lost(EngineConnection& connection, CloseReason reason) {
   const TimePoint now = loop_.now();
-  const uint64_t id = connection.attempt;
+  const AttemptId id = connection.attempt;
   const Task task = connection.task;
   const bool finishes_attempt = connection.finishes_attempt;
   const bool is_call_unsent = !connection.is_connected() || connection.unsent_bytes() > 0;
@@ -228,15 +226,15 @@
   was_refused ? poll_unreachable(id, now) : poll_elsewhere(id, now);
 }
 
-void EngineConnections::withdraw(Ms now_ms, uint64_t id, Outcome outcome) {
-  const TimePoint now = time_point_of(now_ms);
+void EngineConnections::cancel_attempt(TimePoint now, AttemptId id, Outcome outcome) {
   const auto at = attempts_.find(id);
   if (at == attempts_.end()) return;
   Attempt& attempt = at->second;
   if (attempt.cancel_expires_at && outcome == Outcome::kCancelled) return;
   const bool is_start_written = attempt.is_start_written;
   if (attempt.connection) detach_connection(attempt, outcome, now);
-  if (!is_start_written) return finish_attempt(id, outcome == Outcome::kCancelled ? Outcome::kMoot : outcome);
+  if (!is_start_written)
+    return finish_attempt(id, outcome == Outcome::kCancelled ? Outcome::kCancelledBeforeStart : outcome);
   if (outcome == Outcome::kCancelled) return cancel_and_await(id, outcome, now);
   // Guards engines against commands that nobody waits for: one that runs when its client's time is over runs
   // on and keeps its place, and many gateways' together fill every engine. Written once, and nothing waits
@@ -257,7 +255,7 @@
 
 // The attempt ends with the engine's response to the cancel, or at the latest when nobody has polled the
 // query for as long as one lives unpolled: it may run on until then.
-void EngineConnections::cancel_and_await(uint64_t id, Outcome outcome, TimePoint now) {
+void EngineConnections::cancel_and_await(AttemptId id, Outcome outcome, TimePoint now) {
   Attempt& attempt = attempts_.at(id);
   attempt.cancelled_as = outcome;
   attempt.poll_at.reset();
@@ -266,7 +264,7 @@
   poll_attempt(id, now);
 }
 
-void EngineConnections::rank(Ms now, uint64_t id, int priority) {
+void EngineConnections::set_priority(TimePoint now, AttemptId id, int priority) {
   const auto at = attempts_.find(id);
   if (at == attempts_.end()) return;
   AttemptRequest& request = at->second.request;
@@ -274,22 +272,22 @@
   if (!at->second.is_start_written) return;  // its start carries it
   std::string call;
   proto::append_priority_update(call, request.command, pools_.at(request.engine).address, priority);
-  if (EngineConnection* const connection = acquire_connection(request.engine, time_point_of(now)))
-    make_side_call(*connection, id, std::move(call), false, time_point_of(now));
+  if (EngineConnection* const connection = acquire_connection(request.engine, now))
+    make_side_call(*connection, id, std::move(call), false, now);
 }
 
-void EngineConnections::cancel_at_engine(uint64_t id, TimePoint now) {
+void EngineConnections::cancel_at_engine(AttemptId id, TimePoint now) {
   if (EngineConnection* const connection = acquire_connection(attempts_.at(id).request.engine, now))
     make_side_call(*connection, id, cancel_call(id, *connection), false, now);
 }
 
-std::string EngineConnections::cancel_call(uint64_t id, const EngineConnection& connection) const {
+std::string EngineConnections::cancel_call(AttemptId id, const EngineConnection& connection) const {
   std::string call;
   proto::append_cancel(call, attempts_.at(id).request.command, connection.address);
   return call;
 }
 
-void EngineConnections::make_side_call(EngineConnection& connection, uint64_t id, std::string call,
+void EngineConnections::make_side_call(EngineConnection& connection, AttemptId id, std::string call,
                                        bool finishes_attempt, TimePoint now) {
   connection.task = Task::kSideCall;
   connection.attempt = id;
@@ -299,7 +297,7 @@
   if (connection.is_connected()) write_call(connection, now);
 }
 
-void EngineConnections::finish_attempt(uint64_t id, Outcome outcome, std::string rows) {
+void EngineConnections::finish_attempt(AttemptId id, Outcome outcome, std::string rows) {
   const auto at = attempts_.find(id);
   if (at == attempts_.end()) return;
   const uint32_t engine = at->second.request.engine;
--- a/src/net/engine_connection.h
+++ b/src/net/engine_connection.h
@@ -3,7 +3,8 @@
 
 #include <string>
 
-#include "core/core.h"
+#include "core/ids.h"
+#include "core/metrics.h"
 #include "net/close_reason.h"
 #include "net/connection.h"
 #include "proto/store/http.h"
@@ -40,7 +41,7 @@
   const uint32_t engine;
   const std::string address;  // may be another engine's by now
   Task task = Task::kIdle;
-  uint64_t attempt = 0;           // of all tasks but kIdle
+  AttemptId attempt{};            // of all tasks but kIdle
   std::string side_call;          // of kSideCall: the request
   bool finishes_attempt = false;  // of kSideCall: the cancel with whose response the attempt ends
   bool carries_start = false;     // of kAttempt: its call is the attempt's start
--- a/src/net/engine_connections.cpp
+++ b/src/net/engine_connections.cpp
@@ -21,8 +21,9 @@
 
 // An engine that was delisted keeps its address, until that is another's, and its connections for what still
 // runs there: it takes no new attempts.
-void EngineConnections::list(Ms, uint32_t engine, std::string_view address, EngineState state) {
-  const bool is_delisted = state == EngineState::kGone;
+void EngineConnections::update_engine(TimePoint, uint32_t engine, std::string_view address,
+                                      EngineState state) {
+  const bool is_delisted = state == EngineState::kRemoved;
   if (EnginePool& pool = pools_[engine]; is_delisted ? pool.attempt_count == 0 : pool.address != address)
     close_idle_connections(engine);
   EnginePool& pool = pools_[engine];
@@ -125,7 +126,7 @@
 
 void EngineConnections::make_idle(EngineConnection& connection, TimePoint now) {
   connection.task = Task::kIdle;
-  connection.attempt = 0;
+  connection.attempt = AttemptId{};
   restart_timeout(connection, now);
   EnginePool& pool = pools_.at(connection.engine);
   if (pool.attempt_count == 0 && (pool.is_delisted || pool.address.empty()))
@@ -150,7 +151,7 @@
 }
 
 void EngineConnections::check_attempt_timeouts(TimePoint now) {
-  std::vector<uint64_t> expired, to_poll;
+  std::vector<AttemptId> expired, to_poll;
   for (const auto& [id, attempt] : attempts_) {
     if (attempt.cancel_expires_at && now >= *attempt.cancel_expires_at) expired.push_back(id);
     const bool is_reachable_again =
@@ -159,8 +160,8 @@
     for (const auto& time : {attempt.cancel_expires_at, attempt.poll_at})
       if (time && *time > now) check_at(*time);
   }
-  for (const uint64_t id : expired) finish_attempt(id, attempts_.at(id).cancelled_as);
-  for (const uint64_t id : to_poll)
+  for (const AttemptId id : expired) finish_attempt(id, attempts_.at(id).cancelled_as);
+  for (const AttemptId id : to_poll)
     if (attempts_.count(id)) poll_attempt(id, now);
 }
 
@@ -197,7 +198,7 @@
   if (check_at_ && now >= *check_at_) check_timeouts(now);
   reporting_.swap(finished_);
   for (FinishedAttempt& finished : reporting_)
-    core_->ended(to_ms(now), finished.attempt, finished.outcome, std::move(finished.rows));
+    core_->attempt_finished(now, finished.attempt, finished.outcome, std::move(finished.rows));
   reporting_.clear();
 }
 
--- a/src/net/engine_connections.h
+++ b/src/net/engine_connections.h
@@ -34,10 +34,10 @@
   void set_core(Core& core) { core_ = &core; }  // before the first attempt
   void observe(ConnectionObserver observer) { observer_ = std::move(observer); }
 
-  void start(Ms now, const AttemptRequest& request) override;
-  void withdraw(Ms now, uint64_t attempt, Outcome outcome) override;
-  void rank(Ms now, uint64_t attempt, int priority) override;
-  void list(Ms now, uint32_t engine, std::string_view address, EngineState state) override;
+  void start_attempt(TimePoint now, const AttemptRequest& request) override;
+  void cancel_attempt(TimePoint now, AttemptId attempt, Outcome outcome) override;
+  void set_priority(TimePoint now, AttemptId attempt, int priority) override;
+  void update_engine(TimePoint now, uint32_t engine, std::string_view address, EngineState state) override;
 
   void run_due(TimePoint now);  // ends what has run out of time, and gives the core the finished attempts
   std::optional<TimePoint> next_due() const;
@@ -67,7 +67,7 @@
     std::vector<EngineConnection*> idle;  // the one that has been idle longest first
   };
   struct FinishedAttempt {
-    uint64_t attempt = 0;
+    AttemptId attempt{};
     Outcome outcome = Outcome::kOk;
     std::string rows;
   };
@@ -97,28 +97,28 @@
   void check_at(TimePoint time) { check_at_ = earlier_of<TimePoint>(check_at_, time); }
 
   // Attempts: their calls, and what the responses mean (engine_attempts.cpp).
-  void assign_attempt(EngineConnection& connection, uint64_t id, Attempt& attempt, TimePoint now);
+  void assign_attempt(EngineConnection& connection, AttemptId id, Attempt& attempt, TimePoint now);
   void write_call(EngineConnection& connection, TimePoint now);  // once it is established: what it is for
   bool append_attempt_start(std::string& request, const EngineConnection& connection, Attempt& attempt,
                             TimePoint now);
-  void poll_attempt(uint64_t id, TimePoint now);  // or cancel it again, where it is being cancelled
-  void poll_unreachable(uint64_t id, TimePoint now);
-  void poll_elsewhere(uint64_t id, TimePoint now);
+  void poll_attempt(AttemptId id, TimePoint now);  // or cancel it again, where it is being cancelled
+  void poll_unreachable(AttemptId id, TimePoint now);
+  void poll_elsewhere(AttemptId id, TimePoint now);
   void schedule_poll(Attempt& attempt, TimePoint now, Duration delay);
-  void handle_attempt_response(EngineConnection& connection, const proto::HttpResponse& response, uint64_t id,
-                               TimePoint now);
-  void handle_cancel_response(EngineConnection& connection, const proto::HttpResponse& response, uint64_t id,
+  void handle_attempt_response(EngineConnection& connection, const proto::HttpResponse& response,
+                               AttemptId id, TimePoint now);
+  void handle_cancel_response(EngineConnection& connection, const proto::HttpResponse& response, AttemptId id,
                               TimePoint now);
-  void handle_unusable_response(EngineConnection& connection, uint64_t id, Attempt& attempt, TimePoint now);
-  ResultStore::Put store_rows(uint64_t id, Attempt& attempt, TimePoint now);
-  void finish_from_response(uint64_t id, Attempt& attempt, Outcome outcome, TimePoint now);
+  void handle_unusable_response(EngineConnection& connection, AttemptId id, Attempt& attempt, TimePoint now);
+  ResultStore::AppendResult store_rows(AttemptId id, Attempt& attempt, TimePoint now);
+  void finish_from_response(AttemptId id, Attempt& attempt, Outcome outcome, TimePoint now);
   void detach_connection(Attempt& attempt, Outcome outcome, TimePoint now);
-  void cancel_and_await(uint64_t id, Outcome outcome, TimePoint now);
-  void cancel_at_engine(uint64_t id, TimePoint now);  // nothing waits for the response
-  std::string cancel_call(uint64_t id, const EngineConnection& connection) const;
-  void make_side_call(EngineConnection& connection, uint64_t id, std::string call, bool finishes_attempt,
+  void cancel_and_await(AttemptId id, Outcome outcome, TimePoint now);
+  void cancel_at_engine(AttemptId id, TimePoint now);  // nothing waits for the response
+  std::string cancel_call(AttemptId id, const EngineConnection& connection) const;
+  void make_side_call(EngineConnection& connection, AttemptId id, std::string call, bool finishes_attempt,
                       TimePoint now);
-  void finish_attempt(uint64_t id, Outcome outcome, std::string rows = {});
+  void finish_attempt(AttemptId id, Outcome outcome, std::string rows = {});
   static TimePoint unpolled_expiry(
       const Attempt& attempt);  // it has ended by then, unless it is polled again
 
@@ -133,7 +133,7 @@
   ConnectionObserver observer_;
   std::map<uint32_t, EnginePool> pools_;
   std::map<std::string, uint32_t, std::less<>> engine_at_;  // by address: the pool that has it
-  std::map<uint64_t, Attempt> attempts_;
+  std::map<AttemptId, Attempt> attempts_;
   std::vector<FinishedAttempt> finished_, reporting_;
   std::optional<TimePoint> check_at_;  // nothing runs out of time before
 };
--- a/src/proto/bus/bus.h
+++ b/src/proto/bus/bus.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "policy/rules.h"
+#include "policy/events.h"
 #include "proto/inbox.h"
 
 namespace firvalve::proto {
--- a/src/proto/jsonrpc/rpc.cpp
+++ b/src/proto/jsonrpc/rpc.cpp
@@ -250,9 +250,10 @@
                                   has_id ? std::to_string(id) : "null", code, message));
 }
 
-void append_shed(std::string& out, int64_t id, double retry_after_ms) {
+void append_shed(std::string& out, int64_t id, std::optional<Duration> retry_after) {
   std::string data;
-  if (retry_after_ms > 0) data = fmt::format(R"(,"data":{{"holdoff":{:.0f}}})", retry_after_ms);
+  if (retry_after && *retry_after > Duration::zero())
+    data = fmt::format(R"(,"data":{{"holdoff":{:.0f}}})", to_ms(*retry_after));
   append_message(out, fmt::format(R"({{"jsonrpc":"2.0","id":{},"error":{{"code":{},"message":"shed"{}}}}})",
                                   id, kRpcShed, data));
 }
--- a/src/proto/jsonrpc/rpc.h
+++ b/src/proto/jsonrpc/rpc.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <cstdint>
+#include <optional>
 #include <span>
 #include <string>
 #include <string_view>
@@ -74,7 +75,7 @@
 void append_result(std::string& out, int64_t id, std::string_view rows);
 void append_healthy(std::string& out, int64_t id, bool is_healthy, bool reads_repeat_marks = false);
 void append_error(std::string& out, int64_t id, bool has_id, int code, std::string_view message);
-void append_shed(std::string& out, int64_t id, double retry_after_ms);
+void append_shed(std::string& out, int64_t id, std::optional<Duration> retry_after);
 void append_paged(std::string& out, int64_t id, std::string_view token, uint64_t pages, uint64_t rows,
                   std::string_view first_page);
 void append_page(std::string& out, int64_t id, uint64_t page, uint64_t pages, std::string_view rows);
--- a/src/proto/store/attempt_exchange.cpp
+++ b/src/proto/store/attempt_exchange.cpp
@@ -16,8 +16,8 @@
 std::optional<AttemptExchange::StatusUpdate> read_status(const HttpResponse& response) {
   static constexpr std::pair<std::string_view, AttemptStatusKind> kKinds[] = {
       {"share", AttemptStatusKind::kProgress},
-      {"short", AttemptStatusKind::kSpills},
-      {"held", AttemptStatusKind::kWaits}};
+      {"short", AttemptStatusKind::kSpilling},
+      {"held", AttemptStatusKind::kWaiting}};
   const std::string_view text = response.status_value;
   const auto* end = text.data() + text.size();
   double value = 0;
@@ -106,8 +106,8 @@
   if (response.status == 202 && next_page_ == 0)
     return {Next::kPoll, Outcome::kFailed, read_status(response)};
   const bool never_ran = response.is_not_started && is_to_start;
-  if (never_ran && response.status == 503) return finished(Outcome::kFull);
-  if (never_ran && response.status == 504) return finished(Outcome::kMoot);
+  if (never_ran && response.status == 503) return finished(Outcome::kQueueFull);
+  if (never_ran && response.status == 504) return finished(Outcome::kCancelledBeforeStart);
   if (response.status == 500) return finished(Outcome::kFailed);
   return handle_page(response);
 }
--- a/src/proto/store/attempt_exchange.h
+++ b/src/proto/store/attempt_exchange.h
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "base/time.h"
-#include "policy/rules.h"
+#include "policy/events.h"
 #include "proto/store/http.h"
 
 namespace firvalve::proto {
