--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -46,8 +46,8 @@
   return value > 0 ? duration_of(value) : otherwise;
 }
 
-cluster::ClusterOptions cluster_options(const config::OperatorConfig::Fleet& fleet, double memory_bytes) {
-  cluster::ClusterOptions options = cluster::options_from(fleet);
+cluster::ClusterOptions cluster_options(const config::OperatorConfig::Fleet& section, double memory_bytes) {
+  cluster::ClusterOptions options = cluster::options_from(section);
   options.record_bytes = static_cast<size_t>(kRegisterShare * memory_bytes);
   std::random_device device;
   options.draw = (static_cast<uint64_t>(device()) << 32) | device();
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -1,7 +1,7 @@
 // One client's connection: its framing and its times, and what each of its requests asks for.
 //
 // What it keeps to: what was read gets its answer; a client that has ended its stream may still read, so its
-// open calls are answered; a connection that cannot be understood any further is told so and closed in
+// open calls are answered; a connection that cannot be understood any further gets an error and is closed in
 // bounded time.
 #pragma once
 
--- a/src/proto/bus/bus.h
+++ b/src/proto/bus/bus.h
@@ -20,7 +20,7 @@
 
 struct BusListing {
   std::string name, address;
-  EngineInfo listing;  // its engine's number is the reader's to give
+  EngineInfo listing;  // without the engine's number, which the reader assigns
 };
 struct BusEvent {
   int64_t offset = 0;
