--- a/fuzz/segment_fuzz.cpp
+++ b/fuzz/segment_fuzz.cpp
@@ -6,7 +6,7 @@
 #include <cstring>
 #include <string>
 
-#include "results/page.h"
+#include "results/recovery.h"
 
 namespace {
 
@@ -14,18 +14,17 @@
 
 void try_segment(const std::string& segment) {
   Recovery recovery;
-  const size_t cut = recovery.handle(1, segment);
-  if (cut != std::string::npos && cut > segment.size()) std::abort();
-  size_t broken = 0;
-  for (const Found& f : recovery.found(0, broken)) {
-    if (f.pages.size() != f.whole.pages) std::abort();
-    for (const Found::Place& p : f.pages) {
-      if (p.offset + p.length > segment.size()) std::abort();
+  const auto torn_at = recovery.add_segment(1, segment);
+  if (torn_at && *torn_at > segment.size()) std::abort();
+  for (const RecoveredResult& result : recovery.outcome(LeaseTime()).results) {
+    if (result.pages.size() != result.manifest.pages) std::abort();
+    for (const RecordLocation& location : result.pages) {
+      if (location.offset + location.length > segment.size()) std::abort();
       StoredPage page;
-      page.bytes = segment.substr(p.offset, p.length);
-      page.raw = p.raw;
-      page.sum = p.sum;
-      unpack(page);
+      page.bytes = segment.substr(location.offset, location.length);
+      page.uncompressed_bytes = location.uncompressed_bytes;
+      page.checksum = location.checksum;
+      decompress(page);
     }
   }
 }
@@ -35,24 +34,24 @@
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   std::string bytes(reinterpret_cast<const char*>(data), size);
   try_segment(bytes);
-  std::string mended(kSegmentHead);
-  for (size_t at = 0; at + kRecordHead <= bytes.size();) {
-    std::string head = bytes.substr(at, kRecordHead);
+  std::string mended(kSegmentHeader);
+  for (size_t at = 0; at + kRecordHeadBytes <= bytes.size();) {
+    std::string head = bytes.substr(at, kRecordHeadBytes);
     const uint32_t magic = 0x46565350;
     std::memcpy(head.data(), &magic, sizeof magic);
     uint32_t length = 0;
     std::memcpy(&length, head.data() + 32, sizeof length);
     length %= 256;
-    if (at + kRecordHead + length > bytes.size())
-      length = static_cast<uint32_t>(bytes.size() - at - kRecordHead);
+    if (at + kRecordHeadBytes + length > bytes.size())
+      length = static_cast<uint32_t>(bytes.size() - at - kRecordHeadBytes);
     std::memcpy(head.data() + 32, &length, sizeof length);
-    uint64_t sum = XXH3_64bits(bytes.data() + at + kRecordHead, length);
+    uint64_t sum = XXH3_64bits(bytes.data() + at + kRecordHeadBytes, length);
     std::memcpy(head.data() + 40, &sum, sizeof sum);
-    sum = XXH3_64bits(head.data(), kRecordHead - 8);
-    std::memcpy(head.data() + kRecordHead - 8, &sum, sizeof sum);
+    sum = XXH3_64bits(head.data(), kRecordHeadBytes - 8);
+    std::memcpy(head.data() + kRecordHeadBytes - 8, &sum, sizeof sum);
     mended += head;
-    mended.append(bytes, at + kRecordHead, length);
-    at += kRecordHead + length;
+    mended.append(bytes, at + kRecordHeadBytes, length);
+    at += kRecordHeadBytes + length;
   }
   try_segment(mended);
   return 0;
--- a/src/gateway/event_log.cpp
+++ b/src/gateway/event_log.cpp
@@ -15,11 +15,12 @@
                                                                    {"warning", Level::kWarning},
                                                                    {"error", Level::kError}};
   for (const auto& [name, level] : kLevels)
-    if (name == options.level) log.set(options.form == "json" ? log::Form::kJson : log::Form::kLogfmt, level);
+    if (name == options.level)
+      log.configure(options.form == "json" ? log::Form::kJson : log::Form::kLogfmt, level);
 }
 
 void EventLog::write(Level level, std::string_view event, log::Fields fields) {
-  log_.write(loop_.now_ms(), level, event, fields);
+  log_.write(loop_.now(), level, event, fields);
 }
 
 void EventLog::log_serving(std::string_view address) {
@@ -59,8 +60,8 @@
 void EventLog::log_damaged_segments(const results::SegmentFiles& files) {
   write(Level::kWarning, "result_store.damaged_segments_dropped",
         {{"component", "result_store"},
-         {"truncated_tails", std::to_string(files.cut)},
-         {"broken_results", std::to_string(files.broken)}});
+         {"truncated_segments", std::to_string(files.truncated_segments())},
+         {"corrupt_results", std::to_string(files.corrupt_results())}});
 }
 
 void EventLog::log_unreadable_event(std::string_view line) {
@@ -96,7 +97,7 @@
 
 void EventLog::log_command_event(TimePoint now, const CommandEvent& event) {
   log_.write(
-      to_ms(now), Level::kDebug, name_of(event.kind),
+      now, Level::kDebug, name_of(event.kind),
       {{"component", "command"},
        {"command", std::string(event.command)},
        {"profile", std::string(event.profile)},
@@ -111,7 +112,7 @@
 net::ConnectionObserver EventLog::connection_observer(const char* component) {
   return [this, component](TimePoint now, const net::ConnectionClosed& closed) {
     if (log_.level() != Level::kDebug) return;
-    log_.write(to_ms(now), Level::kDebug, "connection.closed",
+    log_.write(now, Level::kDebug, "connection.closed",
                {{"component", component},
                 {"peer", std::string(closed.peer)},
                 {"reason", std::string(name_of(closed.reason))},
--- a/src/gateway/gateway_config.cpp
+++ b/src/gateway/gateway_config.cpp
@@ -90,11 +90,11 @@
 
 config::OperatorConfig read_operator_config(const std::string& operator_file) {
   if (operator_file.empty()) return {};
-  const config::Reading reading = config::read_operator_file(operator_file);
-  if (reading.good()) return reading.values;
+  const config::ParsedConfig parsed = config::load_operator_config(operator_file);
+  if (parsed.is_valid()) return parsed.values;
   std::string lines;
-  for (const config::Fault& fault : reading.faults)
-    lines += (lines.empty() ? "" : "; ") + config::line_of(operator_file, fault);
+  for (const config::Diagnostic& diagnostic : parsed.diagnostics)
+    lines += (lines.empty() ? "" : "; ") + config::format_diagnostic(operator_file, diagnostic);
   throw ConfigError(Code::kInvalid, operator_file, lines);
 }
 
--- a/src/gateway/result_store_wiring.cpp
+++ b/src/gateway/result_store_wiring.cpp
@@ -7,13 +7,13 @@
 
 results::PagedResultStoreOptions store_options(const config::OperatorConfig::Spool& spool) {
   results::PagedResultStoreOptions options;
-  options.keeping.memory = spool.memory_mb * 1e6;
-  options.keeping.disk = spool.folder.empty() ? 0 : spool.disk_mb * 1e6;
-  options.keeping.result_most = spool.result_mb * 1e6;
-  options.keeping.lease = spool.lease_s * 1000;
-  options.keeping.results_most = static_cast<size_t>(spool.results);
-  options.first_expected = spool.first_expected_kb * 1000;
-  options.backlog_most = options.keeping.memory / 4;
+  options.retention.memory_bytes = spool.memory_mb * 1e6;
+  options.retention.disk_bytes = spool.folder.empty() ? 0 : spool.disk_mb * 1e6;
+  options.retention.max_result_bytes = spool.result_mb * 1e6;
+  options.retention.lease = duration_of(spool.lease_s * 1000);
+  options.retention.max_results = static_cast<size_t>(spool.results);
+  options.initial_expected_bytes = spool.first_expected_kb * 1000;
+  options.max_backlog_bytes = options.retention.memory_bytes / 4;
   return options;
 }
 
@@ -30,12 +30,11 @@
   waker_ = std::make_unique<net::Waker>(loop);  // the turn that follows takes up what the files have done
   results::SegmentFiles::Options files_options;
   files_options.folder = options.folder;
-  files_options.boot = results::boot_time();
-  files_ = std::make_unique<results::SegmentFiles>(files_options, loop.now_ms(),
+  files_options.boot = results::read_boot_time();
+  files_ = std::make_unique<results::SegmentFiles>(files_options, loop.now(),
                                                    [waker = waker_.get()] { waker->wake(); });
-  if (files_->cut + files_->broken > 0) event_log.log_damaged_segments(*files_);
-  store_->use(loop.now_ms(), *files_, files_->found, files_->lease_offset());
-  files_->found.clear();
+  if (files_->truncated_segments() + files_->corrupt_results() > 0) event_log.log_damaged_segments(*files_);
+  store_->attach_storage(loop.now(), *files_, files_->take_recovered_results(), files_->lease_offset());
 }
 
 }  // namespace firvalve
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -70,9 +70,9 @@
 void run_due_work(const TurnParts& parts, TimePoint now) {
   parts.wall_clock_monitor.check(now);
   parts.endpoint_watcher.run_due(now);
-  parts.log.due(to_ms(now));
+  parts.log.write_suppressed(now);
   parts.engines.run_due(now);
-  if (parts.result_store) parts.result_store->due(to_ms(now));
+  if (parts.result_store) parts.result_store->handle_due(now);
   parts.clients.run_due(now);
   if (parts.cluster) parts.cluster->due(to_ms(now));
   parts.core.decide(now);
@@ -86,8 +86,8 @@
 std::optional<TimePoint> next_due(const TurnParts& parts, TimePoint now) {
   std::optional<TimePoint> due = parts.endpoint_watcher.next_due();
   if (parts.cluster) due = earlier_of(due, optional_time_of(parts.cluster->next_due(to_ms(now))));
-  if (parts.result_store) due = earlier_of(due, optional_time_of(parts.result_store->next_due()));
-  due = earlier_of(due, optional_time_of(parts.log.next_due()));
+  if (parts.result_store) due = earlier_of(due, parts.result_store->next_due());
+  due = earlier_of(due, parts.log.next_due());
   due = earlier_of(due, parts.clients.next_due());
   due = earlier_of(due, parts.engines.next_due());
   return earlier_of(due, parts.core.next_due());
@@ -142,7 +142,7 @@
     engines.set_max_page_bytes(static_cast<size_t>(operator_config.spool.page_kb * 1000));
     core.set_result_store(*result_store);
     clients.set_result_store(*result_store);
-    result_store->on_room = [&core](Ms now) { core.result_space_available(time_point_of(now)); };
+    result_store->on_space_freed = [&core](TimePoint now) { core.result_space_available(now); };
   }
   event_log.observe(core, clients, engines);
 
--- a/src/gateway/shutdown.cpp
+++ b/src/gateway/shutdown.cpp
@@ -15,7 +15,8 @@
 
 bool Shutdown::is_all_answered(TimePoint now) const {
   return now >= *started_at_ + proto::kLastRequestsWithin && parts_.core.unanswered_call_count() == 0 &&
-         parts_.clients.unsent_bytes() == 0 && (!parts_.result_store || parts_.result_store->settled()) &&
+         parts_.clients.unsent_bytes() == 0 &&
+         (!parts_.result_store || !parts_.result_store->has_pending_reads()) &&
          (!parts_.cluster || parts_.cluster->left(to_ms(now)));
 }
 
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/loadtest/hollow_gateway.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/hollow_gateway.h"
+#include "loadtest/hollow_gateway.h"
 
 #include <Poco/Exception.h>
 #include <fmt/format.h>
@@ -17,12 +17,12 @@
 #include "cluster/cluster_service.h"
 #include "config/operator_config.h"
 #include "core/settings.h"
-#include "lab/scale/parts.h"
+#include "loadtest/parts.h"
 #include "net/endpoint_watcher.h"
 #include "net/engine_connections.h"
 #include "net/waker.h"
 
-namespace firvalve::lab::scale {
+namespace firvalve::loadtest {
 namespace {
 
 // As the program itself has them where its settings do not say otherwise (gateway/serve.cpp).
@@ -60,11 +60,11 @@
   if (!options.reached_at.empty()) text += fmt::format(R"("reached_at":"{}",)", options.reached_at);
   if (!options.folder.empty()) text += fmt::format(R"("folder":"{}",)", options.folder);
   text += fmt::format(R"("lease_ms":{},"duties":{}}}}})", options.lease, json_list(options.duties));
-  const config::Reading reading = config::read_operator(text);
-  if (!reading.good())
-    throw ScaleError(fmt::format("hollow gateway {}: {}: {}", options.address, reading.faults[0].path,
-                                 reading.faults[0].text));
-  return reading.values.fleet;
+  const config::ParsedConfig parsed = config::parse_operator_config(text);
+  if (!parsed.is_valid())
+    throw ScaleError(fmt::format("hollow gateway {}: {}: {}", options.address, parsed.diagnostics[0].path,
+                                 parsed.diagnostics[0].message));
+  return parsed.values.fleet;
 }
 
 class NoClients : public ResponseSink {
@@ -275,4 +275,4 @@
 
 HollowGatewayReport HollowGateway::report() { return running_ ? running_->report() : HollowGatewayReport{}; }
 
-}  // namespace firvalve::lab::scale
+}  // namespace firvalve::loadtest
--- a/src/net/engine_connections.cpp
+++ b/src/net/engine_connections.cpp
@@ -198,7 +198,7 @@
   if (check_at_ && now >= *check_at_) check_timeouts(now);
   reporting_.swap(finished_);
   for (FinishedAttempt& finished : reporting_)
-    core_->attempt_finished(now, finished.attempt, finished.outcome, std::move(finished.rows));
+    core_->attempt_finished(now, finished.attempt, finished.outcome, finished.rows);
   reporting_.clear();
 }
 
--- a/src/results/paged_result_store.cpp
+++ b/src/results/paged_result_store.cpp
@@ -10,349 +10,398 @@
 
 namespace {
 
-constexpr double kPageOverhead = 96;  // bytes of a page beside its own
+constexpr double kPageOverheadBytes = 96;  // of memory, beside the page's own bytes
 
 uint64_t hash(std::string_view text, uint64_t seed = 0) {
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
+// Never 0, which stands for no key.
+uint64_t hash_of_key(std::string_view key) { return key.empty() ? 0 : hash(key) | 1; }
+
+// What a retry must match: the id of the first command of its chain, and the whole command.
+uint64_t hash_of_chain(const ResultStore::Reservation& reservation) {
+  std::string all(reservation.retry_chain);
+  for (const std::string_view part : {reservation.profile, reservation.result_key, reservation.statement})
+    all.append("\n").append(part);
+  return hash(all) | 1;
+}
+
+std::string_view metric_of(RemovalReason reason) {
+  switch (reason) {
+    case RemovalReason::kReleased:
+      return "results released";
+    case RemovalReason::kLeaseExpired:
+      return "results whose lease was over";
+    case RemovalReason::kEvicted:
+      return "results evicted";
+    case RemovalReason::kTooLarge:
+      return "results outgrown";
+    case RemovalReason::kAbandoned:
+      return "results given up";
+  }
+  return "results removed";
+}
+
+void erase_entry(std::unordered_multimap<uint64_t, ResultId>& index, uint64_t hash, ResultId id) {
+  const auto [begin, end] = index.equal_range(hash);
+  const auto at = std::find_if(begin, end, [id](const auto& entry) { return entry.second == id; });
+  if (at != end) index.erase(at);
+}
+
 }  // namespace
 
-PagedResultStore::PagedResultStore(const PagedResultStoreOptions& options, uint64_t life, Count count)
+PagedResultStore::PagedResultStore(const PagedResultStoreOptions& options, uint64_t incarnation,
+                                   CountMetric count)
     : options_(options),
-      life_(life),
+      incarnation_(incarnation),
       count_(std::move(count)),
-      keeping_(options.keeping),
-      sizes_(options.first_expected) {
-  const Token salt = new_token();
-  std::memcpy(&salt_, salt.data(), sizeof salt_);
-  keeping_.on_gone = [this](ResultNo no, Gone why) { gone(no, why); };
-  keeping_.on_leave_memory = [this](ResultNo no) { leave_memory(no); };
+      retention_(options.retention),
+      size_estimator_(options.initial_expected_bytes) {
+  const ResultToken salt = generate_token();
+  std::memcpy(&token_salt_, salt.data(), sizeof token_salt_);
+  retention_.on_removed = [this](ResultId id, RemovalReason reason) { handle_removed(id, reason); };
+  retention_.on_memory_evicted = [this](ResultId id) { handle_memory_evicted(id); };
 }
 
-PagedResultStore::~PagedResultStore() { keeping_.on_gone = nullptr; }
+PagedResultStore::~PagedResultStore() { retention_.on_removed = nullptr; }
 
-uint64_t PagedResultStore::key_hash(std::string_view key) const { return key.empty() ? 0 : hash(key) | 1; }
+uint64_t PagedResultStore::token_hash(const ResultToken& token) const {
+  return hash({reinterpret_cast<const char*>(token.data()), token.size()}, token_salt_);
+}
 
-// What a repeat must match: the chain's first id, and all of the command.
-uint64_t PagedResultStore::chain_hash(const Reservation& w) const {
-  std::string all(w.retry_chain);
-  for (const std::string_view part : {w.profile, w.result_key, w.statement}) all.append("\n").append(part);
-  return hash(all) | 1;
+void PagedResultStore::add_to_indexes(ResultId id, const Result& result) {
+  by_token_.emplace(token_hash(result.token), id);
+  if (result.chain_hash != 0) by_chain_.emplace(result.chain_hash, id);
 }
 
-void PagedResultStore::use(Ms now, Storage& storage, const std::vector<Found>& found, Ms lease_offset) {
+void PagedResultStore::remove_from_indexes(ResultId id, const Result& result) {
+  erase_entry(by_token_, token_hash(result.token), id);
+  erase_entry(by_chain_, result.chain_hash, id);
+}
+
+void PagedResultStore::attach_storage(TimePoint now, Storage& storage,
+                                      const std::vector<RecoveredResult>& recovered, Duration lease_offset) {
   now_ = now;
   lease_offset_ = lease_offset;
   storage_ = &storage;
-  for (const Found& f : found) {
-    const Ms lease_until = f.whole.lease_until - lease_offset_;
-    const ResultNo no = keeping_.restore(now, f.whole.owner, f.bytes, lease_until - now);
-    if (no == 0) continue;
-    Result& r = results_[no];
-    r.token = f.whole.token;
-    r.owner = f.whole.owner;
-    r.key = f.whole.key_hash;
-    r.chain = f.whole.chain_hash;
-    r.rows = f.whole.rows;
-    r.whole = true;
-    r.told_until = lease_until;
-    r.life = f.life;
-    r.stored_as = f.result;
-    for (const Found::Place& place : f.pages) {
-      Page p;
-      p.place = place;
-      p.on_disk = p.written = true;
-      p.stored.raw = place.raw;
-      p.stored.sum = place.sum;
-      p.size = static_cast<double>(place.length);
-      r.pages.push_back(std::move(p));
-      ++live_[place.segment];
+  for (const RecoveredResult& found : recovered) {
+    const Manifest& manifest = found.manifest;
+    const TimePoint lease_expiry = from_lease_time(manifest.lease_expiry, lease_offset_);
+    const auto id = retention_.restore(now, manifest.owner, found.bytes, lease_expiry - now);
+    if (!id) continue;
+    Result& result = results_[*id];
+    result.token = manifest.token;
+    result.owner = manifest.owner;
+    result.key_hash = manifest.key_hash;
+    result.chain_hash = manifest.chain_hash;
+    result.rows = manifest.rows;
+    result.is_complete = true;
+    result.stored_lease_expiry = lease_expiry;
+    result.recovered_key = found.key;
+    for (const RecordLocation& location : found.pages) {
+      Page& page = result.pages.emplace_back();
+      page.location = location;
+      page.is_on_disk = page.is_in_storage = true;
+      page.stored.uncompressed_bytes = location.uncompressed_bytes;
+      page.stored.checksum = location.checksum;
+      page.size_bytes = static_cast<double>(location.length);
+      ++live_pages_[location.segment];
     }
-    tokens_.emplace(hash({reinterpret_cast<const char*>(r.token.data()), r.token.size()}, salt_), no);
-    if (r.chain != 0) chains_.emplace(r.chain, no);
+    add_to_indexes(*id, result);
     count_("results read back");
   }
-  drop_segments();
+  delete_unused_segments();
 }
 
-std::optional<ResultHandle> PagedResultStore::reserve(TimePoint now_at, const Reservation& w) {
-  const Ms now = to_ms(now_at);
+std::optional<ResultHandle> PagedResultStore::reserve(TimePoint now, const Reservation& reservation) {
   now_ = now;
-  const std::string profile(w.profile);
-  const ResultNo no = keeping_.reserve(now, std::string(w.owner), sizes_.expected(profile, w.table_group));
-  if (no == 0) {
+  const std::string profile(reservation.profile);
+  const auto id = retention_.reserve(std::string(reservation.owner),
+                                     size_estimator_.estimate_bytes(profile, reservation.table_group));
+  if (!id) {
     count_("places not had");
     return std::nullopt;
   }
-  Result& r = results_[no];
-  r.owner = w.owner;
-  r.profile = profile;
-  r.tables = w.table_group;
-  r.key = key_hash(w.result_key);
-  r.chain = chain_hash(w);
-  return no;
+  Result& result = results_[*id];
+  result.owner = reservation.owner;
+  result.profile = profile;
+  result.table_group = reservation.table_group;
+  result.key_hash = hash_of_key(reservation.result_key);
+  result.chain_hash = hash_of_chain(reservation);
+  return id;
 }
 
-std::optional<ResultHandle> PagedResultStore::find(TimePoint now_at, const Reservation& w) {
-  const Ms now = to_ms(now_at);
+std::optional<ResultHandle> PagedResultStore::find(TimePoint now, const Reservation& reservation) {
   now_ = now;
-  const auto [begin, end] = chains_.equal_range(chain_hash(w));
+  const auto [begin, end] = by_chain_.equal_range(hash_of_chain(reservation));
   for (auto at = begin; at != end; ++at) {
-    const Result& r = results_.at(at->second);
-    if (!r.whole || r.key != key_hash(w.result_key) || !keeping_.read(now, at->second)) continue;
+    const ResultId id = at->second;
+    const Result& result = results_.at(id);
+    if (!result.is_complete || result.key_hash != hash_of_key(reservation.result_key)) continue;
+    if (!retention_.renew_lease(now, id)) continue;
     count_("results found by a repeat");
-    return at->second;
+    return id;
   }
   return std::nullopt;
 }
 
-ResultStore::AppendResult PagedResultStore::append_page(TimePoint now_at, ResultHandle no,
+ResultStore::AppendResult PagedResultStore::append_page(TimePoint now, ResultHandle id,
                                                         std::string_view rows) {
-  const Ms now = to_ms(now_at);
   now_ = now;
-  const auto at = results_.find(no);
-  if (at == results_.end() || at->second.whole) return AppendResult::kOutOfSpace;
-  if (at->second.raw + static_cast<double>(rows.size()) > options_.keeping.result_most) {
-    keeping_.forget(no, Gone::kOutgrown);
+  const auto at = results_.find(id);
+  if (at == results_.end() || at->second.is_complete) return AppendResult::kOutOfSpace;
+  Result& result = at->second;
+  if (result.uncompressed_bytes + static_cast<double>(rows.size()) > options_.retention.max_result_bytes) {
+    retention_.remove(id, RemovalReason::kTooLarge);
     return AppendResult::kOutOfSpace;
   }
-  Page p;
-  p.stored = pack(rows);
-  p.size = static_cast<double>(p.stored.bytes.size()) + kPageOverhead;
-  if (!keeping_.grow(now, no, p.size)) return AppendResult::kOutOfSpace;
-  Result& r = at->second;
-  r.rows += static_cast<uint64_t>(std::count(rows.begin(), rows.end(), '\n'));
-  r.raw += static_cast<double>(rows.size());
-  r.pages.push_back(std::move(p));
-  write(now, no, r.pages.size() - 1);
-  return storage_ && static_cast<double>(storage_->backlog()) > options_.backlog_most
-             ? AppendResult::kStoredSlowDown
-             : AppendResult::kStored;
-}
-
-void PagedResultStore::write(Ms now, ResultNo no, size_t page) {
-  if (!storage_) return;
-  Result& r = results_.at(no);
-  Page& p = r.pages[page];
-  if (!keeping_.take_disk(now, no, p.size)) {
-    count_("pages without room on disk");
-    return;
-  }
-  p.written = true;
-  Record record;
-  record.kind = Record::Kind::kPage;
-  put_name(no, r, record);
-  record.page = static_cast<uint32_t>(page);
-  record.stored = p.stored;
-  writes_[++last_tag_] = {no, page, r.tries};
-  storage_->append(last_tag_, std::move(record));
-}
-
-void PagedResultStore::let_go(const Result& r) {
-  for (const Page& p : r.pages) {
-    if (!p.on_disk) continue;
-    const auto at = live_.find(p.place.segment);
-    if (at != live_.end() && --at->second == 0) live_.erase(at);
-  }
+  Page page;
+  page.stored = compress(rows);
+  page.size_bytes = static_cast<double>(page.stored.bytes.size()) + kPageOverheadBytes;
+  if (!retention_.add_bytes(id, page.size_bytes)) return AppendResult::kOutOfSpace;
+  result.rows += static_cast<uint64_t>(std::count(rows.begin(), rows.end(), '\n'));
+  result.uncompressed_bytes += static_cast<double>(rows.size());
+  result.pages.push_back(std::move(page));
+  write_page(id, result.pages.size() - 1);
+  const bool is_storage_behind =
+      storage_ && static_cast<double>(storage_->backlog_bytes()) > options_.max_backlog_bytes;
+  return is_storage_behind ? AppendResult::kStoredSlowDown : AppendResult::kStored;
 }
 
-void PagedResultStore::clear_pages(TimePoint now_at, ResultHandle no) {
-  const Ms now = to_ms(now_at);
+void PagedResultStore::clear_pages(TimePoint now, ResultHandle id) {
   now_ = now;
-  const auto at = results_.find(no);
-  if (at == results_.end() || at->second.whole) return;
-  let_go(at->second);
-  at->second.pages.clear();
-  at->second.rows = 0;
-  at->second.raw = 0;
-  at->second.tries += 1;
-  keeping_.clear(no);
-}
-
-void PagedResultStore::discard(TimePoint now_at, ResultHandle no) {
-  const Ms now = to_ms(now_at);
+  const auto at = results_.find(id);
+  if (at == results_.end() || at->second.is_complete) return;
+  Result& result = at->second;
+  release_segments(result);
+  result.pages.clear();
+  result.rows = 0;
+  result.uncompressed_bytes = 0;
+  result.attempt += 1;
+  retention_.clear(id);
+}
+
+void PagedResultStore::discard(TimePoint now, ResultHandle id) {
   now_ = now;
-  keeping_.forget(no, Gone::kGivenUp);
+  retention_.remove(id, RemovalReason::kAbandoned);
 }
 
-void PagedResultStore::complete(TimePoint now_at, ResultHandle no) {
-  const Ms now = to_ms(now_at);
+void PagedResultStore::complete(TimePoint now, ResultHandle id) {
   now_ = now;
-  const auto at = results_.find(no);
+  const auto at = results_.find(id);
   if (at == results_.end()) return;
-  Result& r = at->second;
-  r.whole = true;
-  r.token = new_token();
-  tokens_.emplace(hash({reinterpret_cast<const char*>(r.token.data()), r.token.size()}, salt_), no);
-  chains_.emplace(r.chain, no);
-  double size = 0;
-  for (const Page& p : r.pages) size += p.size;
-  sizes_.ended(r.profile, r.tables, size);
-  keeping_.whole(now, no);
+  Result& result = at->second;
+  result.is_complete = true;
+  result.token = generate_token();
+  add_to_indexes(id, result);
+  double size_bytes = 0;
+  for (const Page& page : result.pages) size_bytes += page.size_bytes;
+  size_estimator_.add_result(result.profile, result.table_group, size_bytes);
+  retention_.complete(now, id);
   count_("results kept");
-  room_ = true;  // what was reserved and not used
-  tell_whole(now, no);
-}
-
-// What began anew is another to the storage; what an earlier life stored keeps its name.
-void PagedResultStore::put_name(ResultNo no, const Result& r, Record& record) const {
-  record.life = r.life ? r.life : life_;
-  record.result = r.life ? r.stored_as : (no << 16) + r.tries;
+  is_space_freed_ = true;  // the rest of its reservation
+  write_manifest(now, id);
 }
 
-// Only what is wholly on its way to the disk can be read back: the rest gets no record of being whole.
-void PagedResultStore::tell_whole(Ms now, ResultNo no) {
-  Result& r = results_.at(no);
-  if (!storage_ || !std::all_of(r.pages.begin(), r.pages.end(), [](const Page& p) { return p.written; }))
-    return;
-  Record record;
-  record.kind = Record::Kind::kWhole;
-  put_name(no, r, record);
-  r.told_until = now + options_.keeping.lease;
-  record.whole = {
-      r.token, r.key,  r.chain, r.told_until + lease_offset_, static_cast<uint32_t>(r.pages.size()),
-      r.rows,  r.owner};
-  storage_->append(0, std::move(record));
-}
-
-PagedAnswer PagedResultStore::answer_of(ResultHandle no) const {
-  const auto at = results_.find(no);
+PagedAnswer PagedResultStore::answer_of(ResultHandle id) const {
+  const auto at = results_.find(id);
   if (at == results_.end()) return {};
-  return {hex_of(at->second.token), at->second.pages.size(), at->second.rows};
+  return {to_hex(at->second.token), at->second.pages.size(), at->second.rows};
 }
 
-ResultNo PagedResultStore::by_token(std::string_view hex, std::string_view key) const {
-  const auto token = token_of(hex);
-  if (!token) return 0;
-  const uint64_t h = hash({reinterpret_cast<const char*>(token->data()), token->size()}, salt_);
-  const auto [begin, end] = tokens_.equal_range(h);
+// Nothing also where there is such a result and the key is not this client's.
+std::optional<ResultId> PagedResultStore::find_by_token(std::string_view hex,
+                                                        std::string_view result_key) const {
+  const auto token = parse_token(hex);
+  if (!token) return std::nullopt;
+  const auto [begin, end] = by_token_.equal_range(token_hash(*token));
   for (auto at = begin; at != end; ++at) {
-    const Result& r = results_.at(at->second);
-    if (same(r.token, *token) && (r.key == 0 || r.key == key_hash(key))) return at->second;
+    const Result& result = results_.at(at->second);
+    const bool is_token = equal_in_constant_time(result.token, *token);
+    if (is_token && (result.key_hash == 0 || result.key_hash == hash_of_key(result_key))) return at->second;
   }
-  return 0;
+  return std::nullopt;
 }
 
-void PagedResultStore::read_page(TimePoint now_at, std::string_view token, std::string_view key,
-                                 uint64_t page, ReadCallback done) {
-  const Ms now = to_ms(now_at);
+void PagedResultStore::read_page(TimePoint now, std::string_view token, std::string_view result_key,
+                                 uint64_t page_number, ReadCallback callback) {
   now_ = now;
-  const ResultNo no = by_token(token, key);
-  if (no == 0 || !keeping_.read(now, no)) return done(now_at, ReadStatus::kGone, {}, 0);
-  Result& r = results_.at(no);
-  if (page < 1 || page > r.pages.size()) return done(now_at, ReadStatus::kNoSuchPage, {}, r.pages.size());
-  // The storage is told of a lease that goes on, before half of what it knows is over.
-  if (r.told_until > 0 && r.told_until < now + options_.keeping.lease / 2) tell_whole(now, no);
-  const Page& p = r.pages[page - 1];
-  if (p.stored.bytes.empty() && p.on_disk) {
-    reads_[++last_tag_] = {no, page - 1, std::move(done)};
-    return storage_->read(last_tag_, p.place);
+  const auto id = find_by_token(token, result_key);
+  if (!id || !retention_.renew_lease(now, *id)) return callback(now, ReadStatus::kGone, {}, 0);
+  const Result& result = results_.at(*id);
+  if (page_number < 1 || page_number > result.pages.size())
+    return callback(now, ReadStatus::kNoSuchPage, {}, result.pages.size());
+  // A renewed lease is stored before half of the stored one is over.
+  if (result.stored_lease_expiry && *result.stored_lease_expiry < now + options_.retention.lease / 2)
+    write_manifest(now, *id);
+  const Page& page = result.pages[page_number - 1];
+  if (page.stored.bytes.empty() && page.is_on_disk) {
+    reads_[++last_request_id_] = {*id, page_number - 1, std::move(callback)};
+    return storage_->read(last_request_id_, page.location);
   }
-  const auto rows = unpack(p.stored);
+  const auto rows = decompress(page.stored);
   if (!rows) {
-    count_("pages broken");
-    keeping_.forget(no, Gone::kEvicted);
-    return done(now_at, ReadStatus::kGone, {}, 0);
+    handle_corrupt_page(*id);
+    return callback(now, ReadStatus::kGone, {}, 0);
   }
-  done(now_at, ReadStatus::kRows, *rows, r.pages.size());
+  callback(now, ReadStatus::kRows, *rows, result.pages.size());
 }
 
-bool PagedResultStore::release(TimePoint now_at, std::string_view token, std::string_view key) {
-  const Ms now = to_ms(now_at);
+bool PagedResultStore::release(TimePoint now, std::string_view token, std::string_view result_key) {
   now_ = now;
-  const ResultNo no = by_token(token, key);
-  if (no == 0) return false;
-  keeping_.forget(no, Gone::kReleased);
+  const auto id = find_by_token(token, result_key);
+  if (!id) return false;
+  retention_.remove(*id, RemovalReason::kReleased);
   return true;
 }
 
-void PagedResultStore::leave_memory(ResultNo no) {
-  for (Page& p : results_.at(no).pages)
-    if (p.on_disk) std::string().swap(p.stored.bytes);
-  count_("results moved to disk alone");
+// ---- Storage ------------------------------------------------------------------------------------
+
+// An attempt that starts over is another result to the storage. A recovered result keeps its key.
+RecordKey PagedResultStore::record_key(ResultId id, const Result& result) const {
+  return result.recovered_key.value_or(RecordKey{incarnation_, (id << 16) + result.attempt});
 }
 
-void PagedResultStore::gone(ResultNo no, Gone why) {
-  static constexpr std::string_view kWhy[] = {"results released", "results whose lease was over",
-                                              "results evicted", "results outgrown", "results given up"};
-  const auto at = results_.find(no);
-  if (at == results_.end()) return;
-  const Result& r = at->second;
-  count_(kWhy[static_cast<size_t>(why)]);
-  const auto erase = [&](auto& map, uint64_t h) {
-    const auto [begin, end] = map.equal_range(h);
-    for (auto i = begin; i != end; ++i)
-      if (i->second == no) return void(map.erase(i));
-  };
-  if (r.whole) {
-    erase(tokens_, hash({reinterpret_cast<const char*>(r.token.data()), r.token.size()}, salt_));
-    erase(chains_, r.chain);
+void PagedResultStore::write_page(ResultId id, size_t page_index) {
+  if (!storage_) return;
+  Result& result = results_.at(id);
+  Page& page = result.pages[page_index];
+  if (!retention_.reserve_disk(id, page.size_bytes)) {
+    count_("pages without room on disk");
+    return;
   }
-  let_go(r);
-  // Guards against a result that was released or is over and comes back with the next life.
-  if (r.told_until > now_ && storage_) {
-    Record record;
-    record.kind = Record::Kind::kGone;
-    put_name(no, r, record);
-    storage_->append(0, std::move(record));
+  page.is_in_storage = true;
+  SegmentRecord record;
+  record.kind = SegmentRecord::Kind::kPage;
+  record.key = record_key(id, result);
+  record.page_index = static_cast<uint32_t>(page_index);
+  record.page = page.stored;
+  writes_[++last_request_id_] = {id, page_index, result.attempt};
+  storage_->append(last_request_id_, std::move(record));
+}
+
+// Only a result of which all pages are on their way to the disk can be recovered: others get no manifest.
+void PagedResultStore::write_manifest(TimePoint now, ResultId id) {
+  if (!storage_) return;
+  Result& result = results_.at(id);
+  const auto is_in_storage = [](const Page& page) { return page.is_in_storage; };
+  if (!std::all_of(result.pages.begin(), result.pages.end(), is_in_storage)) return;
+  result.stored_lease_expiry = now + options_.retention.lease;
+  SegmentRecord record;
+  record.kind = SegmentRecord::Kind::kManifest;
+  record.key = record_key(id, result);
+  record.manifest.token = result.token;
+  record.manifest.key_hash = result.key_hash;
+  record.manifest.chain_hash = result.chain_hash;
+  record.manifest.lease_expiry = to_lease_time(*result.stored_lease_expiry, lease_offset_);
+  record.manifest.pages = static_cast<uint32_t>(result.pages.size());
+  record.manifest.rows = result.rows;
+  record.manifest.owner = result.owner;
+  storage_->append(std::nullopt, std::move(record));
+}
+
+// Guards against a result that was released, or is over, and would be recovered by the next incarnation.
+void PagedResultStore::write_tombstone(ResultId id, const Result& result) {
+  const bool is_recoverable = storage_ && result.stored_lease_expiry && *result.stored_lease_expiry > now_;
+  if (!is_recoverable) return;
+  SegmentRecord record;
+  record.kind = SegmentRecord::Kind::kTombstone;
+  record.key = record_key(id, result);
+  storage_->append(std::nullopt, std::move(record));
+}
+
+void PagedResultStore::finish_write(const PendingWrite& write, const Storage::Completion& completion) {
+  if (!completion.succeeded) count_("pages not written");
+  const auto at = results_.find(write.id);
+  if (at == results_.end() || at->second.attempt != write.attempt) return;
+  Page& page = at->second.pages[write.page_index];
+  page.is_in_storage = page.is_on_disk = completion.succeeded;
+  page.location = completion.location;
+  if (completion.succeeded) ++live_pages_[completion.location.segment];
+  retention_.finish_disk_write(write.id, page.size_bytes, completion.succeeded);
+}
+
+std::optional<std::string> PagedResultStore::decompress_read(const PendingRead& read,
+                                                             Storage::Completion completion) {
+  const auto at = results_.find(read.id);
+  if (at == results_.end() || !completion.succeeded) return std::nullopt;
+  StoredPage page = at->second.pages[read.page_index].stored;
+  page.bytes = std::move(completion.bytes);
+  return decompress(page);
+}
+
+void PagedResultStore::finish_read(TimePoint now, const PendingRead& read, Storage::Completion completion) {
+  if (const auto rows = decompress_read(read, std::move(completion)))
+    return read.callback(now, ReadStatus::kRows, *rows, results_.at(read.id).pages.size());
+  if (results_.count(read.id) > 0) handle_corrupt_page(read.id);
+  read.callback(now, ReadStatus::kGone, {}, 0);
+}
+
+void PagedResultStore::release_segments(const Result& result) {
+  for (const Page& page : result.pages) {
+    if (!page.is_on_disk) continue;
+    const auto at = live_pages_.find(page.location.segment);
+    if (at != live_pages_.end() && --at->second == 0) live_pages_.erase(at);
   }
-  results_.erase(at);
-  room_ = true;
-  drop_segments();
 }
 
-// Segments go from the oldest on, so that no word of a result's end goes before its pages.
-void PagedResultStore::drop_segments() {
+// Oldest first, so that no tombstone is deleted before the pages that it stands for.
+void PagedResultStore::delete_unused_segments() {
   if (!storage_) return;
-  const size_t until =
-      live_.empty() ? storage_->current() : std::min(live_.begin()->first, storage_->current());
-  if (until <= dropped_until_) return;
-  dropped_until_ = until;
-  storage_->drop_until(until);
+  const size_t current = storage_->current_segment();
+  const size_t first_kept = live_pages_.empty() ? current : std::min(live_pages_.begin()->first, current);
+  if (first_kept <= first_kept_segment_) return;
+  first_kept_segment_ = first_kept;
+  storage_->delete_segments_before(first_kept);
+}
+
+// ---- Retention ----------------------------------------------------------------------------------
+
+void PagedResultStore::handle_memory_evicted(ResultId id) {
+  for (Page& page : results_.at(id).pages)
+    if (page.is_on_disk) std::string().swap(page.stored.bytes);
+  count_("results moved to disk alone");
+}
+
+// A corrupt page is never served, and without it the other pages are of no use.
+void PagedResultStore::handle_corrupt_page(ResultId id) {
+  count_("pages broken");
+  retention_.remove(id, RemovalReason::kEvicted);
 }
 
-void PagedResultStore::due(Ms now) {
+void PagedResultStore::handle_removed(ResultId id, RemovalReason reason) {
+  const auto at = results_.find(id);
+  if (at == results_.end()) return;
+  const Result& result = at->second;
+  count_(metric_of(reason));
+  if (result.is_complete) remove_from_indexes(id, result);
+  release_segments(result);
+  write_tombstone(id, result);
+  results_.erase(at);
+  is_space_freed_ = true;
+  delete_unused_segments();
+}
+
+void PagedResultStore::handle_due(TimePoint now) {
   now_ = now;
-  keeping_.due(now);
+  retention_.expire_leases(now);
   if (storage_) {
-    for (Storage::Done& d : storage_->done()) {
-      if (const auto w = writes_.find(d.tag); w != writes_.end()) {
-        const Writing writing = w->second;
-        writes_.erase(w);
-        const auto at = results_.find(writing.no);
-        if (!d.good) count_("pages not written");
-        if (at == results_.end() || at->second.tries != writing.tries) continue;
-        Page& p = at->second.pages[writing.page];
-        p.written = p.on_disk = d.good;
-        p.place = d.place;
-        if (d.good) ++live_[d.place.segment];
-        keeping_.stored(writing.no, p.size, d.good);
-      } else if (const auto r = reads_.find(d.tag); r != reads_.end()) {
-        const Reading reading = std::move(r->second);
-        reads_.erase(r);
-        const auto at = results_.find(reading.no);
-        std::optional<std::string> rows;
-        if (at != results_.end() && d.good) {
-          StoredPage page = at->second.pages[reading.page].stored;
-          page.bytes = std::move(d.bytes);
-          rows = unpack(page);
-        }
-        if (rows) {
-          reading.done(time_point_of(now), ReadStatus::kRows, *rows, at->second.pages.size());
-          continue;
-        }
-        // A page that is broken is never served, and so the rest is of no use either.
-        if (at != results_.end()) {
-          count_("pages broken");
-          keeping_.forget(reading.no, Gone::kEvicted);
-        }
-        reading.done(time_point_of(now), ReadStatus::kGone, {}, 0);
+    for (Storage::Completion& completion : storage_->take_completions()) {
+      if (const auto write = writes_.extract(completion.request_id)) {
+        finish_write(write.mapped(), completion);
+      } else if (const auto read = reads_.extract(completion.request_id)) {
+        finish_read(now, read.mapped(), std::move(completion));
       }
     }
-    drop_segments();
+    delete_unused_segments();
   }
-  if (std::exchange(room_, false) && on_room) on_room(now);
+  if (std::exchange(is_space_freed_, false) && on_space_freed) on_space_freed(now);
+}
+
+std::optional<TimePoint> PagedResultStore::next_due() const {
+  if (is_space_freed_) return TimePoint(Duration(1));  // at once
+  return retention_.next_expiry();
 }
 
 }  // namespace firvalve::results
--- a/src/results/paged_result_store.h
+++ b/src/results/paged_result_store.h
@@ -1,113 +1,137 @@
-// The spool: results as pages under a token. It carries out what Retention decides, and holds the bytes.
-// One thread: the loop's. The files have their own.
+// The result store: complete results as compressed pages, read by a token. It holds the bytes and carries out
+// what Retention decides; pages go to memory and, where there is a Storage, to disk as well.
+//
+// One thread: the event loop's. A Storage has threads of its own.
 #pragma once
 
-#include <deque>
+#include <cstdint>
+#include <functional>
 #include <map>
-#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
 #include <unordered_map>
 #include <vector>
 
 #include "core/result_store.h"
+#include "results/recovery.h"
+#include "results/result_size_estimator.h"
 #include "results/retention.h"
-#include "results/segment_files.h"
-#include "results/sizes.h"
 #include "results/storage.h"
 
 namespace firvalve::results {
 
 struct PagedResultStoreOptions {
-  RetentionOptions keeping;
-  double first_expected = 64 * 1024;  // bytes of a result of which nothing is known
-  double backlog_most = 4e6;          // bytes waiting for the disk, past which engines are asked more slowly
+  RetentionOptions retention;
+  double initial_expected_bytes = 64 * 1024;  // of a result, before any of its profile is known
+  double max_backlog_bytes = 4e6;  // waiting for the disk; beyond it engines are asked for pages more slowly
 };
 
 class PagedResultStore : public ResultStore {
  public:
-  // Counts by name: kept, evicted, outgrown and so on.
-  using Count = std::function<void(std::string_view what)>;
-  PagedResultStore(const PagedResultStoreOptions& options, uint64_t life, Count count);
+  // Increments the metric of this name by one.
+  using CountMetric = std::function<void(std::string_view name)>;
+
+  // `incarnation`: drawn anew by each start of the program; see RecordKey. Throws std::runtime_error if the
+  // system gives no random numbers.
+  PagedResultStore(const PagedResultStoreOptions& options, uint64_t incarnation, CountMetric count);
   ~PagedResultStore() override;
 
-  // Results of earlier lives, and where pages go from here on. The storage must outlive the spool.
-  // lease_offset: by how much the time in which the storage holds leases lies past `now`.
-  void use(Ms now, Storage& storage, const std::vector<Found>& found, Ms lease_offset = 0);
-  std::function<void(Ms now)> on_room;  // a place may be had again
+  // Takes over the results of earlier incarnations, and stores pages there from now on. The storage must
+  // outlive the result store. `lease_offset`: by how much the storage's lease clock is ahead of `now`.
+  void attach_storage(TimePoint now, Storage& storage, const std::vector<RecoveredResult>& recovered,
+                      Duration lease_offset = Duration(0));
+  // Called by handle_due() when a reservation that failed may succeed now.
+  std::function<void(TimePoint now)> on_space_freed;
 
-  std::optional<ResultHandle> reserve(TimePoint now, const Reservation& wish) override;
-  std::optional<ResultHandle> find(TimePoint now, const Reservation& wish) override;
-  AppendResult append_page(TimePoint now, ResultHandle no, std::string_view rows) override;
-  void clear_pages(TimePoint now, ResultHandle no) override;
-  void discard(TimePoint now, ResultHandle no) override;
-  void complete(TimePoint now, ResultHandle no) override;
-  PagedAnswer answer_of(ResultHandle no) const override;
-  void read_page(TimePoint now, std::string_view token, std::string_view key, uint64_t page,
-                 ReadCallback done) override;
-  bool release(TimePoint now, std::string_view token, std::string_view key) override;
+  std::optional<ResultHandle> reserve(TimePoint now, const Reservation& reservation) override;
+  std::optional<ResultHandle> find(TimePoint now, const Reservation& reservation) override;
+  AppendResult append_page(TimePoint now, ResultHandle id, std::string_view rows) override;
+  void clear_pages(TimePoint now, ResultHandle id) override;
+  void discard(TimePoint now, ResultHandle id) override;
+  void complete(TimePoint now, ResultHandle id) override;
+  PagedAnswer answer_of(ResultHandle id) const override;
+  void read_page(TimePoint now, std::string_view token, std::string_view result_key, uint64_t page,
+                 ReadCallback callback) override;
+  bool release(TimePoint now, std::string_view token, std::string_view result_key) override;
 
-  void due(Ms now);  // what the storage has done, and leases that are over
-  Ms next_due() const { return room_ ? 1 : keeping_.next_due(); }
-  const Retention& keeping() const { return keeping_; }
-  bool settled() const { return reads_.empty(); }
+  // Handles what the storage has completed, and leases that have expired.
+  void handle_due(TimePoint now);
+  std::optional<TimePoint> next_due() const;
+  const Retention& retention() const { return retention_; }
+  bool has_pending_reads() const { return !reads_.empty(); }
 
  private:
   struct Page {
-    StoredPage stored;  // its bytes: empty once it is on disk alone
-    Found::Place place;
-    bool on_disk = false, written = false;  // written: it has been handed to the storage
-    double size = 0;
+    StoredPage stored;  // its bytes are empty once the page is on disk only
+    RecordLocation location;
+    bool is_on_disk = false;
+    bool is_in_storage = false;  // handed over to it, or on disk already
+    double size_bytes = 0;       // as accounted for by retention
   };
   struct Result {
-    Token token{};
+    ResultToken token{};
     std::string owner, profile;
-    uint64_t key = 0, chain = 0;
-    int64_t tables = -1;
-    uint64_t rows = 0, tries = 0;      // tries: how often it began anew
-    uint64_t life = 0, stored_as = 0;  // as an earlier life of the program stored it; 0: this one
+    uint64_t key_hash = 0;  // of the client's key; 0: the token alone suffices
+    uint64_t chain_hash = 0;
+    int64_t table_group = -1;
+    uint64_t rows = 0;
+    uint64_t attempt = 0;                    // how often it started over
+    std::optional<RecordKey> recovered_key;  // as an earlier incarnation stored it
     std::vector<Page> pages;
-    double raw = 0;
-    bool whole = false;
-    Ms told_until =
-        0;  // the lease's end as the storage knows it, in our time; 0: it does not know it as whole
+    double uncompressed_bytes = 0;
+    bool is_complete = false;
+    // What the latest manifest in the storage says, in our time. Nothing: the storage has no manifest.
+    std::optional<TimePoint> stored_lease_expiry;
   };
-  struct Writing {
-    ResultNo no = 0;
-    size_t page = 0;
-    uint64_t tries = 0;
+  using Results = std::unordered_map<ResultId, Result>;
+  struct PendingWrite {
+    ResultId id = 0;
+    size_t page_index = 0;
+    uint64_t attempt = 0;
   };
-  struct Reading {
-    ResultNo no = 0;
-    size_t page = 0;
-    ReadCallback done;
+  struct PendingRead {
+    ResultId id = 0;
+    size_t page_index = 0;
+    ReadCallback callback;
   };
 
-  uint64_t key_hash(std::string_view key) const;
-  uint64_t chain_hash(const Reservation& wish) const;
-  ResultNo by_token(std::string_view token, std::string_view key) const;  // 0: none that this client may have
-  void gone(ResultNo no, Gone why);
-  void leave_memory(ResultNo no);
-  void write(Ms now, ResultNo no, size_t page);
-  void tell_whole(Ms now, ResultNo no);
-  void put_name(ResultNo no, const Result& r, Record& record) const;  // what the storage knows it by
-  void let_go(const Result& r);
-  void drop_segments();
+  uint64_t token_hash(const ResultToken& token) const;
+  std::optional<ResultId> find_by_token(std::string_view token, std::string_view result_key) const;
+  void add_to_indexes(ResultId id, const Result& result);  // by token and by retry chain
+  void remove_from_indexes(ResultId id, const Result& result);
+  RecordKey record_key(ResultId id, const Result& result) const;
+
+  void write_page(ResultId id, size_t page_index);
+  void write_manifest(TimePoint now, ResultId id);
+  void write_tombstone(ResultId id, const Result& result);
+  void finish_write(const PendingWrite& write, const Storage::Completion& completion);
+  void finish_read(TimePoint now, const PendingRead& read, Storage::Completion completion);
+  std::optional<std::string> decompress_read(const PendingRead& read, Storage::Completion completion);
+
+  void handle_removed(ResultId id, RemovalReason reason);
+  void handle_memory_evicted(ResultId id);
+  void handle_corrupt_page(ResultId id);
+  void release_segments(const Result& result);  // its pages are no longer needed there
+  void delete_unused_segments();
 
   const PagedResultStoreOptions options_;
-  const uint64_t life_;
-  Count count_;
-  Retention keeping_;
-  Sizes sizes_;
-  Storage* storage_ = nullptr;
-  Ms lease_offset_ = 0;
-  std::unordered_map<ResultNo, Result> results_;
-  std::unordered_multimap<uint64_t, ResultNo> tokens_, chains_;  // by hash
-  std::unordered_map<uint64_t, Writing> writes_;
-  std::unordered_map<uint64_t, Reading> reads_;
-  std::map<size_t, int> live_;  // pages wanted, by segment
-  uint64_t last_tag_ = 0, salt_ = 0;
-  size_t dropped_until_ = 0;
-  bool room_ = false;  // something has gone since the last look
-  Ms now_ = 0;
+  const uint64_t incarnation_;
+  const CountMetric count_;
+  Retention retention_;
+  ResultSizeEstimator size_estimator_;
+  Storage* storage_ = nullptr;  // owned by the caller of attach_storage()
+  Duration lease_offset_{0};
+  Results results_;
+  std::unordered_multimap<uint64_t, ResultId> by_token_, by_chain_;  // complete results, by hash
+  std::unordered_map<RequestId, PendingWrite> writes_;
+  std::unordered_map<RequestId, PendingRead> reads_;
+  std::map<size_t, int> live_pages_;  // how many pages are needed, by segment
+  RequestId last_request_id_ = 0;
+  uint64_t token_salt_ = 0;        // keeps clients from choosing tokens that collide in by_token_
+  size_t first_kept_segment_ = 0;  // all before it have been deleted
+  bool is_space_freed_ = false;    // since the last handle_due()
+  TimePoint now_;                  // of the latest call
 };
 
 }  // namespace firvalve::results
--- a/src/results/retention.cpp
+++ b/src/results/retention.cpp
@@ -1,218 +1,224 @@
 #include "results/retention.h"
 
 #include <algorithm>
-#include <utility>
 
 namespace firvalve::results {
 
-double Retention::fair_share() const {
-  return (options_.memory + options_.disk) / static_cast<double>(std::max<size_t>(owners_.size(), 1));
+double Retention::fair_share_bytes() const {
+  return (options_.memory_bytes + options_.disk_bytes) /
+         static_cast<double>(std::max<size_t>(owners_.size(), 1));
 }
 
-double Retention::held_by(const std::string& owner) const {
+double Retention::held_bytes(const std::string& owner) const {
   const auto at = owners_.find(owner);
-  return at == owners_.end() ? 0 : at->second->held;
+  return at == owners_.end() ? 0 : at->second->held_bytes;
 }
 
-void Retention::rank(Owner& owner, double held) {
-  by_held_.erase({owner.held, &owner});
-  owner.held = held;
-  by_held_.insert({owner.held, &owner});
+Retention::Result* Retention::find(ResultId id) {
+  const auto at = results_.find(id);
+  return at == results_.end() ? nullptr : at->second.get();
 }
 
-void Retention::charge(Result& r, double memory, double disk, double reserved) {
-  r.memory += memory;
-  r.disk += disk;
-  r.reserved += reserved;
-  memory_ += memory;
-  disk_ += disk;
-  reserved_ += reserved;
-  rank(*r.owner, r.owner->held + memory + disk + reserved);
+void Retention::charge(Result& result, const Change& change) {
+  result.memory_bytes += change.memory;
+  result.disk_bytes += change.disk;
+  result.reserved_bytes += change.reserved;
+  memory_bytes_ += change.memory;
+  disk_bytes_ += change.disk;
+  reserved_bytes_ += change.reserved;
+  Owner& owner = *result.owner;
+  owners_by_held_bytes_.erase({owner.held_bytes, &owner});
+  owner.held_bytes = owner.held_bytes + change.memory + change.disk + change.reserved;
+  owners_by_held_bytes_.insert({owner.held_bytes, &owner});
 }
 
-Retention::Result& Retention::add(const std::string& name) {
-  auto& owner = owners_[name];
+Retention::Result& Retention::add(const std::string& owner_name) {
+  auto& owner = owners_[owner_name];
   if (!owner) {
     owner = std::make_unique<Owner>();
-    owner->name = name;
-    by_held_.insert({0, owner.get()});
+    owner->name = owner_name;
+    owners_by_held_bytes_.insert({0, owner.get()});
   }
-  owner->results += 1;
-  auto made = std::make_unique<Result>();
-  Result& r = *made;
-  r.no = ++last_;
-  r.owner = owner.get();
-  results_[r.no] = std::move(made);
-  return r;
+  owner->result_count += 1;
+  auto added = std::make_unique<Result>();
+  Result& result = *added;
+  result.id = ++last_id_;
+  result.owner = owner.get();
+  results_[result.id] = std::move(added);
+  return result;
 }
 
-bool Retention::remove(ResultNo no) {
-  const auto at = results_.find(no);
+bool Retention::erase(ResultId id) {
+  const auto at = results_.find(id);
   if (at == results_.end()) return false;
-  const std::unique_ptr<Result> r = std::move(at->second);
+  const std::unique_ptr<Result> result = std::move(at->second);
   results_.erase(at);
-  charge(*r, -r->memory, -r->disk, -r->reserved);
-  cached_.erase(no);
-  r->by_read.unlink();
-  Owner& owner = *r->owner;
-  if (--owner.results == 0) {
-    by_held_.erase({owner.held, &owner});
+  charge(*result,
+         {.memory = -result->memory_bytes, .disk = -result->disk_bytes, .reserved = -result->reserved_bytes});
+  cached_.erase(id);
+  result->by_read.unlink();
+  Owner& owner = *result->owner;
+  if (--owner.result_count == 0) {
+    owners_by_held_bytes_.erase({owner.held_bytes, &owner});
     owners_.erase(owners_.find(owner.name));
   }
   return true;
 }
 
-void Retention::forget(ResultNo no, Gone why) {
-  if (remove(no) && on_gone) on_gone(no, why);
+void Retention::remove(ResultId id, RemovalReason reason) {
+  if (erase(id) && on_removed) on_removed(id, reason);
 }
 
-void Retention::lend(Result& r, Ms until) {
-  r.by_read.unlink();
-  r.owner->whole.push_back(r);
-  leases_.put(r, tick_of(until));
+void Retention::start_lease(Result& result, TimePoint expiry) {
+  result.by_read.unlink();
+  result.owner->complete.push_back(result);
+  leases_.put(result, tick_after(expiry));
 }
 
-// What is on disk costs nothing to take out of memory: it is read from there.
-bool Retention::leave_memory() {
+// Bytes that are on disk, too, cost nothing to take out of memory: they are read from there.
+bool Retention::evict_from_memory() {
   if (cached_.empty()) return false;
-  const ResultNo no = *cached_.begin();
+  const ResultId id = *cached_.begin();
   cached_.erase(cached_.begin());
-  Result& r = *results_.at(no);
-  const double leaves = std::exchange(r.cached, 0);
-  charge(r, -leaves, 0, 0);
-  if (on_leave_memory) on_leave_memory(no);
+  Result& result = *results_.at(id);
+  charge(result, {.memory = -std::exchange(result.cached_bytes, 0)});
+  if (on_memory_evicted) on_memory_evicted(id);
   return true;
 }
 
-// Takes one whole result from who holds most, if that is more than its fair share. The one who asks comes
-// first where it would hold more than that one with what it asks for.
-// Guards against one owner that leaves results behind and so fills the spool for all. It may cost an owner
+Retention::Result* Retention::least_recently_read(Owner& owner, Tier tier, const Result* excluded) {
+  for (Result& result : owner.complete)
+    if (&result != excluded && (tier == Tier::kDisk ? result.disk_bytes > 0 : result.memory_bytes > 0))
+      return &result;
+  return nullptr;
+}
+
+// Evicts one complete result of the owner that holds most, if that is more than its fair share. The requester
+// comes first where it would hold more than that owner with the bytes it asks for.
+// Guards against one owner that leaves results behind and so fills the store for all. It may cost an owner
 // that reads many results at once the one it was about to read.
-bool Retention::evict(bool on_disk, double bytes, const Result* not_this, Owner& asks) {
-  const auto first_of = [&](Owner& owner) -> Result* {
-    for (Result& r : owner.whole)
-      if (&r != not_this && (on_disk ? r.disk > 0 : r.memory > 0)) return &r;
-    return nullptr;
-  };
-  const double share = fair_share();
-  for (auto at = by_held_.rbegin(); at != by_held_.rend(); ++at) {
+bool Retention::evict_result(Tier tier, double bytes, const Result* excluded, Owner& requester) {
+  const double share = fair_share_bytes();
+  for (auto at = owners_by_held_bytes_.rbegin(); at != owners_by_held_bytes_.rend(); ++at) {
     Owner& owner = *at->second;
-    const bool asks_more = asks.held + bytes >= owner.held;
-    if (asks_more)
-      if (Result* const own = first_of(asks)) return forget(own->no, Gone::kEvicted), true;
-    if (owner.held <= share || &owner == &asks) {
-      if (owner.held <= share) return false;
-      continue;
+    Result* victim = nullptr;
+    if (requester.held_bytes + bytes >= owner.held_bytes)
+      victim = least_recently_read(requester, tier, excluded);
+    if (!victim) {
+      if (owner.held_bytes <= share) return false;
+      if (&owner == &requester) continue;
+      victim = least_recently_read(owner, tier, excluded);
+    }
+    if (victim) {
+      remove(victim->id, RemovalReason::kEvicted);
+      return true;
     }
-    if (Result* const r = first_of(owner)) return forget(r->no, Gone::kEvicted), true;
   }
   return false;
 }
 
-bool Retention::make_room(bool on_disk, double bytes, const Result* not_this, Owner& asks) {
-  const double most = on_disk ? options_.disk : options_.memory;
-  if (bytes > most) return false;
-  while ((on_disk ? disk_ : memory_ + reserved_) + bytes > most) {
-    if (!on_disk && leave_memory()) continue;
-    if (!evict(on_disk, bytes, not_this, asks)) return false;
+bool Retention::make_space(Tier tier, double bytes, const Result* excluded, Owner& requester) {
+  const double budget = tier == Tier::kDisk ? options_.disk_bytes : options_.memory_bytes;
+  if (bytes > budget) return false;
+  while ((tier == Tier::kDisk ? disk_bytes_ : memory_bytes_ + reserved_bytes_) + bytes > budget) {
+    if (tier == Tier::kMemory && evict_from_memory()) continue;
+    if (!evict_result(tier, bytes, excluded, requester)) return false;
   }
   return true;
 }
 
-ResultNo Retention::reserve(Ms, const std::string& owner, double expected) {
-  // A place is never more than a part of all: what turns out larger moves to disk as it comes.
-  const double bytes = std::min({expected, options_.result_most, options_.memory});
-  Result& r = add(owner);
-  const ResultNo no = r.no;
-  const bool too_many = results_.size() > options_.results_most && !evict(false, bytes, &r, *r.owner);
-  if (too_many || !make_room(false, bytes, &r, *r.owner)) {
-    remove(no);  // nobody knows of it yet
-    return 0;
+std::optional<ResultId> Retention::reserve(const std::string& owner, double expected_bytes) {
+  // No reservation is larger than the whole budget: a result that turns out larger moves to disk as it grows.
+  const double bytes = std::min({expected_bytes, options_.max_result_bytes, options_.memory_bytes});
+  Result& result = add(owner);
+  const ResultId id = result.id;
+  const bool is_full =
+      results_.size() > options_.max_results && !evict_result(Tier::kMemory, bytes, &result, *result.owner);
+  if (is_full || !make_space(Tier::kMemory, bytes, &result, *result.owner)) {
+    erase(id);  // silently: the caller has not seen its id
+    return std::nullopt;
   }
-  charge(r, 0, 0, bytes);
-  return no;
+  charge(result, {.reserved = bytes});
+  return id;
 }
 
-bool Retention::grow(Ms, ResultNo no, double bytes) {
-  const auto at = results_.find(no);
-  if (at == results_.end()) return false;
-  Result& r = *at->second;
-  const double from_place = std::min(bytes, r.reserved);
-  if (r.total + bytes > options_.result_most || !make_room(false, bytes - from_place, &r, *r.owner)) {
-    forget(no, Gone::kOutgrown);
+bool Retention::add_bytes(ResultId id, double bytes) {
+  Result* const result = find(id);
+  if (!result) return false;
+  const double from_reservation = std::min(bytes, result->reserved_bytes);
+  if (result->total_bytes + bytes > options_.max_result_bytes ||
+      !make_space(Tier::kMemory, bytes - from_reservation, result, *result->owner)) {
+    remove(id, RemovalReason::kTooLarge);
     return false;
   }
-  charge(r, bytes, 0, -from_place);
-  r.total += bytes;
+  charge(*result, {.memory = bytes, .reserved = -from_reservation});
+  result->total_bytes += bytes;
   return true;
 }
 
-bool Retention::take_disk(Ms, ResultNo no, double bytes) {
-  const auto at = results_.find(no);
-  if (at == results_.end() || options_.disk <= 0) return false;
-  Result& r = *at->second;
-  if (!make_room(true, bytes, &r, *r.owner)) return false;
-  charge(r, 0, bytes, 0);
+bool Retention::reserve_disk(ResultId id, double bytes) {
+  Result* const result = find(id);
+  if (!result || options_.disk_bytes <= 0) return false;
+  if (!make_space(Tier::kDisk, bytes, result, *result->owner)) return false;
+  charge(*result, {.disk = bytes});
   return true;
 }
 
-void Retention::stored(ResultNo no, double bytes, bool written) {
-  const auto at = results_.find(no);
-  if (at == results_.end()) return;
-  Result& r = *at->second;
-  if (!written) return charge(r, 0, -bytes, 0);
-  r.cached += bytes;
-  cached_.insert(no);
+void Retention::finish_disk_write(ResultId id, double bytes, bool written) {
+  Result* const result = find(id);
+  if (!result) return;
+  if (!written) return charge(*result, {.disk = -bytes});
+  result->cached_bytes += bytes;
+  cached_.insert(id);
 }
 
-void Retention::whole(Ms now, ResultNo no) {
-  const auto at = results_.find(no);
-  if (at == results_.end()) return;
-  Result& r = *at->second;
-  charge(r, 0, 0, -r.reserved);
-  r.whole = true;
-  lend(r, now + options_.lease);
+void Retention::complete(TimePoint now, ResultId id) {
+  Result* const result = find(id);
+  if (!result) return;
+  charge(*result, {.reserved = -result->reserved_bytes});
+  result->is_complete = true;
+  start_lease(*result, now + options_.lease);
 }
 
-void Retention::clear(ResultNo no) {
-  const auto at = results_.find(no);
-  if (at == results_.end()) return;
-  Result& r = *at->second;
-  cached_.erase(no);
-  r.cached = r.total = 0;
-  charge(r, -r.memory, -r.disk, r.memory);
+void Retention::clear(ResultId id) {
+  Result* const result = find(id);
+  if (!result) return;
+  cached_.erase(id);
+  result->cached_bytes = result->total_bytes = 0;
+  charge(*result,
+         {.memory = -result->memory_bytes, .disk = -result->disk_bytes, .reserved = result->memory_bytes});
 }
 
-ResultNo Retention::restore(Ms now, const std::string& owner, double bytes, Ms lease_left) {
-  Result& r = add(owner);
-  if (!make_room(true, bytes, &r, *r.owner)) {
-    remove(r.no);
-    return 0;
+std::optional<ResultId> Retention::restore(TimePoint now, const std::string& owner, double bytes,
+                                           Duration lease_left) {
+  Result& result = add(owner);
+  if (!make_space(Tier::kDisk, bytes, &result, *result.owner)) {
+    erase(result.id);
+    return std::nullopt;
   }
-  charge(r, 0, bytes, 0);
-  r.whole = true;
-  lend(r, now + std::min(lease_left, options_.lease));
-  return r.no;
+  charge(result, {.disk = bytes});
+  result.is_complete = true;
+  start_lease(result, now + std::min(lease_left, options_.lease));
+  return result.id;
 }
 
-bool Retention::read(Ms now, ResultNo no) {
-  const auto at = results_.find(no);
-  if (at == results_.end()) return false;
-  Result& r = *at->second;
-  if (!r.whole) return false;
-  lend(r, now + options_.lease);
+bool Retention::renew_lease(TimePoint now, ResultId id) {
+  Result* const result = find(id);
+  if (!result || !result->is_complete) return false;
+  start_lease(*result, now + options_.lease);
   return true;
 }
 
-void Retention::due(Ms now) {
-  leases_.advance(static_cast<uint64_t>(now / kTick), [&](base::TimingWheelNode& node) {
-    forget(static_cast<Result&>(node).no, Gone::kLeaseOver);
+void Retention::expire_leases(TimePoint now) {
+  leases_.advance(static_cast<uint64_t>(now.time_since_epoch() / kTick), [&](base::TimingWheelNode& node) {
+    remove(static_cast<Result&>(node).id, RemovalReason::kLeaseExpired);
   });
 }
 
-Ms Retention::next_due() const {
+std::optional<TimePoint> Retention::next_expiry() const {
   const uint64_t tick = leases_.next();
-  return tick == 0 ? 0 : static_cast<double>(tick) * kTick;
+  if (tick == 0) return std::nullopt;
+  return TimePoint(static_cast<double>(tick) * kTick);
 }
 
 }  // namespace firvalve::results
--- a/tests/results/paged_result_store_model_test.cpp
+++ b/tests/results/paged_result_store_model_test.cpp
@@ -1,5 +1,5 @@
-// The spool against a plain map, over random puts, reads, leases, releases, crashes and returns. The disk is
-// a string of records; a crash ends the spool and may tear the string's tail.
+// The result store against a plain map, over random puts, reads, leases, releases, crashes and restarts. The
+// disk is a string of records; a crash ends the store and may tear the tail of the string.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -12,57 +12,57 @@
 
 class Disk : public Storage {
  public:
-  std::string segment{kSegmentHead};
-  void append(uint64_t tag, Record record) override {
-    Done d;
-    d.tag = tag;
-    d.good = true;
-    d.place = {1, segment.size() + kRecordHead, record.stored.bytes.size(), record.stored.raw,
-               record.stored.sum};
+  std::string segment{kSegmentHeader};
+  void append(std::optional<RequestId> request_id, SegmentRecord record) override {
+    Completion d;
+    d.request_id = request_id.value_or(0);
+    d.succeeded = true;
+    d.location = {1, segment.size() + kRecordHeadBytes, record.page.bytes.size(),
+                  record.page.uncompressed_bytes, record.page.checksum};
     append_record(segment, record);
-    if (tag != 0) ready_.push_back(std::move(d));
+    if (request_id) ready_.push_back(std::move(d));
   }
-  void read(uint64_t tag, const Found::Place& place) override {
-    Done d;
-    d.tag = tag;
-    d.good = place.offset + place.length <= segment.size();
-    if (d.good) d.bytes = segment.substr(place.offset, place.length);
+  void read(RequestId request_id, const RecordLocation& location) override {
+    Completion d;
+    d.request_id = request_id;
+    d.succeeded = location.offset + location.length <= segment.size();
+    if (d.succeeded) d.bytes = segment.substr(location.offset, location.length);
     ready_.push_back(std::move(d));
   }
-  void drop_until(size_t) override {}
-  std::vector<Done> done() override { return std::exchange(ready_, {}); }
-  size_t backlog() const override { return 0; }
-  size_t current() const override { return 1; }
+  void delete_segments_before(size_t) override {}
+  std::vector<Completion> take_completions() override { return std::exchange(ready_, {}); }
+  size_t backlog_bytes() const override { return 0; }
+  size_t current_segment() const override { return 1; }
   void crash(size_t torn) {
     ready_.clear();
-    segment.resize(std::max(kSegmentHead.size(), segment.size() - std::min(torn, segment.size())));
+    segment.resize(std::max(kSegmentHeader.size(), segment.size() - std::min(torn, segment.size())));
   }
 
  private:
-  std::vector<Done> ready_;
+  std::vector<Completion> ready_;
 };
 
 struct Kept {
   std::vector<std::string> pages;
   std::string key;
   bool must = true;  // nothing has happened that it could have gone by
-  Ms whole_at = 0, read_at = 0;
+  TimePoint complete_at, read_at;
   size_t written = 0;  // the disk's size once all of it was told
 };
 
-RC_GTEST_PROP(SpoolModel, NeverWrongAndNeverGoneWithoutACause,
+RC_GTEST_PROP(ResultStoreModel, NeverWrongAndNeverGoneWithoutACause,
               (const std::vector<std::tuple<uint8_t, uint16_t, uint16_t>>& steps)) {
   PagedResultStoreOptions options;
-  options.keeping.memory = 3000;
-  options.keeping.disk = 1e9;
-  options.keeping.lease = 1000;
-  options.first_expected = 200;
+  options.retention.memory_bytes = 3000;
+  options.retention.disk_bytes = 1e9;
+  options.retention.lease = Duration(1000);
+  options.initial_expected_bytes = 200;
   Disk disk;
   std::map<std::string, Kept> model;
-  Ms now = 10000;
-  uint64_t life = 1;
-  auto spool = std::make_unique<PagedResultStore>(options, life, [](std::string_view) {});
-  spool->use(now, disk, {});
+  TimePoint now = time_point_of(10000);
+  uint64_t incarnation = 1;
+  auto store = std::make_unique<PagedResultStore>(options, incarnation, [](std::string_view) {});
+  store->attach_storage(now, disk, {});
   int number = 0;
   const auto pick = [&](uint16_t which) {
     auto at = model.begin();
@@ -70,40 +70,38 @@
     return at;
   };
   for (const auto& [what, which, how] : steps) {
-    now += how % 50;
-    spool->due(now);
+    now += Duration(how % 50);
+    store->handle_due(now);
     switch (what % 8) {
       case 0:
       case 1:
-      case 2: {  // a result, some of it begun anew
+      case 2: {  // a result, some of which start over
         Kept kept;
         kept.key = which % 3 == 0 ? "k" : "";
-        const ResultHandle no = spool
-                                    ->reserve(time_point_of(now), {which % 2 ? "a" : "b", kept.key, "report",
-                                                                   "select 1", "00000000000000a1", 1})
-                                    .value_or(0);
-        if (no == 0) break;
+        const std::optional<ResultHandle> reserved = store->reserve(
+            now, {which % 2 ? "a" : "b", kept.key, "report", "select 1", "00000000000000a1", 1});
+        if (!reserved) break;
+        const ResultHandle id = *reserved;
         bool lost = false;
         if (how % 5 == 0) {
-          lost = spool->append_page(time_point_of(now), no, "of a send that failed\tb\tc\n") ==
+          lost = store->append_page(now, id, "of a send that failed\tb\tc\n") ==
                  ResultStore::AppendResult::kOutOfSpace;
-          if (!lost) spool->clear_pages(time_point_of(now), no);
+          if (!lost) store->clear_pages(now, id);
         }
         for (int p = 0; p < 1 + which % 4 && !lost; ++p) {
           kept.pages.push_back(std::to_string(++number) + std::string(how % 300, 'x') + "\tb\tc\n");
-          lost = spool->append_page(time_point_of(now), no, kept.pages.back()) ==
-                 ResultStore::AppendResult::kOutOfSpace;
-          if (how % 2) spool->due(now);
+          lost = store->append_page(now, id, kept.pages.back()) == ResultStore::AppendResult::kOutOfSpace;
+          if (how % 2) store->handle_due(now);
         }
         if (lost) break;
         if (how % 11 == 0) {
-          spool->discard(time_point_of(now), no);
+          store->discard(now, id);
           break;
         }
-        spool->complete(time_point_of(now), no);
-        kept.whole_at = kept.read_at = now;
+        store->complete(now, id);
+        kept.complete_at = kept.read_at = now;
         kept.written = disk.segment.size();
-        const PagedAnswer a = spool->answer_of(no);
+        const PagedAnswer a = store->answer_of(id);
         RC_ASSERT(a.pages == kept.pages.size());
         RC_ASSERT(a.rows == kept.pages.size());
         RC_ASSERT(model.emplace(a.token, kept).second);
@@ -116,16 +114,16 @@
         Kept& kept = at->second;
         const size_t page = how % kept.pages.size();
         bool heard = false, found = false;
-        spool->read_page(time_point_of(now), at->first, kept.key, page + 1,
+        store->read_page(now, at->first, kept.key, page + 1,
                          [&](TimePoint, ResultStore::ReadStatus r, std::string_view rows, uint64_t pages) {
                            heard = true;
                            found = r == ResultStore::ReadStatus::kRows;
                            if (found) RC_ASSERT(rows == kept.pages[page]);
                            if (found) RC_ASSERT(pages == kept.pages.size());
                          });
-        spool->due(now);
+        store->handle_due(now);
         RC_ASSERT(heard);
-        const bool over = now > kept.read_at + options.keeping.lease - 40;
+        const bool over = now > kept.read_at + options.retention.lease - Duration(40);
         if (kept.must && !over) RC_ASSERT(found);
         if (found) kept.read_at = now;
         if (!found) model.erase(at);
@@ -134,10 +132,10 @@
       case 5: {
         if (model.empty()) break;
         const auto at = pick(which);
-        if (!at->second.key.empty()) RC_ASSERT(!spool->release(time_point_of(now), at->first, "another"));
-        spool->release(time_point_of(now), at->first, at->second.key);
+        if (!at->second.key.empty()) RC_ASSERT(!store->release(now, at->first, "another"));
+        store->release(now, at->first, at->second.key);
         bool gone = false;
-        spool->read_page(time_point_of(now), at->first, at->second.key, 1,
+        store->read_page(now, at->first, at->second.key, 1,
                          [&](TimePoint, ResultStore::ReadStatus r, std::string_view, uint64_t) {
                            gone = r == ResultStore::ReadStatus::kGone;
                          });
@@ -146,30 +144,29 @@
         break;
       }
       case 6:
-        now += how % 600;
+        now += Duration(how % 600);
         break;
-      case 7: {  // the process ends, and the next life reads back what is there
+      case 7: {  // the process ends, and the next incarnation recovers what is there
         const size_t torn = how % 3 == 0 ? how % 400 : 0;
-        spool.reset();
+        store.reset();
         disk.crash(torn);
         Recovery recovery;
-        const size_t cut = recovery.handle(1, disk.segment);
-        if (cut != std::string::npos) disk.segment.resize(cut);
-        size_t broken = 0;
-        const auto found = recovery.found(now, broken);
-        spool = std::make_unique<PagedResultStore>(options, ++life, [](std::string_view) {});
-        spool->use(now, disk, found);
-        // The disk is told of a lease that goes on before half of it is over; a torn tail may have held that
-        // word.
+        const auto torn_at = recovery.add_segment(1, disk.segment);
+        if (torn_at) disk.segment.resize(*torn_at);
+        const Recovery::Outcome outcome = recovery.outcome(to_lease_time(now, Duration(0)));
+        store = std::make_unique<PagedResultStore>(options, ++incarnation, [](std::string_view) {});
+        store->attach_storage(now, disk, outcome.results);
+        // A renewed lease is stored before half of it is over; a torn tail may have held that
+        // manifest.
         for (auto& [token, kept] : model) {
           kept.must &= kept.written <= disk.segment.size();
-          kept.read_at =
-              torn > 0 ? kept.whole_at : std::max(kept.whole_at, kept.read_at - options.keeping.lease / 2);
+          kept.read_at = torn > 0 ? kept.complete_at
+                                  : std::max(kept.complete_at, kept.read_at - options.retention.lease / 2);
         }
         break;
       }
     }
-    RC_ASSERT(spool->keeping().memory() <= options.keeping.memory + 1e-6);
+    RC_ASSERT(store->retention().memory_bytes() <= options.retention.memory_bytes + 1e-6);
   }
 }
 
