--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -14,7 +14,7 @@
 
 namespace firvalve::client {
 
-const size_t kStatementMost = proto::kRpcStatementMost;
+const size_t kStatementMost = proto::kMaxRpcStatementBytes;
 
 std::string_view name_of(Outcome outcome) {
   static constexpr std::string_view kNames[] = {"answered", "refused", "failed", "unknown", "expired"};
@@ -98,7 +98,7 @@
                                double timeout_ms, Callback done) {
   auto named = proto::with_bulletin(topic, params, timeout_ms);
   if (!named) throw std::invalid_argument("params are no JSON object");
-  if (!proto::is_bulletin_method(method)) throw std::invalid_argument("no such method about topics");
+  if (!proto::is_topic_method(method)) throw std::invalid_argument("no such method about topics");
   return submit(
       {method, method, timeout_ms, 0, 0, Effect::kReplayable, false, {}, {}},
       [&](CallState& state) {
--- a/src/cluster/inbound_peer.h
+++ b/src/cluster/inbound_peer.h
@@ -29,8 +29,8 @@
   std::optional<consensus::PeerId> id;  // none: its first frame has not come
 
   // A connection that has not said whose it is gives way when descriptors run out.
-  bool spare() const override { return !id; }
-  void spared() override { end(); }
+  bool is_evictable() const override { return !id; }
+  void evict() override { end(); }
   void end() {
     close();
     observer_.handle_end(*this);
@@ -47,7 +47,7 @@
         return end();
       }
       observer_.handle_frame(*this, body);
-      if (!open()) return;
+      if (!is_open()) return;
     }
   }
   void on_end(End) override { observer_.handle_end(*this); }
--- a/src/cluster/outbound_peer.cpp
+++ b/src/cluster/outbound_peer.cpp
@@ -23,7 +23,7 @@
       : net::Connection(owner.loop_, address), owner_(owner) {}
 
  protected:
-  void on_up() override {
+  void on_connected() override {
     owner_.backoff_.reset();
     owner_.was_connected_ = true;
     owner_.observer_.handle_connected(owner_);
@@ -36,7 +36,7 @@
       if (read == proto::Read::kMore) return;
       if (read == proto::Read::kBroken) return owner_.end(BootClock::now(), "broken framing");
       owner_.observer_.handle_frame(owner_, body);
-      if (!open()) return;
+      if (!is_open()) return;
     }
   }
   void on_end(End end) override { owner_.end(BootClock::now(), end == End::kRefused ? "refused" : "closed"); }
@@ -57,7 +57,7 @@
 OutboundPeer::~OutboundPeer() = default;
 
 void OutboundPeer::write(const std::string& frame, BootClock::time_point now) {
-  if (!connection_ || connection_->unsent() + frame.size() > kMaxUnsentBytes) return;
+  if (!connection_ || connection_->unsent_bytes() + frame.size() > kMaxUnsentBytes) return;
   connection_->write(frame);
   if (!unanswered_since_) unanswered_since_ = now;
 }
@@ -65,32 +65,32 @@
 net::Connection* OutboundPeer::connection() const { return connection_.get(); }
 
 void OutboundPeer::due(BootClock::time_point now) {
-  if (connection_ && !connection_->up() && now >= connecting_since_ + kConnectTimeout)
+  if (connection_ && !connection_->is_connected() && now >= connecting_since_ + kConnectTimeout)
     end(now, "did not come up");
   if (connection_ && unanswered_since_ && now >= *unanswered_since_ + kSilenceTimeout)
     end(now, "says nothing");
   if (connection_ || now < connect_at_) return;
   connecting_since_ = now;
   unanswered_since_.reset();
-  if (!loop_.room(false)) return end(now, "no descriptor left");
+  if (!loop_.make_room(false)) return end(now, "no descriptor left");
   observer_.handle_connecting(*this);
   connection_ = std::make_unique<Connection>(*this, SocketAddress(address_));
-  if (connection_->refused()) end(now, "refused");
+  if (connection_->was_refused()) end(now, "refused");
 }
 
 std::optional<BootClock::time_point> OutboundPeer::next_due() const {
   if (!connection_) return connect_at_ + Duration(1);
-  if (!connection_->up()) return connecting_since_ + kConnectTimeout;
+  if (!connection_->is_connected()) return connecting_since_ + kConnectTimeout;
   if (!unanswered_since_) return {};
   return *unanswered_since_ + kSilenceTimeout;
 }
 
-bool OutboundPeer::is_connected() const { return connection_ && connection_->up(); }
+bool OutboundPeer::is_connected() const { return connection_ && connection_->is_connected(); }
 
 void OutboundPeer::end(BootClock::time_point now, const char* reason) {
   if (connection_) {
     connection_->abort();
-    loop_.bury(std::move(connection_));
+    loop_.destroy_after_turn(std::move(connection_));
   }
   if (was_connected_) observer_.handle_disconnected(*this, reason);
   was_connected_ = false;
--- a/src/cluster/peer_connections.cpp
+++ b/src/cluster/peer_connections.cpp
@@ -62,7 +62,7 @@
 
 void PeerConnections::accept_all(const Poco::AutoPtr<ReadableNotification>&) {
   for (int i = 0; i < kMaxAcceptsAtOnce; ++i) {
-    const bool has_room = loop_.room(false);
+    const bool has_room = loop_.make_room(false);
     const int descriptor =
         has_room ? ::accept4(listener_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC) : -1;
     if (!has_room || (descriptor < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)) {
@@ -116,7 +116,7 @@
   }
   const auto owned = inbound_.find(&peer);
   if (owned == inbound_.end()) return;
-  loop_.bury(std::move(owned->second));
+  loop_.destroy_after_turn(std::move(owned->second));
   inbound_.erase(owned);
 }
 
@@ -189,7 +189,7 @@
   });
   if (peer != outbound_.end())
     (*peer)->write(frame, now);
-  else if (connection.unsent() + frame.size() <= kMaxUnsentBytes)
+  else if (connection.unsent_bytes() + frame.size() <= kMaxUnsentBytes)
     connection.write(frame);
 }
 
--- a/src/fakes/fault_proxy.cpp
+++ b/src/fakes/fault_proxy.cpp
@@ -35,7 +35,7 @@
         std::string frame = "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
         frame.append(body.data(), body.size());
         proxy_.forward(pair_id_, is_forward_, std::move(frame));
-        if (!open()) return;
+        if (!is_open()) return;
       }
     }
     void on_end(End) override { proxy_.end_pair(pair_id_); }
@@ -78,7 +78,7 @@
       pair->near = std::make_unique<ConnectionPair::Socket>(*this, id, true, socket);
       pair->far =
           std::make_unique<ConnectionPair::Socket>(*this, id, false, SocketAddress(routes_[number]->real));
-      const bool refused = pair->far->refused();
+      const bool refused = pair->far->was_refused();
       pairs_[id] = std::move(pair);
       if (refused) end_pair(id);
     });
@@ -95,8 +95,8 @@
   if (at == pairs_.end()) return;
   at->second->near->abort();
   at->second->far->abort();
-  host_.loop().bury(std::move(at->second->near));
-  host_.loop().bury(std::move(at->second->far));
+  host_.loop().destroy_after_turn(std::move(at->second->near));
+  host_.loop().destroy_after_turn(std::move(at->second->far));
   pairs_.erase(at);
 }
 
@@ -152,7 +152,7 @@
 
 void FaultProxy::deliver_later(uint64_t id, ConnectionPair& pair, bool is_forward, const std::string& frame,
                                const Options& options) {
-  const Ms now = host_.loop().now();
+  const Ms now = host_.loop().now_ms();
   Ms due = now + options.delay_least + draw_fraction() * (options.delay_most - options.delay_least);
   Ms& last = is_forward ? pair.last_due_forward : pair.last_due_backward;
   if (!options.reordered) due = last = std::max(due, last);
--- a/src/loadtest/simulated_gateway.cpp
+++ b/src/loadtest/simulated_gateway.cpp
@@ -26,7 +26,8 @@
 namespace {
 
 // As the program itself has them where its settings do not say otherwise (gateway/serve.cpp).
-constexpr Ms kConnectMost = 250, kIdleClose = 15000;
+constexpr Duration kConnectMost = std::chrono::milliseconds(250),
+                   kIdleClose = std::chrono::milliseconds(15000);
 constexpr double kFirstAskPart = 0.1;  // of the grace for drains
 constexpr Ms kEndMost = 3000;          // for an end in good order
 constexpr std::chrono::milliseconds kEndLook{5};
@@ -98,12 +99,12 @@
         fleet(make_fleet(options)),
         core(settings, options.seed, fleet ? static_cast<ResponseSink&>(*fleet) : no_clients, engines,
              counters, [](const EngineHealthChange&) {}) {
-    loop.limit(kDescriptorsMost, kBufferBytesMost);
-    engines.serve(core);
+    loop.set_limits(kDescriptorsMost, kBufferBytesMost);
+    engines.set_core(core);
     if (fleet) fleet->run_on(core);
     follow_list(options);
     waker = std::make_unique<net::Waker>(loop, [this] { run_posted(); });
-    loop.on_turn = [this](Ms now) { return turn(now); };
+    loop.on_turn = [this](TimePoint now) { return turn(now); };
     thread = std::thread([this] { loop.run(); });
   }
   ~Running() {
@@ -121,7 +122,7 @@
 
   void begin_end() {
     post([this] {
-      if (fleet) fleet->begin_shutdown(time_point_of(loop.now()), time_point_of(loop.now() + kEndMost));
+      if (fleet) fleet->begin_shutdown(loop.now(), loop.now() + duration_of(kEndMost));
     });
   }
   bool has_left() {
@@ -148,25 +149,27 @@
       std::optional<proto::BusEvent> event = proto::read_bus_line(line);
       if (!event) throw ScaleError("simulated gateway: its engine list cannot be read");
       last = event->offset;
-      net::tell_roster(core, loop.now(), std::move(*event));
+      net::apply_endpoint_event(core, loop.now(), std::move(*event));
     }
     if (options.bus.empty()) return;
-    bus =
-        std::make_unique<net::EndpointWatcher>(loop, counters, options.bus, kConnectMost,
-                                               kFirstAskPart * number(settings, "drain grace"), options.seed);
-    bus->follow(core, last);
+    bus = std::make_unique<net::EndpointWatcher>(loop, counters, options.bus, kConnectMost,
+                                                 duration_of(kFirstAskPart * number(settings, "drain grace")),
+                                                 options.seed);
+    bus->watch(core, last);
   }
 
-  Ms turn(Ms now) {
-    if (bus) bus->due(now);
-    engines.due(now);
-    if (fleet) fleet->due(time_point_of(now));
+  std::optional<TimePoint> turn(TimePoint now) {
+    if (bus) bus->run_due(now);
+    engines.run_due(now);
+    if (fleet) fleet->due(now);
     if (const uint64_t updates = counters.counts["bus events"]; updates != list_updates) {
       list_updates = updates;
       list_updated_at = read_report_clock();
     }
-    return sooner(sooner(bus ? bus->next_due() : 0, fleet ? to_ms(fleet->next_due(time_point_of(now))) : 0),
-                  engines.next_due());
+    std::optional<TimePoint> due = engines.next_due();
+    if (bus) due = earlier_of<TimePoint>(bus->next_due(), due);
+    if (fleet) due = earlier_of<TimePoint>(fleet->next_due(now), due);
+    return due;
   }
 
   void note(std::string_view event, log::Fields fields) {
--- a/src/proto/bus/bus.h
+++ b/src/proto/bus/bus.h
@@ -8,17 +8,19 @@
 #include <string>
 #include <vector>
 
+#include "base/time.h"
 #include "policy/events.h"
 #include "proto/inbox.h"
 
 namespace firvalve::proto {
 
-constexpr Ms kBusSilence = 2200;              // without a line: two of its seconds missed, the bus is lost
-constexpr size_t kBusLineMost = 1024 * 1024;  // bytes of a line: a list of thousands of engines
+// Without a line: two of its seconds were missed, the bus is lost.
+constexpr Duration kBusReadTimeout = std::chrono::milliseconds(2200);
+constexpr size_t kMaxBusLineBytes = size_t{1024} * 1024;  // a list of thousands of engines
 
 struct BusListing {
   std::string name, address;
-  EngineInfo listing;  // its engine's number is the reader's to give
+  EngineInfo listing;  // without the engine's number, which the reader assigns
 };
 struct BusEvent {
   int64_t offset = 0;
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -336,7 +336,7 @@
   EXPECT_EQ(merge({4}, "one", "insert one").outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert one"), 1);
   EXPECT_EQ(c.end(0), 0);
-  EXPECT_EQ(c.count(0, "counters", "consensus writes failed"),
+  EXPECT_EQ(c.count(0, "gateway.metrics", "consensus writes failed"),
             1u);  // its log could not be written meanwhile, either
 }
 
