--- a/src/results/lease_clock.h
+++ b/src/results/lease_clock.h
@@ -1,25 +1,44 @@
-// The time in which leases are written to disk. It has to go on over restarts of the program, and a step of
-// the wall clock between two of them must neither end a lease nor lengthen it: so it goes by the machine's
-// time since boot, and the folder keeps by how much that differs from Unix time (file `clock`, one line
-// `BOOT-ID OFFSET-MS`). After a boot there is nothing but the wall clock to go by.
+// The clock of lease expiries that are stored on disk. It has to go on over restarts of the program, and a
+// step of the wall clock between two of them must neither end a lease nor lengthen it. So it follows the
+// machine's time since boot, and the folder stores by how much that differs from Unix time (file `clock`, one
+// line `BOOT-ID OFFSET-MS`). After a boot there is only the wall clock to go by.
 #pragma once
 
 #include <string>
 
-#include "base/units.h"
+#include "base/time.h"
 
 namespace firvalve::results {
 
-// The machine's own count of time: Linux' CLOCK_BOOTTIME, and what tells one boot from the next.
+// A clock without now(): its times are made from another clock's by adding an offset.
+struct LeaseClock {
+  using duration = Duration;
+  using rep = duration::rep;
+  using period = duration::period;
+  using time_point = std::chrono::time_point<LeaseClock, duration>;
+  static constexpr bool is_steady = true;
+};
+using LeaseTime = LeaseClock::time_point;
+
+// `offset`: by how much the lease clock is ahead of the monotonic clock.
+constexpr LeaseTime to_lease_time(TimePoint time, Duration offset) {
+  return LeaseTime(time.time_since_epoch() + offset);
+}
+constexpr TimePoint from_lease_time(LeaseTime time, Duration offset) {
+  return TimePoint(time.time_since_epoch() - offset);
+}
+
+// The machine's own count of time, and what tells one boot from the next.
 struct BootTime {
-  std::string boot_id;  // empty: not to be had
-  Ms since_boot = 0;
+  std::string boot_id;  // empty: not available
+  BootClock::time_point now;
 };
-BootTime boot_time();
+BootTime read_boot_time();
 
-// By how much Unix time lies past the time since boot, as the folder holds it for this boot, or else as
-// `unix_now` says; the folder then holds that. A file that cannot be read is made anew; one that cannot be
-// written leaves the offset good for this run alone.
-Ms lease_clock_offset(const std::string& folder, const BootTime& boot, Ms unix_now);
+// By how much the lease clock is ahead of the time since boot: as the folder has it for this boot, or else
+// such that the lease clock starts at `unix_now`, which is then stored in the folder. A file that cannot be
+// read is replaced; if it cannot be written, the offset holds for this run only.
+Duration load_or_create_lease_clock_offset(const std::string& folder, const BootTime& boot,
+                                           TimePoint unix_now);
 
 }  // namespace firvalve::results
--- /dev/null
+++ b/tests/results/result_size_estimator_test.cpp
@@ -0,0 +1,25 @@
+#include "results/result_size_estimator.h"
+
+#include <gtest/gtest.h>
+
+namespace firvalve::results {
+namespace {
+
+TEST(ResultSizeEstimator, AQuantileNotAMeanByGroupThenByProfile) {
+  ResultSizeEstimator estimator(1000);
+  EXPECT_EQ(estimator.estimate_bytes("report", 1), 1000);
+  for (int i = 0; i < 100; ++i) estimator.add_result("report", 1, i % 5 == 0 ? 100000 : 100);
+  EXPECT_GE(estimator.estimate_bytes("report", 1), 100000);  // a fifth is large: nine in ten means those, too
+  for (int i = 0; i < 200; ++i) estimator.add_result("report", 2, 100);
+  EXPECT_LE(estimator.estimate_bytes("report", 2), 200);
+  EXPECT_LE(estimator.estimate_bytes("report", 77), 200);  // as the profile was lately
+}
+
+TEST(ResultSizeEstimator, GroupsAreBounded) {
+  ResultSizeEstimator estimator(1000);
+  for (int i = 0; i < 10000; ++i) estimator.add_result("report", i, 100);
+  EXPECT_LE(estimator.group_count(), 4096u);
+}
+
+}  // namespace
+}  // namespace firvalve::results
--- a/tests/results/retention_test.cpp
+++ b/tests/results/retention_test.cpp
@@ -6,218 +6,204 @@
 #include <map>
 #include <optional>
 
-#include "results/sizes.h"
-
 namespace firvalve::results {
 namespace {
 
-struct KeepingTest : testing::Test {
+struct RetentionTest : testing::Test {
   RetentionOptions options = [] {
     RetentionOptions t;
-    t.memory = 1000;
-    t.lease = 1000;
+    t.memory_bytes = 1000;
+    t.lease = Duration(1000);
     return t;
   }();
-  std::map<ResultNo, Gone> gone;
-  std::optional<Retention> keeping;
+  std::map<ResultId, RemovalReason> removed;
+  std::optional<Retention> retention;
   void open() {
-    keeping.emplace(options);
-    keeping->on_gone = [this](ResultNo no, Gone why) { gone[no] = why; };
+    retention.emplace(options);
+    retention->on_removed = [this](ResultId id, RemovalReason reason) { removed[id] = reason; };
   }
-  ResultNo kept(const std::string& owner, double bytes, Ms now = 0) {
-    const ResultNo no = keeping->reserve(now, owner, bytes);
-    if (no == 0) return 0;
-    EXPECT_TRUE(keeping->grow(now, no, bytes));
-    keeping->whole(now, no);
-    return no;
+  static constexpr TimePoint at(Ms ms) { return time_point_of(ms); }
+  std::optional<ResultId> add_complete(const std::string& owner, double bytes) {
+    const std::optional<ResultId> id = retention->reserve(owner, bytes);
+    if (!id) return std::nullopt;
+    EXPECT_TRUE(retention->add_bytes(*id, bytes));
+    retention->complete(at(0), *id);
+    return id;
   }
 };
 
-TEST_F(KeepingTest, WithoutAPlaceThereIsNone) {
+TEST_F(RetentionTest, WithoutSpaceNothingIsReserved) {
   open();
-  const ResultNo a = keeping->reserve(0, "a", 700);
+  const ResultId a = retention->reserve("a", 700).value();
   EXPECT_NE(a, 0u);
-  EXPECT_EQ(keeping->reserve(0, "b", 700), 0u);  // it is being filled: nothing of it may go
-  keeping->grow(0, a, 100);
-  keeping->whole(0, a);  // it was smaller than expected
-  EXPECT_NE(keeping->reserve(0, "b", 700), 0u);
-  EXPECT_TRUE(gone.empty());
+  EXPECT_EQ(retention->reserve("b", 700), std::nullopt);  // it is being filled: nothing of it may go
+  retention->add_bytes(a, 100);
+  retention->complete(at(0), a);  // it was smaller than expected
+  EXPECT_NE(retention->reserve("b", 700), std::nullopt);
+  EXPECT_TRUE(removed.empty());
 }
 
-TEST_F(KeepingTest, WhoLeavesManyBehindLosesItsOwn) {
+TEST_F(RetentionTest, AnOwnerThatLeavesManyBehindLosesItsOwn) {
   open();
-  for (int i = 0; i < 9; ++i) kept("many", 100);
-  const ResultNo few = kept("few", 100);
-  EXPECT_TRUE(keeping->has(few));
-  EXPECT_TRUE(gone.empty());
-  for (int i = 0; i < 20; ++i) kept("many", 100);
-  EXPECT_TRUE(keeping->has(few));
-  const ResultNo other = kept("other", 300);
-  EXPECT_NE(other, 0u);
-  EXPECT_TRUE(keeping->has(few));
-  EXPECT_LE(keeping->held_by("many"), 600);
-  for (const auto& [no, why] : gone) EXPECT_EQ(why, Gone::kEvicted);
+  for (int i = 0; i < 9; ++i) add_complete("many", 100);
+  const std::optional<ResultId> few = add_complete("few", 100);
+  EXPECT_TRUE(retention->contains(few.value()));
+  EXPECT_TRUE(removed.empty());
+  for (int i = 0; i < 20; ++i) add_complete("many", 100);
+  EXPECT_TRUE(retention->contains(few.value()));
+  const std::optional<ResultId> other = add_complete("other", 300);
+  EXPECT_NE(other, std::nullopt);
+  EXPECT_TRUE(retention->contains(few.value()));
+  EXPECT_LE(retention->held_bytes("many"), 600);
+  for (const auto& [no, why] : removed) EXPECT_EQ(why, RemovalReason::kEvicted);
 }
 
-TEST_F(KeepingTest, TheLongestUnreadGoesFirst) {
+TEST_F(RetentionTest, TheLeastRecentlyReadIsEvictedFirst) {
   open();
-  const ResultNo a = kept("x", 400), b = kept("x", 400);
-  EXPECT_TRUE(keeping->read(10, a));
-  kept("x", 400);
-  EXPECT_TRUE(keeping->has(a));
-  EXPECT_FALSE(keeping->has(b));
+  const ResultId a = add_complete("x", 400).value(), b = add_complete("x", 400).value();
+  EXPECT_TRUE(retention->renew_lease(at(10), a));
+  add_complete("x", 400);
+  EXPECT_TRUE(retention->contains(a));
+  EXPECT_FALSE(retention->contains(b));
 }
 
-TEST_F(KeepingTest, ALeaseEndsAndAReadRenewsIt) {
+TEST_F(RetentionTest, ALeaseExpiresAndAReadRenewsIt) {
   open();
-  const ResultNo a = kept("x", 10), b = kept("x", 10);
-  EXPECT_TRUE(keeping->read(600, a));
-  keeping->due(1100);
-  EXPECT_TRUE(keeping->has(a));
-  EXPECT_EQ(gone.at(b), Gone::kLeaseOver);
-  keeping->due(1700);
-  EXPECT_EQ(gone.at(a), Gone::kLeaseOver);
-  EXPECT_FALSE(keeping->read(1800, a));
-  EXPECT_EQ(keeping->owners(), 0u);
-  EXPECT_EQ(keeping->memory(), 0);
+  const ResultId a = add_complete("x", 10).value(), b = add_complete("x", 10).value();
+  EXPECT_TRUE(retention->renew_lease(at(600), a));
+  retention->expire_leases(at(1100));
+  EXPECT_TRUE(retention->contains(a));
+  EXPECT_EQ(removed.at(b), RemovalReason::kLeaseExpired);
+  retention->expire_leases(at(1700));
+  EXPECT_EQ(removed.at(a), RemovalReason::kLeaseExpired);
+  EXPECT_FALSE(retention->renew_lease(at(1800), a));
+  EXPECT_EQ(retention->owner_count(), 0u);
+  EXPECT_EQ(retention->memory_bytes(), 0);
 }
 
-TEST_F(KeepingTest, AHundredTimesItsExpectedSizeMovesToDiskThenIsOutgrown) {
-  options.disk = 5000;
+TEST_F(RetentionTest, AHundredTimesItsExpectedSizeMovesToDiskThenIsTooLarge) {
+  options.disk_bytes = 5000;
   open();
-  std::vector<ResultNo> left;
-  keeping->on_leave_memory = [&](ResultNo no) { left.push_back(no); };
-  const ResultNo a = keeping->reserve(0, "x", 100);
-  double grown = 0;
-  while (keeping->grow(0, a, 100)) {
-    grown += 100;
-    if (keeping->take_disk(0, a, 100)) keeping->stored(a, 100, true);
-    EXPECT_LE(keeping->memory(), 1000);
+  std::vector<ResultId> evicted;
+  retention->on_memory_evicted = [&](ResultId id) { evicted.push_back(id); };
+  const ResultId a = retention->reserve("x", 100).value();
+  double grown_bytes = 0;
+  while (retention->add_bytes(a, 100)) {
+    grown_bytes += 100;
+    if (retention->reserve_disk(a, 100)) retention->finish_disk_write(a, 100, true);
+    EXPECT_LE(retention->memory_bytes(), 1000);
   }
-  EXPECT_FALSE(left.empty());
-  EXPECT_EQ(gone.at(a), Gone::kOutgrown);
-  EXPECT_GE(grown, 5000);
-  EXPECT_LE(grown, 6100);
-  EXPECT_EQ(keeping->memory() + keeping->disk(), 0);
+  EXPECT_FALSE(evicted.empty());
+  EXPECT_EQ(removed.at(a), RemovalReason::kTooLarge);
+  EXPECT_GE(grown_bytes, 5000);
+  EXPECT_LE(grown_bytes, 6100);
+  EXPECT_EQ(retention->memory_bytes() + retention->disk_bytes(), 0);
 }
 
-TEST_F(KeepingTest, WithoutADiskWhatOutgrowsMemoryIsGone) {
+TEST_F(RetentionTest, WithoutADiskAResultLargerThanMemoryIsRemoved) {
   open();
-  const ResultNo a = keeping->reserve(0, "x", 100);
-  EXPECT_TRUE(keeping->grow(0, a, 900));
-  EXPECT_FALSE(keeping->grow(0, a, 200));
-  EXPECT_EQ(gone.at(a), Gone::kOutgrown);
+  const ResultId a = retention->reserve("x", 100).value();
+  EXPECT_TRUE(retention->add_bytes(a, 900));
+  EXPECT_FALSE(retention->add_bytes(a, 200));
+  EXPECT_EQ(removed.at(a), RemovalReason::kTooLarge);
 }
 
-TEST_F(KeepingTest, WhatBeginsAnewKeepsItsPlace) {
+TEST_F(RetentionTest, AResultThatStartsOverKeepsItsReservation) {
   open();
-  const ResultNo a = keeping->reserve(0, "x", 100);
-  keeping->grow(0, a, 800);
-  keeping->clear(a);
-  EXPECT_EQ(keeping->memory(), 800);
-  EXPECT_TRUE(keeping->grow(0, a, 800));
+  const ResultId a = retention->reserve("x", 100).value();
+  retention->add_bytes(a, 800);
+  retention->clear(a);
+  EXPECT_EQ(retention->memory_bytes(), 800);
+  EXPECT_TRUE(retention->add_bytes(a, 800));
 }
 
-// Any script: the budgets hold, what is filled stays, and nobody within its share loses anything to another.
-RC_GTEST_PROP(KeepingProperty, BudgetsAndSharesHold,
+// Whatever happens: the budgets hold, a result that is being filled stays, and an owner within its share
+// loses nothing to another.
+RC_GTEST_PROP(RetentionProperty, BudgetsAndSharesHold,
               (const std::vector<std::tuple<uint8_t, uint8_t, uint16_t>>& steps)) {
   RetentionOptions options;
-  options.memory = 1000;
-  options.disk = 2000;
-  options.lease = 500;
-  options.results_most = 40;
-  Retention keeping(options);
+  options.memory_bytes = 1000;
+  options.disk_bytes = 2000;
+  options.lease = Duration(500);
+  options.max_results = 40;
+  Retention retention(options);
   struct Seen {
     std::string owner;
-    bool whole = false;
-    double in_flight = 0;
+    bool is_complete = false;
+    double in_flight_bytes = 0;
   };
-  std::map<ResultNo, Seen> seen;
-  std::string asks;
+  std::map<ResultId, Seen> seen;
+  std::string requester;
   std::map<std::string, double> held_before;
-  double asked_bytes = 0;
-  Ms now = 0;
-  keeping.on_gone = [&](ResultNo no, Gone why) {
-    const auto at = seen.find(no);
+  double requested_bytes = 0;
+  TimePoint now;
+  retention.on_removed = [&](ResultId id, RemovalReason reason) {
+    const auto at = seen.find(id);
     RC_ASSERT(at != seen.end());
-    if (why == Gone::kEvicted) {
-      RC_ASSERT(at->second.whole);
-      if (at->second.owner != asks) {
+    if (reason == RemovalReason::kEvicted) {
+      RC_ASSERT(at->second.is_complete);
+      if (at->second.owner != requester) {
         // More than a fair share by what it held, and more than the one who asked.
-        const double share = 3000.0 / static_cast<double>(keeping.owners() + 1);
+        const double share = 3000.0 / static_cast<double>(retention.owner_count() + 1);
         RC_ASSERT(held_before[at->second.owner] > share - 1e-6 ||
-                  held_before[at->second.owner] > held_before[asks] + asked_bytes);
+                  held_before[at->second.owner] > held_before[requester] + requested_bytes);
       }
     }
-    if (why == Gone::kLeaseOver) RC_ASSERT(at->second.whole);
+    if (reason == RemovalReason::kLeaseExpired) RC_ASSERT(at->second.is_complete);
     seen.erase(at);
   };
   for (const auto& [what, which, how] : steps) {
-    now += which % 7;
-    for (const char* owner : {"a", "b", "c"}) held_before[owner] = keeping.held_by(owner);
-    const auto pick = [&]() -> ResultNo {
-      if (seen.empty()) return 0;
+    now += Duration(which % 7);
+    for (const char* owner : {"a", "b", "c"}) held_before[owner] = retention.held_bytes(owner);
+    const auto pick = [&]() -> std::optional<ResultId> {
+      if (seen.empty()) return std::nullopt;
       auto at = seen.begin();
       std::advance(at, which % seen.size());
       return at->first;
     };
-    const ResultNo no = pick();
-    asked_bytes = 1 + how % 400;
-    if (no != 0) asks = seen[no].owner;
+    const std::optional<ResultId> id = pick();
+    requested_bytes = 1 + how % 400;
+    if (id) requester = seen[*id].owner;
     switch (what % 8) {
       case 0:
       case 1: {
-        asks = std::string(1, static_cast<char>('a' + which % 3));
-        if (const ResultNo made = keeping.reserve(now, asks, asked_bytes)) seen[made].owner = asks;
+        requester = std::string(1, static_cast<char>('a' + which % 3));
+        if (const auto reserved = retention.reserve(requester, requested_bytes))
+          seen[*reserved].owner = requester;
         break;
       }
       case 2:
       case 3:
-        if (no && !seen[no].whole && keeping.grow(now, no, asked_bytes)) {
-          if (keeping.take_disk(now, no, asked_bytes) && seen.count(no)) seen[no].in_flight += asked_bytes;
+        if (id && !seen[*id].is_complete && retention.add_bytes(*id, requested_bytes)) {
+          if (retention.reserve_disk(*id, requested_bytes) && seen.count(*id))
+            seen[*id].in_flight_bytes += requested_bytes;
         }
         break;
       case 4:
-        if (no && seen[no].in_flight > 0)
-          keeping.stored(no, std::exchange(seen[no].in_flight, 0), how % 5 != 0);
+        if (id && seen[*id].in_flight_bytes > 0)
+          retention.finish_disk_write(*id, std::exchange(seen[*id].in_flight_bytes, 0), how % 5 != 0);
         break;
       case 5:
-        if (no && !seen[no].whole) seen[no].whole = true, keeping.whole(now, no);
+        if (id && !seen[*id].is_complete) seen[*id].is_complete = true, retention.complete(now, *id);
         break;
       case 6:
-        if (no && how % 3 == 0)
-          keeping.forget(no, Gone::kReleased);
-        else if (no)
-          RC_ASSERT(keeping.read(now, no) == seen[no].whole);
+        if (id && how % 3 == 0)
+          retention.remove(*id, RemovalReason::kReleased);
+        else if (id)
+          RC_ASSERT(retention.renew_lease(now, *id) == seen[*id].is_complete);
         break;
       case 7:
-        now += how % 300;
-        keeping.due(now);
+        now += Duration(how % 300);
+        retention.expire_leases(now);
         break;
     }
-    RC_ASSERT(keeping.memory() <= options.memory + 1e-6);
-    RC_ASSERT(keeping.disk() <= options.disk + 1e-6);
-    RC_ASSERT(keeping.results() == seen.size());
-    RC_ASSERT(keeping.results() <= options.results_most);
-    for (const auto& [number, s] : seen) RC_ASSERT(keeping.has(number));
+    RC_ASSERT(retention.memory_bytes() <= options.memory_bytes + 1e-6);
+    RC_ASSERT(retention.disk_bytes() <= options.disk_bytes + 1e-6);
+    RC_ASSERT(retention.result_count() == seen.size());
+    RC_ASSERT(retention.result_count() <= options.max_results);
+    for (const auto& [number, s] : seen) RC_ASSERT(retention.contains(number));
   }
 }
 
-TEST(Sizes, AQuantileNotAMeanByGroupThenByProfile) {
-  Sizes sizes(1000);
-  EXPECT_EQ(sizes.expected("report", 1), 1000);
-  for (int i = 0; i < 100; ++i) sizes.ended("report", 1, i % 5 == 0 ? 100000 : 100);
-  EXPECT_GE(sizes.expected("report", 1), 100000);  // a fifth is large: nine in ten means those, too
-  for (int i = 0; i < 200; ++i) sizes.ended("report", 2, 100);
-  EXPECT_LE(sizes.expected("report", 2), 200);
-  EXPECT_LE(sizes.expected("report", 77), 200);  // as the profile was lately
-}
-
-TEST(Sizes, GroupsAreBounded) {
-  Sizes sizes(1000);
-  for (int i = 0; i < 10000; ++i) sizes.ended("report", i, 100);
-  EXPECT_LE(sizes.groups(), 4096u);
-}
-
 }  // namespace
 }  // namespace firvalve::results
