--- a/fuzz/peers_fuzz.cpp
+++ b/fuzz/peers_fuzz.cpp
@@ -6,10 +6,10 @@
 #include <vector>
 
 #include "cluster/cluster_node.h"
-#include "cluster/wire.h"
+#include "cluster/peer_codec.h"
 #include "lease/lease_record.h"
 #include "lease/run_once_jobs.h"
-#include "schema/registry.h"
+#include "schema/topic_codec.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using namespace firvalve;
@@ -18,20 +18,20 @@
   if (const auto frame = cluster::read_frame({text.data(), text.size()}, why)) {
     // What could be read is heard by a keeper, as a keeper's word and as anybody's.
     cluster::ClusterNodeOptions options;
-    cluster::ClusterNode node(1, options);
-    for (const consensus::Message& m : frame->parts) {
-      node.handle(1, 1, m);
-      node.handle(2, 9, m);
+    cluster::ClusterNode node(time_point_of<BootClock>(1), options);
+    for (const consensus::Message& m : frame->messages) {
+      node.handle(time_point_of<BootClock>(1), 1, m);
+      node.handle(time_point_of<BootClock>(2), 9, m);
     }
-    node.due(5000);
-    node.take();
+    node.on_tick(time_point_of<BootClock>(5000));
+    node.take_output();
   }
-  cluster::read_slot(text);
-  cluster::read_owned(text);
-  lease::read_claim(text);
-  lease::read_merge(text);
+  cluster::decode_slot(text);
+  cluster::decode_metadata(text);
+  lease::decode_lease_record(text);
+  lease::decode_run_once_job(text);
   std::string told;
-  if (const auto bulletin = schema::read_bulletin(text, told)) schema::written(*bulletin);
-  if (const auto change = schema::read_change(text, told)) schema::apply({}, *change);
+  if (const auto topic = schema::decode_topic(text, told)) schema::encode(*topic);
+  if (const auto change = schema::decode_change(text, told)) schema::apply({}, *change);
   return 0;
 }
--- a/src/fakes/load_clients.cpp
+++ b/src/fakes/load_clients.cpp
@@ -43,8 +43,8 @@
 
 LoadClients::LoadClients(std::string program, const LoadClientsOptions& options)
     : program_(std::move(program)), options_(options), engines_(options.engines) {
-  char name[] = "/tmp/firvalve-crowd-XXXXXX";
-  if (!::mkdtemp(name)) throw std::runtime_error("no folder for a crowd");
+  char name[] = "/tmp/firvalve-clients-XXXXXX";
+  if (!::mkdtemp(name)) throw std::runtime_error("no folder for load clients");
   place_ = name;
   between_ = std::make_unique<FaultProxy>(host_, options.seed);
   std::vector<std::string> keepers;
@@ -145,10 +145,10 @@
       r.at += end + 1;
       std::istringstream lines(text.substr(0, end + 1));
       for (std::string line; std::getline(lines, line);) {
-        const std::string event = field(line, "event"), of = field(line, "duty");
-        if (event == "duty.taken" || event == "duty.renewed")
+        const std::string event = field(line, "event"), of = field(line, "lease");
+        if (event == "lease.acquired" || event == "lease.renewed")
           r.holds[of] = std::strtod(field(line, "until_ms").c_str(), nullptr);
-        else if (event == "duty.left" || event == "duty.lost")
+        else if (event == "lease.released" || event == "lease.lost")
           r.holds.erase(of);
         else if (event == "serving")
           r.holds.clear();  // another life
--- a/src/loadtest/gateway_run.cpp
+++ b/src/loadtest/gateway_run.cpp
@@ -116,7 +116,7 @@
       "core ({} answered, {} refused, {} of them by the client itself, {} failed, {} unknown, {} expired, {} "
       "open): the machine is too small or too busy",
       seen.load.view.engines, seen.load.view.zones, 100 * seen.answered_share, seen.load.rate,
-      seen.core_share, ends.answered, ends.refused, ends.stopped_here, ends.failed, ends.unknown,
+      seen.core_share, ends.answered, ends.refused, ends.refused_unsent, ends.failed, ends.unknown,
       ends.expired, ends.open);
 }
 
@@ -202,7 +202,7 @@
     m.unit = unit;
     m.varied = varied;
     m.fixed = std::move(fixed);
-    m.command = "firvalve-lab scale --part gateway";
+    m.command = "firvalve-loadtest scale --part gateway";
     m.seed = seed_;
     measured_.push_back(std::move(m));
     return measured_.back();
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -9,8 +9,8 @@
 #include <memory>
 #include <vector>
 
-#include "net/wake_timer.h"
 #include "base/units.h"
+#include "net/wake_timer.h"
 
 namespace firvalve::net {
 
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -1,6 +1,6 @@
 // Several processes of the program, with faults between them and in them. Each test is named after its
-// failure, and each ends before the judge, who knows nothing of the program's code: never two that may act
-// for one duty, epochs that only grow, a named load begun once at most.
+// failure, and each ends before the invariant checker, which knows nothing of the program's code: never two
+// that may act for one duty, epochs that only grow, a named load begun once at most.
 #include <Poco/Net/StreamSocket.h>
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -13,9 +13,9 @@
 #include <thread>
 
 #include "client/client.h"
-#include "cluster/wire.h"
+#include "cluster/peer_codec.h"
 #include "fakes/load_clients.h"
-#include "simulation/judge.h"
+#include "simulation/invariant_checker.h"
 #include "soon.h"
 
 namespace firvalve {
@@ -37,7 +37,7 @@
     simulation::FleetHistory history;
     for (size_t i = 0; i < crowd_->size(); ++i)
       simulation::read_spans(fmt::format("g{}", i), crowd_->log(i), history);
-    for (const simulation::FleetViolation& b : simulation::judge(history))
+    for (const simulation::FleetViolation& b : simulation::check_invariants(history))
       ADD_FAILURE() << b.rule << ": " << b.text;
     EXPECT_GT(history.held.size(), 0u);
     for (const auto& [statement, most] : once_)
@@ -70,7 +70,7 @@
     c.profile = "load";
     c.statement = statement;
     c.timeout_ms = timeout;
-    c.merge = name;
+    c.run_once_key = name;
     return client.call(c);
   }
   std::future<client::Result> merge_soon(size_t gateway, const std::string& name,
@@ -89,7 +89,7 @@
   c.pause(first);
   EXPECT_TRUE(handed_on(first));
   c.go_on(first);
-  EXPECT_TRUE(soon([&] { return c.count(first, "duty.lost") > 0; }));
+  EXPECT_TRUE(soon([&] { return c.count(first, "lease.lost") > 0; }));
   EXPECT_NE(holder(), first);
 }
 
@@ -116,7 +116,7 @@
   EXPECT_LT(h.held[1].from - h.held[0].until, 1000);  // far from the lease, however loaded the machine
 }
 
-TEST_F(Processes, HolderCutOffFromTheKeepersAlone) {
+TEST_F(Processes, HolderCutOffFromTheReplicasAlone) {
   LoadClientsOptions t;
   t.duties = {"trial:a", "trial:b", "trial:c", "trial:d", "trial:e", "trial:f"};
   LoadClients& c = begin(t);
@@ -125,7 +125,7 @@
     if (const auto h = c.holder(duty); h && *h >= 3) cut = *h;
   if (!cut) GTEST_SKIP() << "all duties went to keepers";
   for (size_t k = 0; k < 3; ++k) c.between().set_both(*cut, k, {.silent = true});
-  EXPECT_TRUE(soon([&] { return c.count(*cut, "duty.lost") > 0; }));
+  EXPECT_TRUE(soon([&] { return c.count(*cut, "lease.lost") > 0; }));
   EXPECT_TRUE(soon([&] {
     return std::all_of(t.duties.begin(), t.duties.end(), [&](const std::string& d) {
       const auto h = c.holder(d);
@@ -141,7 +141,7 @@
     if (k != first) c.between().set(k, first, {.silent = true});
   EXPECT_TRUE(handed_on(first));
   c.between().set_all({});
-  EXPECT_TRUE(soon([&] { return c.count(first, "duty.lost") > 0; }));
+  EXPECT_TRUE(soon([&] { return c.count(first, "lease.lost") > 0; }));
 }
 
 TEST_F(Processes, LinksResetInTheMiddleOfFrames) {
@@ -151,25 +151,25 @@
     ::usleep(50000);
   }
   EXPECT_TRUE(soon([&] { return c.ready(); }));
-  EXPECT_EQ(c.count("duty.unreadable"), 0u);
+  EXPECT_EQ(c.count("lease.unreadable"), 0u);
 }
 
-TEST_F(Processes, KeeperKilledAndStartedAgainWithAndWithoutWhatItHad) {
+TEST_F(Processes, ReplicaKilledAndRestartedWithAndWithoutItsStorage) {
   LoadClients& c = begin();
   EXPECT_EQ(merge({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
   for (const size_t keeper : {size_t{0}, size_t{1}, size_t{2}}) {
-    const size_t before = c.count(keeper, "record.ready");
+    const size_t before = c.count(keeper, "consensus.replica_ready");
     c.kill(keeper);
     if (keeper != 1) c.forget(keeper);
     c.start(keeper);
-    EXPECT_TRUE(soon([&] { return c.count(keeper, "record.ready") > before; })) << keeper;
+    EXPECT_TRUE(soon([&] { return c.count(keeper, "consensus.replica_ready") > before; })) << keeper;
   }
   // Every keeper has been away: what was agreed stands all the same.
   EXPECT_EQ(merge({3, 4}, "one", "insert one").outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert one"), 1);
 }
 
-TEST_F(Processes, KeepersWithoutFoldersComeBackOneAfterTheOther) {
+TEST_F(Processes, ReplicasWithoutStorageComeBackOneAfterTheOther) {
   LoadClientsOptions t;
   t.folders = false;
   LoadClients& c = begin(t);
@@ -177,13 +177,13 @@
   for (const size_t keeper : {size_t{0}, size_t{1}, size_t{2}}) {
     c.kill(keeper);
     c.start(keeper);
-    EXPECT_TRUE(soon([&] { return c.count(keeper, "record.ready") > 1; })) << keeper;
+    EXPECT_TRUE(soon([&] { return c.count(keeper, "consensus.replica_ready") > 1; })) << keeper;
   }
   EXPECT_EQ(merge({4}, "one", "insert one").outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert one"), 1);
 }
 
-TEST_F(Processes, TwoOfFiveKeepersGoneAndThenThree) {
+TEST_F(Processes, TwoOfFiveReplicasGoneAndThenThree) {
   LoadClientsOptions t;
   t.gateways = 7;
   t.keepers = 5;
@@ -203,7 +203,7 @@
   EXPECT_EQ(runs("insert two"), 1);
 }
 
-TEST_F(Processes, AllKeepersRestartedAtOnce) {
+TEST_F(Processes, AllReplicasRestartedAtOnce) {
   LoadClients& c = begin();
   EXPECT_EQ(merge({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
   for (size_t k = 0; k < 3; ++k) c.kill(k);
@@ -262,16 +262,17 @@
   for (size_t i = 0; i < c.size(); ++i) {
     EXPECT_EQ(c.end(i), 0);
     c.start(i);
-    EXPECT_TRUE(soon([&] { return c.ready() && (i >= 3 || c.count(i, "record.ready") > 1); })) << i;
+    EXPECT_TRUE(soon([&] { return c.ready() && (i >= 3 || c.count(i, "consensus.replica_ready") > 1); }))
+        << i;
   }
   over = true;
   load.join();
   EXPECT_GT(answered, 50);
   EXPECT_EQ(lost, 0);
-  EXPECT_EQ(c.count("duty.lost"), 0u);  // each handed on what it held
+  EXPECT_EQ(c.count("lease.lost"), 0u);  // each handed on what it held
 }
 
-TEST_F(Processes, ALoadAskedOfAllBeginsOnceAndAllAreToldItsEnd) {
+TEST_F(Processes, AJobRequestedOfAllStartsOnceAndAllGetItsEnd) {
   LoadClients& c = begin();
   const std::string load = "insert night /*! delay=300 rows=2 */";
   std::vector<std::future<client::Result>> asked;
@@ -286,7 +287,7 @@
   EXPECT_EQ(runs("insert another"), 0);
 }
 
-TEST_F(Processes, AHolderKilledInTheMiddleOfALoadLeavesWhatMayHaveRun) {
+TEST_F(Processes, AHolderKilledInTheMiddleOfAJobLeavesWhatMayHaveRun) {
   LoadClients& c = begin();
   const std::string load = "insert night /*! delay=3000 */";
   auto first = merge_soon(3, "night", load);
@@ -299,7 +300,7 @@
   EXPECT_EQ(runs(load), 1);
 }
 
-TEST_F(Processes, AHolderStoppedInTheMiddleOfALoadDoesNotBeginItAgain) {
+TEST_F(Processes, AHolderStoppedInTheMiddleOfAJobDoesNotStartItAgain) {
   LoadClients& c = begin();
   const std::string load = "insert night /*! delay=500 */";
   auto first = merge_soon(3, "night", load);
@@ -312,7 +313,7 @@
   EXPECT_EQ(runs(load), 1);
 }
 
-TEST_F(Processes, AHolderToldToEndInTheMiddleOfALoadAnswersItFirst) {
+TEST_F(Processes, AHolderTerminatedInTheMiddleOfAJobAnswersItFirst) {
   LoadClients& c = begin();
   const std::string load = "insert night /*! delay=800 */";
   auto first = merge_soon(3, "night", load);
@@ -323,7 +324,7 @@
   EXPECT_EQ(runs(load), 1);
 }
 
-TEST_F(Processes, AKeeperWhoseDiskIsFullSaysNothingUntilItTakesWritesAgain) {
+TEST_F(Processes, AReplicaWhoseDiskIsFullSendsNothingUntilItTakesWritesAgain) {
   LoadClients& c = begin();
   const rlimit none{0, RLIM_INFINITY}, any{RLIM_INFINITY, RLIM_INFINITY};
   ASSERT_EQ(::prlimit(c.process(0).id(), RLIMIT_FSIZE, &none, nullptr), 0);
@@ -335,7 +336,7 @@
   EXPECT_EQ(merge({4}, "one", "insert one").outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert one"), 1);
   EXPECT_EQ(c.end(0), 0);
-  EXPECT_EQ(c.count(0, "counters", "record steps not written"),
+  EXPECT_EQ(c.count(0, "counters", "consensus writes failed"),
             1u);  // its log could not be written meanwhile, either
 }
 
@@ -354,8 +355,8 @@
     }
   };
   cluster::Frame odd;
-  odd.from = "127.0.0.1:1";
-  odd.keepers = 1;  // of others
+  odd.sender = "127.0.0.1:1";
+  odd.replicas_hash = 1;  // of others
   std::string frame;
   cluster::append_frame(frame, odd);
   for (size_t k = 0; k < 3; ++k) {
@@ -367,21 +368,21 @@
     for (int i = 0; i < 20000; ++i) flood += frame;
     send(k, flood);
   }
-  EXPECT_TRUE(soon([&] { return c.count(0, "member.refused") >= 2; }));
+  EXPECT_TRUE(soon([&] { return c.count(0, "cluster.frame_rejected") >= 2; }));
   EXPECT_TRUE(c.ready());
-  EXPECT_EQ(c.count("duty.lost"), 0u);
+  EXPECT_EQ(c.count("lease.lost"), 0u);
   EXPECT_EQ(merge({0}, "one", "insert one").outcome, client::Outcome::kAnswered);
 }
 
-TEST_F(Processes, AFileThatNamesOtherKeepersThanTheRest) {
+TEST_F(Processes, AFileThatNamesOtherReplicasThanTheRest) {
   LoadClients& c = begin();
   const size_t odd = 4;
   EXPECT_EQ(c.end(odd), 0);
   c.rewrite(odd, c.name(2), c.name(3));
   c.start(odd);
-  EXPECT_TRUE(soon([&] { return c.count(0, "member.refused", "another list of keepers") > 0; }));
+  EXPECT_TRUE(soon([&] { return c.count(0, "cluster.frame_rejected", "another list of keepers") > 0; }));
   EXPECT_TRUE(soon([&] { return c.ready() && holder() != odd; }));
-  EXPECT_EQ(c.count(odd, "duty.taken", "\"epoch\":\"9"), 0u);
+  EXPECT_EQ(c.count(odd, "lease.acquired", "\"epoch\":\"9"), 0u);
   // Its clients are still served: only what needs the record is not to be had there.
   client::Options o;
   o.gateways = {c.clients(odd)};
@@ -390,7 +391,7 @@
   EXPECT_EQ(client.call(look).outcome, client::Outcome::kAnswered);
 }
 
-TEST_F(Processes, AFolderThatAnotherUsesOrThatIsAnothersRefusesTheStart) {
+TEST_F(Processes, ADirectoryInUseOrOfAnotherGatewayPreventsTheStart) {
   LoadClients& c = begin();
   EXPECT_EQ(c.end(1), 0);
   c.rewrite(1, c.folder(1), c.folder(0));
@@ -407,7 +408,7 @@
   EXPECT_TRUE(soon([&] { return c.ready(); }));
 }
 
-class Bulletins : public Processes {
+class Topics : public Processes {
  protected:
   static std::string schema(const std::vector<int>& fields) {
     std::string all;
@@ -429,20 +430,20 @@
     }
     return *c;
   }
-  // What stands, as any gateway tells it, before the judge.
+  // What stands, as any gateway tells it, before the invariant checker.
   std::string stands(size_t gateway) {
-    const client::Result r = at(gateway).ask("bulletin", "cabins", "{}", 8000).wait();
+    const client::Result r = at(gateway).ask_about_topic("bulletin", "cabins", "{}", 8000).wait();
     EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.why;
     simulation::FleetHistory h;
     h.bulletins.push_back(simulation::read_agreed("cabins", 0, r.rows));
-    for (const simulation::FleetViolation& b : simulation::judge(h))
+    for (const simulation::FleetViolation& b : simulation::check_invariants(h))
       ADD_FAILURE() << b.rule << ": " << b.text;
     return r.rows;
   }
   std::map<size_t, std::unique_ptr<client::Client>> clients_;
 };
 
-TEST_F(Bulletins, AChangeThatBreaksASubscriberIsRefusedAtEveryGateway) {
+TEST_F(Topics, AChangeThatBreaksASubscriberIsRejectedAtEveryGateway) {
   LoadClients& c = begin();
   EXPECT_EQ(at(0).propose("cabins", schema({1, 2}), 5000).wait().outcome, client::Outcome::kAnswered);
   EXPECT_EQ(at(3).declare("cabins", reader("screen", "2"), 5000).wait().outcome, client::Outcome::kAnswered);
@@ -454,15 +455,15 @@
     if (first.empty()) first = r.rows;
     EXPECT_EQ(r.rows, first);
   }
-  EXPECT_THROW(at(0).ask("propose", "cabins", "[1]", 5000), std::invalid_argument);
+  EXPECT_THROW(at(0).ask_about_topic("propose", "cabins", "[1]", 5000), std::invalid_argument);
   const client::Result bad =
-      at(0).ask("propose", "cabins", R"({"schema":{"fields":[{"number":"x"}]}})", 5000).wait();
+      at(0).ask_about_topic("propose", "cabins", R"({"schema":{"fields":[{"number":"x"}]}})", 5000).wait();
   EXPECT_EQ(bad.outcome, client::Outcome::kFailed);
   EXPECT_EQ(bad.why, "schema.fields[0].number is no number from 0 up");
-  EXPECT_GE(c.count("schema.refused"), c.size());
+  EXPECT_GE(c.count("schema.change_rejected"), c.size());
 }
 
-TEST_F(Bulletins, ProposalsAndDeclarationsThatCrossACutAndLossAndAKilledKeeper) {
+TEST_F(Topics, ProposalsAndDeclarationsAcrossAPartitionLossAndAKilledReplica) {
   LoadClientsOptions t;
   t.keepers = 5;
   LoadClients& c = begin(t);
@@ -509,7 +510,7 @@
   for (size_t g = 1; g < 4; ++g) EXPECT_EQ(stands(g), one);
 }
 
-TEST_F(Bulletins, ASubscriberThatGivesNoSignIsForgottenAfterItsTime) {
+TEST_F(Topics, ASubscriberThatDoesNotRenewIsForgottenAfterItsLifetime) {
   begin();
   EXPECT_EQ(at(0).propose("cabins", schema({1, 2}), 5000).wait().outcome, client::Outcome::kAnswered);
   std::string declaration = reader("screen", "2");
@@ -521,7 +522,7 @@
   }));
 }
 
-TEST_F(Bulletins, WithoutAMajorityNothingIsChangedAndThatIsTold) {
+TEST_F(Topics, WithoutAQuorumNothingIsChangedAndTheClientLearnsIt) {
   LoadClients& c = begin();
   c.kill(0);
   c.kill(1);
@@ -532,7 +533,7 @@
   EXPECT_EQ(stands(3).find("\"number\":2,\"state\""), std::string::npos);  // the first was never made
 }
 
-TEST_F(Processes, AGatewayOutsideAnyFleetRefusesNamedLoads) {
+TEST_F(Processes, AGatewayOutsideAnyClusterRejectsRunOnceJobs) {
   const std::string listen = fakes::free_address();
   fakes::FakeDeployment engines(1);
   fakes::Process process(FIRVALVE_PROGRAM, engines.config(listen));
--- a/tests/cluster/world_test.cpp
+++ b/tests/cluster/world_test.cpp
@@ -1,4 +1,5 @@
-// The fleet in virtual time, with drawn faults, under the judge; and the judge under is_injected faults.
+// The cluster in virtual time, with drawn faults, under the invariant checker; and the checker under injected
+// violations.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,12 +27,12 @@
 
 std::string told(const FleetOutcome& out) {
   std::string all;
-  for (const FleetViolation& b : out.breaches) all += b.rule + ": " + b.text + "\n";
+  for (const FleetViolation& b : out.violations) all += b.rule + ": " + b.text + "\n";
   return all;
 }
 
 bool breaks(const FleetOutcome& out, const std::string& rule) {
-  return std::any_of(out.breaches.begin(), out.breaches.end(),
+  return std::any_of(out.violations.begin(), out.violations.end(),
                      [&](const FleetViolation& b) { return b.rule == rule; });
 }
 
@@ -96,7 +97,7 @@
   EXPECT_EQ(told(out), "");
   EXPECT_EQ(out.unheld_at_end, 0u);
   for (const HeldSpan& s : out.history.held)
-    EXPECT_FALSE(s.from < 8000 && s.until > 8000 + o.lease && s.until <= 14000) << s.duty;
+    EXPECT_FALSE(s.from < 8000 && s.until > 8000 + o.lease && s.until <= 14000) << s.lease;
 }
 
 TEST(FleetWorld, AThousandGatewaysAndAMajorityThatComesAndGoes) {
@@ -112,14 +113,14 @@
   EXPECT_GE(out.taken, 10u);
 }
 
-// Each flaw, is_injected into the real machines, is found by the judge on some of a few seeds.
-class Planted : public testing::TestWithParam<std::pair<InjectedBug, const char*>> {};
+// Each bug, injected into the real state machines, is found by the invariant checker on some of a few seeds.
+class InjectedBugs : public testing::TestWithParam<std::pair<InjectedBug, const char*>> {};
 
-TEST_P(Planted, IsFound) {
-  const auto [flaw, rule] = GetParam();
+TEST_P(InjectedBugs, AreFound) {
+  const auto [bug, rule] = GetParam();
   bool found = false;
   for (uint64_t seed = 1; seed <= 2 * seeds_most() && !found; ++seed) {
-    injected_bug = flaw;
+    injected_bug = bug;
     const FleetOutcome out = play(rough(seed));
     found = breaks(out, rule);
     injected_bug = InjectedBug::kNone;
@@ -127,13 +128,13 @@
   EXPECT_TRUE(found);
 }
 
-INSTANTIATE_TEST_SUITE_P(Flaws, Planted,
-                         testing::Values(std::pair(InjectedBug::kLeaseFromAnswer, "one_holder"),
-                                         std::pair(InjectedBug::kNoWait, "one_holder"),
-                                         std::pair(InjectedBug::kIntentAfterSend, "once"),
-                                         std::pair(InjectedBug::kNoEpochCheck, "acts_in_order"),
-                                         std::pair(InjectedBug::kCheckBeforeAgreement, "compatible"),
-                                         std::pair(InjectedBug::kNoPromise, "linearizable")),
+INSTANTIATE_TEST_SUITE_P(All, InjectedBugs,
+                         testing::Values(std::pair(InjectedBug::kLeaseFromResponse, "one_holder"),
+                                         std::pair(InjectedBug::kSkipTakeoverWait, "one_holder"),
+                                         std::pair(InjectedBug::kRecordIntentAfterStart, "once"),
+                                         std::pair(InjectedBug::kSkipFencingCheck, "acts_in_order"),
+                                         std::pair(InjectedBug::kCheckStaleDeclarations, "compatible"),
+                                         std::pair(InjectedBug::kSkipPromiseCheck, "linearizable")),
                          [](const auto& p) {
                            return std::string(p.param.second) +
                                   std::to_string(static_cast<int>(p.param.first));
@@ -151,7 +152,7 @@
     const FleetOutcome out = play(o);
     EXPECT_EQ(told(out), "");
     for (const RecordOp& op : out.history.ops) EXPECT_LT(op.ended, 6500);
-    injected_bug = InjectedBug::kForgetfulKeeper;
+    injected_bug = InjectedBug::kForgetfulAcceptor;
     found |= breaks(play(o), "linearizable");
     injected_bug = InjectedBug::kNone;
   }
@@ -159,7 +160,7 @@
 }
 
 TEST(FleetWorld, ABadHistoryIsCutDownToAShortOne) {
-  injected_bug = InjectedBug::kNoWait;
+  injected_bug = InjectedBug::kSkipTakeoverWait;
   FleetOptions o = rough(1);
   o.span = 6000;
   const FleetOptions cut = cut_down(o, "one_holder");
@@ -170,7 +171,7 @@
   EXPECT_LE(cut.span, o.span);
 }
 
-TEST(Judge, FindsEachBreachAndNothingInAGoodHistory) {
+TEST(InvariantChecker, FindsEachViolationAndNothingInAGoodHistory) {
   FleetHistory h;
   h.held = {{"d", "a", 1, 0, 100}, {"d", "b", 2, 101, 200}, {"e", "b", 1, 50, 150}};
   h.acts = {{"d", "r", 1, 10}, {"d", "r", 2, 110}, {"e", "r", 1, 120}};
@@ -182,11 +183,11 @@
   h.ops = {{Kind::kChange, "k", 0, 5, 1, 11, 0},
            {Kind::kRead, "k", 3, 6, 0, 0, 0},
            {Kind::kChange, "k", 6, 9, 2, 12, 11}};
-  EXPECT_TRUE(judge(h).empty());
+  EXPECT_TRUE(check_invariants(h).empty());
   const auto rule = [&](auto change) {
     FleetHistory bad = h;
     change(bad);
-    const auto all = judge(bad);
+    const auto all = check_invariants(bad);
     return all.empty() ? std::string() : all.front().rule;
   };
   EXPECT_EQ(rule([](FleetHistory& b) { b.held[1].from = 99; }), "one_holder");
@@ -207,17 +208,17 @@
             "linearizable");
 }
 
-TEST(Judge, ReadsSpansFromTheLogsOfProcesses) {
+TEST(InvariantChecker, ReadsSpansFromTheLogsOfProcesses) {
   FleetHistory h;
   read_spans("a",
              "not json\n"
-             R"({"event":"duty.taken","duty":"d","epoch":"3","at_ms":"100.5","until_ms":"1000"})"
+             R"({"event":"lease.acquired","lease":"d","epoch":"3","at_ms":"100.5","until_ms":"1000"})"
              "\n"
-             R"({"event":"duty.renewed","duty":"d","epoch":"3","at_ms":"500","until_ms":"1400"})"
+             R"({"event":"lease.renewed","lease":"d","epoch":"3","at_ms":"500","until_ms":"1400"})"
              "\n"
-             R"({"event":"duty.left","duty":"d","epoch":"3","at_ms":"700","why":"x"})"
+             R"({"event":"lease.released","lease":"d","epoch":"3","at_ms":"700","reason":"x"})"
              "\n"
-             R"({"event":"duty.taken","duty":"d","epoch":"5","at_ms":"900","until_ms":"1800"})"
+             R"({"event":"lease.acquired","lease":"d","epoch":"5","at_ms":"900","until_ms":"1800"})"
              "\n",
              h);
   ASSERT_EQ(h.held.size(), 2u);
--- a/tests/compatibility/stored_data_test.cpp
+++ b/tests/compatibility/stored_data_test.cpp
@@ -17,8 +17,8 @@
 #include <sstream>
 
 #include "client/client.h"
+#include "cluster/peer_codec.h"
 #include "cluster/replica_storage.h"
-#include "cluster/wire.h"
 #include "fakes/fake_deployment.h"
 #include "fakes/fault_script.h"
 #include "fakes/process.h"
@@ -29,6 +29,7 @@
 #include "results/paged_result_store.h"
 #include "results/segment_files.h"
 #include "schema/registry.h"
+#include "schema/topic_codec.h"
 #include "soon.h"
 
 namespace firvalve {
@@ -73,7 +74,7 @@
 
 std::unique_ptr<cluster::ReplicaStorage> open_folder(const FolderCopy& copy, int keeper) {
   return std::make_unique<cluster::ReplicaStorage>(copy.path(), kKeepers[static_cast<size_t>(keeper - 1)],
-                                                   cluster::hash_of(kKeepers), [] {});
+                                                   cluster::hash_of_replicas(kKeepers), [] {});
 }
 
 std::map<std::string, std::string> raw_entries(MDB_txn* transaction, const char* database) {
@@ -109,15 +110,15 @@
 
 // A register's value as its reader understands it, written again.
 std::string rewritten_value(const std::string& key, const std::string& value) {
-  if (key.starts_with(schema::Registry::kPrefix)) {
+  if (key.starts_with(schema::Registry::kKeyPrefix)) {
     std::string why;
-    const auto bulletin = schema::read_bulletin(value, why);
-    return bulletin ? schema::written(*bulletin) : why;
+    const auto topic = schema::decode_topic(value, why);
+    return topic ? schema::encode(*topic) : why;
   }
-  auto claim = lease::read_claim(value);
-  if (!claim) return "no claim";
-  if (key.starts_with("merge:")) claim->state = lease::written(lease::read_merge(claim->state));
-  return lease::written(*claim);
+  auto record = lease::decode_lease_record(value);
+  if (!record) return "no lease record";
+  if (key.starts_with("merge:")) record->state = lease::encode(lease::decode_run_once_job(record->state));
+  return lease::encode(*record);
 }
 
 class StoredFolder : public testing::TestWithParam<const char*> {};
@@ -127,15 +128,15 @@
   const RawFolder raw(copy.path());
   ASSERT_EQ(raw.standing.size(), 1u);
   const std::string& standing = raw.standing.at("standing");
-  const auto owned = cluster::read_owned(standing);
+  const auto owned = cluster::decode_metadata(standing);
   ASSERT_TRUE(owned);
-  EXPECT_EQ(hex(cluster::written(*owned)), hex(standing));
+  EXPECT_EQ(hex(cluster::encode(*owned)), hex(standing));
   EXPECT_EQ(raw.slots.size(), 6u);
   for (const auto& [key, bytes] : raw.slots) {
-    const auto slot = cluster::read_slot(bytes);
+    const auto slot = cluster::decode_slot(bytes);
     ASSERT_TRUE(slot) << key;
-    EXPECT_EQ(hex(cluster::written(*slot)), hex(bytes)) << key;
-    EXPECT_EQ(hex(rewritten_value(key, slot->fact.value)), hex(slot->fact.value)) << key;
+    EXPECT_EQ(hex(cluster::encode(*slot)), hex(bytes)) << key;
+    EXPECT_EQ(hex(rewritten_value(key, slot->accepted.value)), hex(slot->accepted.value)) << key;
   }
 }
 
@@ -153,25 +154,25 @@
   EXPECT_EQ(slots.size(), expected.size());
   for (const ExpectedRegister& one : expected) {
     ASSERT_TRUE(slots.count(one.key)) << one.key;
-    const consensus::Register& fact = slots.at(one.key).fact;
+    const consensus::Register& fact = slots.at(one.key).accepted;
     EXPECT_EQ(fact.version, one.version) << one.key;
-    EXPECT_EQ(fact.change, one.change) << one.key;
-    EXPECT_EQ(fact.before.size(), one.remembered) << one.key;
-    EXPECT_EQ(fact.urgent, one.urgent) << one.key;
+    EXPECT_EQ(fact.change_id, one.change) << one.key;
+    EXPECT_EQ(fact.earlier_changes.size(), one.remembered) << one.key;
+    EXPECT_EQ(fact.is_urgent, one.urgent) << one.key;
   }
 }
 
-lease::LeaseRecord claim_in(const cluster::ReplicaStorage& folder, const std::string& key) {
-  const auto claim = lease::read_claim(folder.slots.at(key).fact.value);
-  EXPECT_TRUE(claim) << key;
-  return claim.value_or(lease::LeaseRecord{});
+lease::LeaseRecord lease_record_in(const cluster::ReplicaStorage& folder, const std::string& key) {
+  const auto record = lease::decode_lease_record(folder.slots.at(key).accepted.value);
+  EXPECT_TRUE(record) << key;
+  return record.value_or(lease::LeaseRecord{});
 }
 
 TEST(StoredRecord, AKeepersFolderGivesItsRegisters) {
   const FolderCopy copy("keeper-3");
   const auto folder = open_folder(copy, 3);
-  ASSERT_TRUE(folder->standing);
-  EXPECT_EQ(*folder->standing, (consensus::ReplicaMetadata{817787996861,
+  ASSERT_TRUE(folder->metadata);
+  EXPECT_EQ(*folder->metadata, (consensus::ReplicaMetadata{817787996861,
                                                            true,
                                                            {146748374581, 1849659686399, 817787996861},
                                                            {146748374581, 61508626815, 817787996861}}));
@@ -183,29 +184,31 @@
                                    {"trial:s-0000000b", 8, 8365445156178667918u, 7, true}});
   const consensus::AcceptorSlot& slot =
       folder->slots.at("trial:s-0000000a");  // a change is on its way at its end
-  EXPECT_EQ(slot.promised, (consensus::Ballot{35, 17422707628205788545u}));
-  EXPECT_EQ(slot.held, (consensus::Ballot{31, 17422707628205788545u}));
-  EXPECT_EQ(slot.fact.before.front(), 6584014357435533354u);
-  EXPECT_EQ(slot.fact.before.back(), 8617334479729928363u);
+  EXPECT_EQ(slot.promised_ballot, (consensus::Ballot{35, 17422707628205788545u}));
+  EXPECT_EQ(slot.accepted_ballot, (consensus::Ballot{31, 17422707628205788545u}));
+  EXPECT_EQ(slot.accepted.earlier_changes.front(), 6584014357435533354u);
+  EXPECT_EQ(slot.accepted.earlier_changes.back(), 8617334479729928363u);
 }
 
 TEST(StoredRecord, LeasesHeldAndReleasedAreReadSo) {
   const FolderCopy ended("keeper-3"), killed("keeper-2-killed");
-  EXPECT_EQ(claim_in(*open_folder(ended, 3), "trial:s-0000000b"),
-            (lease::LeaseRecord{3, kKeepers[1], 10594507252441581575u, 2000, true, ""}));
+  EXPECT_EQ(lease_record_in(*open_folder(ended, 3), "trial:s-0000000b"),
+            (lease::LeaseRecord{3, kKeepers[1], 10594507252441581575u, duration_of(2000), true, ""}));
   const auto folder = open_folder(killed, 2);
-  EXPECT_EQ(claim_in(*folder, "trial:s-0000000a"),
-            (lease::LeaseRecord{1, kKeepers[2], 6632831152290725549u, 2000, false, ""}));
-  EXPECT_EQ(claim_in(*folder, "trial:s-0000000b"),
-            (lease::LeaseRecord{1, kKeepers[1], 7202441673331798167u, 2000, false, ""}));
+  EXPECT_EQ(lease_record_in(*folder, "trial:s-0000000a"),
+            (lease::LeaseRecord{1, kKeepers[2], 6632831152290725549u, duration_of(2000), false, ""}));
+  EXPECT_EQ(lease_record_in(*folder, "trial:s-0000000b"),
+            (lease::LeaseRecord{1, kKeepers[1], 7202441673331798167u, duration_of(2000), false, ""}));
 }
 
 TEST(StoredRecord, RunOnceLoadsAreAnsweredAndFailedAsTheyEnded) {
   const FolderCopy copy("keeper-1");
   const auto folder = open_folder(copy, 1);
-  const auto load = [&](const char* key) { return lease::read_merge(claim_in(*folder, key).state); };
+  const auto load = [&](const char* key) {
+    return lease::decode_run_once_job(lease_record_in(*folder, key).state);
+  };
   EXPECT_EQ(load("merge:night-2026-12-02"),
-            (lease::RunOnceJob{lease::RunOnceJob::Stage::kAnswered, 0, 2428006521986618431u,
+            (lease::RunOnceJob{lease::RunOnceJob::Stage::kCompleted, 0, 2428006521986618431u,
                                "0\t0\trow 0 of page 0\n0\t1\trow 1 of page 0\n"}));
   EXPECT_EQ(load("merge:night-2026-12-03"),
             (lease::RunOnceJob{lease::RunOnceJob::Stage::kFailed, 0, 15031783911495997865u, ""}));
@@ -244,7 +247,7 @@
 schema::Topic cabins() {
   schema::Topic b;
   schema::Schema s = cabins_schema();
-  b.versions.push_back({1, schema::State::kGone, s});
+  b.versions.push_back({1, schema::State::kRetired, s});
   s.fields.push_back(field(9, "view", schema::Type::kText));
   b.versions.push_back({2, schema::State::kDeprecated, s});
   s.fields.push_back(field(10, "floor", schema::Type::kInt32));
@@ -256,12 +259,12 @@
 
 TEST(StoredRecord, ABulletinIsReadWithAllItsVersionsAndDeclarations) {
   const FolderCopy copy("keeper-1");
-  const std::string json = open_folder(copy, 1)->slots.at(schema::Registry::key_of("cabins")).fact.value;
+  const std::string json = open_folder(copy, 1)->slots.at(schema::Registry::key_of("cabins")).accepted.value;
   std::string why;
-  const auto bulletin = schema::read_bulletin(json, why);
-  ASSERT_TRUE(bulletin) << why;
-  EXPECT_EQ(*bulletin, cabins());
-  EXPECT_EQ(schema::written(cabins()), json);
+  const auto topic = schema::decode_topic(json, why);
+  ASSERT_TRUE(topic) << why;
+  EXPECT_EQ(*topic, cabins());
+  EXPECT_EQ(schema::encode(cabins()), json);
 }
 
 // ---- A fleet over stored folders -----------------------------------------------------------------
@@ -307,7 +310,7 @@
     command.profile = "load";
     command.statement = statement;
     command.timeout_ms = 8000;
-    command.merge = name;
+    command.run_once_key = name;
     return client_->call(command);
   }
   bool logged(const std::string& text) const {
@@ -337,10 +340,9 @@
 }
 
 TEST_F(StoredFleet, ABulletinIsToldAndASchemaThatStandsKeepsItsVersion) {
-  const client::Result cabins_told = client_->ask("bulletin", "cabins", "{}", 8000).wait();
+  const client::Result cabins_told = client_->ask_about_topic("bulletin", "cabins", "{}", 8000).wait();
   EXPECT_EQ(cabins_told.outcome, client::Outcome::kAnswered) << cabins_told.why;
-  EXPECT_NE(cabins_told.rows.find(schema::written(cabins()).substr(1)), std::string::npos)
-      << cabins_told.rows;
+  EXPECT_NE(cabins_told.rows.find(schema::encode(cabins()).substr(1)), std::string::npos) << cabins_told.rows;
   const client::Result boats =
       client_->propose("boats", R"({"key":[1],"fields":[{"number":1,"name":"boat","required":true}]})", 8000)
           .wait();
@@ -350,7 +352,7 @@
 // The epoch after the stored one: the stored claim was understood and built on.
 TEST_F(StoredFleet, ALeaseGoesOnWithTheNextEpoch) {
   EXPECT_TRUE(soon([&] {
-    return logged("event=\"duty.taken\" component=duty duty=trial:s-0000000a epoch=2");
+    return logged("event=\"lease.acquired\" component=lease lease=trial:s-0000000a epoch=2");
   })) << content_of(logs_[0])
       << content_of(logs_[1]);
 }
@@ -478,7 +480,7 @@
   EXPECT_EQ(file.fleet.planned.client_connections, 6.5e6);
   EXPECT_EQ(file.fleet.planned.region_cuts_per_year, 4);
   EXPECT_EQ(file.fleet.assumed.keepers, 5);
-  EXPECT_EQ(file.fleet.assumed.duties, 20);
+  EXPECT_EQ(file.fleet.assumed.leases, 20);
   ASSERT_EQ(file.measurements.size(), 5u);
   const Measurement& linear = file.measurements[2];
   EXPECT_EQ(linear.name, "bus.control.bytes_out");
@@ -508,12 +510,12 @@
     {"promise", consensus::MessageType::kPromise},
     {"accept", consensus::MessageType::kAccept},
     {"accepted", consensus::MessageType::kAccepted},
-    {"refused", consensus::MessageType::kRefused},
-    {"look", consensus::MessageType::kLook},
+    {"refused", consensus::MessageType::kRejected},
+    {"look", consensus::MessageType::kWatch},
     {"changes", consensus::MessageType::kChanges},
-    {"standing", consensus::MessageType::kStanding},
-    {"standing_is", consensus::MessageType::kStandingIs},
-    {"fetch", consensus::MessageType::kFetch},
+    {"standing", consensus::MessageType::kMetadataRequest},
+    {"standing_is", consensus::MessageType::kMetadata},
+    {"fetch", consensus::MessageType::kFetchState},
     {"state", consensus::MessageType::kState}};
 
 std::vector<consensus::MessageType> says_of(const std::string& file_stem) {
@@ -533,10 +535,10 @@
     const auto frame = cluster::read_frame(body, why);
     ASSERT_TRUE(frame) << file.path() << why;
     std::vector<consensus::MessageType> says;
-    for (const consensus::Message& message : frame->parts) says.push_back(message.say);
+    for (const consensus::Message& message : frame->messages) says.push_back(message.type);
     EXPECT_EQ(says, says_of(file.path().stem())) << file.path();
-    EXPECT_TRUE(std::count(kKeepers.begin(), kKeepers.end(), frame->from)) << frame->from;
-    EXPECT_EQ(frame->keepers, cluster::hash_of(kKeepers));
+    EXPECT_TRUE(std::count(kKeepers.begin(), kKeepers.end(), frame->sender)) << frame->sender;
+    EXPECT_EQ(frame->replicas_hash, cluster::hash_of_replicas(kKeepers));
     std::string again;
     cluster::append_frame(again, *frame);
     EXPECT_EQ(hex(again), hex(framed(body))) << file.path();
@@ -547,31 +549,31 @@
 
 // ---- Values built field by field -----------------------------------------------------------------
 
-consensus::Register some_fact() { return {3, 0x1122334455667788, {21, 22}, "a value", true}; }
-consensus::AcceptorSlot some_slot() { return {{8, 9}, {6, 7}, some_fact()}; }
+consensus::Register some_register() { return {3, 0x1122334455667788, {21, 22}, "a value", true}; }
+consensus::AcceptorSlot some_slot() { return {{8, 9}, {6, 7}, some_register()}; }
 
 // Every kind of message, each with every field told.
 cluster::Frame every_message() {
   cluster::Frame frame{kKeepers[0], 0x0123456789abcdef, {}};
-  for (const auto say :
+  for (const auto type :
        {consensus::MessageType::kPrepare, consensus::MessageType::kPromise, consensus::MessageType::kAccept,
-        consensus::MessageType::kAccepted, consensus::MessageType::kRefused, consensus::MessageType::kLook,
-        consensus::MessageType::kChanges, consensus::MessageType::kStanding,
-        consensus::MessageType::kStandingIs, consensus::MessageType::kFetch,
+        consensus::MessageType::kAccepted, consensus::MessageType::kRejected, consensus::MessageType::kWatch,
+        consensus::MessageType::kChanges, consensus::MessageType::kMetadataRequest,
+        consensus::MessageType::kMetadata, consensus::MessageType::kFetchState,
         consensus::MessageType::kState}) {
-    consensus::Message& m = frame.parts.emplace_back();
-    m.say = say;
-    m.op = 100 + frame.parts.size();
+    consensus::Message& m = frame.messages.emplace_back();
+    m.type = type;
+    m.request_id = 100 + frame.messages.size();
     m.key = "trial:s-0000000a";
     m.ballot = {41, 42};
-    m.held = {31, 32};
-    m.fact = some_fact();
-    m.life = 51;
-    m.lives = {51, 52, 53};
-    m.founders = {61, 62, 63};
+    m.accepted_ballot = {31, 32};
+    m.register_state = some_register();
+    m.incarnation = 51;
+    m.known_incarnations = {51, 52, 53};
+    m.bootstrap_incarnations = {61, 62, 63};
     m.since = 71;
-    m.full = true;
-    m.more = frame.parts.size() % 2 == 0;
+    (type == consensus::MessageType::kRejected ? m.is_out_of_space : m.is_voting) = true;
+    m.has_more = frame.messages.size() % 2 == 0;
     m.entries = {{"bulletin cabins", some_slot()}, {"merge:night", consensus::AcceptorSlot{}}};
   }
   return frame;
@@ -598,8 +600,8 @@
 
 const std::vector<std::pair<const char*, lease::RunOnceJob::Stage>> kStages = {
     {"load_not_begun", lease::RunOnceJob::Stage::kNone},
-    {"load_begun", lease::RunOnceJob::Stage::kBegun},
-    {"load_answered", lease::RunOnceJob::Stage::kAnswered},
+    {"load_begun", lease::RunOnceJob::Stage::kStarted},
+    {"load_answered", lease::RunOnceJob::Stage::kCompleted},
     {"load_failed", lease::RunOnceJob::Stage::kFailed},
     {"load_unknown", lease::RunOnceJob::Stage::kUnknown}};
 const std::vector<std::pair<const char*, results::SegmentRecord::Kind>> kRecords = {
@@ -607,23 +609,23 @@
     {"record_whole", results::SegmentRecord::Kind::kManifest},
     {"record_gone", results::SegmentRecord::Kind::kTombstone}};
 
-const cluster::Owned kStanding{{5, true, {5, 6, 7}, {1, 2, 3}}, kKeepers[0], 99};
-const lease::LeaseRecord kHeld{3, kKeepers[0], 9, 2000.5, false, "state"},
-    kReleased{3, kKeepers[0], 9, 2000.5, true, ""};
+const cluster::OwnedMetadata kStanding{{5, true, {5, 6, 7}, {1, 2, 3}}, kKeepers[0], 99};
+const lease::LeaseRecord kHeld{3, kKeepers[0], 9, duration_of(2000.5), false, "state"},
+    kReleased{3, kKeepers[0], 9, duration_of(2000.5), true, ""};
 lease::RunOnceJob load_at(lease::RunOnceJob::Stage stage) { return {stage, 5, 6, "1\t2\n"}; }
 
 // All of it as this program writes it, by name.
 std::map<std::string, std::string> written_values() {
   std::map<std::string, std::string> all;
   cluster::append_frame(all["every_message"], every_message());
-  all["slot"] = cluster::written(some_slot());
-  all["slot_promised_alone"] = cluster::written(consensus::AcceptorSlot{{8, 9}, {}, {}});
-  all["standing"] = cluster::written(kStanding);
-  all["lease_held"] = lease::written(kHeld);
-  all["lease_released"] = lease::written(kReleased);
-  for (const auto& [name, stage] : kStages) all[name] = lease::written(load_at(stage));
+  all["slot"] = cluster::encode(some_slot());
+  all["slot_promised_alone"] = cluster::encode(consensus::AcceptorSlot{{8, 9}, {}, {}});
+  all["standing"] = cluster::encode(kStanding);
+  all["lease_held"] = lease::encode(kHeld);
+  all["lease_released"] = lease::encode(kReleased);
+  for (const auto& [name, stage] : kStages) all[name] = lease::encode(load_at(stage));
   for (const auto& [name, kind] : kRecords) results::append_record(all[name], some_record(kind));
-  all["bulletin"] = schema::written(cabins());
+  all["bulletin"] = schema::encode(cabins());
   return all;
 }
 
@@ -655,20 +657,20 @@
   const std::string message = stored["every_message"];
   const auto frame = cluster::read_frame(std::string_view(message).substr(message.find("\r\n\r\n") + 4), why);
   ASSERT_TRUE(frame) << why;
-  EXPECT_EQ(frame->from, every_message().from);
-  EXPECT_EQ(frame->keepers, every_message().keepers);
-  EXPECT_EQ(frame->parts, every_message().parts);
-  EXPECT_EQ(cluster::read_slot(stored["slot"]), some_slot());
-  EXPECT_EQ(cluster::read_slot(stored["slot_promised_alone"]), (consensus::AcceptorSlot{{8, 9}, {}, {}}));
-  const auto owned = cluster::read_owned(stored["standing"]);
+  EXPECT_EQ(frame->sender, every_message().sender);
+  EXPECT_EQ(frame->replicas_hash, every_message().replicas_hash);
+  EXPECT_EQ(frame->messages, every_message().messages);
+  EXPECT_EQ(cluster::decode_slot(stored["slot"]), some_slot());
+  EXPECT_EQ(cluster::decode_slot(stored["slot_promised_alone"]), (consensus::AcceptorSlot{{8, 9}, {}, {}}));
+  const auto owned = cluster::decode_metadata(stored["standing"]);
   ASSERT_TRUE(owned);
-  EXPECT_EQ(owned->standing, kStanding.standing);
+  EXPECT_EQ(owned->metadata, kStanding.metadata);
   EXPECT_EQ(owned->owner, kStanding.owner);
-  EXPECT_EQ(owned->keepers, kStanding.keepers);
-  EXPECT_EQ(lease::read_claim(stored["lease_held"]), kHeld);
-  EXPECT_EQ(lease::read_claim(stored["lease_released"]), kReleased);
+  EXPECT_EQ(owned->replicas_hash, kStanding.replicas_hash);
+  EXPECT_EQ(lease::decode_lease_record(stored["lease_held"]), kHeld);
+  EXPECT_EQ(lease::decode_lease_record(stored["lease_released"]), kReleased);
   for (const auto& [name, stage] : kStages)
-    EXPECT_EQ(lease::read_merge(stored[name]), load_at(stage)) << name;
+    EXPECT_EQ(lease::decode_run_once_job(stored[name]), load_at(stage)) << name;
 }
 
 TEST(StoredValues, RecordsOfASegmentAreReadFieldByField) {
