--- a/src/client/driver.cpp
+++ b/src/client/driver.cpp
@@ -121,6 +121,10 @@
 
 void Driver::handle_call_closed() {
   const std::lock_guard lock(mutex_);
+  count_closed_call();
+}
+
+void Driver::count_closed_call() {
   if (--open_calls_ == 0) none_open_.notify_all();
 }
 
@@ -386,11 +390,16 @@
   result.retry_after_ms = to_ms(action.retry_after.value_or(Duration(0)));
   if (result.outcome != Outcome::kAnswered) result.why = action.reason;
   const bool has_callback = static_cast<bool>(call->callback);
-  end_call_state(*call, std::move(result));
-  if (has_callback)
+  if (has_callback) {
+    end_call_state(*call, std::move(result));
     callback_thread_.post(call);
-  else
-    handle_call_closed();
+    return;
+  }
+  // Under one lock: a caller that has its result does not find the call among those open, and close() does
+  // not return before the result is there.
+  const std::lock_guard lock(mutex_);
+  end_call_state(*call, std::move(result));
+  count_closed_call();
 }
 
 void Driver::carry_out(const LogGatewayChange& action) {
--- a/src/client/driver.h
+++ b/src/client/driver.h
@@ -59,6 +59,7 @@
 
   void wake();
   void handle_call_closed();
+  void count_closed_call();  // under the lock
 
   // The I/O thread's.
   void run();
