--- a/src/config/cluster_checks.cpp
+++ b/src/config/cluster_checks.cpp
@@ -3,7 +3,6 @@
 #include <fmt/format.h>
 
 #include <algorithm>
-#include <optional>
 #include <set>
 #include <utility>
 
@@ -21,14 +20,16 @@
 // Four numbers of 0 to 255 with dots between them.
 bool is_ipv4_address(std::string_view text) {
   int parts = 0;
-  std::optional<int> value;
+  int digits = 0;  // of the part that is read
+  int value = 0;
   for (const char c : std::string(text) + ".") {
     if (c == '.') {
-      if (!value || *value > 255) return false;
+      if (digits == 0 || value > 255) return false;
       ++parts;
-      value.reset();
-    } else if (c >= '0' && c <= '9' && value.value_or(0) < 1000) {
-      value = value.value_or(0) * 10 + (c - '0');
+      digits = value = 0;
+    } else if (c >= '0' && c <= '9' && value < 1000) {
+      value = value * 10 + (c - '0');
+      ++digits;
     } else {
       return false;
     }
--- a/src/loadtest/parts.h
+++ b/src/loadtest/parts.h
@@ -16,7 +16,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// Told of each point as it is reached, for a person at a terminal. Throws ScaleError after an interrupt.
+// Called for each point as it is reached, for a person at a terminal. Throws ScaleError after an interrupt.
 using Progress = std::function<void(const std::string& line)>;
 
 // A real gateway before scripted engines: processor time, memory, descriptors, start.
--- a/src/policy/profile.cpp
+++ b/src/policy/profile.cpp
@@ -10,7 +10,10 @@
 namespace keys = setting::profile;
 
 std::string prefix_of(int profile_number) {
-  return setting::kProfiles + ("." + std::to_string(profile_number)) + ".";
+  std::string prefix = setting::kProfiles;
+  prefix += '.';
+  prefix += std::to_string(profile_number);
+  return prefix += '.';
 }
 
 Effect effect_named(const std::string& name) {
--- a/src/simulation/history_checker.cpp
+++ b/src/simulation/history_checker.cpp
@@ -40,7 +40,7 @@
   void handle(const HistoryEvent& h) {
     switch (h.kind) {
       case Kind::kTold:
-        told_[{h.gateway, h.engine}] = {h.state, h.at};
+        last_listed_[{h.gateway, h.engine}] = {h.state, h.at};
         break;
       case Kind::kStarted:
         break;
@@ -84,7 +84,7 @@
   }
 
  private:
-  struct Told {
+  struct LastListed {
     State state = State::kServing;
     Ms at = 0;
   };
@@ -177,11 +177,11 @@
   }
 
   void check_drain(const HistoryEvent& h) {
-    const auto told = told_.find({h.gateway, h.engine});
-    if (told == told_.end())
+    const auto listed = last_listed_.find({h.gateway, h.engine});
+    if (listed == last_listed_.end())
       return report_violation(Rule::kDrain, h, "to an engine that it was never told of");
-    if (told->second.state != State::kServing && h.at > told->second.at + rules_.drain_grace)
-      report_violation(Rule::kDrain, h, fmt::format("{:.0f} ms after it was told", h.at - told->second.at));
+    if (listed->second.state != State::kServing && h.at > listed->second.at + rules_.drain_grace)
+      report_violation(Rule::kDrain, h, fmt::format("{:.0f} ms after it was told", h.at - listed->second.at));
   }
 
   void check_order(const HistoryEvent& h) {
@@ -244,8 +244,8 @@
   Verdict verdict_;
   std::unordered_map<uint64_t, Command> commands_;
   std::unordered_map<uint64_t, Sending> sendings_;
-  std::map<std::pair<uint32_t, uint32_t>, Told> told_;  // by gateway and engine
-  std::map<std::pair<uint32_t, uint64_t>, Key> keys_;   // by gateway and key
+  std::map<std::pair<uint32_t, uint32_t>, LastListed> last_listed_;  // by gateway and engine
+  std::map<std::pair<uint32_t, uint64_t>, Key> keys_;                // by gateway and key
   std::map<uint32_t, Budget> budgets_;
 };
 
--- a/tests/consensus/acceptor_test.cpp
+++ b/tests/consensus/acceptor_test.cpp
@@ -144,8 +144,11 @@
 
 TEST_F(ConsensusTest, AReplicaThatLostItsStorageVotesOnlyAfterRecovery) {
   for (int i = 0; i < 200; ++i)  // more than one page
-    ASSERT_EQ(propose(change_of(1000u + static_cast<uint64_t>(i), 0, "k" + std::to_string(i)), {0, 1}).kind,
-              ProposalResult::Kind::kCommitted);
+    ASSERT_EQ(
+        propose(change_of(1000u + static_cast<uint64_t>(i), 0, std::string("k").append(std::to_string(i))),
+                {0, 1})
+            .kind,
+        ProposalResult::Kind::kCommitted);
   replicas_[1] = empty_replica(1, 77);
   EXPECT_EQ(response_to(1, prepare(900)).type, Message{}.type);  // no answer
   EXPECT_FALSE(replicas_[1].is_voting());
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 TEST(Line, LogfmtQuotesWhatNeedsIt) {
-  EXPECT_EQ(format_line(Form::kLogfmt, 1764612629123, Level::kWarning, "engine doubted",
+  EXPECT_EQ(format_line(Form::kLogfmt, 1764612629123, Level::kWarning, "engine ejected",
                         {{"engine", "s-0a"}, {"why", "failing or slow"}, {"odd", "a=\"b\"\n"}, {"none", ""}}),
-            "time=2025-12-01T18:10:29.123Z level=warning event=\"engine doubted\" engine=s-0a "
+            "time=2025-12-01T18:10:29.123Z level=warning event=\"engine ejected\" engine=s-0a "
             "why=\"failing or slow\" odd=\"a=\\\"b\\\"\\n\" none=\"\"");
 }
 
--- a/tests/schema/compatibility_checker_test.cpp
+++ b/tests/schema/compatibility_checker_test.cpp
@@ -220,7 +220,8 @@
 TEST(CheckSize, TwoHundredFieldsTwentyVersionsAThousandDeclarationsUnderTenMilliseconds) {
   Topic b;
   Schema s;
-  for (uint32_t n = 1; n <= 200; ++n) s.fields.push_back(field(n, "field" + std::to_string(n), Type::kInt32));
+  for (uint32_t n = 1; n <= 200; ++n)
+    s.fields.push_back(field(n, std::string("field").append(std::to_string(n)), Type::kInt32));
   for (uint32_t v = 1; v <= 20; ++v) b.versions.push_back({v, State::kLive, s});
   for (int i = 0; i < 1000; ++i) {
     Declaration d = reader({}, {1u + static_cast<uint32_t>(i) % 20});
