--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -68,7 +68,7 @@
 FakeEngine::FakeEngine(FakeHost& host, Means means, const std::string& address)
     : host_(host), means_(means), connections_(host), alive_(std::make_shared<bool>(true)) {
   host_.do_now([&] {
-    listener_ = std::make_unique<Listener>(host_, [this](Poco::Net::StreamSocket socket) {
+    listener_ = std::make_unique<Listener>(host_, [this](const Poco::Net::StreamSocket& socket) {
       Session* const key = connections_.add(std::make_unique<Session>(*this, socket));
       if (reset_next_ > 0) --reset_next_, connections_.end(key, true);
     });
--- a/src/fakes/fake_event_bus.cpp
+++ b/src/fakes/fake_event_bus.cpp
@@ -52,7 +52,7 @@
 FakeEventBus::FakeEventBus(FakeHost& host, int64_t last, const std::string& address)
     : host_(host), connections_(host), first_(last), alive_(std::make_shared<bool>(true)) {
   host_.do_now([&] {
-    listener_ = std::make_unique<Listener>(host_, [this](Poco::Net::StreamSocket socket) {
+    listener_ = std::make_unique<Listener>(host_, [this](const Poco::Net::StreamSocket& socket) {
       connections_.add(std::make_unique<Session>(*this, socket));
       ++traffic_.connections_made;
     });
--- a/src/fakes/fake_gateway.cpp
+++ b/src/fakes/fake_gateway.cpp
@@ -32,7 +32,7 @@
 FakeGateway::FakeGateway(FakeHost& host, const std::string& address)
     : host_(host), connections_(host), alive_(std::make_shared<bool>(true)) {
   host_.do_now([&] {
-    listener_ = std::make_unique<Listener>(host_, [this](Poco::Net::StreamSocket socket) {
+    listener_ = std::make_unique<Listener>(host_, [this](const Poco::Net::StreamSocket& socket) {
       connections_.add(std::make_unique<Session>(*this, socket));
       const std::lock_guard lock(mutex_);
       accepted_.push_back(host_.loop().now_ms());
--- a/src/fakes/fault_proxy.cpp
+++ b/src/fakes/fault_proxy.cpp
@@ -71,7 +71,7 @@
     const size_t number = routes_.size();
     auto route = std::make_unique<Route>();
     route->real = real;
-    route->listener = std::make_unique<Listener>(host_, [this, number](StreamSocket socket) {
+    route->listener = std::make_unique<Listener>(host_, [this, number](const StreamSocket& socket) {
       const uint64_t id = ++last_pair_id_;
       auto pair = std::make_unique<ConnectionPair>();
       pair->to = number;
--- a/src/fakes/main.cpp
+++ b/src/fakes/main.cpp
@@ -10,6 +10,8 @@
 
 #include "fakes/fake_deployment.h"
 
+// The set-up of CLI11 allocates and may throw: an exception there ends the program, as it should.
+// NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   CLI::App app("Fake engines and event bus on loopback; what a statement does, it says itself.");
   int engines = 4;
--- a/src/loadtest/capacity_page.cpp
+++ b/src/loadtest/capacity_page.cpp
@@ -72,7 +72,7 @@
 
 // What a breaking size rests on.
 std::string basis_text(const Evaluation& evaluation) {
-  const std::string weak = evidence_text(evaluation);
+  std::string weak = evidence_text(evaluation);
   if (!weak.empty()) return weak;
   const bool is_measured = std::any_of(evaluation.terms.begin(), evaluation.terms.end(),
                                        [](const EvaluatedTerm& term) { return term.measurement != nullptr; });
@@ -105,6 +105,7 @@
 
 std::string print_planned(const CapacityFile& file) {
   std::vector<Row> rows;
+  rows.reserve(std::size(kPlannedFields) + std::size(kAssumedFields));
   for (const auto& [name, field] : kPlannedFields)
     rows.push_back({name, number_text(file.fleet.planned.*field), "asked for"});
   for (const auto& [name, field] : kAssumedFields)
--- a/src/loadtest/control_run.cpp
+++ b/src/loadtest/control_run.cpp
@@ -60,9 +60,9 @@
 
 }  // namespace
 
-std::vector<int> sizes_of(const std::vector<int>& asked, bool quick, std::vector<int> full,
-                          std::vector<int> small) {
-  std::vector<int> sizes = !asked.empty() ? asked : quick ? std::move(small) : std::move(full);
+std::vector<int> sizes_of(const std::vector<int>& asked, bool quick, const std::vector<int>& full,
+                          const std::vector<int>& small) {
+  std::vector<int> sizes = !asked.empty() ? asked : quick ? small : full;
   std::sort(sizes.begin(), sizes.end());
   sizes.erase(std::unique(sizes.begin(), sizes.end()), sizes.end());
   return sizes;
--- a/src/loadtest/control_series.h
+++ b/src/loadtest/control_series.h
@@ -10,8 +10,8 @@
 namespace firvalve::loadtest {
 
 // Sizes of a series: those that were asked for, or its own, the largest of them held out from the fit.
-std::vector<int> sizes_of(const std::vector<int>& asked, bool quick, std::vector<int> full,
-                          std::vector<int> small);
+std::vector<int> sizes_of(const std::vector<int>& asked, bool quick, const std::vector<int>& full,
+                          const std::vector<int>& small);
 
 // Tells of a point that takes long, from time to time, so that an interrupt is noticed meanwhile.
 class Watch {
--- a/src/loadtest/gateway_process.cpp
+++ b/src/loadtest/gateway_process.cpp
@@ -12,6 +12,7 @@
 #include <cerrno>
 #include <cstring>
 #include <filesystem>
+#include <system_error>
 #include <utility>
 
 #include "loadtest/gateway_process_wire.h"
@@ -55,7 +56,8 @@
   std::array<char*, 2> words{program.data(), nullptr};
   int ends[2];
   if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0)
-    throw ScaleError(fmt::format("no channel to a child process: {}", std::strerror(errno)));
+    throw ScaleError(
+        fmt::format("no channel to a child process: {}", std::generic_category().message(errno)));
   channel_ = ends[0];
   id_ = ::fork();
   if (id_ == 0) {
@@ -68,7 +70,7 @@
   if (id_ < 0) {
     id_ = 0;
     ::close(std::exchange(channel_, -1));
-    throw ScaleError(fmt::format("no further process: {}", std::strerror(error)));
+    throw ScaleError(fmt::format("no further process: {}", std::generic_category().message(error)));
   }
   try {
     say(to_line(options_));
@@ -92,7 +94,7 @@
   if (channel_ < 0) throw ScaleError("a child process has ended");
   for (;;) {
     if (const size_t end = unread_.find('\n'); end != std::string::npos) {
-      const std::string line = unread_.substr(0, end);
+      std::string line = unread_.substr(0, end);
       unread_.erase(0, end + 1);
       return line;
     }
--- a/src/loadtest/gateway_process_wire.cpp
+++ b/src/loadtest/gateway_process_wire.cpp
@@ -41,11 +41,9 @@
   void put(const T& value) {
     if constexpr (std::is_same_v<T, bool>) {
       json_.Bool(value);
-    } else if constexpr (std::is_enum_v<T>) {
-      json_.Uint64(static_cast<uint64_t>(value));
     } else if constexpr (std::is_floating_point_v<T>) {
       json_.Double(value);
-    } else if constexpr (std::is_integral_v<T>) {
+    } else if constexpr (std::is_integral_v<T> || std::is_enum_v<T>) {
       json_.Uint64(static_cast<uint64_t>(value));
     } else {
       json_.StartObject();
--- a/src/loadtest/gateway_run.cpp
+++ b/src/loadtest/gateway_run.cpp
@@ -241,6 +241,7 @@
     for (const auto& gateway : gateways) gateway->begin_window();
     wait(seconds, what, check_all);
     std::vector<Observation> seen;
+    seen.reserve(gateways.size());
     for (const auto& gateway : gateways) seen.push_back(gateway->end_window());
     for (const Observation& o : seen) progress_(point_text(o));
     return seen;
@@ -250,7 +251,7 @@
   std::vector<Observation> observe_answered(const std::vector<Load>& loads, double warm_up_s, double seconds,
                                             const std::string& what) {
     for (int attempt = 1;; ++attempt) {
-      const std::vector<Observation> seen = observe(loads, warm_up_s, seconds, what);
+      std::vector<Observation> seen = observe(loads, warm_up_s, seconds, what);
       const auto starved = std::find_if(seen.begin(), seen.end(), is_starved);
       if (starved == seen.end()) return seen;
       const std::string why = starved_text(*starved);
@@ -264,6 +265,7 @@
     for (const int engines : plan_.engines) {
       progress_(fmt::format("gateway: start to ready, {} engines", engines));
       std::vector<double> took_ms;
+      took_ms.reserve(static_cast<size_t>(plan_.starts));
       for (int i = 0; i < plan_.starts; ++i)
         took_ms.push_back(
             RealGateway(program_, *engines_, {engines, plan_.zones.back()}).start_to_ready_ms());
--- a/src/loadtest/load.cpp
+++ b/src/loadtest/load.cpp
@@ -132,6 +132,7 @@
         start + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(options_.seconds));
     const double cpu = cpu_seconds();
     std::vector<std::thread> threads;
+    threads.reserve(static_cast<size_t>(options_.threads));
     for (int i = 0; i < options_.threads; ++i) threads.emplace_back([&, i] { part(i, start, end); });
     for (std::thread& t : threads) t.join();
     simulation::StepOutcome o;
--- a/src/loadtest/loss_fleet.cpp
+++ b/src/loadtest/loss_fleet.cpp
@@ -28,6 +28,7 @@
 
 std::vector<std::string> lease_names(int count) {
   std::vector<std::string> names;
+  names.reserve(static_cast<size_t>(count));
   for (int i = 0; i < count; ++i) names.push_back(fmt::format("trial:s-{:08x}", i));
   return names;
 }
--- a/src/loadtest/loss_trial.cpp
+++ b/src/loadtest/loss_trial.cpp
@@ -114,6 +114,7 @@
     for (const auto& [region, other] : loss_.cuts) fleet_.set_cut(region, other, true);
     const std::map<std::string, size_t> holders = fleet_.holders_up(loss_.serving_regions);
     std::vector<size_t> serving;
+    serving.reserve(holders.size());
     for (const auto& [name, member] : holders) serving.push_back(member);
     for (const size_t holder : holders_before)
       result_.leases_lost += std::find(serving.begin(), serving.end(), holder) == serving.end();
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -3,6 +3,8 @@
 #include "loadtest/load.h"
 #include "simulation/run.h"
 
+// The set-up of CLI11 allocates and may throw: an exception there ends the program, as it should.
+// NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   CLI::App app("Load tests and simulations of firvalve.", "firvalve-loadtest");
   int exit_code = 0;
--- a/src/loadtest/region_proxy.cpp
+++ b/src/loadtest/region_proxy.cpp
@@ -10,6 +10,7 @@
 #include <cerrno>
 #include <cstring>
 #include <string_view>
+#include <system_error>
 
 #include "cluster/peer_codec.h"
 #include "cluster/peer_limits.h"
@@ -21,7 +22,7 @@
 
 using Poco::Net::SocketAddress;
 
-constexpr size_t kReadBytes = 64 * 1024;
+constexpr size_t kReadBytes = size_t{64} * 1024;
 constexpr int kEventsAtOnce = 256;
 constexpr int kLookMs = 20;  // between looks at what other threads want of this one
 constexpr int kBacklog = 4096;
@@ -74,7 +75,7 @@
   epoll_ = ::epoll_create1(EPOLL_CLOEXEC);
   listen();
   if (listener_ < 0) {
-    const std::string why = std::strerror(errno);
+    const std::string why = std::generic_category().message(errno);
     close_descriptor(epoll_);
     throw ScaleError("no proxy at " + options_.address + ": " + why);
   }
--- a/src/simulation/fleet_world.cpp
+++ b/src/simulation/fleet_world.cpp
@@ -167,8 +167,8 @@
     return true;
   }
 
-  void carry(uint32_t from, uint32_t to, std::shared_ptr<const Message> message, std::string duty = {},
-             uint64_t epoch = 0) {
+  void carry(uint32_t from, uint32_t to, const std::shared_ptr<const Message>& message,
+             const std::string& duty = {}, uint64_t epoch = 0) {
     ++out_.messages;
     if (message) {  // none: an act of a holder, which is of this world alone
       ++out_.heard[to].messages;
@@ -185,23 +185,30 @@
     }
   }
 
-  // After anything a gateway heard: what it has to write and to say, and when it is due again.
+  // What a gateway has to send, once its acceptor's writes are stored; where they fail, its acceptor sends
+  // nothing.
+  std::vector<consensus::Envelope> take_messages(Gateway& g) {
+    cluster::ClusterNode::Output out = g.node->take_output();
+    std::vector<consensus::Envelope> sends = std::move(out.envelopes);
+    if (g.disk_full && (out.acceptor.metadata || !out.acceptor.writes.empty())) {
+      g.node->on_write_failed(out.acceptor);
+      return sends;
+    }
+    if (o_.folders) {
+      if (out.acceptor.metadata) g.standing = out.acceptor.metadata;
+      for (auto& [key, slot] : out.acceptor.writes) g.slots[key] = std::move(slot);
+    }
+    for (consensus::Envelope& e : out.acceptor.messages) sends.push_back(std::move(e));
+    return sends;
+  }
+
+  // After anything that a gateway received: its writes, its messages, and when it is due again.
   void turn(uint32_t n) {
     Gateway& g = nodes_[n];
     const Ms at = local(g);
     g.node->on_tick(time_point_of<BootClock>(at));
     for (int rounds = 0; rounds < 1000; ++rounds) {
-      cluster::ClusterNode::Output out = g.node->take_output();
-      std::vector<consensus::Envelope> sends = std::move(out.envelopes);
-      if (g.disk_full && (out.acceptor.metadata || !out.acceptor.writes.empty())) {
-        g.node->on_write_failed(out.acceptor);
-      } else {
-        if (o_.folders) {
-          if (out.acceptor.metadata) g.standing = out.acceptor.metadata;
-          for (auto& [key, slot] : out.acceptor.writes) g.slots[key] = std::move(slot);
-        }
-        for (consensus::Envelope& e : out.acceptor.messages) sends.push_back(std::move(e));
-      }
+      std::vector<consensus::Envelope> sends = take_messages(g);
       if (sends.empty()) break;
       for (consensus::Envelope& e : sends) {
         if (e.to == n)
@@ -210,7 +217,7 @@
           carry(n, e.to, std::make_shared<const Message>(std::move(e.message)));
       }
     }
-    hear_events(n);
+    record_events(n);
     const Ms next = to_ms(g.node->next_deadline().value_or(BootClock::time_point{}));
     if (next > 0) {
       const Ms when = std::max(global(g, next), now_ + (next <= at ? 0.05 : 0.001));
@@ -254,7 +261,15 @@
     g.open.erase(at);
   }
 
-  void hear_events(uint32_t n) {
+  // Takes what the gateway's state machines report into the history.
+  void record_events(uint32_t n) {
+    record_lease_events(n);
+    carry_out_job_actions(n);
+    record_topic_results(n);
+    record_operations(n);
+  }
+
+  void record_lease_events(uint32_t n) {
     Gateway& g = nodes_[n];
     using Kind = lease::Event::Kind;
     for (const lease::Event& e : g.node->take_events()) {
@@ -270,6 +285,10 @@
         close_span(g, e.lease, now_);
       }
     }
+  }
+
+  void carry_out_job_actions(uint32_t n) {
+    Gateway& g = nodes_[n];
     for (const lease::RunOnceJobs::Action& a : g.node->run_once_jobs().take_actions()) {
       using Act = lease::RunOnceJobs::Action::Kind;
       if (a.kind == Act::kStart) {
@@ -281,12 +300,19 @@
         answered_.insert(a.key);
       }
     }
-    for (const schema::Registry::Result& end : g.node->take_topic_results()) {
+  }
+
+  void record_topic_results(uint32_t n) {
+    for (const schema::Registry::Result& end : nodes_[n].node->take_topic_results()) {
       using Kind = schema::Registry::Result::Kind;
       if (end.kind == Kind::kAgreed && end.applied.has_changed)
         out_.history.bulletins.push_back(read_agreed(end.topic, now_, schema::encode(end.applied.after)));
       out_.refused_changes += end.kind == Kind::kRejected;
     }
+  }
+
+  void record_operations(uint32_t n) {
+    Gateway& g = nodes_[n];
     for (const consensus::ProposalResult& end : g.node->take_results()) {
       using Kind = consensus::ProposalResult::Kind;
       if (end.kind == Kind::kUnknown || end.kind == Kind::kNoQuorum) continue;
@@ -307,6 +333,49 @@
     }
   }
 
+  // A message of the state machines, or a fenced request, reaches its gateway.
+  void deliver(const Event& e) {
+    Gateway& g = nodes_[e.node];
+    const auto carried = carried_.find(e.number);
+    const Carried c = std::move(carried->second);
+    carried_.erase(carried);
+    if (g.node == nullptr || c.start != g.start) return;
+    if (c.message) {
+      g.node->handle(time_point_of<BootClock>(local(g)), c.from, *c.message);
+      return turn(e.node);
+    }
+    const bool taken = g.fence.admits(c.duty, c.epoch);
+    if (taken) out_.history.acts.push_back({c.duty, fmt::format("{}/{}", e.node, g.start), c.epoch, now_});
+    ++(taken ? out_.acts : out_.refused);
+  }
+
+  // Sends a fenced request under each lease that the gateway holds to a drawn other one.
+  void act(uint32_t n) {
+    const Gateway& g = nodes_[n];
+    const Ms at = local(g);
+    for (uint32_t d = 0; d < o_.duties; ++d) {
+      const std::string duty = duty_name(d);
+      if (const auto epoch = g.node->leases().active_epoch(time_point_of<BootClock>(at), duty))
+        carry(n, (n + 1 + draw(o_.gateways - 1)) % o_.gateways, nullptr, duty, *epoch);
+    }
+  }
+
+  // A drawn change, or reading, of one of two registers.
+  void propose(uint32_t n) {
+    Gateway& g = nodes_[n];
+    const Ms at = local(g);
+    consensus::Proposal w;
+    w.key = fmt::format("fact {}", draw(2));
+    w.deadline = time_point_of<BootClock>(at + 1000);
+    if (uniform() < 0.6) {
+      w.id = number();
+      w.expected_change = uniform() < 0.8 ? seen_[w.key] : g.last_seen;
+      w.value = fmt::format("{:x}", w.id);
+    }
+    g.node->proposer().propose(time_point_of<BootClock>(at), std::move(w));
+    turn(n);
+  }
+
   void step(const Event& e) {
     switch (e.what) {
       case What::kFault:
@@ -324,21 +393,8 @@
     const bool up = g.node != nullptr;
     const Ms at = local(g);
     switch (e.what) {
-      case What::kDeliver: {
-        const auto carried = carried_.find(e.number);
-        const Carried c = std::move(carried->second);
-        carried_.erase(carried);
-        if (!up || c.start != g.start) return;
-        if (!c.message) {
-          const bool taken = g.fence.admits(c.duty, c.epoch);
-          if (taken)
-            out_.history.acts.push_back({c.duty, fmt::format("{}/{}", e.node, g.start), c.epoch, now_});
-          ++(taken ? out_.acts : out_.refused);
-          return;
-        }
-        g.node->handle(time_point_of<BootClock>(at), c.from, *c.message);
-        return turn(e.node);
-      }
+      case What::kDeliver:
+        return deliver(e);
       case What::kWake:
         // One that has been overtaken by an earlier one wakes nobody: each would put in another.
         if (!up || e.number != g.start || g.wake_at == 0 || now_ < g.wake_at) return;
@@ -346,27 +402,12 @@
         return turn(e.node);
       case What::kAct:
         put(now_ + kActEvery, e);
-        if (!up) return;
-        for (uint32_t d = 0; d < o_.duties; ++d) {
-          const std::string duty = duty_name(d);
-          if (const auto epoch = g.node->leases().active_epoch(time_point_of<BootClock>(at), duty))
-            carry(e.node, (e.node + 1 + draw(o_.gateways - 1)) % o_.gateways, nullptr, duty, *epoch);
-        }
+        if (up) act(e.node);
         return;
-      case What::kRead: {
+      case What::kRead:
         put(now_ + kReadEvery * (0.5 + uniform()), e);
-        if (!up) return;
-        consensus::Proposal w;
-        w.key = fmt::format("fact {}", draw(2));
-        w.deadline = time_point_of<BootClock>(at + 1000);
-        if (uniform() < 0.6) {
-          w.id = number();
-          w.expected_change = uniform() < 0.8 ? seen_[w.key] : g.last_seen;
-          w.value = fmt::format("{:x}", w.id);
-        }
-        g.node->proposer().propose(time_point_of<BootClock>(at), std::move(w));
-        return turn(e.node);
-      }
+        if (up) propose(e.node);
+        return;
       case What::kBulletin:
         put(now_ + kProposeEvery * (0.5 + uniform()), e);
         if (!up) return;
--- a/src/simulation/histogram.h
+++ b/src/simulation/histogram.h
@@ -52,7 +52,7 @@
     if (!(value > 0)) return 0;
     const auto us = static_cast<uint64_t>((value < kDay ? value : kDay) * 1000);
     if (us < (uint64_t{2} << kBits)) return us;
-    const int doubling = std::bit_width(us) - 1 - kBits;  // 1 and up
+    const int doubling = static_cast<int>(std::bit_width(us)) - 1 - kBits;  // 1 and up
     const uint64_t within = (us >> doubling) - (uint64_t{1} << kBits);
     return (static_cast<size_t>(doubling + 1) << kBits) + within;
   }
--- a/src/simulation/invariant_checker.cpp
+++ b/src/simulation/invariant_checker.cpp
@@ -5,6 +5,7 @@
 
 #include <algorithm>
 #include <cstdlib>
+#include <functional>
 #include <sstream>
 
 namespace firvalve::simulation {
@@ -49,46 +50,65 @@
   }
 }
 
+using Report = std::function<void(std::string text)>;
+using Operations = std::vector<RecordOp>;
+
+// Each version was made once.
+std::map<uint64_t, uint64_t> check_versions(const Operations& operations, const Report& report) {
+  std::map<uint64_t, uint64_t> change_of_version;
+  for (const RecordOp& op : operations) {
+    const auto [at, first] = change_of_version.emplace(op.version, op.id);
+    if (!first && at->second != op.id)
+      report(fmt::format("version {} is {:x} and {:x}", op.version, at->second, op.id));
+  }
+  return change_of_version;
+}
+
+// Each version builds on the one before.
+void check_predecessors(const Operations& operations, const std::map<uint64_t, uint64_t>& change_of_version,
+                        const Report& report) {
+  for (const RecordOp& op : operations) {
+    if (op.kind != RecordOp::Kind::kChange) continue;
+    const auto before = change_of_version.find(op.version - 1);
+    if (before != change_of_version.end() && before->second != op.on)
+      report(fmt::format("version {} was to build on {:x} and stands on {:x}", op.version, op.on,
+                         before->second));
+    if (op.version == 1 && op.on != 0) report("the first version was to build on another");
+  }
+}
+
+// In the order of their starts, against the highest version that had ended when each began.
+void check_real_time_order(const Operations& operations, const Report& report) {
+  std::vector<const RecordOp*> by_end;
+  by_end.reserve(operations.size());
+  for (const RecordOp& op : operations) by_end.push_back(&op);
+  std::vector<const RecordOp*> by_start = by_end;
+  std::sort(by_end.begin(), by_end.end(),
+            [](const RecordOp* a, const RecordOp* b) { return a->ended < b->ended; });
+  std::sort(by_start.begin(), by_start.end(),
+            [](const RecordOp* a, const RecordOp* b) { return a->asked < b->asked; });
+  size_t next = 0;
+  uint64_t place = 0;
+  for (const RecordOp* const op : by_start) {
+    for (; next < by_end.size() && by_end[next]->ended < op->asked; ++next)
+      place = std::max(place, by_end[next]->version);
+    const bool is_change = op->kind == RecordOp::Kind::kChange;
+    if (op->version < place || (is_change && op->version == place && place > 0))
+      report(fmt::format("{} asked at {:.3f} has place {} after {} had ended",
+                         is_change ? "a change" : "a reading", op->asked, op->version, place));
+  }
+}
+
 // On one register that is changed by compare-and-set each operation tells its place: the version that it made
 // or read. They can be put in one order exactly where each version was made once, on top of the one before,
 // and no operation that ended before another began has a later place.
 void check_ops(const FleetHistory& history, std::vector<FleetViolation>& out) {
-  for (auto& [key, ops] : by(history.ops, &RecordOp::key)) {
-    const auto report_violation = [&, k = key](std::string text) {
+  for (auto& [key, operations] : by(history.ops, &RecordOp::key)) {
+    const Report report = [&, k = key](std::string text) {
       out.push_back({"linearizable", k + ": " + std::move(text)});
     };
-    std::map<uint64_t, uint64_t> made;  // the change of each version
-    for (const RecordOp& op : ops) {
-      const auto [at, first] = made.emplace(op.version, op.id);
-      if (!first && at->second != op.id)
-        report_violation(fmt::format("version {} is {:x} and {:x}", op.version, at->second, op.id));
-    }
-    std::map<uint64_t, uint64_t> changes;
-    for (const RecordOp& op : ops) {
-      if (op.kind != RecordOp::Kind::kChange) continue;
-      const auto before = made.find(op.version - 1);
-      if (before != made.end() && before->second != op.on)
-        report_violation(fmt::format("version {} was to build on {:x} and stands on {:x}", op.version, op.on,
-                                     before->second));
-      if (op.version == 1 && op.on != 0) report_violation("the first version was to build on another");
-    }
-    // In the order of their ends: the highest place that had ended when each began.
-    std::vector<const RecordOp*> ended, asked;
-    for (const RecordOp& op : ops) ended.push_back(&op), asked.push_back(&op);
-    std::sort(ended.begin(), ended.end(),
-              [](const RecordOp* a, const RecordOp* b) { return a->ended < b->ended; });
-    std::sort(asked.begin(), asked.end(),
-              [](const RecordOp* a, const RecordOp* b) { return a->asked < b->asked; });
-    size_t next = 0;
-    uint64_t place = 0;
-    for (const RecordOp* const op : asked) {
-      for (; next < ended.size() && ended[next]->ended < op->asked; ++next)
-        place = std::max(place, ended[next]->version);
-      const bool change = op->kind == RecordOp::Kind::kChange;
-      if (op->version < place || (change && op->version == place && place > 0))
-        report_violation(fmt::format("{} asked at {:.3f} has place {} after {} had ended",
-                                     change ? "a change" : "a reading", op->asked, op->version, place));
-    }
+    check_predecessors(operations, check_versions(operations, report), report);
+    check_real_time_order(operations, report);
   }
 }
 
