--- a/src/core/core.h
+++ b/src/core/core.h
@@ -29,9 +29,6 @@
 
 namespace firvalve {
 
-// The sooner of two moments, where 0 is none. For callers that do not use optional time points yet.
-inline Ms sooner(Ms a, Ms b) { return a == 0 || (b > 0 && b < a) ? b : a; }
-
 // What became of a request. Only after kAdmitted does the call get a response through the ResponseSink.
 enum class AdmissionResult {
   kAdmitted,
--- a/src/policy/actions.cpp
+++ b/src/policy/actions.cpp
@@ -18,17 +18,18 @@
   return kNames[static_cast<size_t>(reason)];
 }
 
+// Bytes of the simulator's wire: its words stay as they are, whatever the code calls the states.
 std::string engine_health_text(EngineId engine, EngineHealth health) {
   std::string text = "engine " + std::to_string(to_number(engine));
   switch (health) {
     case EngineHealth::kReinstated:
-      text += ": reinstated";
+      text += ": trusted again";
       break;
     case EngineHealth::kUnresponsive:
-      text += ": ejected: unresponsive";
+      text += ": silent";
       break;
     case EngineHealth::kFailingOrSlow:
-      text += ": ejected: failing or slow";
+      text += ": failing or slow";
       break;
   }
   return text;
