--- a/tests/schema/compatibility_checker_test.cpp
+++ b/tests/schema/compatibility_checker_test.cpp
@@ -225,7 +225,7 @@
   for (uint32_t v = 1; v <= 20; ++v) b.versions.push_back({v, State::kLive, s});
   for (int i = 0; i < 1000; ++i) {
     Declaration d = reader({}, {1u + static_cast<uint32_t>(i) % 20});
-    d.subscriber = "s" + std::to_string(10000 + i);
+    d.subscriber = std::string("s").append(std::to_string(10000 + i));
     for (uint32_t n = 1; n <= 200; n += 1 + static_cast<uint32_t>(i) % 7) d.reads.insert(n);
     b.declarations.push_back(d);
   }
