--- a/src/core/admission_limits.cpp
+++ b/src/core/admission_limits.cpp
@@ -12,9 +12,10 @@
 AdmissionLimits::AdmissionLimits(const Settings& settings) {
   double max_cores = 0, max_memory_mb = 0;
   for (const auto& [name, value] : settings) {
-    if (name.starts_with(setting::kCoresPrefix)) max_cores = std::max(max_cores, number(settings, name));
+    if (name.starts_with(setting::kCoresPrefix))
+      max_cores = std::max(max_cores, number_setting(settings, name));
     if (name.starts_with(setting::kMemoryPrefix))
-      max_memory_mb = std::max(max_memory_mb, number(settings, name));
+      max_memory_mb = std::max(max_memory_mb, number_setting(settings, name));
   }
   if (const std::optional<Duration> longest = longest_client_timeout(settings)) {
     max_timeout_ = 2 * *longest;
@@ -32,8 +33,9 @@
 std::optional<Duration> longest_client_timeout(const Settings& settings) {
   Duration longest{};
   for (size_t i = 0; i < names_of(settings, setting::kProfiles).size(); ++i)
-    longest = std::max(longest, duration_of(number(settings, fmt::format("{}.{}.{}", setting::kProfiles, i,
-                                                                         setting::profile::kClientTimeout))));
+    longest = std::max(longest,
+                       duration_of(number_setting(settings, fmt::format("{}.{}.{}", setting::kProfiles, i,
+                                                                        setting::profile::kClientTimeout))));
   return longest > Duration{} ? std::optional(longest) : std::nullopt;
 }
 
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -11,10 +11,10 @@
 Core::Core(const Settings& settings, uint64_t seed, ResponseSink& responses, EngineTransport& engines,
            Metrics& metrics, EngineHealthObserver on_engine_health)
     : state_(open(settings, seed)),
-      tick_(number(settings, setting::kTick)),
+      tick_(number_setting(settings, setting::kTick)),
       profiles_(names_of(settings, setting::kProfiles)),
       limits_(settings),
-      may_cancel_(number(settings, setting::kMayCancel) > 0),
+      may_cancel_(number_setting(settings, setting::kMayCancel) > 0),
       responses_(responses),
       engines_(engines),
       metrics_(metrics),
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -42,7 +42,7 @@
 
 // A time of the settings; one that is not above 0 counts as missing.
 Duration duration_setting(const Settings& settings, const char* name, Duration otherwise) {
-  const Ms value = number(settings, name, to_ms(otherwise));
+  const Ms value = number_setting(settings, name, to_ms(otherwise));
   return value > 0 ? duration_of(value) : otherwise;
 }
 
@@ -143,9 +143,9 @@
   event_log.observe(core, clients, engines);
 
   // The endpoint list: what the configuration knows of it, then what the event bus says.
-  net::EndpointWatcher endpoint_watcher(loop, metrics, config.event_bus_address, connect_timeout,
-                                        duration_of(kFirstWatchShare * number(settings, "drain grace")),
-                                        config.seed);
+  net::EndpointWatcher endpoint_watcher(
+      loop, metrics, config.event_bus_address, connect_timeout,
+      duration_of(kFirstWatchShare * number_setting(settings, "drain grace")), config.seed);
   for (proto::BusEvent& event : config.known_events)
     net::apply_endpoint_event(core, loop.now(), std::move(event));
   endpoint_watcher.watch(core, config.last_event_offset);
--- a/src/loadtest/simulated_gateway.cpp
+++ b/src/loadtest/simulated_gateway.cpp
@@ -152,9 +152,9 @@
       net::apply_endpoint_event(core, loop.now(), std::move(*event));
     }
     if (options.bus.empty()) return;
-    bus = std::make_unique<net::EndpointWatcher>(loop, counters, options.bus, kConnectMost,
-                                                 duration_of(kFirstAskPart * number(settings, "drain grace")),
-                                                 options.seed);
+    bus = std::make_unique<net::EndpointWatcher>(
+        loop, counters, options.bus, kConnectMost,
+        duration_of(kFirstAskPart * number_setting(settings, "drain grace")), options.seed);
     bus->watch(core, last);
   }
 
--- a/src/policy/actions.cpp
+++ b/src/policy/actions.cpp
@@ -1,3 +1,4 @@
+// Texts of reasons and engine health for logs, metrics and the simulator.
 #include "policy/actions.h"
 
 namespace firvalve {
@@ -18,7 +19,7 @@
   return kNames[static_cast<size_t>(reason)];
 }
 
-// Bytes of the simulator's wire: its words stay as they are, whatever the code calls the states.
+// The simulator's protocol fixes these texts byte for byte, whatever the enumerators are called.
 std::string engine_health_text(EngineId engine, EngineHealth health) {
   std::string text = "engine " + std::to_string(to_number(engine));
   switch (health) {
--- a/src/policy/admission_queue.cpp
+++ b/src/policy/admission_queue.cpp
@@ -1,3 +1,4 @@
+// Reviews the queue: sorts it, ends commands that cannot finish in time, and assigns the others to engines.
 #include "policy/admission_queue.h"
 
 #include <algorithm>
@@ -8,15 +9,16 @@
 namespace firvalve {
 namespace {
 
-constexpr double kFirstChanceShare =
-    0.9;  // of a command's life: predictions err, so each gets a first chance
+// Predictions err: by assuming at most this share of the time from admission to the deadline, each command
+// gets a first chance.
+constexpr double kMaxAssumedRuntimeShare = 0.9;
 
 void shed_or_fail(const State& state, Command& command, TimePoint now, Reason reason) {
   command.desired = is_safe_to_shed(state, command, now) ? DesiredState::kShed : DesiredState::kFailed;
   command.reason = reason;
 }
 
-// The benefit that an answer would still bring for its work, per thread-millisecond.
+// The benefit that an answer would still bring, per thread-millisecond of predicted work.
 double value_density(const State& state, const Command& command, TimePoint now) {
   const Profile& profile = profile_of(state, command);
   const Duration runtime = command.predicted_runtime;
@@ -28,7 +30,7 @@
 void sort_queue(State& state, TimePoint now) {
   std::vector<size_t>& queued = state.queue.queued;
   queued.clear();
-  for (const size_t slot : state.in_hand) {
+  for (const size_t slot : state.active_slots) {
     const Command& command = state.slots[slot];
     if (!command.is_ended && !has_attempt(command) && command.desired == DesiredState::kQueued)
       queued.push_back(slot);
@@ -40,53 +42,55 @@
   });
 }
 
-// Why a queued command ends now; kNone: it does not. Guards against work that the client will not wait for,
-// as after a change to less patient clients.
+// Returns why a queued command must end now, or kNone if it may stay. Avoids work that the client will not
+// wait for, for instance after clients have become less patient.
 Reason end_reason(const State& state, const Command& command, TimePoint now) {
   const Reason refusal = retry_refusal(state, command, now);
   if (refusal != Reason::kNone) return refusal;
   const TimePoint deadline = command.request.deadline;
   const Duration expected = command.predicted_runtime * state.concurrency.usual_slowdown;
-  const Duration assumed = std::min(expected, kFirstChanceShare * (deadline - command.admitted_at));
-  return now + assumed > deadline - kEndSlack ? Reason::kDeadlineTooClose : Reason::kNone;
+  const Duration assumed = std::min(expected, kMaxAssumedRuntimeShare * (deadline - command.admitted_at));
+  return now + assumed > deadline - kDeadlineMargin ? Reason::kDeadlineTooClose : Reason::kNone;
 }
 
-// Guards against filling, bit by bit, the machines that a command is bound to: what may run anywhere leaves
-// them to it. It may hold loads where no other machine has room.
+// Reserves the engines that a command restricted to some machine types waits for. Otherwise commands that may
+// run anywhere would take every bit of capacity that comes free there. A reservation may delay loads where no
+// other machine has capacity.
 void reserve_engines(State& state, const Profile& profile) {
   if (profile.machine_types.empty()) return;
   for (Engine& engine : state.engines)
-    if (is_allowed_on(profile, engine)) engine.is_reserved = engine.is_reserved_now = true;
+    if (is_allowed_on(profile, engine)) engine.is_reserved = engine.is_reserved_this_review = true;
 }
 
-void run_on(State& state, Command& command, size_t place, TimePoint now) {
+void assign_engine(State& state, Command& command, size_t index, TimePoint now) {
   const Profile& profile = profile_of(state, command);
   if (command.attempts > 0)
-    state.retry_budget.retries.add(now);  // here, so that the next in the queue sees it
+    state.retry_budget.retries.add(now);  // counted now, so that the next command in the queue sees it
   command.desired = DesiredState::kInFlight;
-  command.desired_engine = place;
+  command.desired_engine_index = index;
   command.desired_hints = scheduling_hints_for(state, command);
-  Engine& engine = state.engines[place];
+  Engine& engine = state.engines[index];
   engine.in_flight.attempts += 1;
   engine.in_flight.threads += profile.threads;
   if (is_short(state, command)) engine.in_flight.short_threads += 1;
   engine.in_flight.work += command.predicted_work;
-  note_slow_start_work(engine, profile.costs.mean_predicted_work, now);
+  record_slow_start_work(engine, profile.costs.mean_predicted_work, now);
 }
 
 void review_queued_command(State& state, Command& command, TimePoint now, bool is_pool_overloaded) {
   if (const Reason reason = end_reason(state, command, now); reason != Reason::kNone)
     return shed_or_fail(state, command, now, reason);
-  // Guards an engine against holding a result that there is no storage for.
+  // No attempt starts without reserved storage: the engine would have to hold the result.
   if (command.lacks_reservation) return;
   if (command.is_heavy && is_pool_overloaded) {
-    if (now - command.admitted_at >= kHeavyHold) shed_or_fail(state, command, now, Reason::kPoolOverloaded);
+    if (now - command.admitted_at >= kMaxHeavyWait)
+      shed_or_fail(state, command, now, Reason::kPoolOverloaded);
     return;
   }
-  if (now < command.retry_not_before || !has_turn(state, command, now)) return;
+  if (now < command.retry_not_before || !is_next_for_ordering_key(state, command, now)) return;
   if (command.attempts > 0 && !has_retry_budget(state, now)) return;
-  if (const std::optional<size_t> place = choose_engine(state, command, now))
-    run_on(state, command, *place, now);
+  if (const std::optional<size_t> index = choose_engine(state, command, now))
+    assign_engine(state, command, *index, now);
   else
     reserve_engines(state, profile_of(state, command));
 }
@@ -94,22 +98,24 @@
 }  // namespace
 
 void review_queue(State& state, TimePoint now) {
-  for (Engine& engine : state.engines) engine.is_reserved = std::exchange(engine.is_reserved_now, false);
+  for (Engine& engine : state.engines)
+    engine.is_reserved = std::exchange(engine.is_reserved_this_review, false);
   sort_queue(state, now);
   const bool is_overloaded = is_pool_overloaded(state);
   for (const size_t slot : state.queue.queued)
     review_queued_command(state, state.slots[slot], now, is_overloaded);
 }
 
-bool has_turn(const State& state, const Command& command, TimePoint now) {
+bool is_next_for_ordering_key(const State& state, const Command& command, TimePoint now) {
   const std::optional<uint64_t>& key = command.request.ordering_key;
   if (!profile_of(state, command).is_ordered || !key) return true;
-  for (const size_t slot : state.in_hand) {
+  for (const size_t slot : state.active_slots) {
     const Command& earlier = state.slots[slot];
     if (&earlier == &command) break;
     if (earlier.request.ordering_key == key && profile_of(state, earlier).is_ordered) return false;
   }
-  // A command's own earlier attempts do not delay it; those of others with its key do.
+  // The cooldown does not apply to retries: a command is not delayed by its own earlier attempts, only by
+  // those of other commands with its key.
   if (command.attempts > 0) return true;
   const std::vector<KeyCooldown>& cooldowns = state.queue.key_cooldowns;
   return std::none_of(cooldowns.begin(), cooldowns.end(), [&](const KeyCooldown& cooldown) {
@@ -123,7 +129,7 @@
     state.queue.key_cooldowns.push_back({*key, now + state.options.key_cooldown});
 }
 
-void forget_key_cooldowns(State& state, TimePoint now) {
+void erase_expired_key_cooldowns(State& state, TimePoint now) {
   std::erase_if(state.queue.key_cooldowns,
                 [&](const KeyCooldown& cooldown) { return now >= cooldown.until; });
 }
--- a/src/policy/admission_queue.h
+++ b/src/policy/admission_queue.h
@@ -1,8 +1,9 @@
-// Admission queue and load shedding: commands that have no room wait here, most benefit for their work first.
+// Admission queue and load shedding: commands wait here until an engine has capacity, ordered by benefit per
+// predicted work.
 //
-// Each review looks at all of them in that order. One that could not end before its client's deadline, or
-// that no further attempt may follow, is shed; where it may have run and must not run again, it fails. Any
-// other runs as soon as an engine has room for it.
+// Each review visits all queued commands in that order. A command that cannot finish before its client's
+// deadline, or for which no further attempt is allowed, is shed; if it may have run and must not run again,
+// it fails instead. Any other command starts as soon as an engine has capacity for it.
 #pragma once
 
 #include <vector>
@@ -15,30 +16,32 @@
 struct Command;
 struct State;
 
-// So long heavy commands are held before they are shed, while the pool is overloaded.
-constexpr Duration kHeavyHold = std::chrono::seconds(1);
-// Before the client's deadline: a queued command ends here at the latest.
-constexpr Duration kEndSlack = std::chrono::milliseconds(30);
+// While the pool is overloaded, a heavy command waits this long before it is shed.
+constexpr Duration kMaxHeavyWait = std::chrono::seconds(1);
+// A queued command ends at the latest this long before its client's deadline.
+constexpr Duration kDeadlineMargin = std::chrono::milliseconds(30);
 
-// An ordering key rests: an attempt of a command with that key may still run.
+// Blocks an ordering key while an attempt of an earlier command with that key may still run.
 struct KeyCooldown {
   uint64_t key = 0;
   TimePoint until{};
 };
 
 struct AdmissionQueueState {
-  std::vector<size_t> queued;  // scratch: slots of queued commands, in the order of review
+  std::vector<size_t> queued;  // scratch: slots of queued commands, in review order
   std::vector<KeyCooldown> key_cooldowns;
 };
 
-// Decides for each queued command whether it runs, waits or ends.
+// Decides whether each queued command starts, waits or ends.
 void review_queue(State& state, TimePoint now);
 
-// Whether it is the command's turn among those of its ordering key.
-bool has_turn(const State& state, const Command& command, TimePoint now);
+// Whether the command may start as far as its ordering key is concerned: it is the first active command with
+// that key, and the key is not in cooldown.
+bool is_next_for_ordering_key(const State& state, const Command& command, TimePoint now);
 
-// An attempt of an ordered command has ended, but may still run on its engine.
+// Puts the command's ordering key into cooldown: its attempt has ended for this gateway but may still run on
+// the engine.
 void start_key_cooldown(State& state, const Command& command, TimePoint now);
-void forget_key_cooldowns(State& state, TimePoint now);
+void erase_expired_key_cooldowns(State& state, TimePoint now);
 
 }  // namespace firvalve
--- a/src/policy/attempt_events.h
+++ b/src/policy/attempt_events.h
@@ -1,4 +1,5 @@
-// Takes what engines report on attempts into the state, and has the mechanisms learn from it.
+// Handles engines' reports on attempts: updates the state and passes samples to the mechanisms that learn
+// from them.
 #pragma once
 
 #include "base/time.h"
--- a/src/policy/cancellation.h
+++ b/src/policy/cancellation.h
@@ -1,8 +1,9 @@
-// Cancellation: an attempt in flight is cancelled so that a retry elsewhere may do better, where its engine
-// went silent, where it is blocked, or where its plan is bad, that is, where it runs far longer than
+// Cancellation: cancels an attempt in flight when a retry on another engine is likely to do better, because
+// the engine is unresponsive, the attempt is blocked, or its plan is bad, that is, it runs far longer than
 // predicted.
 //
-// Only what may run again is cancelled, while its client waits and the retry budget allows the retry.
+// An attempt is cancelled only if the command may run again, its client still waits and the retry budget
+// allows the retry.
 #pragma once
 
 #include "base/time.h"
--- a/src/policy/command.h
+++ b/src/policy/command.h
@@ -1,4 +1,4 @@
-// A command in hand: as admitted, its attempts so far, and what the policy wants of it.
+// An active command: the request as admitted, its attempts so far and the state that the policy wants for it.
 #pragma once
 
 #include <cstddef>
@@ -13,51 +13,51 @@
 
 enum class AttemptState { kNone, kInFlight, kCancelling };
 
-// The last attempt of a command.
+// The latest attempt of a command.
 struct Attempt {
   AttemptState state = AttemptState::kNone;
-  std::optional<size_t> engine;  // its place in State::engines
+  std::optional<size_t> engine_index;  // index in State::engines
   TimePoint started_at{};
-  TimePoint reported_at{};  // the last status report, or the start
-  double share_done = 0;    // 0 to 1, as last reported; 0: no progress reported
-  bool is_waiting = false;  // by the last report: for memory, or behind a load
+  TimePoint reported_at{};   // time of the last status report, or of the start if there was none
+  double fraction_done = 0;  // 0 to 1, as last reported; 0 before the first progress report
+  bool is_waiting = false;   // by the last report, waits for memory or behind a load
   bool has_waited = false;
-  bool is_blocked = false;  // it waits and has not begun: it can move to another engine at no loss
+  bool is_blocked = false;  // waits and has not begun, so it can move to another engine without losing work
 };
 
-// The first attempt that may have run, and so may have had its effect.
+// The first attempt that may have run and so may have taken effect.
 struct PossibleRun {
-  size_t engine = 0;  // its place in State::engines
+  size_t engine_index = 0;  // index in State::engines
   TimePoint started_at{};
 };
 
-// What the policy wants of a command. append_actions() turns the difference to its present state into
-// actions.
+// The state that the policy wants for a command. append_actions() turns the difference from the current state
+// into actions.
 enum class DesiredState { kQueued, kInFlight, kCancelled, kShed, kFailed };
 
 struct Command {
   Admitted request;
   size_t profile = 0;
   TimePoint admitted_at{};
-  Duration predicted_work{};     // all threads together
-  Duration predicted_runtime{};  // on an engine by itself
+  Duration predicted_work{};     // thread-time, summed over all threads
+  Duration predicted_runtime{};  // on an uncongested engine
   bool is_heavy = false;
-  // Present state:
+  // Current state:
   TimePoint queued_since{};
-  bool is_ended = false;                    // it has its answer, or nobody waits for it
-  bool lacks_reservation = false;           // there is no storage for its rows yet
+  bool is_ended = false;                    // answered, or no client waits for it
+  bool lacks_reservation = false;           // no storage is reserved for its rows yet
   int attempts = 0;                         // started so far
-  Attempt attempt;                          // the last of them
-  int bad_plan_cancellations = 0;           // attempts cancelled for their pace
-  int moves = 0;                            // attempts cancelled while blocked
-  TimePoint retry_not_before{};             // after a move
-  std::optional<TimePoint> half_closed_at;  // since then its client may have closed
-  std::optional<PossibleRun> possible_run;  // none: no attempt may have run
-  SchedulingHints hints;                    // as last sent
+  Attempt attempt;                          // the latest one
+  int bad_plan_cancellations = 0;           // attempts cancelled for being slow
+  int blocked_cancellations = 0;            // attempts cancelled while blocked
+  TimePoint retry_not_before{};             // set when a blocked attempt is cancelled
+  std::optional<TimePoint> half_closed_at;  // the client may have closed since then
+  std::optional<PossibleRun> possible_run;  // empty if no attempt can have run
+  SchedulingHints hints;                    // as last sent to the engine
   // Desired state:
   DesiredState desired = DesiredState::kQueued;
-  Reason reason = Reason::kNone;  // of kCancelled, kShed and kFailed
-  std::optional<size_t> desired_engine;
+  Reason reason = Reason::kNone;  // set for kCancelled, kShed and kFailed
+  std::optional<size_t> desired_engine_index;
   SchedulingHints desired_hints;
 };
 
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -1,3 +1,4 @@
+// Learns the slowdown of engines and adjusts limits, backoffs and the overrun.
 #include "policy/concurrency_limit.h"
 
 #include <algorithm>
@@ -12,95 +13,97 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kInitialThreadsPerCore = 1.5;  // all gateways together: near where work done peaks
-constexpr double kMinThreadsPerCore = 1.0;      // all cores busy, never less
-constexpr double kMaxThreadsPerCore = 4;        // past any useful limit
-constexpr double kDecreaseFactor = 0.92;        // a step down
-constexpr Duration kDecreaseInterval = 400ms;   // between steps down: the cut must show first
-constexpr Duration kIncreaseInterval = 2s;      // between steps up: at 200 and 800 they outran the cuts
-constexpr double kIncreaseShare = 0.25;  // of the initial limit: a step up, one thread at most, alike for all
-constexpr double kSlowdownWeight = 0.08;       // of a new outcome: follows within a dozen
-constexpr double kSlowdownWeightMax = 0.4;     // of one outcome at most, however much work it was
-constexpr double kSlowdownMax = 8;             // one sample tells no more
-constexpr double kMemoryWaitSlowdown = 4;      // what a wait for memory counts as: twice the mark to cut at
-constexpr double kProgressRatioMax = 4;        // times the mean: a slower pace is more likely a bad plan
-constexpr double kGroupWeight = 2;             // samples: an engine with fewer is judged by its group as well
-constexpr Duration kRejectionBackoff = 250ms;  // the first: some commands end there within it
-constexpr Duration kOverrunMax = 2s;           // of the limits that may be owed: some long commands' time
-constexpr Duration kRuntimeMin = 1ms;
-
-// Measured by a baseline of estimates the samples scatter widely: there the mean is one of logarithms, as the
-// baseline is, so that the few largest do not make it.
-void blend_slowdown(const ProfileCosts& costs, double& mean, double sample, double weight) {
-  if (costs.are_costs_reported || costs.baseline <= 0) return blend(mean, sample, weight);
-  mean *= std::pow(std::max(sample, 1 / kRatioMax) / mean, weight);
+constexpr double kInitialThreadsPerCore = 1.5;  // all gateways together; throughput peaks near this
+constexpr double kMinThreadsPerCore = 1.0;      // lower bound: all cores busy
+constexpr double kMaxThreadsPerCore = 4;        // upper bound: beyond any useful limit
+constexpr double kDecreaseFactor = 0.92;        // per decrease
+constexpr Duration kDecreaseInterval = 400ms;   // between decreases: the last one must show its effect first
+constexpr Duration kIncreaseInterval = 2s;  // between increases: at 200 and 800 ms increases outran decreases
+// Of the initial limit per increase, at most one thread. The same step for all evens out the shares.
+constexpr double kIncreaseShare = 0.25;
+constexpr double kSlowdownWeight = 0.08;    // of a new outcome: the mean follows within a dozen
+constexpr double kMaxSlowdownWeight = 0.4;  // of one outcome, however much work it was
+constexpr double kMaxSlowdown = 8;          // cap on one sample
+constexpr double kMemoryWaitSlowdown = 4;  // sample for a wait for memory: twice the threshold for a decrease
+constexpr double kMaxProgressRatio = 4;    // times the mean; slower progress is more likely a bad plan
+constexpr double kGroupWeight = 2;         // samples; an engine with few is judged by its group as well
+constexpr Duration kRejectionBackoff = 250ms;  // initial; some commands finish on the engine within it
+constexpr Duration kMaxOverrunTime = 2s;       // times the limits; some runtimes of long commands
+constexpr Duration kMinRuntime = 1ms;
+
+// A baseline learned from estimates makes the samples scatter widely. The mean is then taken of logarithms,
+// as the baseline is, so that the few largest samples do not dominate it.
+void update_slowdown_mean(const ProfileCosts& costs, double& mean, double sample, double weight) {
+  if (costs.are_costs_reported || costs.baseline <= 0) return update_running_mean(mean, sample, weight);
+  mean *= std::pow(std::max(sample, 1 / kMaxSampleRatio) / mean, weight);
 }
 
-// The first few samples of an engine count as their mean: one bad period there tells more than none.
-double own_weight(const Engine& engine, double weight) {
+// The first few samples of an engine form an arithmetic mean: one congested period observed there is better
+// evidence than none.
+double sample_weight(const Engine& engine, double weight) {
   return std::max(weight, 1 / (1 + engine.concurrency.samples));
 }
 
-// Guards against limits that never move, or by chance, where a gateway sees little of each engine: with few
-// samples of its own an engine is taken to be as congested as its group.
-double with_group(const Engine& engine, double own, double group) {
+// Combines an engine's mean with its group's, weighted by the engine's number of samples. A gateway that sees
+// little of each engine would otherwise never move its limits, or move them by chance.
+double blend_with_group(const Engine& engine, double own, double group) {
   const double samples = engine.concurrency.samples;
   return (samples * own + kGroupWeight * group) / (samples + kGroupWeight);
 }
 
-// Of a status report. The commands that report are those that last: their quicker siblings must count, too,
-// or a limit once cut stays cut.
-void blend_report(State& state, const Command& command, double slowdown) {
-  Engine& engine = state.engines[*command.attempt.engine];
+// Adds a sample from a status report. Only long-running commands send reports; their quicker siblings must
+// count too, or a lowered limit would never rise again.
+void add_reported_slowdown(State& state, const Command& command, double slowdown) {
+  Engine& engine = state.engines[*command.attempt.engine_index];
   const ProfileCosts& costs = profile_of(state, command).costs;
-  double& group = state.concurrency.groups[engine.group].work_slowdown;
+  double& group = state.concurrency.groups[engine.group_index].work_slowdown;
   double& own = engine.concurrency.work_slowdown;
-  blend_slowdown(costs, group, std::min(slowdown, kProgressRatioMax * group), kSlowdownWeight);
-  blend_slowdown(costs, own, std::min(slowdown, kProgressRatioMax * own),
-                 own_weight(engine, kSlowdownWeight));
+  update_slowdown_mean(costs, group, std::min(slowdown, kMaxProgressRatio * group), kSlowdownWeight);
+  update_slowdown_mean(costs, own, std::min(slowdown, kMaxProgressRatio * own),
+                       sample_weight(engine, kSlowdownWeight));
   engine.concurrency.samples += 1;
 }
 
 }  // namespace
 
 double initial_limit(const State& state, const Engine& engine) {
-  return kInitialThreadsPerCore * engine.cores / state.options.gateways;
+  return kInitialThreadsPerCore * engine.cores / state.options.gateway_count;
 }
 
 void learn_slowdown(State& state, const Command& command, const AttemptFinished& event) {
   if (command.attempt.has_waited) return;
   const Profile& profile = profile_of(state, command);
   const ProfileCosts& costs = profile.costs;
-  Engine& engine = state.engines[*command.attempt.engine];
-  EngineGroup& group = state.concurrency.groups[engine.group];
-  const Duration by_itself =
+  Engine& engine = state.engines[*command.attempt.engine_index];
+  EngineGroup& group = state.concurrency.groups[engine.group_index];
+  const Duration uncongested_runtime =
       event.work ? *event.work / profile.threads * std::max(1.0, costs.baseline) : command.predicted_runtime;
-  const double slowdown = std::min(event.elapsed / std::max(by_itself, kRuntimeMin), kSlowdownMax);
-  // Work that is only guessed adds noise to the weight.
+  const double slowdown = std::min(event.elapsed / std::max(uncongested_runtime, kMinRuntime), kMaxSlowdown);
+  // The weight depends on work only if it was reported: guessed work would add noise.
   double weight = profile.threads > 1 ? kSlowdownWeight : 0;
   if (event.work)
-    weight = std::min(kSlowdownWeight * *event.work / std::max(kRuntimeMin, mean_recent_work(state)),
-                      kSlowdownWeightMax);
-  blend_slowdown(costs, group.slowdown, slowdown, kSlowdownWeight);
-  blend_slowdown(costs, group.work_slowdown, slowdown, weight);
-  blend_slowdown(costs, engine.concurrency.slowdown, slowdown, own_weight(engine, kSlowdownWeight));
-  blend_slowdown(costs, engine.concurrency.work_slowdown, slowdown,
-                 weight > 0 ? own_weight(engine, weight) : 0);
+    weight = std::min(kSlowdownWeight * *event.work / std::max(kMinRuntime, mean_recent_work(state)),
+                      kMaxSlowdownWeight);
+  update_slowdown_mean(costs, group.slowdown, slowdown, kSlowdownWeight);
+  update_slowdown_mean(costs, group.work_slowdown, slowdown, weight);
+  update_slowdown_mean(costs, engine.concurrency.slowdown, slowdown, sample_weight(engine, kSlowdownWeight));
+  update_slowdown_mean(costs, engine.concurrency.work_slowdown, slowdown,
+                       weight > 0 ? sample_weight(engine, weight) : 0);
   engine.concurrency.samples += 1;
 }
 
-// Guards against congestion by long commands that shows in no outcome for as long as they run.
-void learn_slowdown_from_progress(State& state, TimePoint now, const Command& command, double share_done) {
+// Detects congestion by long commands, which shows in no outcome while they run.
+void learn_slowdown_from_progress(State& state, TimePoint now, const Command& command, double fraction_done) {
   const Attempt& attempt = command.attempt;
   const bool is_distorted = state.resumed_at == now;
-  if (share_done <= 0 || attempt.has_waited || is_distorted) return;
-  const Duration expected = share_done * std::max(kRuntimeMin, command.predicted_runtime);
-  const double slowdown = std::min(kSlowdownMax, (now - attempt.started_at) / expected);
-  if (slowdown > 0) blend_report(state, command, slowdown);
+  if (fraction_done <= 0 || attempt.has_waited || is_distorted) return;
+  const Duration expected = fraction_done * std::max(kMinRuntime, command.predicted_runtime);
+  const double slowdown = std::min(kMaxSlowdown, (now - attempt.started_at) / expected);
+  if (slowdown > 0) add_reported_slowdown(state, command, slowdown);
 }
 
 void learn_slowdown_from_memory_wait(State& state, const Command& command) {
-  blend_report(state, command, kMemoryWaitSlowdown);
+  add_reported_slowdown(state, command, kMemoryWaitSlowdown);
 }
 
 void update_slowdowns(State& state, TimePoint now) {
@@ -108,11 +111,12 @@
   std::vector<double>& sorted = concurrency.sorted_slowdowns;
   sorted.clear();
   for (Engine& engine : state.engines) {
-    fade_counts(engine, now);
+    decay_counts(engine, now);
     EngineConcurrency& own = engine.concurrency;
-    const EngineGroup& group = concurrency.groups[engine.group];
-    own.usual_slowdown = with_group(engine, own.slowdown, group.slowdown);
-    own.congestion = std::max(own.usual_slowdown, with_group(engine, own.work_slowdown, group.work_slowdown));
+    const EngineGroup& group = concurrency.groups[engine.group_index];
+    own.usual_slowdown = blend_with_group(engine, own.slowdown, group.slowdown);
+    own.congestion =
+        std::max(own.usual_slowdown, blend_with_group(engine, own.work_slowdown, group.work_slowdown));
     if (engine.state == EngineState::kReady) sorted.push_back(own.usual_slowdown);
   }
   std::sort(sorted.begin(), sorted.end());
@@ -120,48 +124,50 @@
 }
 
 void adjust_limit(const State& state, TimePoint now, Engine& engine) {
-  EngineConcurrency& own = engine.concurrency;
-  const Duration since_adjusted = now - own.limit_adjusted_at;
-  if (own.congestion > kCongestionHigh && since_adjusted > kDecreaseInterval) {
-    own.limit *= kDecreaseFactor;
-    own.limit_adjusted_at = now;
-  } else if (own.congestion < kCongestionLow && own.is_limit_reached && since_adjusted > kIncreaseInterval) {
-    own.limit +=
-        std::min(1.0, kIncreaseShare * kInitialThreadsPerCore * engine.cores / state.options.gateways);
-    own.limit_adjusted_at = now;
+  EngineConcurrency& concurrency = engine.concurrency;
+  const Duration since_adjusted = now - concurrency.limit_adjusted_at;
+  if (concurrency.congestion > kCongestionHigh && since_adjusted > kDecreaseInterval) {
+    concurrency.limit *= kDecreaseFactor;
+    concurrency.limit_adjusted_at = now;
+  } else if (concurrency.congestion < kCongestionLow && concurrency.is_limit_reached &&
+             since_adjusted > kIncreaseInterval) {
+    concurrency.limit +=
+        std::min(1.0, kIncreaseShare * kInitialThreadsPerCore * engine.cores / state.options.gateway_count);
+    concurrency.limit_adjusted_at = now;
   }
-  const double limit_min = kMinThreadsPerCore * engine.cores / state.options.gateways;
-  own.limit = std::clamp(own.limit, limit_min, kMaxThreadsPerCore * engine.cores);
-  own.is_limit_reached = false;
+  const double min_limit = kMinThreadsPerCore * engine.cores / state.options.gateway_count;
+  concurrency.limit = std::clamp(concurrency.limit, min_limit, kMaxThreadsPerCore * engine.cores);
+  concurrency.is_limit_reached = false;
 }
 
-// Guards against spending every retry on engines that reject at once: they have no work in flight and would
-// be chosen first each time.
-void note_rejection_or_start(Engine& engine, TimePoint now, Outcome outcome) {
+// Without a backoff, engines that reject immediately would use up every retry: they have no work in flight
+// and would be chosen first each time.
+void update_rejection_backoff(Engine& engine, TimePoint now, Outcome outcome) {
   if (outcome == Outcome::kQueueFull) engine.concurrency.limit *= kDecreaseFactor;
   if (outcome == Outcome::kQueueFull || outcome == Outcome::kConnectFailed) {
-    engine.backoff.from_memory_mb = 0;
-    engine.backoff.until = now + next_backoff(kRejectionBackoff, engine.backoff.rejections_in_a_row);
+    engine.backoff.min_memory_mb = 0;
+    engine.backoff.until = now + next_backoff(kRejectionBackoff, engine.backoff.consecutive_rejections);
   } else if (outcome != Outcome::kCancelledBeforeStart) {
-    engine.backoff.rejections_in_a_row = 0;
+    engine.backoff.consecutive_rejections = 0;
   }
 }
 
 void back_off_for_memory(Engine& engine, TimePoint now, double memory_mb) {
   engine.backoff.until = now + kRejectionBackoff;
-  engine.backoff.from_memory_mb = memory_mb;
+  engine.backoff.min_memory_mb = memory_mb;
 }
 
 bool is_backing_off(const Engine& engine, TimePoint now, const Command& command) {
-  return now < engine.backoff.until && command.request.estimated_memory_mb >= engine.backoff.from_memory_mb;
+  return now < engine.backoff.until && command.request.estimated_memory_mb >= engine.backoff.min_memory_mb;
 }
 
-// Guards against many gateways with a small share of each engine, whose one attempt that may always run adds
-// up to congestion from which no cut of a limit leads back. Where a gateway's share holds more than one
-// attempt this changes nothing; one with far more traffic than its neighbours is held to its limits.
+// Where many gateways have a small share of each engine, the one attempt that each may always run adds up to
+// congestion that no lower limit resolves. Waiting out the overrun prevents that. It changes nothing where a
+// gateway's share holds more than one attempt; a gateway with far more traffic than its neighbours is held to
+// its limits.
 void update_overrun(State& state, TimePoint now) {
   ConcurrencyState& concurrency = state.concurrency;
-  const Duration passed = std::min(now - std::exchange(concurrency.overrun_updated_at, now), kOverrunMax);
+  const Duration passed = std::min(now - std::exchange(concurrency.overrun_updated_at, now), kMaxOverrunTime);
   for (const bool is_in_pool : {false, true}) {
     double limit = 0, in_flight = 0;  // threads
     for (const Engine& engine : state.engines) {
@@ -171,7 +177,7 @@
         limit += engine.concurrency.limit * warm_share(state, engine, now);
     }
     Duration& overrun = concurrency.overrun[is_in_pool];
-    overrun = std::clamp(overrun + (in_flight - limit) * passed, Duration{}, limit * kOverrunMax);
+    overrun = std::clamp(overrun + (in_flight - limit) * passed, Duration{}, limit * kMaxOverrunTime);
   }
 }
 
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -1,15 +1,15 @@
-// Concurrency limit: how many threads this gateway runs at once, on each engine and on all of them together.
+// Concurrency limit: how many threads this gateway runs at once on each engine and on all engines together.
 //
 // No gateway sees the load that the others put on an engine. Each measures the slowdown of its own attempts,
-// that is, runtime over the predicted runtime on an engine by itself, and adapts a limit for each engine as
-// TCP does its window: multiplicative decrease while the engine is congested, additive increase while the
-// limit binds and it is not.
+// that is, runtime over predicted runtime on an uncongested engine, and adapts a limit per engine as TCP
+// adapts its window: multiplicative decrease while the engine is congested, additive increase while it is not
+// and the limit is reached.
 //
-// Where many gateways share an engine a limit may be a fraction of a thread, and one attempt may always run.
-// The overrun keeps account of that: thread-time past the limits that is still to be waited out, so that they
-// hold as a mean over time.
+// Where many gateways share an engine, a limit may be a fraction of a thread, yet one attempt may always run.
+// The overrun counts the thread-time used above the limits that is still to be waited out, so that the limits
+// hold on average.
 //
-// An engine that rejects attempts, or to which no connection comes up, is left alone for a backoff.
+// An engine that rejects attempts or connections is not tried again until a backoff has passed.
 #pragma once
 
 #include <array>
@@ -25,67 +25,70 @@
 struct Profile;
 struct State;
 
-// Of EngineConcurrency::congestion: above the one an engine's cores or disks are congested, below the other
-// there is room for more.
+// Thresholds for EngineConcurrency::congestion. Above kCongestionHigh the engine's cores or disks are
+// congested; below kCongestionLow it has spare capacity.
 constexpr double kCongestionHigh = 1.9, kCongestionLow = 1.5;
 
 struct EngineConcurrency {
-  double limit = 0;               // threads of this gateway at once
-  bool is_limit_reached = false;  // since the last adjustment
+  double limit = 0;               // threads that this gateway may run at once
+  bool is_limit_reached = false;  // at any time since the last adjustment
   TimePoint limit_adjusted_at{};
-  // Running means of slowdown. Two: short commands of high priority glide past congestion that holds up all
-  // others, and where no priority is heeded they are the first to feel it.
-  double slowdown = 1;       // over commands
-  double work_slowdown = 1;  // over their work
-  double samples = 0;        // fading count of what went into them
-  // With those of its group, where it has few samples of its own:
+  // Running means of the slowdown. Two are kept because congestion that delays all other commands hardly
+  // affects short commands of high priority, while short commands are the first to suffer where engines
+  // ignore priorities.
+  double slowdown = 1;       // each command counts the same
+  double work_slowdown = 1;  // weighted by work
+  double samples = 0;        // decaying count of samples in the means
+  // Combined with the means of the engine's group:
   double usual_slowdown = 1;
-  double congestion = 1;  // the worse of the two means
+  double congestion = 1;  // the larger of the two combined means
 };
 
 struct EngineBackoff {
   TimePoint until{};
-  double from_memory_mb = 0;  // for commands that need as much memory or more
-  int rejections_in_a_row = 0;
+  double min_memory_mb = 0;  // applies to commands that need at least this much memory
+  int consecutive_rejections = 0;
 };
 
-// Engines of one machine type, those of the pool or the others.
+// Mean slowdowns over the engines of one machine type, either those in the pool or the others.
 struct EngineGroup {
   double slowdown = 1, work_slowdown = 1;
 };
 
 struct ConcurrencyState {
-  std::vector<EngineGroup> groups;       // two for each machine type: light engines, pool
-  double usual_slowdown = 1;             // median of the engines
+  std::vector<EngineGroup> groups;       // two per machine type: light engines, pool engines
+  double usual_slowdown = 1;             // median over ready engines, at least 1
   std::vector<double> sorted_slowdowns;  // scratch
-  std::array<Duration, 2> overrun{};     // thread-time; light engines, pool
+  std::array<Duration, 2> overrun{};     // thread-time; light engines, pool engines
   TimePoint overrun_updated_at{};
 };
 
-// The limit of an engine that is new to this gateway.
+// Returns the limit for an engine that is new to this gateway.
 double initial_limit(const State& state, const Engine& engine);
 
-// Adds an attempt that ended well to the slowdown of its engine and that engine's group.
+// Adds a successful attempt to the mean slowdowns of its engine and of the engine's group.
 void learn_slowdown(State& state, const Command& command, const AttemptFinished& event);
 
-// Adds what a status report shows: a slow pace, or a wait for memory. `now` is the report's time.
-void learn_slowdown_from_progress(State& state, TimePoint now, const Command& command, double share_done);
+// Add a sample from a status report: slow progress, or a wait for memory. `now` is the time of the report.
+void learn_slowdown_from_progress(State& state, TimePoint now, const Command& command, double fraction_done);
 void learn_slowdown_from_memory_wait(State& state, const Command& command);
 
-// Takes the slowdown samples together: of each engine with its group, and of all engines.
+// Combines each engine's means with those of its group, and computes the median over all engines.
 void update_slowdowns(State& state, TimePoint now);
 
-// Moves an engine's limit.
+// Raises or lowers an engine's limit according to its congestion.
 void adjust_limit(const State& state, TimePoint now, Engine& engine);
 
-// What an outcome says about room on the engine: rejections lower the limit and back off.
-void note_rejection_or_start(Engine& engine, TimePoint now, Outcome outcome);
+// Lowers the limit after a rejection, backs off after a rejection or a failed connection, and resets the
+// backoff after an attempt that started.
+void update_rejection_backoff(Engine& engine, TimePoint now, Outcome outcome);
 
-// A command waits on that engine for memory: those that need as much go elsewhere for a moment.
+// Makes commands that need at least `memory_mb` avoid the engine for a moment, because a command waits there
+// for memory.
 void back_off_for_memory(Engine& engine, TimePoint now, double memory_mb);
 bool is_backing_off(const Engine& engine, TimePoint now, const Command& command);
 
-// Adds what runs past the limits to the overrun, and takes off what stays below them.
+// Adds thread-time used above the limits to the overrun and subtracts thread-time left unused below them.
 void update_overrun(State& state, TimePoint now);
 
 }  // namespace firvalve
--- a/src/policy/cost_prediction.cpp
+++ b/src/policy/cost_prediction.cpp
@@ -1,3 +1,4 @@
+// Predicts costs, and learns corrections, baselines and the threshold for heavy commands.
 #include "policy/cost_prediction.h"
 
 #include <algorithm>
@@ -10,35 +11,35 @@
 namespace firvalve {
 namespace {
 
-constexpr double kMeanWeight = 0.03;  // of a new outcome in a running mean: some 30 outcomes
-constexpr int kBaselineWindow = 20;   // outcomes whose mean is one reading of the baseline
-constexpr double kBaselineGuessWeight =
-    3;                                   // outcomes that the guess of 1 counts for, until the first reading
-constexpr double kBaselineDrift = 1.01;  // a window: it is forgotten within some hundred windows
-constexpr size_t kRecentMax = 512;       // commands; the top share is taken among these
-constexpr size_t kRecentMin = 32;        // commands; fewer give no top share
-constexpr double kHeavyShare = 0.01;     // of commands: the design's start
-constexpr double kWorkFade = 0.998;      // a command; heavy and all work are summed over some 500
-constexpr Duration kUnknownWork{100};    // before anything is known of a profile
-constexpr Duration kWorkMin{1};
-
-// The work that outcomes correct.
+constexpr double kMeanWeight = 0.03;        // of a new outcome in a running mean: some 30 outcomes
+constexpr int kBaselineWindow = 20;         // outcomes per reading of the baseline
+constexpr double kBaselineGuessWeight = 3;  // outcomes that the initial guess of 1 counts for
+constexpr double kBaselineDrift = 1.01;     // per window: forgets an old reading within some hundred windows
+constexpr size_t kMaxRecentPredictions = 512;  // commands among which the largest count as heavy
+constexpr size_t kMinRecentPredictions = 32;   // commands; fewer set no threshold
+constexpr double kHeavyShare = 0.01;           // of commands
+constexpr double kWorkDecay = 0.998;           // per command; the sums cover some 500 commands
+constexpr Duration kDefaultWork{100};          // assumed before anything is known of a profile
+constexpr Duration kMinWork{1};
+
+// The work before the learned correction: the client's estimate, the mean reported work or a constant.
 Duration uncorrected_work(const Profile& profile, const Command& command) {
   if (command.request.estimated_work) return *command.request.estimated_work;
   const ProfileCosts& costs = profile.costs;
   return costs.are_costs_reported && costs.mean_actual_work > Duration{} ? costs.mean_actual_work
-                                                                         : kUnknownWork;
+                                                                         : kDefaultWork;
 }
 
 bool is_corrected(const Profile& profile, const Command& command) {
   return command.request.estimated_work || !profile.costs.are_costs_reported;
 }
 
-// Actual over uncorrected work, within what a single outcome may tell; 0: it tells nothing.
+// Actual over uncorrected work, limited for a single outcome; 0 if the prediction is not corrected.
 double correction_sample(const Profile& profile, const Command& command, Duration actual_work) {
   if (!is_corrected(profile, command)) return 0;
-  const double ratio_max = command.request.estimated_work ? kRatioMax : kRatioMax * kRatioMax;
-  return std::clamp(actual_work / uncorrected_work(profile, command), 1 / ratio_max, ratio_max);
+  const double max_ratio =
+      command.request.estimated_work ? kMaxSampleRatio : kMaxSampleRatio * kMaxSampleRatio;
+  return std::clamp(actual_work / uncorrected_work(profile, command), 1 / max_ratio, max_ratio);
 }
 
 Duration actual_work_of(const Profile& profile, const AttemptFinished& event) {
@@ -65,45 +66,46 @@
   ProfileCosts& costs = profile.costs;
   const Duration uncorrected = uncorrected_work(profile, command);
   const double correction = is_corrected(profile, command) && costs.correction > 0 ? costs.correction : 1;
-  command.predicted_work = std::max(kWorkMin, uncorrected * correction);
-  Duration by_itself = command.predicted_work;  // runtime x threads
+  command.predicted_work = std::max(kMinWork, uncorrected * correction);
+  Duration uncongested_thread_time = command.predicted_work;  // runtime x threads
   if (costs.are_costs_reported)
-    by_itself = command.predicted_work * std::max(1.0, costs.baseline);
+    uncongested_thread_time = command.predicted_work * std::max(1.0, costs.baseline);
   else if (costs.baseline > 0)
-    by_itself = uncorrected * costs.baseline;
-  command.predicted_runtime = by_itself / profile.threads;
-  blend(costs.mean_predicted_work, command.predicted_runtime * profile.threads, kMeanWeight);
-  if (prediction.recent_work.size() < kRecentMax) prediction.recent_work.emplace_back();
-  prediction.recent_work[prediction.recent_next++ % kRecentMax] = command.predicted_work;
-  command.is_heavy =
-      profile.is_load || (prediction.heavy_from && command.predicted_work >= *prediction.heavy_from);
-  prediction.all_work = prediction.all_work * kWorkFade + command.predicted_work;
+    uncongested_thread_time = uncorrected * costs.baseline;
+  command.predicted_runtime = uncongested_thread_time / profile.threads;
+  update_running_mean(costs.mean_predicted_work, command.predicted_runtime * profile.threads, kMeanWeight);
+  if (prediction.recent_work.size() < kMaxRecentPredictions) prediction.recent_work.emplace_back();
+  prediction.recent_work[prediction.recent_write_index++ % kMaxRecentPredictions] = command.predicted_work;
+  command.is_heavy = profile.is_load ||
+                     (prediction.heavy_threshold && command.predicted_work >= *prediction.heavy_threshold);
+  prediction.all_work = prediction.all_work * kWorkDecay + command.predicted_work;
   prediction.heavy_work =
-      prediction.heavy_work * kWorkFade + (command.is_heavy ? command.predicted_work : Duration{});
+      prediction.heavy_work * kWorkDecay + (command.is_heavy ? command.predicted_work : Duration{});
 }
 
 void update_heavy_threshold(State& state) {
   CostPredictionState& prediction = state.cost_prediction;
   std::vector<Duration>& sorted = prediction.sorted_work;
-  if (prediction.recent_work.size() < kRecentMin) return;
+  if (prediction.recent_work.size() < kMinRecentPredictions) return;
   sorted = prediction.recent_work;
   const size_t heavy_count =
       std::max<size_t>(1, static_cast<size_t>(kHeavyShare * static_cast<double>(sorted.size())));
   std::nth_element(sorted.begin(), sorted.begin() + static_cast<std::ptrdiff_t>(heavy_count - 1),
                    sorted.end(), std::greater<>());
-  prediction.heavy_from = sorted[heavy_count - 1];
+  prediction.heavy_threshold = sorted[heavy_count - 1];
 }
 
 void learn_work(State& state, const Command& command, const AttemptFinished& event) {
   Profile& profile = profile_of(state, command);
   const Duration actual_work = actual_work_of(profile, event);
-  blend(profile.costs.mean_actual_work, actual_work, kMeanWeight);
+  update_running_mean(profile.costs.mean_actual_work, actual_work, kMeanWeight);
   const double ratio = correction_sample(profile, command, actual_work);
-  if (ratio > 0) blend(profile.costs.correction, ratio, kMeanWeight);
+  if (ratio > 0) update_running_mean(profile.costs.correction, ratio, kMeanWeight);
 }
 
-// Guards against calling congestion normal: where the answer reports no cost, latency stands in for it, and
-// its mean rises with the congestion that it should show. The quickest window of outcomes is the baseline.
+// Keeps congestion from being learned as normal. Where answers report no cost, latency is used instead, and
+// its mean rises with the congestion that it should reveal. So the quickest window of outcomes is the
+// baseline.
 void learn_baseline(State& state, const Command& command, const AttemptFinished& event) {
   Profile& profile = profile_of(state, command);
   const double ratio = event.work ? event.elapsed * profile.threads / *event.work
@@ -111,7 +113,7 @@
   if (ratio > 0) add_to_baseline(profile.costs, ratio);
 }
 
-Duration mean_recent_work(const State& state) { return state.cost_prediction.all_work * (1 - kWorkFade); }
+Duration mean_recent_work(const State& state) { return state.cost_prediction.all_work * (1 - kWorkDecay); }
 
 Duration usual_runtime(const State& state, const Command& command, const Engine& engine) {
   const Profile& profile = profile_of(state, command);
--- a/src/policy/engine_list.h
+++ b/src/policy/engine_list.h
@@ -1,4 +1,4 @@
-// Takes the endpoint list into the state.
+// Applies updates of the endpoint list to the state.
 #pragma once
 
 #include "base/time.h"
--- a/src/policy/engine_pool.cpp
+++ b/src/policy/engine_pool.cpp
@@ -1,3 +1,4 @@
+// Chooses the engines of the pool and detects its overload.
 #include "policy/engine_pool.h"
 
 #include <algorithm>
@@ -12,20 +13,19 @@
 
 using namespace std::chrono_literals;
 
-// The design's figures.
-constexpr size_t kPoolMin = 2;            // engines
-constexpr double kRejectedShare = 0.2;    // of recent attempts in the pool that end full or timed out
-constexpr double kAttemptsMin = 20;       // before that share is believed
-constexpr Duration kOutcomeWindow = 10s;  // over which they are counted (as a fading count)
+constexpr size_t kMinPoolSize = 2;               // engines
+constexpr double kOverloadRejectionShare = 0.2;  // of recent heavy attempts in the pool
+constexpr double kMinAttempts = 20;              // before that share is trusted
+constexpr Duration kOutcomeWindow = 10s;         // over which attempts are counted (exponential decay)
 
 std::optional<size_t> find_pool_zone(State& state) {
   EnginePoolState& pool = state.pool;
   pool.zone_counts.assign(state.zones.size(), 0);
-  for (const size_t place : pool.ready) ++pool.zone_counts[state.engines[place].zone_index];
-  const auto fits = [&](size_t place) {
-    const size_t count = pool.zone_counts[state.engines[place].zone_index];
+  for (const size_t index : pool.ready) ++pool.zone_counts[state.engines[index].zone_index];
+  const auto fits = [&](size_t index) {
+    const size_t count = pool.zone_counts[state.engines[index].zone_index];
     ++pool.engines_examined;
-    return count >= kPoolMin && count < pool.ready.size();
+    return count >= kMinPoolSize && count < pool.ready.size();
   };
   const auto last = std::find_if(pool.ready.rbegin(), pool.ready.rend(), fits);
   if (last == pool.ready.rend()) return std::nullopt;
@@ -38,7 +38,7 @@
   const double heavy_share =
       prediction.all_work > Duration{} ? prediction.heavy_work / prediction.all_work : 0;
   return std::clamp(static_cast<size_t>(std::lround(heavy_share * static_cast<double>(ready))),
-                    std::min(kPoolMin, ready), ready);
+                    std::min(kMinPoolSize, ready), ready);
 }
 
 }  // namespace
@@ -46,25 +46,25 @@
 void update_pool(State& state) {
   std::vector<size_t>& ready = state.pool.ready;
   ready.clear();
-  for (size_t place = 0; place < state.engines.size(); ++place) {
-    state.engines[place].is_in_pool = false;
-    if (state.engines[place].state == EngineState::kReady) ready.push_back(place);
+  for (size_t index = 0; index < state.engines.size(); ++index) {
+    state.engines[index].is_in_pool = false;
+    if (state.engines[index].state == EngineState::kReady) ready.push_back(index);
   }
   if (ready.empty()) return;
   if (const std::optional<size_t> zone = find_pool_zone(state)) {
-    for (const size_t place : ready)
-      state.engines[place].is_in_pool = state.engines[place].zone_index == *zone;
+    for (const size_t index : ready)
+      state.engines[index].is_in_pool = state.engines[index].zone_index == *zone;
   } else {
     for (size_t i = ready.size() - pool_size_by_work(state); i < ready.size(); ++i)
       state.engines[ready[i]].is_in_pool = true;
   }
   for (Engine& engine : state.engines)
-    engine.group = 2 * engine.machine_type_index + (engine.is_in_pool ? 1 : 0);
+    engine.group_index = 2 * engine.machine_type_index + (engine.is_in_pool ? 1 : 0);
   update_heavy_threshold(state);
 }
 
-void fade_pool_counts(State& state, TimePoint now) {
-  const double factor = fading_factor(state.pool.counted_at, now, kOutcomeWindow);
+void decay_pool_counts(State& state, TimePoint now) {
+  const double factor = decay_factor(state.pool.decayed_at, now, kOutcomeWindow);
   state.pool.heavy_attempts *= factor;
   state.pool.heavy_rejections *= factor;
 }
@@ -76,7 +76,8 @@
 
 bool is_pool_overloaded(const State& state) {
   const EnginePoolState& pool = state.pool;
-  return pool.heavy_attempts >= kAttemptsMin && pool.heavy_rejections >= kRejectedShare * pool.heavy_attempts;
+  return pool.heavy_attempts >= kMinAttempts &&
+         pool.heavy_rejections >= kOverloadRejectionShare * pool.heavy_attempts;
 }
 
 }  // namespace firvalve
--- a/src/policy/engine_selection.cpp
+++ b/src/policy/engine_selection.cpp
@@ -1,3 +1,4 @@
+// Scans the preferred partition of engines, then the other, and draws an engine with capacity.
 #include "policy/engine_selection.h"
 
 #include <algorithm>
@@ -10,11 +11,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kShortExtra = 1.25;       // times the limit for short commands, which free it soon
-constexpr double kCachedTables = 0.85;     // of the work: what tables read lately save
-constexpr Duration kTablesLockedFor = 3s;  // as long as a report of it is kept: a load's usual length
+constexpr double kShortCommandLimitFactor = 1.25;  // short commands soon free the capacity again
+constexpr double kCachedTablesWorkFactor = 0.85;   // where the engine has read the tables recently
+constexpr Duration kTableLockLifetime = 3s;  // how long a report is trusted: the usual duration of a load
 
-// What a choice needs to know of the command, found once for all engines.
+// The command to place and its properties, looked up once for all engines.
 struct Request {
   const Command& command;
   const Profile& profile;
@@ -23,108 +24,112 @@
   bool is_unbound = false;  // it may run on any machine type
 };
 
-// What a look at the engines of one half (the pool, or the light ones) has found. Those that have room are in
+// Result of scanning one partition (the pool, or the light engines). Engines with capacity are in
 // State::selection.candidates.
-struct HalfReview {
+struct PartitionScan {
   bool has_working_engine = false;
-  bool are_all_beyond_cores = true;  // more threads in flight than cores
-  double limit = 0, in_flight = 0;   // threads, of all engines that would do
-  std::optional<size_t> chosen;      // to be taken without a draw: a probe, or a scheduled turn
+  bool are_all_beyond_cores = true;  // each has more threads in flight than cores
+  double limit = 0, in_flight = 0;   // threads, summed over all usable engines
+  std::optional<size_t> chosen;  // taken without a draw: for a probe, or on a scheduled turn of slow start
 };
 
-// Loads that readers would wait behind overflow when every pool engine is beyond its cores, as by design, or
-// once held as long as heavy commands are; other heavy ones when the pool's limits are reached. Light ones
-// use spare room there; those that would wait behind its loads if no light engine works.
-bool may_overflow(const State& state, const Request& request, const HalfReview& preferred) {
+// Whether a command may overflow from its preferred partition into the other. Any command may if no preferred
+// engine works. Light commands use spare capacity of the pool unless they would wait behind its loads. Heavy
+// commands overflow when the pool's limits are reached; loads that readers would wait behind do so only when
+// every pool engine runs more threads than it has cores, or after the longest wait of heavy commands.
+bool may_overflow(const State& state, const Request& request, const PartitionScan& preferred) {
   if (!preferred.has_working_engine) return true;
   if (!request.command.is_heavy) return !request.profile.waits_for_loads;
   const bool has_readers = std::any_of(state.profiles.begin(), state.profiles.end(),
                                        [](const Profile& profile) { return profile.waits_for_loads; });
-  const bool is_held_long = request.now - request.command.queued_since > kHeavyHold;
-  return !request.profile.is_load || !has_readers || preferred.are_all_beyond_cores || is_held_long;
+  const bool has_waited_long = request.now - request.command.queued_since > kMaxHeavyWait;
+  return !request.profile.is_load || !has_readers || preferred.are_all_beyond_cores || has_waited_long;
 }
 
-// An engine in working order: adds it to the candidates if it has room, or takes it at once on its turn.
-void review_working_engine(State& state, const Request& request, size_t place, HalfReview& half) {
-  Engine& engine = state.engines[place];
-  const EngineLoad& load = engine.in_flight;
-  half.has_working_engine = true;
-  half.are_all_beyond_cores &= load.threads > engine.cores;
+// Scans an engine that is not ejected: adds it to the candidates if it has capacity, or chooses it on its
+// scheduled turn.
+void scan_working_engine(State& state, const Request& request, size_t index, PartitionScan& partition) {
+  Engine& engine = state.engines[index];
+  const InFlightTotals& in_flight = engine.in_flight;
+  partition.has_working_engine = true;
+  partition.are_all_beyond_cores &= in_flight.threads > engine.cores;
   const double limit = engine.concurrency.limit * warm_share(state, engine, request.now) *
-                       (request.is_short ? kShortExtra : 1);
-  half.limit += limit;
-  half.in_flight += request.is_short ? load.short_threads : load.threads;
-  if (load.threads > 0 && load.threads + request.profile.threads > limit) {
+                       (request.is_short ? kShortCommandLimitFactor : 1);
+  partition.limit += limit;
+  partition.in_flight += request.is_short ? in_flight.short_threads : in_flight.threads;
+  if (in_flight.threads > 0 && in_flight.threads + request.profile.threads > limit) {
     engine.concurrency.is_limit_reached = true;
     return;
   }
   const SlowStartAdmission admission =
       slow_start_admission(state, engine, request.profile.costs.mean_predicted_work, request.now);
   if (admission == SlowStartAdmission::kDenied || is_blocked_by_load(state, request.command, engine) ||
-      (engine.is_reserved_now && request.is_unbound && !request.is_short))
+      (engine.is_reserved_this_review && request.is_unbound && !request.is_short))
     return;
   if (admission == SlowStartAdmission::kScheduledTurn)
-    half.chosen = place;
+    partition.chosen = index;
   else
-    state.selection.candidates.push_back(place);
+    state.selection.candidates.push_back(index);
 }
 
-HalfReview review_half(State& state, const Request& request, bool is_pool) {
-  HalfReview half;
+PartitionScan scan_partition(State& state, const Request& request, bool is_pool) {
+  PartitionScan partition;
   state.selection.candidates.clear();
-  for (size_t place = 0; place < state.engines.size() && !half.chosen; ++place) {
-    Engine& engine = state.engines[place];
+  for (size_t index = 0; index < state.engines.size() && !partition.chosen; ++index) {
+    Engine& engine = state.engines[index];
     if (engine.is_in_pool != is_pool || is_backing_off(engine, request.now, request.command) ||
         !may_attempt(state, request.command, engine, request.now))
       continue;
     if (!engine.outlier.is_ejected) {
-      review_working_engine(state, request, place, half);
+      scan_working_engine(state, request, index, partition);
     } else if (may_probe(state, request.command, engine, request.now)) {
       start_probe(engine, request.now);
-      half.chosen = place;
+      partition.chosen = index;
     }
   }
-  return half;
+  return partition;
 }
 
-// Guards against many gateways with a small share of each engine, whose single attempts add up to congestion:
-// one attempt may always run, any further ones only within the limits of all these engines together. Short
-// commands are held by each other alone: they do not wait out a long one.
-bool exceeds_joint_limit(const State& state, const Request& request, const HalfReview& half, bool is_pool) {
+// Where many gateways have a small share of each engine, their single attempts can add up to congestion. One
+// attempt may always run; further ones must fit within the combined limits of the partition's engines. Short
+// commands are limited only by each other, so that they do not wait out a long one.
+bool exceeds_joint_limit(const State& state, const Request& request, const PartitionScan& partition,
+                         bool is_pool) {
   const bool has_overrun = !request.is_short && state.concurrency.overrun[is_pool] > Duration{};
-  return (half.in_flight > 0 || has_overrun) && half.in_flight + request.profile.threads > half.limit;
+  return (partition.in_flight > 0 || has_overrun) &&
+         partition.in_flight + request.profile.threads > partition.limit;
 }
 
-// Guards against filling machines that some commands are bound to while others stand half idle: congested
-// engines take nothing that has room on one that is not.
+// Drops congested engines if an uncongested one has capacity. Otherwise machines that some commands are
+// restricted to would fill up while others stand half idle.
 void drop_congested(State& state) {
   std::vector<size_t>& candidates = state.selection.candidates;
-  const auto congestion = [&](size_t place) { return state.engines[place].concurrency.congestion; };
-  const auto is_uncongested = [&](size_t place) { return congestion(place) < kCongestionLow; };
+  const auto congestion = [&](size_t index) { return state.engines[index].concurrency.congestion; };
+  const auto is_uncongested = [&](size_t index) { return congestion(index) < kCongestionLow; };
   if (std::any_of(candidates.begin(), candidates.end(), is_uncongested))
-    std::erase_if(candidates, [&](size_t place) { return congestion(place) > kCongestionHigh; });
+    std::erase_if(candidates, [&](size_t index) { return congestion(index) > kCongestionHigh; });
 }
 
-// What may run anywhere leaves reserved engines to the commands that are bound to them. Short commands do so
-// only where this gateway's limit holds one there: elsewhere some engine is always reserved, and the short
-// commands of all gateways would congest the machines that nothing is bound to.
+// Leaves reserved engines to the commands restricted to them, if there is another candidate. Short commands
+// do so only where this gateway's limit holds one: with smaller limits some engine is always reserved, and
+// the short commands of all gateways would congest the machines that no command is restricted to.
 void drop_reserved(State& state, const Request& request) {
   std::vector<size_t>& candidates = state.selection.candidates;
-  const auto is_left_free = [&](size_t place) {
-    const Engine& engine = state.engines[place];
+  const auto is_reserved_for_others = [&](size_t index) {
+    const Engine& engine = state.engines[index];
     return request.is_unbound && engine.is_reserved &&
            (!request.is_short || engine.concurrency.limit >= request.profile.threads);
   };
-  if (!std::all_of(candidates.begin(), candidates.end(), is_left_free))
-    std::erase_if(candidates, is_left_free);
+  if (!std::all_of(candidates.begin(), candidates.end(), is_reserved_for_others))
+    std::erase_if(candidates, is_reserved_for_others);
 }
 
-// The runtime to be expected there for all work in flight and this command.
-Duration expected_load(const Command& command, const Engine& engine) {
+// The time that the engine is expected to need for all work in flight and this command.
+Duration expected_completion_time(const Command& command, const Engine& engine) {
   const auto& tables = engine.recent_table_groups;
   const bool is_cached = command.request.table_group &&
                          std::find(tables.begin(), tables.end(), command.request.table_group) != tables.end();
-  return (engine.in_flight.work + command.predicted_work * (is_cached ? kCachedTables : 1)) *
+  return (engine.in_flight.work + command.predicted_work * (is_cached ? kCachedTablesWorkFactor : 1)) *
          std::max(1.0, engine.concurrency.usual_slowdown) / engine.cores;
 }
 
@@ -133,7 +138,9 @@
   const size_t count = candidates.size();
   const size_t first = state.random.next() % count;
   const size_t second = count > 1 ? (first + 1 + state.random.next() % (count - 1)) % count : first;
-  const auto load = [&](size_t drawn) { return expected_load(command, state.engines[candidates[drawn]]); };
+  const auto load = [&](size_t drawn) {
+    return expected_completion_time(command, state.engines[candidates[drawn]]);
+  };
   return load(first) <= load(second) ? candidates[first] : candidates[second];
 }
 
@@ -142,14 +149,14 @@
 std::optional<size_t> choose_engine(State& state, const Command& command, TimePoint now) {
   const Profile& profile = profile_of(state, command);
   const Request request{command, profile, now, is_short(state, command), profile.machine_types.empty()};
-  HalfReview half;
+  PartitionScan partition;
   for (const bool is_pool : {command.is_heavy, !command.is_heavy}) {
-    if (is_pool != command.is_heavy && !may_overflow(state, request, half)) break;
-    half = review_half(state, request, is_pool);
-    if (half.chosen) return half.chosen;
-    if (exceeds_joint_limit(state, request, half, is_pool)) {
-      for (const size_t place : state.selection.candidates)
-        state.engines[place].concurrency.is_limit_reached = true;
+    if (is_pool != command.is_heavy && !may_overflow(state, request, partition)) break;
+    partition = scan_partition(state, request, is_pool);
+    if (partition.chosen) return partition.chosen;
+    if (exceeds_joint_limit(state, request, partition, is_pool)) {
+      for (const size_t index : state.selection.candidates)
+        state.engines[index].concurrency.is_limit_reached = true;
       continue;
     }
     if (state.selection.candidates.empty()) continue;
@@ -171,31 +178,30 @@
   const Profile& profile = profile_of(state, command);
   const std::optional<int64_t>& table_group = command.request.table_group;
   if (!table_group || !(profile.waits_for_loads || profile.is_load)) return false;
-  for (const size_t slot : state.in_hand) {
+  for (const size_t slot : state.active_slots) {
     const Command& other = state.slots[slot];
-    if (&other != &command && has_attempt(other) && &state.engines[*other.attempt.engine] == &engine &&
+    if (&other != &command && has_attempt(other) && &state.engines[*other.attempt.engine_index] == &engine &&
         other.request.table_group == table_group && profile_of(state, other).is_load)
       return true;
   }
-  const std::vector<LockedTables>& locked = state.selection.locked_tables;
-  return std::any_of(locked.begin(), locked.end(), [&](const LockedTables& tables) {
-    return tables.engine == engine.id && tables.table_group == table_group;
+  const std::vector<TableLock>& locks = state.selection.table_locks;
+  return std::any_of(locks.begin(), locks.end(), [&](const TableLock& lock) {
+    return lock.engine == engine.id && lock.table_group == table_group;
   });
 }
 
-void note_locked_tables(State& state, const Command& command, EngineId engine, TimePoint now) {
-  state.selection.locked_tables.push_back({engine, command.request.table_group, now + kTablesLockedFor});
+void record_table_lock(State& state, const Command& command, EngineId engine, TimePoint now) {
+  state.selection.table_locks.push_back({engine, command.request.table_group, now + kTableLockLifetime});
 }
 
-void forget_unlocked_tables(State& state, TimePoint now) {
-  std::erase_if(state.selection.locked_tables,
-                [&](const LockedTables& tables) { return now >= tables.until; });
+void erase_expired_table_locks(State& state, TimePoint now) {
+  std::erase_if(state.selection.table_locks, [&](const TableLock& lock) { return now >= lock.until; });
 }
 
-void note_cached_tables(Engine& engine, const Command& command) {
+void record_cached_tables(Engine& engine, const Command& command) {
   auto& tables = engine.recent_table_groups;
-  const auto place = static_cast<size_t>(command.attempts + to_ms(command.admitted_at)) % tables.size();
-  tables[place] = command.request.table_group;
+  const auto index = static_cast<size_t>(command.attempts + to_ms(command.admitted_at)) % tables.size();
+  tables[index] = command.request.table_group;
 }
 
 }  // namespace firvalve
--- a/src/policy/engine_selection.h
+++ b/src/policy/engine_selection.h
@@ -1,8 +1,8 @@
-// Engine selection: which engine runs a command now.
+// Engine selection: chooses the engine that runs a command now.
 //
-// Of the engines that have room two are drawn at random, and the one with less predicted work in flight is
+// Two of the engines with capacity are drawn at random, and the one with less predicted work in flight is
 // taken ("power of two choices"). Heavy commands prefer the pool, all others the light engines; either may
-// overflow into the other half.
+// overflow into the other partition.
 #pragma once
 
 #include <cstdint>
@@ -19,32 +19,33 @@
 struct Profile;
 struct State;
 
-// A load writes a table group on an engine, as a blocked attempt reported.
-struct LockedTables {
+// A load writes a table group on an engine, as a blocked attempt has reported.
+struct TableLock {
   EngineId engine{};
   std::optional<int64_t> table_group;
   TimePoint until{};
 };
 
 struct EngineSelectionState {
-  std::vector<size_t> candidates;  // scratch: places of engines with room
-  std::vector<LockedTables> locked_tables;
+  std::vector<size_t> candidates;  // scratch: indices of engines with capacity
+  std::vector<TableLock> table_locks;
 };
 
-// The place in State::engines of the one to run it. None: no engine has room.
+// Returns the index in State::engines of the engine to run the command, or nullopt if no engine has capacity.
 std::optional<size_t> choose_engine(State& state, const Command& command, TimePoint now);
 
-// Whether the profile's commands may run on such an engine.
+// Whether the profile's zones and machine types allow the engine.
 bool is_allowed_on(const Profile& profile, const Engine& engine);
 
-// Whether a load blocks the tables of that command on that engine: one of this gateway's own, or as reported.
+// Whether a load blocks the command's tables on the engine: a load of this gateway, or one that a blocked
+// attempt has reported.
 bool is_blocked_by_load(const State& state, const Command& command, const Engine& engine);
 
-// A blocked attempt reports that a load writes its tables there.
-void note_locked_tables(State& state, const Command& command, EngineId engine, TimePoint now);
-void forget_unlocked_tables(State& state, TimePoint now);
+// Records that a load writes the command's tables on the engine, as a blocked attempt reports.
+void record_table_lock(State& state, const Command& command, EngineId engine, TimePoint now);
+void erase_expired_table_locks(State& state, TimePoint now);
 
-// An engine has read the command's tables, and has them cached.
-void note_cached_tables(Engine& engine, const Command& command);
+// Records that the engine has read the command's tables and caches them.
+void record_cached_tables(Engine& engine, const Command& command);
 
 }  // namespace firvalve
--- a/src/policy/formulas.h
+++ b/src/policy/formulas.h
@@ -1,4 +1,4 @@
-// The few formulas that several mechanisms share.
+// Formulas shared by several mechanisms: running mean, exponential decay and exponential backoff.
 #pragma once
 
 #include <algorithm>
@@ -8,23 +8,23 @@
 
 namespace firvalve {
 
-// Moves a running mean (exponentially weighted) towards a sample. A mean of zero has no sample yet.
+// Updates an exponentially weighted running mean with a sample. A mean of zero has no samples yet.
 template <class Value>
-void blend(Value& mean, Value sample, double weight) {
+void update_running_mean(Value& mean, Value sample, double weight) {
   mean = mean == Value{} ? sample : mean + weight * (sample - mean);
 }
 
-// What is left of a count that fades exponentially over a window, since it was last counted.
-inline double fading_factor(TimePoint& counted_at, TimePoint now, Duration window) {
-  const double factor = std::exp(-(now - counted_at) / window);
-  counted_at = now;
+// Returns the factor by which a count has decayed since `decayed_at`, which is set to `now`.
+inline double decay_factor(TimePoint& decayed_at, TimePoint now, Duration window) {
+  const double factor = std::exp(-(now - decayed_at) / window);
+  decayed_at = now;
   return factor;
 }
 
-// Exponential backoff: doubles with each call, up to a maximum of 8 s.
-inline Duration next_backoff(Duration first, int& in_a_row) {
-  constexpr Duration kBackoffMax = std::chrono::seconds(8);
-  return std::min(kBackoffMax, first * (1 << std::min(in_a_row++, 8)));
+// Returns the next exponential backoff: doubles with each consecutive failure, up to 8 s.
+inline Duration next_backoff(Duration first, int& consecutive_failures) {
+  constexpr Duration kMaxBackoff = std::chrono::seconds(8);
+  return std::min(kMaxBackoff, first * (1 << std::min(consecutive_failures++, 8)));
 }
 
 }  // namespace firvalve
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -1,3 +1,4 @@
+// Detects unresponsive, failing and slow engines, ejects them and probes for their recovery.
 #include "policy/outlier_detection.h"
 
 #include <algorithm>
@@ -10,27 +11,28 @@
 
 using namespace std::chrono_literals;
 
-// The first two are the design's.
-constexpr double kFailureShare = 0.2;     // of attempts that fail: the engine is ejected
-constexpr Duration kFailureWindow = 10s;  // over which they are counted (as a fading count)
-constexpr double kFailuresMin = 2.5;      // fading failures before the share is believed
-constexpr Duration kProbeInterval = 1s;   // until the first probe of an ejected engine
-constexpr int kGoodProbes = 4;        // in a row: past the luck of an engine that fails a third of its work
-constexpr Duration kSilence = 600ms;  // without a sign of life while an attempt is overdue: above long pauses
-constexpr double kOverdueRatio = 4;   // times the usual runtime before an attempt is overdue
-constexpr double kStatusPeriodsMissed = 1.6;  // without a report: one was surely missed
-constexpr double kSlowPeerRatio = 3;      // times the median slowdown: slower than its peers, not just busy
-constexpr Duration kRestartSilence = 3s;  // after which an engine may have started anew
+constexpr double kEjectionFailureShare = 0.2;   // of attempts: with as many failures an engine is ejected
+constexpr Duration kFailureWindow = 10s;        // over which attempts are counted (exponential decay)
+constexpr double kMinFailures = 2.5;            // decayed count of failures before the share is trusted
+constexpr Duration kInitialProbeInterval = 1s;  // until the first probe of an ejected engine
+// In a row: more than luck for an engine that fails a third of its work.
+constexpr int kReinstatementProbes = 4;
+// Without a response while an attempt runs; exceeds long pauses of an engine.
+constexpr Duration kSilenceTimeout = 600ms;
+constexpr double kOverdueRatio = 4;            // times the usual runtime before an attempt is overdue
+constexpr double kOverdueStatusPeriods = 1.6;  // status periods without a report: at least one was missed
+constexpr double kSlowPeerRatio = 3;  // times the median slowdown: slower than its peers, not just busy
+constexpr Duration kMinRestartSilence = 3s;  // after which an engine may have restarted
 
 bool is_failure(Outcome outcome) {
   return outcome == Outcome::kFailed || outcome == Outcome::kReset || outcome == Outcome::kConnectFailed;
 }
 
-void find_unresponsive(State& state, TimePoint now) {
-  for (const size_t slot : state.in_hand) {
+void mark_unresponsive_engines(State& state, TimePoint now) {
+  for (const size_t slot : state.active_slots) {
     const Command& command = state.slots[slot];
     if (!has_attempt(command)) continue;
-    Engine& engine = state.engines[*command.attempt.engine];
+    Engine& engine = state.engines[*command.attempt.engine_index];
     if (is_overdue(state, command, engine, now)) engine.outlier.is_unresponsive = true;
   }
 }
@@ -38,32 +40,32 @@
 void eject_or_reinstate(const State& state, TimePoint now, Engine& engine) {
   EngineOutlier& outlier = engine.outlier;
   const bool is_failing =
-      outlier.failures >= kFailuresMin && outlier.failures >= kFailureShare * outlier.attempts;
+      outlier.failures >= kMinFailures && outlier.failures >= kEjectionFailureShare * outlier.attempts;
   const bool is_slow = engine.concurrency.usual_slowdown > kSlowPeerRatio * state.concurrency.usual_slowdown;
   const bool is_outlier = outlier.is_unresponsive || is_failing || is_slow;
   if (is_outlier && !outlier.is_ejected) {
-    outlier.probes_in_a_row = 0;
-    outlier.next_probe_at = now + kProbeInterval;
+    outlier.probes_since_success = 0;
+    outlier.next_probe_at = now + kInitialProbeInterval;
   }
   outlier.is_ejected = is_outlier;
 }
 
 }  // namespace
 
-// Guards against ejection where no report is owed: what is blocked sends none, and after a stall of this
-// gateway itself the first reports are still to come.
+// Does not eject an engine that owes no report: a blocked attempt sends none, and right after a stall of this
+// gateway the first reports are still to arrive.
 bool is_overdue(const State& state, const Command& command, const Engine& engine, TimePoint now) {
   const Attempt& attempt = command.attempt;
-  TimePoint since = std::max(attempt.started_at, engine.outlier.last_sign_at);
+  TimePoint since = std::max(attempt.started_at, engine.outlier.last_response_at);
   if (state.resumed_at) since = std::max(since, *state.resumed_at);
-  if (attempt.is_waiting || now - since < kSilence) return false;
+  if (attempt.is_waiting || now - since < kSilenceTimeout) return false;
   const std::optional<Duration>& period = state.options.status_period;
-  if (period && now - std::max(since, attempt.reported_at) > kStatusPeriodsMissed * *period) return true;
+  if (period && now - std::max(since, attempt.reported_at) > kOverdueStatusPeriods * *period) return true;
   return now - since > kOverdueRatio * usual_runtime(state, command, engine);
 }
 
 void review_engines(State& state, TimePoint now) {
-  find_unresponsive(state, now);
+  mark_unresponsive_engines(state, now);
   update_slowdowns(state, now);
   for (Engine& engine : state.engines) {
     eject_or_reinstate(state, now, engine);
@@ -71,8 +73,8 @@
   }
 }
 
-void fade_counts(Engine& engine, TimePoint now) {
-  const double factor = fading_factor(engine.outlier.counted_at, now, kFailureWindow);
+void decay_counts(Engine& engine, TimePoint now) {
+  const double factor = decay_factor(engine.outlier.decayed_at, now, kFailureWindow);
   engine.outlier.attempts *= factor;
   engine.outlier.failures *= factor;
   engine.concurrency.samples *= factor;
@@ -83,20 +85,22 @@
   if (outcome == Outcome::kOk || is_failure(outcome) || outcome == Outcome::kTimedOut) outlier.attempts += 1;
   if (!is_failure(outcome)) return;
   outlier.failures += 1;
-  outlier.good_probes_in_a_row = 0;
+  outlier.consecutive_successful_probes = 0;
 }
 
-void note_success(State& state, Engine& engine, TimePoint now) {
+void record_success(State& state, Engine& engine, TimePoint now) {
   EngineOutlier& outlier = engine.outlier;
-  // Guards the slow start: an engine unresponsive for long may have started anew before the list says so.
-  if (outlier.is_unresponsive && now - outlier.last_sign_at > kRestartSilence)
+  // An engine that was unresponsive for long may have restarted before the endpoint list says so; it then
+  // needs a slow start.
+  if (outlier.is_unresponsive && now - outlier.last_response_at > kMinRestartSilence)
     start_slow_start(state, engine, now);
   outlier.is_unresponsive = false;
-  outlier.probes_in_a_row = 0;
+  outlier.probes_since_success = 0;
   if (!outlier.is_ejected) return;
-  // Guards against a long way back: fading counts alone keep an engine out as long again as it failed.
+  // Decaying counts alone would keep an engine ejected for as long again as it failed.
   outlier.next_probe_at = now;
-  if (++outlier.good_probes_in_a_row >= kGoodProbes) outlier.failures = outlier.good_probes_in_a_row = 0;
+  if (++outlier.consecutive_successful_probes >= kReinstatementProbes)
+    outlier.failures = outlier.consecutive_successful_probes = 0;
 }
 
 bool may_probe(const State& state, const Command& command, const Engine& engine, TimePoint now) {
@@ -105,7 +109,8 @@
 }
 
 void start_probe(Engine& engine, TimePoint now) {
-  engine.outlier.next_probe_at = now + next_backoff(kProbeInterval, engine.outlier.probes_in_a_row);
+  engine.outlier.next_probe_at =
+      now + next_backoff(kInitialProbeInterval, engine.outlier.probes_since_success);
 }
 
 }  // namespace firvalve
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -1,8 +1,9 @@
-// Outlier detection: one judgement per engine, from errors, silence and slowness.
+// Outlier detection: judges each engine by errors, silence and slowness.
 //
-// An engine is ejected when it owes a sign of life, when many of its attempts fail, or when it is much slower
-// than its peers. An ejected engine gets probes alone: single short replayable commands, at intervals that
-// double. It is reinstated once it answers, or after some good probes in a row where it had failed.
+// An engine is ejected when a response is overdue, when many of its attempts fail, or when it is much slower
+// than its peers. An ejected engine gets only probes: single short replayable commands, at intervals that
+// double. It is reinstated once it responds, or, where it had failed, after several successful probes in a
+// row.
 #pragma once
 
 #include "base/time.h"
@@ -15,32 +16,33 @@
 struct State;
 
 struct EngineOutlier {
-  double attempts = 0, failures = 0;  // fading counts
-  TimePoint counted_at{};             // when they, and the slowdown samples, were last faded
-  TimePoint last_sign_at{};           // of life
+  double attempts = 0, failures = 0;  // decaying counts
+  TimePoint decayed_at{};             // when the counts and the slowdown samples were last decayed
+  TimePoint last_response_at{};       // answer or status report, or when the engine joined
   bool is_ejected = false;
   bool is_unresponsive = false;
   bool was_logged_as_ejected = false;
   TimePoint next_probe_at{};
-  int probes_in_a_row = 0;       // without success
-  int good_probes_in_a_row = 0;  // while ejected
+  int probes_since_success = 0;           // probes started since the last success
+  int consecutive_successful_probes = 0;  // counted while ejected
 };
 
-// Whether an attempt has run so long that its engine owes a sign of life.
+// Whether an attempt has run so long without a response that its engine counts as unresponsive.
 bool is_overdue(const State& state, const Command& command, const Engine& engine, TimePoint now);
 
-// Judges all engines: who is unresponsive, how slow they are, who is ejected, and what their limits are.
+// Judges all engines: which are unresponsive, how slow they are, which are ejected, and what their limits
+// are.
 void review_engines(State& state, TimePoint now);
 
-// Fades the counts of an engine, and its slowdown samples.
-void fade_counts(Engine& engine, TimePoint now);
+// Decays an engine's outcome counts and its number of slowdown samples.
+void decay_counts(Engine& engine, TimePoint now);
 
-// Takes an outcome into the counts. A success is also a sign of life, and moves an ejected engine towards
-// reinstatement.
+// Adds an outcome to the counts. A success also shows that the engine responds, and brings an ejected engine
+// closer to reinstatement.
 void count_outcome(Engine& engine, Outcome outcome);
-void note_success(State& state, Engine& engine, TimePoint now);
+void record_success(State& state, Engine& engine, TimePoint now);
 
-// Whether this command may probe an ejected engine now; start_probe() then counts it.
+// Whether this command may probe an ejected engine now; start_probe() then schedules the next probe.
 bool may_probe(const State& state, const Command& command, const Engine& engine, TimePoint now);
 void start_probe(Engine& engine, TimePoint now);
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,3 +1,4 @@
+// The policy's entry points: creates the state, dispatches events and runs the decisions in order.
 #include "policy/policy.h"
 
 #include <algorithm>
@@ -14,35 +15,35 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kTick = 20ms;    // between decisions while commands are in hand: far under any target
-constexpr Duration kStall = 200ms;  // that a tick comes late: this gateway itself stood still
+constexpr Duration kTick = 20ms;  // between decisions while commands are active; far below any latency target
+constexpr Duration kMinStall = 200ms;  // a tick later than this means that the gateway itself stalled
 
 std::optional<Duration> positive_time(double ms) {
   return ms > 0 ? std::optional(duration_of(ms)) : std::nullopt;
 }
 
 PolicyOptions options_from(const Settings& settings) {
-  const auto flag = [&](const char* name) { return number(settings, name) > 0; };
-  const auto time = [&](const char* name) { return duration_of(number(settings, name)); };
+  const auto flag = [&](const char* name) { return number_setting(settings, name) > 0; };
+  const auto time = [&](const char* name) { return duration_of(number_setting(settings, name)); };
   PolicyOptions options;
-  options.gateways = std::max(1.0, number(settings, setting::kGatewayCount, 1));
-  options.gateway_number = number(settings, setting::kGatewayNumber);
-  options.max_attempts = std::max(1, static_cast<int>(number(settings, setting::kMaxAttempts, 1)));
+  options.gateway_count = std::max(1.0, number_setting(settings, setting::kGatewayCount, 1));
+  options.gateway_number = number_setting(settings, setting::kGatewayNumber);
+  options.max_attempts = std::max(1, static_cast<int>(number_setting(settings, setting::kMaxAttempts, 1)));
   options.may_cancel = flag(setting::kMayCancel);
   options.are_priorities_heeded = flag(setting::kHonoursPriorities);
   options.are_memory_grants_heeded = flag(setting::kHonoursMemoryGrants);
   if (flag(setting::kMayAdviseRetry))
-    options.retry_after = positive_time(number(settings, setting::kMaxRetryAfter));
-  options.status_period = positive_time(number(settings, setting::kStatusPeriod));
+    options.retry_after = positive_time(number_setting(settings, setting::kMaxRetryAfter));
+  options.status_period = positive_time(number_setting(settings, setting::kStatusPeriod));
   options.key_cooldown = time(setting::kKeyQuietTime);
   options.retry_budget.is_limited =
       settings.count(setting::kRetryShare) > 0 || settings.count(setting::kFreeRetries) > 0;
-  options.retry_budget.allowance = number(settings, setting::kFreeRetries);
-  options.retry_budget.share = number(settings, setting::kRetryShare);
+  options.retry_budget.allowance = number_setting(settings, setting::kFreeRetries);
+  options.retry_budget.share = number_setting(settings, setting::kRetryShare);
   options.retry_budget.window = time(setting::kRetryWindow);
   options.slow_start.warm_up = time(setting::kWarmUp);
-  options.slow_start.initial_share = number(settings, setting::kSlowStartShare, 1);
-  options.slow_start.overload_multiple = number(settings, setting::kOverloadFactor, 1);
+  options.slow_start.initial_share = number_setting(settings, setting::kSlowStartShare, 1);
+  options.slow_start.overload_multiple = number_setting(settings, setting::kOverloadFactor, 1);
   options.slow_start.overload_window = time(setting::kOverloadWindow);
   return options;
 }
@@ -51,7 +52,7 @@
   const auto profiles = static_cast<int>(state.profiles.size());
   if (!event.profile || *event.profile < 0 || *event.profile >= profiles)
     return state.unknown_profile_commands.push_back(event.id);
-  Command& command = add_command_in_hand(state);
+  Command& command = add_active_command(state);
   command.request = event;
   command.profile = static_cast<size_t>(*event.profile);
   command.admitted_at = command.queued_since = now;
@@ -63,8 +64,8 @@
   if (Command* const command = find_command(state, event.id)) command->is_ended = true;
 }
 
-// Guards against attempts for a client that has closed: what is in flight may end and be answered, nothing
-// follows.
+// A half-close may mean that the client has closed altogether. Attempts in flight may finish and be answered,
+// but no further attempt starts once a grace period has passed (retry.cpp).
 void handle_client_half_closed(State& state, TimePoint now, const ClientHalfClosed& event) {
   Command* const command = find_command(state, event.id);
   if (command) command->half_closed_at = event.is_half_closed ? std::optional(now) : std::nullopt;
@@ -78,7 +79,7 @@
   if (state.timer_at && now >= *state.timer_at) state.timer_at.reset();
 }
 
-// Calls the handler of each type of event.
+// Dispatches each event type to its handler.
 struct EventVisitor {
   State& state;
   TimePoint now;
@@ -95,19 +96,21 @@
   void operator()(const ResultReservation& event) const { handle_result_reservation(state, event); }
 };
 
-// Guards against leaving commands without an answer: no client's deadline outlasts this gateway.
+// Caps every client deadline at the gateway's shutdown time, so that every command is answered before the
+// process ends.
 void limit_deadlines(State& state) {
   if (!state.shutdown_at) return;
-  for (const size_t slot : state.in_hand) {
+  for (const size_t slot : state.active_slots) {
     TimePoint& deadline = state.slots[slot].request.deadline;
     deadline = std::min(deadline, *state.shutdown_at);
   }
 }
 
 void plan_next_tick(State& state, TimePoint now) {
-  const auto is_unended = [&](size_t slot) { return !state.slots[slot].is_ended; };
+  const auto is_active = [&](size_t slot) { return !state.slots[slot].is_ended; };
   state.next_tick_at.reset();
-  if (std::any_of(state.in_hand.begin(), state.in_hand.end(), is_unended)) state.next_tick_at = now + kTick;
+  if (std::any_of(state.active_slots.begin(), state.active_slots.end(), is_active))
+    state.next_tick_at = now + kTick;
 }
 
 }  // namespace
@@ -124,16 +127,16 @@
 }
 
 void handle(State& state, TimePoint now, const Event& event) {
-  // Guards against a stall of this gateway itself: what it finds then came at some time before, so neither
-  // times taken nor paces of that moment tell of the engines.
-  if (state.next_tick_at && now > *state.next_tick_at + kStall) state.resumed_at = now;
+  // Detects a stall of this gateway. What is handled right after it arrived earlier than `now`, so times and
+  // progress rates measured at this moment say nothing about the engines.
+  if (state.next_tick_at && now > *state.next_tick_at + kMinStall) state.resumed_at = now;
   if (!state.first_event_at) state.first_event_at = now;
   std::visit(EventVisitor{state, now}, event);
 }
 
 void decide(State& state, TimePoint now, Actions& actions) {
-  forget_unlocked_tables(state, now);
-  forget_key_cooldowns(state, now);
+  erase_expired_table_locks(state, now);
+  erase_expired_key_cooldowns(state, now);
   limit_deadlines(state);
   review_engines(state, now);
   update_pool(state);
--- a/src/policy/profile.cpp
+++ b/src/policy/profile.cpp
@@ -1,3 +1,4 @@
+// Reads profiles from the settings.
 #include "policy/profile.h"
 
 #include <algorithm>
@@ -35,19 +36,19 @@
 Profile profile_from(const Settings& settings, int profile_number) {
   const std::string prefix = prefix_of(profile_number);
   Profile profile;
-  profile.benefit = number(settings, prefix + keys::kBenefit, 1);
-  profile.late_share = number(settings, prefix + keys::kLateShare);
-  profile.latency_target = duration_of(number(settings, prefix + keys::kLatencyTarget));
-  profile.target_slowdown = number(settings, prefix + keys::kTargetStretch);
-  profile.effect = effect_named(text(settings, prefix + keys::kEffect));
-  profile.deduplication_scope = scope_named(text(settings, prefix + keys::kDedupScope));
-  profile.deduplication_window = duration_of(number(settings, prefix + keys::kRepeatWindow));
-  profile.is_ordered = number(settings, prefix + keys::kInOrder) > 0;
-  profile.is_load = number(settings, prefix + keys::kIsLoad) > 0;
-  profile.waits_for_loads = number(settings, prefix + keys::kWaits) > 0;
-  profile.threads = std::max(1, static_cast<int>(number(settings, prefix + keys::kThreads, 1)));
-  profile.zones = texts(settings, prefix + keys::kZones);
-  profile.machine_types = texts(settings, prefix + keys::kMachines);
+  profile.benefit = number_setting(settings, prefix + keys::kBenefit, 1);
+  profile.late_share = number_setting(settings, prefix + keys::kLateShare);
+  profile.latency_target = duration_of(number_setting(settings, prefix + keys::kLatencyTarget));
+  profile.target_slowdown = number_setting(settings, prefix + keys::kTargetStretch);
+  profile.effect = effect_named(text_setting(settings, prefix + keys::kEffect));
+  profile.deduplication_scope = scope_named(text_setting(settings, prefix + keys::kDedupScope));
+  profile.deduplication_window = duration_of(number_setting(settings, prefix + keys::kRepeatWindow));
+  profile.is_ordered = number_setting(settings, prefix + keys::kInOrder) > 0;
+  profile.is_load = number_setting(settings, prefix + keys::kIsLoad) > 0;
+  profile.waits_for_loads = number_setting(settings, prefix + keys::kWaits) > 0;
+  profile.threads = std::max(1, static_cast<int>(number_setting(settings, prefix + keys::kThreads, 1)));
+  profile.zones = text_list_setting(settings, prefix + keys::kZones);
+  profile.machine_types = text_list_setting(settings, prefix + keys::kMachines);
   return profile;
 }
 
--- a/src/policy/reconciliation.cpp
+++ b/src/policy/reconciliation.cpp
@@ -1,3 +1,4 @@
+// Compares the desired and the current state of each command and engine, and appends the actions to perform.
 #include "policy/reconciliation.h"
 
 #include <algorithm>
@@ -36,11 +37,11 @@
 void start_attempt(const State& state, TimePoint now, Command& command, Actions& actions) {
   append_hints(state, command, actions);
   append(actions, Action::Kind::kStartAttempt, command.request.id).engine =
-      state.engines[*command.desired_engine].id;
+      state.engines[*command.desired_engine_index].id;
   command.attempts += 1;
   command.attempt = Attempt{};
   command.attempt.state = AttemptState::kInFlight;
-  command.attempt.engine = command.desired_engine;
+  command.attempt.engine_index = command.desired_engine_index;
   command.attempt.started_at = command.attempt.reported_at = now;
 }
 
@@ -63,7 +64,7 @@
 void reconcile(const State& state, TimePoint now, Command& command, Actions& actions) {
   const bool is_in_flight = command.attempt.state == AttemptState::kInFlight;
   if (command.is_ended) {
-    // Its client left while it ran: the work serves nobody any more.
+    // The client left while the attempt ran, so its result is no longer needed.
     if (is_in_flight && state.options.may_cancel) cancel_attempt(command, Reason::kClientGone, actions);
     return;
   }
@@ -84,7 +85,7 @@
 
 // A slot is free once its command has ended and no attempt of it is in flight.
 void free_slots_of_ended(State& state) {
-  std::erase_if(state.in_hand, [&](size_t slot) {
+  std::erase_if(state.active_slots, [&](size_t slot) {
     if (!state.slots[slot].is_ended || has_attempt(state.slots[slot])) return false;
     state.free_slots.push_back(slot);
     return true;
@@ -112,7 +113,7 @@
 
 void append_actions(State& state, TimePoint now, Actions& actions) {
   fail_unknown_profiles(state, actions);
-  for (const size_t slot : state.in_hand) reconcile(state, now, state.slots[slot], actions);
+  for (const size_t slot : state.active_slots) reconcile(state, now, state.slots[slot], actions);
   free_slots_of_ended(state);
   for (Engine& engine : state.engines) log_engine_health(engine, actions);
   set_timer(state, now, actions);
--- a/src/policy/reconciliation.h
+++ b/src/policy/reconciliation.h
@@ -1,5 +1,5 @@
-// Reconciliation: turns the difference between desired and present state into actions. Nothing is decided
-// here.
+// Reconciliation: turns the difference between the desired and the current state into actions. Makes no
+// decisions.
 #pragma once
 
 #include "base/time.h"
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -1,3 +1,4 @@
+// Rules for further attempts: effect, deduplication scope and window, number of attempts and retry budget.
 #include "policy/retry.h"
 
 #include <algorithm>
@@ -11,17 +12,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kWindowSlack = 200ms;    // off the deduplication window, for the way to the engine
-constexpr double kReturnShare = 0.5;        // of that window is left to a client that may send it again
-constexpr Duration kHalfCloseGrace = 50ms;  // after a half-close: at 100 a closed client counts as gone
+constexpr Duration kDeduplicationMargin = 200ms;  // of the window, for the way to the engine
+constexpr double kResubmitWindowShare = 0.5;      // of the window, left to a client to send the command again
+constexpr Duration kHalfCloseGrace = 50ms;  // after a half-close; at 100 ms a closed client counts as gone
 
 bool has_client_left(const Command& command, TimePoint now) {
   return command.half_closed_at && now > *command.half_closed_at + kHalfCloseGrace;
 }
 
-// Whether a retry on that engine is deduplicated there: it is in the scope of the one where it may have run.
+// Whether the engine would deduplicate a retry: it shares the deduplication scope of the engine where the
+// command may have run.
 bool is_in_scope(const State& state, const Command& command, const Engine& engine) {
-  const Engine& first = state.engines[command.possible_run->engine];
+  const Engine& first = state.engines[command.possible_run->engine_index];
   switch (profile_of(state, command).deduplication_scope) {
     case DeduplicationScope::kAllEngines:
       return true;
@@ -33,7 +35,7 @@
   return false;
 }
 
-// Whether the rules let it run there now.
+// Whether the command may run on the engine now: engine state, placement, client and effect allow it.
 bool may_run_on(const State& state, const Command& command, const Engine& engine, TimePoint now) {
   const Profile& profile = profile_of(state, command);
   if (engine.state != EngineState::kReady || !is_allowed_on(profile, engine) || has_client_left(command, now))
@@ -50,14 +52,14 @@
   const RetryBudgetOptions& options = state.options.retry_budget;
   RetryBudget& budget = state.retry_budget;
   if (!options.is_limited) return true;
-  budget.admitted.forget_before(now - options.window);
-  budget.retries.forget_before(now - options.window);
+  budget.admitted.erase_before(now - options.window);
+  budget.retries.erase_before(now - options.window);
   return static_cast<double>(budget.retries.size()) + 1 <=
          options.allowance + options.share * static_cast<double>(budget.admitted.size());
 }
 
 bool is_in_deduplication_window(const Profile& profile, TimePoint since, TimePoint now) {
-  return now + kWindowSlack < since + profile.deduplication_window;
+  return now + kDeduplicationMargin < since + profile.deduplication_window;
 }
 
 Reason retry_refusal(const State& state, const Command& command, TimePoint now) {
@@ -78,30 +80,30 @@
 bool may_start_attempt(const State& state, const CommandId& id, TimePoint now) {
   const Command* const command = find_command(state, id);
   return command && command->attempt.state == AttemptState::kInFlight && !command->is_ended &&
-         may_run_on(state, *command, state.engines[*command->attempt.engine], now);
+         may_run_on(state, *command, state.engines[*command->attempt.engine_index], now);
 }
 
-// Guards against advising a client that it may send a command again once the engines no longer recognize it:
-// it would run twice. It may cost a deduplicated command late in its window the repeat that would still have
-// been dropped.
+// A client must not be advised to send a command again if the engines may no longer recognize the duplicate:
+// the command would run twice. This may deny a deduplicated command late in its window a retry that would
+// still have been deduplicated.
 bool is_safe_to_shed(const State& state, const Command& command, TimePoint now) {
   const Profile& profile = profile_of(state, command);
   if (profile.effect == Effect::kReplayable || (!command.possible_run && !has_attempt(command))) return true;
   if (profile.effect != Effect::kDeduplicated ||
       profile.deduplication_scope != DeduplicationScope::kAllEngines)
     return false;
-  const TimePoint sent_again_at = now + std::max(state.options.retry_after.value_or(Duration{}),
-                                                 kReturnShare * profile.deduplication_window);
+  const TimePoint resubmitted_at = now + std::max(state.options.retry_after.value_or(Duration{}),
+                                                  kResubmitWindowShare * profile.deduplication_window);
   const TimePoint since =
       command.possible_run ? command.possible_run->started_at : command.attempt.started_at;
-  return is_in_deduplication_window(profile, since, sent_again_at);
+  return is_in_deduplication_window(profile, since, resubmitted_at);
 }
 
-void note_possible_run(Command& command, Outcome outcome) {
+void record_possible_run(Command& command, Outcome outcome) {
   const bool never_ran = outcome == Outcome::kQueueFull || outcome == Outcome::kConnectFailed ||
                          outcome == Outcome::kCancelledBeforeStart;
   if (!never_ran && !command.possible_run)
-    command.possible_run = PossibleRun{*command.attempt.engine, command.attempt.started_at};
+    command.possible_run = PossibleRun{*command.attempt.engine_index, command.attempt.started_at};
 }
 
 }  // namespace firvalve
--- a/src/policy/scheduling_hints.cpp
+++ b/src/policy/scheduling_hints.cpp
@@ -1,3 +1,4 @@
+// Derives the hints of a command and learns the memory factor of its profile.
 #include "policy/scheduling_hints.h"
 
 #include "policy/state.h"
@@ -5,10 +6,11 @@
 namespace firvalve {
 namespace {
 
-constexpr int kPriorityShort = 3;       // short commands first where cores or disks are short
-constexpr int kPriorityOther = 1;       // the default: the rest are held back in the queue, not on the engine
+constexpr int kPriorityShort = 3;  // short commands go first where cores or disks are scarce
+// The default: other commands are held back in the queue, not on the engine.
+constexpr int kPriorityOther = 1;
 constexpr double kCoveredShare = 0.95;  // of commands get all the memory they need
-constexpr double kMemoryStep = 0.05;    // towards it: settles within some hundred outcomes
+constexpr double kMemoryStep = 0.05;  // per outcome towards that share: settles within some hundred outcomes
 
 }  // namespace
 
--- a/src/policy/scheduling_hints.h
+++ b/src/policy/scheduling_hints.h
@@ -1,9 +1,8 @@
-// Scheduling hints: the priority and the memory grant that an engine gets with an attempt, where it heeds
-// them.
+// Scheduling hints: the priority and the memory grant sent with an attempt to engines that honour them.
 //
-// Short commands go first where cores or disks are short. The memory grant is the client's estimate times a
-// factor that is learned per profile, as a high quantile of what commands needed: what falls short spills to
-// disk, and that costs far more than memory lying idle.
+// Short commands go first where cores or disks are scarce. The memory grant is the client's estimate times a
+// factor that is learned per profile, as a high quantile of what commands needed: a command with too small a
+// grant spills to disk, which costs far more than idle memory.
 #pragma once
 
 #include <optional>
@@ -16,15 +15,15 @@
 struct State;
 
 struct SchedulingHints {
-  std::optional<int> priority;  // larger goes first; none: not yet set
-  double memory_grant_mb = 0;   // 0: the engine's own choice
+  std::optional<int> priority;  // larger goes first; empty until set
+  double memory_grant_mb = 0;   // 0: the engine decides
 };
 
-constexpr double kInitialMemoryFactor = 1.4;  // times the estimate, until outcomes tell better
+constexpr double kInitialMemoryFactor = 1.4;  // times the estimate, until learned from outcomes
 
 SchedulingHints scheduling_hints_for(const State& state, const Command& command);
 
-// Learns the memory factor from an attempt that ended well.
+// Learns the memory factor from a successful attempt.
 void learn_memory(Profile& profile, const Command& command, const AttemptFinished& event);
 
 }  // namespace firvalve
--- a/src/policy/sliding_window.cpp
+++ b/src/policy/sliding_window.cpp
@@ -1,3 +1,4 @@
+// Ring buffer of event times.
 #include "policy/sliding_window.h"
 
 #include <algorithm>
@@ -13,7 +14,7 @@
   ring_[(first_ + count_++) % ring_.size()] = time;
 }
 
-void SlidingWindow::forget_before(TimePoint time) {
+void SlidingWindow::erase_before(TimePoint time) {
   while (count_ > 0 && ring_[first_] < time) {
     first_ = (first_ + 1) % ring_.size();
     --count_;
--- a/src/policy/sliding_window.h
+++ b/src/policy/sliding_window.h
@@ -1,4 +1,4 @@
-// Counts events within a window of time: a queue of their times in a ring buffer that grows as needed.
+// Counts events in a sliding time window. The event times are queued in a ring buffer that grows as needed.
 #pragma once
 
 #include <cstddef>
@@ -10,8 +10,8 @@
 
 class SlidingWindow {
  public:
-  void add(TimePoint time);  // times come in ascending order
-  void forget_before(TimePoint time);
+  void add(TimePoint time);  // times must be in ascending order
+  void erase_before(TimePoint time);
   size_t size() const { return count_; }
 
  private:
--- a/src/policy/state.h
+++ b/src/policy/state.h
@@ -1,4 +1,5 @@
-// The state of the policy for one gateway, and the containers in it. Nothing is decided here.
+// The policy's state for one gateway, and helpers that find, add and erase engines and commands. Makes no
+// decisions.
 #pragma once
 
 #include <cstdint>
@@ -22,16 +23,16 @@
 
 namespace firvalve {
 
-// Read from the settings once, since every command needs them.
+// Options read from the settings once, because every command needs them.
 struct PolicyOptions {
-  double gateways = 1;        // that share the engines
-  double gateway_number = 0;  // of this one, from 0
-  int max_attempts = 0;       // of one command
-  bool may_cancel = false;    // attempts in flight
+  double gateway_count = 1;   // number of gateways that share the engines
+  double gateway_number = 0;  // number of this gateway, from 0
+  int max_attempts = 0;       // per command
+  bool may_cancel = false;    // whether attempts in flight may be cancelled
   bool are_priorities_heeded = false, are_memory_grants_heeded = false;
   std::optional<Duration> retry_after;    // advised to clients whose command is shed
-  std::optional<Duration> status_period;  // engines report on each attempt this often
-  Duration key_cooldown{};                // an ordering key rests so long after an attempt that may still run
+  std::optional<Duration> status_period;  // interval between an engine's status reports on an attempt
+  Duration key_cooldown{};  // how long an ordering key stays blocked after an attempt that may still run
   RetryBudgetOptions retry_budget;
   SlowStartOptions slow_start;
 };
@@ -41,26 +42,26 @@
   PolicyOptions options;
   Pcg32 random;
   std::vector<Profile> profiles;
-  std::vector<Engine> engines;                    // by id; places move only when a new id is listed
-  std::vector<std::string> machine_types, zones;  // every name listed so far
-  // Commands in hand. Their slots are reused, so that a command in hand costs no allocation.
+  std::vector<Engine> engines;  // sorted by id; indices change only when an engine is inserted or erased
+  std::vector<std::string> machine_types, zones;  // every name seen in the endpoint list
+  // Active commands. Slots are reused, so that an active command needs no allocation.
   std::vector<Command> slots;
   std::vector<size_t> free_slots;
-  std::vector<size_t> in_hand;                      // slots in the order of admission
-  std::vector<CommandId> unknown_profile_commands;  // fail at once
-  // Of each mechanism:
+  std::vector<size_t> active_slots;                 // indices into `slots`, in order of admission
+  std::vector<CommandId> unknown_profile_commands;  // failed by the next decide()
+  // State of each mechanism:
   CostPredictionState cost_prediction;
   AdmissionQueueState queue;
   EnginePoolState pool;
   EngineSelectionState selection;
   ConcurrencyState concurrency;
   RetryBudget retry_budget;
-  // Of this gateway:
-  std::optional<TimePoint> timer_at;        // the timer that is set
-  std::optional<TimePoint> next_tick_at;    // decisions are due then, as commands are in hand
-  std::optional<TimePoint> resumed_at;      // the last stall of this gateway was noticed then
-  std::optional<TimePoint> shutdown_at;     // this gateway ends then
-  std::optional<TimePoint> first_event_at;  // this gateway started then
+  // State of the gateway itself:
+  std::optional<TimePoint> timer_at;        // when the pending timer expires
+  std::optional<TimePoint> next_tick_at;    // next periodic decision; set while commands are active
+  std::optional<TimePoint> resumed_at;      // when the last stall of this gateway was detected
+  std::optional<TimePoint> shutdown_at;     // when this gateway shuts down
+  std::optional<TimePoint> first_event_at;  // when this gateway started
 };
 
 inline Profile& profile_of(State& state, const Command& command) { return state.profiles[command.profile]; }
@@ -68,23 +69,23 @@
   return state.profiles[command.profile];
 }
 
-// A short command runs on one thread, and is not heavy.
+// Whether a command is short: it runs on one thread and is not heavy.
 bool is_short(const State& state, const Command& command);
 
-// The place of a name; a new one is added.
-size_t index_of(std::vector<std::string>& names, const std::string& name);
+// Returns the index of a name, which is appended if it is new.
+size_t find_or_add_index(std::vector<std::string>& names, const std::string& name);
 
-// The engine of that id; a new one takes its place by id.
+// Returns the engine with this id, which is inserted in id order if it is new.
 Engine& find_or_add_engine(State& state, EngineId id);
 
-// Erases removed engines that no command in hand refers to, once the removed are more than the others.
-void forget_removed_engines(State& state);
+// Erases removed engines that no active command refers to, once they outnumber the other engines.
+void erase_removed_engines(State& state);
 
-// Null: not in hand.
+// Returns null if the command is not active.
 Command* find_command(State& state, const CommandId& id);
 const Command* find_command(const State& state, const CommandId& id);
 
-// A new command, the last of those in hand.
-Command& add_command_in_hand(State& state);
+// Appends a new active command.
+Command& add_active_command(State& state);
 
 }  // namespace firvalve
--- a/tests/core/settings_test.cpp
+++ b/tests/core/settings_test.cpp
@@ -16,9 +16,9 @@
 
 TEST(Settings, TimesComeInNanosecondsFlagsAsNumbers) {
   const Settings settings = parsed(R"({"tick":5000000,"ceilings":{"cancel":true,"try_limit":3}})");
-  EXPECT_EQ(number(settings, setting::kTick), 5);
-  EXPECT_EQ(number(settings, setting::kMayCancel), 1);
-  EXPECT_EQ(number(settings, setting::kMaxAttempts), 3);
+  EXPECT_EQ(number_setting(settings, setting::kTick), 5);
+  EXPECT_EQ(number_setting(settings, setting::kMayCancel), 1);
+  EXPECT_EQ(number_setting(settings, setting::kMaxAttempts), 3);
 }
 
 TEST(Settings, UnknownAbsentAndMistypedMembersArePassedOver) {
@@ -31,11 +31,11 @@
       parsed(R"({"profiles":[{"name":"a","semantics":"idempotent","azs_allowed":["x","y"]},
     {"name":"b","semantics":"once"}],"specifics":{"class_threads":[1,8],"holds_tables":[false,true]}})");
   EXPECT_EQ(names_of(settings, setting::kProfiles), (std::vector<std::string>{"a", "b"}));
-  EXPECT_EQ(text(settings, "profile.0.effect"), "replayable");
-  EXPECT_EQ(text(settings, "profile.1.effect"), "non-replayable");
-  EXPECT_EQ(texts(settings, "profile.0.zone"), (std::vector<std::string>{"x", "y"}));
-  EXPECT_EQ(number(settings, "profile.1.threads"), 8);
-  EXPECT_EQ(number(settings, "profile.1.load"), 1);
+  EXPECT_EQ(text_setting(settings, "profile.0.effect"), "replayable");
+  EXPECT_EQ(text_setting(settings, "profile.1.effect"), "non-replayable");
+  EXPECT_EQ(text_list_setting(settings, "profile.0.zone"), (std::vector<std::string>{"x", "y"}));
+  EXPECT_EQ(number_setting(settings, "profile.1.threads"), 8);
+  EXPECT_EQ(number_setting(settings, "profile.1.load"), 1);
 }
 
 TEST(Settings, TheLongestClientTimeoutIsThatOfAnyProfile) {
--- a/tests/policy/admission_queue_test.cpp
+++ b/tests/policy/admission_queue_test.cpp
@@ -1,3 +1,4 @@
+// Checks the order of the admission queue and which commands it sheds, holds back or starts.
 #include "policy/admission_queue.h"
 
 #include "policy/helpers.h"
@@ -5,14 +6,14 @@
 namespace firvalve {
 namespace {
 
-TEST(AdmissionQueue, QueuedCommandEndsBeforeItsDeadline) {
+TEST(AdmissionQueue, ShedsQueuedCommandBeforeItsDeadline) {
   State state = state_with(0, {make_profile(Effect::kReplayable)});
   Command& command = add_command(state);
   review_queue(state, at(9900));
   EXPECT_EQ(command.desired, DesiredState::kShed);
 }
 
-TEST(AdmissionQueue, CommandThatCannotEndInTimeAtTheUsualSlowdownIsShedAtOnce) {
+TEST(AdmissionQueue, ShedsCommandThatWouldMissItsDeadlineAtTheUsualSlowdown) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   state.concurrency.usual_slowdown = 3;
   Command& command = add_command(state);
@@ -22,7 +23,7 @@
   EXPECT_EQ(command.desired, DesiredState::kShed);
 }
 
-TEST(AdmissionQueue, OneAtATimePerOrderingKeyInTheOrderOfAdmission) {
+TEST(AdmissionQueue, RunsCommandsOfAnOrderingKeyOneAtATimeInAdmissionOrder) {
   Profile profile = make_profile(Effect::kDeduplicated);
   profile.is_ordered = true;
   State state = state_with(1, {profile});
@@ -32,14 +33,14 @@
   first.request.ordering_key = second.request.ordering_key = 0;
   other.request.ordering_key = 7;
   first.is_ended = true;
-  first.attempt.state = AttemptState::kInFlight;  // ended, but its attempt has not finished
-  EXPECT_FALSE(has_turn(state, second, at(10)));
-  EXPECT_TRUE(has_turn(state, other, at(10)));
-  state.in_hand.erase(state.in_hand.begin());
-  EXPECT_TRUE(has_turn(state, second, at(10)));
+  first.attempt.state = AttemptState::kInFlight;  // answered, but its attempt has not finished
+  EXPECT_FALSE(is_next_for_ordering_key(state, second, at(10)));
+  EXPECT_TRUE(is_next_for_ordering_key(state, other, at(10)));
+  state.active_slots.erase(state.active_slots.begin());
+  EXPECT_TRUE(is_next_for_ordering_key(state, second, at(10)));
 }
 
-TEST(AdmissionQueue, OrderingKeyCoolsDownAfterAnAttemptThatMayStillRun) {
+TEST(AdmissionQueue, BlocksOrderingKeyAfterAnAttemptThatMayStillRun) {
   Profile profile = make_profile(Effect::kDeduplicated);
   profile.is_ordered = true;
   State state = state_with(1, {profile});
@@ -50,12 +51,12 @@
   handle(state, at(100), attempt_finished(first, Outcome::kReset));
   Command next = first;
   next.attempts = 0;
-  state.in_hand.clear();
-  EXPECT_FALSE(has_turn(state, next, at(399)));
-  EXPECT_TRUE(has_turn(state, next, at(400)));
+  state.active_slots.clear();
+  EXPECT_FALSE(is_next_for_ordering_key(state, next, at(399)));
+  EXPECT_TRUE(is_next_for_ordering_key(state, next, at(400)));
 }
 
-TEST(AdmissionQueue, OverloadedPoolHoldsHeavyThenSheds) {
+TEST(AdmissionQueue, OverloadedPoolQueuesThenShedsHeavyCommands) {
   State state = state_with(2, {make_profile(Effect::kReplayable)});
   state.pool.heavy_attempts = 20;
   state.pool.heavy_rejections = 5;
@@ -69,7 +70,7 @@
   EXPECT_EQ(heavy.desired, DesiredState::kShed);
 }
 
-TEST(AdmissionQueue, WhatMayRunAnywhereLeavesRoomToWhatIsBound) {
+TEST(AdmissionQueue, UnrestrictedCommandLeavesReservedEngineToRestrictedCommand) {
   State state = state_with(2, {make_profile(Effect::kReplayable, 4), make_profile(Effect::kReplayable, 2)});
   state.profiles[0].machine_types = {"big"};
   state.machine_types = {"", "big"};
@@ -81,13 +82,13 @@
     engine.in_flight.threads = engine.in_flight.attempts = 2;
   }
   state.engines[0].in_flight.threads = 4;  // full
-  Command& bound = add_command(state);
-  add_command(state, 1).predicted_work = span(1000);  // worth less for its work
+  Command& restricted = add_command(state);
+  add_command(state, 1).predicted_work = span(1000);  // less benefit per work, so reviewed later
   review_queue(state, at(0));
   EXPECT_EQ(state.slots[1].desired, DesiredState::kQueued);
   state.engines[1].in_flight.threads = 0;
   review_queue(state, at(0));
-  EXPECT_EQ(bound.desired_engine, 1u);
+  EXPECT_EQ(restricted.desired_engine_index, 1u);
 }
 
 }  // namespace
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -1,3 +1,4 @@
+// Checks how limits follow congestion, how rejections back off, and that limits hold on average.
 #include "policy/concurrency_limit.h"
 
 #include "policy/helpers.h"
@@ -5,7 +6,7 @@
 namespace firvalve {
 namespace {
 
-TEST(ConcurrencyLimit, CutWhenCongestedAndRaisedWhenItBinds) {
+TEST(ConcurrencyLimit, DecreasesWhenCongestedAndIncreasesWhenReached) {
   State state = state_with(2, {make_profile(Effect::kReplayable)});
   state.engines[0].concurrency.slowdown = 2.5;
   state.engines[0].concurrency.samples = state.engines[1].concurrency.samples = 1e6;
@@ -15,7 +16,7 @@
   EXPECT_GT(state.engines[1].concurrency.limit, 16);
 }
 
-TEST(ConcurrencyLimit, ReportsOfASlowPaceShowCongestionBeforeAnyOutcome) {
+TEST(ConcurrencyLimit, SlowProgressReportsLowerTheLimitBeforeAnyOutcome) {
   State state = state_with(1, {make_profile(Effect::kNonReplayable)});
   Command& command = add_command(state);
   start_attempt(state, command, 0, at(0));
@@ -26,7 +27,7 @@
   EXPECT_LT(state.engines[0].concurrency.limit, 16);
 }
 
-TEST(ConcurrencyLimit, EngineWithAFullQueueIsLeftAloneForAMoment) {
+TEST(ConcurrencyLimit, BacksOffFromAnEngineWithAFullQueue) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   Command& command = add_command(state);
   start_attempt(state, command, 0, at(0));
@@ -35,29 +36,30 @@
   EXPECT_EQ(choose_engine(state, command, at(1000)), 0u);
 }
 
-TEST(ConcurrencyLimit, BackoffGrowsWithEachRejectionInARow) {
-  for (const Outcome closed : {Outcome::kQueueFull, Outcome::kConnectFailed}) {
+TEST(ConcurrencyLimit, BackoffGrowsWithConsecutiveRejections) {
+  for (const Outcome rejection : {Outcome::kQueueFull, Outcome::kConnectFailed}) {
     State state = state_with(1, {make_profile(Effect::kReplayable)});
     Command& command = add_command(state);
-    Ms now = 0, rest = 0;
+    Ms now = 0, backoff = 0;
     for (int i = 0; i < 3; ++i) {
       start_attempt(state, command, 0, at(now));
-      handle(state, at(now), attempt_finished(command, closed));
-      EXPECT_EQ(choose_engine(state, command, at(now + 1.5 * rest)), std::nullopt) << i;
-      rest = to_ms(state.engines[0].backoff.until) - now;
+      handle(state, at(now), attempt_finished(command, rejection));
+      EXPECT_EQ(choose_engine(state, command, at(now + 1.5 * backoff)), std::nullopt) << i;
+      backoff = to_ms(state.engines[0].backoff.until) - now;
       now = to_ms(state.engines[0].backoff.until);
       EXPECT_EQ(choose_engine(state, command, at(now)), 0u) << i;
     }
     start_attempt(state, command, 0, at(now));
-    handle(state, at(now), attempt_finished(command, Outcome::kFailed));  // it has started there
-    EXPECT_EQ(state.engines[0].backoff.rejections_in_a_row, 0);
+    // The attempt started, so the engine accepts work.
+    handle(state, at(now), attempt_finished(command, Outcome::kFailed));
+    EXPECT_EQ(state.engines[0].backoff.consecutive_rejections, 0);
   }
 }
 
-TEST(ConcurrencyLimit, CongestionShowsWhereAnswersReportNoCost) {
+TEST(ConcurrencyLimit, DetectsCongestionWithoutReportedCosts) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   state.profiles[0].costs.baseline = 1;
-  state.profiles[0].costs.correction = 3;  // learned from latencies under congestion
+  state.profiles[0].costs.correction = 3;  // learned from latencies measured under congestion
   Admitted admitted;
   admitted.id = id_of(1);
   admitted.profile = 0;
@@ -69,7 +71,7 @@
   EXPECT_GT(state.engines[0].concurrency.slowdown, 1);
 }
 
-TEST(ConcurrencyLimit, TimesTakenAcrossAStallOfTheGatewayTeachNothing) {
+TEST(ConcurrencyLimit, IgnoresTimesMeasuredAcrossAGatewayStall) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   Command& command = add_command(state);
   start_attempt(state, command, 0, at(0));
@@ -81,9 +83,9 @@
   EXPECT_EQ(state.profiles[0].costs.correction, 0);
 }
 
-TEST(ConcurrencyLimit, StepsUpAreAlikeSoThatSharesEvenOut) {
+TEST(ConcurrencyLimit, IncreasesAreEqualForAllEngines) {
   State state = state_with(2, {make_profile(Effect::kReplayable)});
-  state.options.gateways = 100;
+  state.options.gateway_count = 100;
   state.engines[0].concurrency.limit = 0.1;
   state.engines[1].concurrency.limit = 4;
   for (Engine& engine : state.engines) engine.concurrency.is_limit_reached = true;
@@ -92,18 +94,17 @@
   EXPECT_GT(state.engines[1].concurrency.limit, 4);
 }
 
-TEST(ConcurrencyLimit, OneSlowAttemptIsRememberedWhereLittleElseIsKnown) {
+TEST(ConcurrencyLimit, SingleSlowAttemptCountsOnAnEngineWithFewSamples) {
   State state = state_with(2, {make_profile(Effect::kReplayable, 4)});
   Command& command = add_command(state);
   start_attempt(state, command, 0, at(0));
-  handle(state, at(3200),
-         AttemptStatus{command.request.id, 0, AttemptStatusKind::kProgress,
-                       0.8});  // far off its predicted runtime
+  // Far slower than predicted.
+  handle(state, at(3200), AttemptStatus{command.request.id, 0, AttemptStatusKind::kProgress, 0.8});
   review_engines(state, at(3200));
   EXPECT_GT(state.engines[0].concurrency.congestion, state.engines[1].concurrency.congestion + 0.3);
 }
 
-TEST(ConcurrencyLimit, SmallSharesOfManyEnginesHoldTogether) {
+TEST(ConcurrencyLimit, SmallLimitsOfManyEnginesApplyJointly) {
   State state = state_with(4, {make_profile(Effect::kReplayable)});
   for (Engine& engine : state.engines) engine.concurrency.limit = 0.2;
   start_attempt(state, add_command(state), 0, at(0));
@@ -112,34 +113,37 @@
   EXPECT_TRUE(choose_engine(state, add_command(state), at(10)).has_value());
 }
 
-// Of the threads of 300 gateways that each run one command whenever they may, no more than the limits hold as
-// a mean: of what each runs past its share it waits out the rest.
-TEST(ConcurrencyLimit, OverrunOfAShareIsWaitedOut) {
+// A gateway with a small share of each engine runs one command whenever it may, and waits out the thread-time
+// above its limits. The thread-time that it uses must match the limits on average; otherwise many such
+// gateways together would congest the engines.
+TEST(ConcurrencyLimit, OverrunIsWaitedOut) {
   State state = state_with(2, {make_profile(Effect::kReplayable, 4), make_profile(Effect::kReplayable)});
-  for (Engine& engine : state.engines) engine.concurrency.limit = 0.5;  // one thread in all, four run at once
+  // The limits add up to one thread; the command runs four.
+  for (Engine& engine : state.engines) engine.concurrency.limit = 0.5;
   Command& first = add_command(state);
-  Ms ran = 0, all = 0;
+  Ms used_thread_time = 0, limit_thread_time = 0;
   update_overrun(state, at(0));
   for (Ms now = 0; now < 40000; now += 20) {
     const bool is_running = state.engines[0].in_flight.attempts + state.engines[1].in_flight.attempts > 0;
-    ran += is_running ? 4 * 20 : 0;
-    all += 20;
+    used_thread_time += is_running ? 4 * 20 : 0;
+    limit_thread_time += 20;
     if (is_running && now - to_ms(first.attempt.started_at) >= 200)
       handle(state, at(now), attempt_finished(first, Outcome::kFailed));
     update_overrun(state, at(now));
     const std::optional<size_t> engine =
         has_attempt(first) ? std::nullopt : choose_engine(state, first, at(now));
     if (engine) start_attempt(state, first, *engine, at(now)), first.attempts = 1;
+    // Short commands do not wait out the overrun.
     if (state.concurrency.overrun[0] > Duration{}) {
       EXPECT_TRUE(choose_engine(state, add_command(state, 1), at(now)).has_value());
-    }  // short ones do not wait
+    }
     state.slots.resize(1);
-    state.in_hand.resize(1);
+    state.active_slots.resize(1);
   }
-  EXPECT_NEAR(ran / all, 1, 0.15);
+  EXPECT_NEAR(used_thread_time / limit_thread_time, 1, 0.15);
 }
 
-TEST(ConcurrencyLimit, ShortCommandsDoNotWaitOutALongOne) {
+TEST(ConcurrencyLimit, ShortCommandsDoNotWaitForALongOne) {
   State state = state_with(4, {make_profile(Effect::kReplayable), make_profile(Effect::kReplayable, 4)});
   for (Engine& engine : state.engines) engine.concurrency.limit = 0.2;
   start_attempt(state, add_command(state, 1), 0, at(0));
@@ -147,7 +151,7 @@
   EXPECT_TRUE(choose_engine(state, add_command(state), at(10)).has_value());
 }
 
-TEST(ConcurrencyLimit, EngineWithFewOutcomesIsJudgedByItsGroup) {
+TEST(ConcurrencyLimit, EngineWithFewSamplesIsJudgedByItsGroup) {
   State state = state_with(2, {make_profile(Effect::kReplayable)});
   state.concurrency.groups[0].slowdown = 3;
   state.engines[1].concurrency.samples = 1e6;
--- a/tests/policy/cost_prediction_test.cpp
+++ b/tests/policy/cost_prediction_test.cpp
@@ -1,3 +1,4 @@
+// Checks how the baseline of a profile is learned.
 #include "policy/cost_prediction.h"
 
 #include "policy/helpers.h"
@@ -15,7 +16,7 @@
     finished.elapsed = span(400);
     handle(state, at(400), finished);
   }
-  EXPECT_GT(state.profiles[0].costs.baseline, 1.5);  // towards 4, from 1
+  EXPECT_GT(state.profiles[0].costs.baseline, 1.5);  // from the guess of 1 towards the measured 4
   EXPECT_LT(state.profiles[0].costs.baseline, 4);
 }
 
--- a/tests/policy/engine_list_test.cpp
+++ b/tests/policy/engine_list_test.cpp
@@ -1,3 +1,4 @@
+// Checks that endpoint list updates stop attempts on leaving engines and keep engine indices valid.
 #include "policy/engine_list.h"
 
 #include "policy/helpers.h"
@@ -5,9 +6,7 @@
 namespace firvalve {
 namespace {
 
-// Engines that drain or leave.
-
-TEST(EngineList, NoAttemptOnAnEngineThatDrainsOrWasRemoved) {
+TEST(EngineList, NoAttemptOnDrainingOrRemovedEngines) {
   State state = state_with(2, {make_profile(Effect::kReplayable)});
   Command& command = add_command(state);
   EngineInfo draining;
@@ -18,14 +17,14 @@
   EXPECT_FALSE(may_attempt(state, command, state.engines[1], at(50)));
 }
 
-TEST(EngineList, ANewEngineKeepsThePlacesOfTheOthers) {
+TEST(EngineList, InsertingAnEngineKeepsEngineIndicesValid) {
   State state = state_with(2, {make_profile(Effect::kReplayable)});
   Command& command = add_command(state);
   start_attempt(state, command, 1, at(0));
-  EngineInfo early;
-  early.engine = EngineId{5};
-  handle(state, at(50), EngineListUpdate{false, {early}});
-  EXPECT_EQ(state.engines[*command.attempt.engine].id, EngineId{20});
+  EngineInfo added;
+  added.engine = EngineId{5};
+  handle(state, at(50), EngineListUpdate{false, {added}});
+  EXPECT_EQ(state.engines[*command.attempt.engine_index].id, EngineId{20});
 }
 
 }  // namespace
--- a/tests/policy/engine_pool_test.cpp
+++ b/tests/policy/engine_pool_test.cpp
@@ -1,3 +1,4 @@
+// Checks which engines form the pool and what it costs to find them.
 #include "policy/engine_pool.h"
 
 #include "policy/helpers.h"
@@ -5,7 +6,7 @@
 namespace firvalve {
 namespace {
 
-TEST(EnginePool, IsAZoneOfTwoOrElseTheLastById) {
+TEST(EnginePool, IsAZoneOfTwoEnginesOrElseTheLastEnginesById) {
   State state = state_with(4, {make_profile(Effect::kReplayable)});
   update_pool(state);
   EXPECT_FALSE(state.engines[1].is_in_pool);
@@ -17,8 +18,9 @@
   EXPECT_FALSE(state.engines[2].is_in_pool);
 }
 
-// One zone is the most expensive case: no zone will do, so that of each engine is examined.
-TEST(EnginePool, FindingItsZoneExaminesEachEngineOnce) {
+// A single zone is the most expensive case: it never qualifies as the pool, so the zone of every engine is
+// examined.
+TEST(EnginePool, FindingThePoolZoneExaminesEachEngineOnce) {
   for (const int engines : {8, 64, 512, 2200}) {
     State state = state_with(engines, {make_profile(Effect::kReplayable)});
     update_pool(state);
--- a/tests/policy/engine_selection_test.cpp
+++ b/tests/policy/engine_selection_test.cpp
@@ -1,3 +1,4 @@
+// Checks which engine is chosen, with regard to placement, pool, load, congestion and reservations.
 #include "policy/engine_selection.h"
 
 #include "policy/helpers.h"
@@ -5,7 +6,7 @@
 namespace firvalve {
 namespace {
 
-TEST(EngineSelection, NoneWhereNoAllowedEngineIsListed) {
+TEST(EngineSelection, ChoosesOnlyListedEnginesOfAllowedMachineTypes) {
   Profile profile = make_profile(Effect::kReplayable);
   profile.machine_types = {"big"};
   State state = state_with(2, {profile});
@@ -17,7 +18,7 @@
   EXPECT_EQ(choose_engine(state, command, at(10)), std::nullopt);
 }
 
-TEST(EngineSelection, HeavyGoesToThePoolAndOverflows) {
+TEST(EngineSelection, HeavyCommandsPreferThePoolAndOverflow) {
   State state = state_with(3, {make_profile(Effect::kReplayable)});
   Command& command = add_command(state);
   command.is_heavy = true;
@@ -27,7 +28,7 @@
   EXPECT_NE(choose_engine(state, command, at(10)), 2u);
 }
 
-TEST(EngineSelection, ReadersStayOffThePoolWhileALightEngineWorks) {
+TEST(EngineSelection, ReadersAvoidThePoolWhileALightEngineWorks) {
   State state = state_with(2, {make_profile(Effect::kReplayable)});
   state.profiles[0].waits_for_loads = true;
   Command& command = add_command(state);
@@ -39,7 +40,7 @@
   EXPECT_EQ(choose_engine(state, command, at(10)), 1u);
 }
 
-TEST(EngineSelection, LoadsThatReadersWaitBehindOverflowOnceQueuedForLong) {
+TEST(EngineSelection, LoadsThatBlockReadersOverflowOnlyAfterALongWait) {
   State state = state_with(2, {make_profile(Effect::kReplayable), make_profile(Effect::kNonReplayable)});
   state.profiles[0].waits_for_loads = state.profiles[1].is_load = true;
   Command& load = add_command(state, 1);
@@ -50,14 +51,14 @@
   EXPECT_EQ(choose_engine(state, load, at(1500)), 0u);
 }
 
-TEST(EngineSelection, LessPredictedWorkOfTwoDrawn) {
+TEST(EngineSelection, ChoosesTheEngineWithLessPredictedWork) {
   State state = state_with(2, {make_profile(Effect::kReplayable)});
   Command& command = add_command(state);
   state.engines[0].in_flight.work = span(500);
   EXPECT_EQ(choose_engine(state, command, at(10)), 1u);
 }
 
-TEST(EngineSelection, CongestedEnginesTakeNothingThatHasRoomOnOthers) {
+TEST(EngineSelection, AvoidsCongestedEnginesWhileAnotherHasCapacity) {
   State state = state_with(4, {make_profile(Effect::kReplayable)});
   for (int i : {0, 1, 2}) state.engines[static_cast<size_t>(i)].concurrency.congestion = 3;
   for (int i = 0; i < 8; ++i) EXPECT_EQ(choose_engine(state, add_command(state), at(10)), 3u);
@@ -65,9 +66,9 @@
   EXPECT_TRUE(choose_engine(state, add_command(state), at(10)).has_value());
 }
 
-// Where a gateway's share is less than one command some engine is always reserved: all short commands of all
-// gateways would congest the few machines that nothing is bound to.
-TEST(EngineSelection, ShortCommandsLeaveReservedEnginesOnlyWhereTheShareHoldsOne) {
+// Where a gateway's share is less than one command, some engine is always reserved. If short commands avoided
+// it, those of all gateways would congest the few machines that no command is restricted to.
+TEST(EngineSelection, ShortCommandsAvoidReservedEnginesOnlyIfTheLimitHoldsOne) {
   State state = state_with(2, {make_profile(Effect::kReplayable)});
   state.engines[0].is_reserved = true;
   state.engines[1].in_flight.work = span(1e6);
--- a/tests/policy/helpers.h
+++ b/tests/policy/helpers.h
@@ -1,4 +1,4 @@
-// Builds the state that a test of the policy needs: profiles, engines, commands in hand.
+// Helpers that build the state for policy tests: profiles, engines, active commands and attempts.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 namespace firvalve {
 
-// A time point so many milliseconds after the start of a test, and a span of so many.
+// at() is a time point in milliseconds after the start of the test; span() is a duration in milliseconds.
 constexpr TimePoint at(Ms ms) { return time_point_of(ms); }
 constexpr Duration span(Ms ms) { return duration_of(ms); }
 
@@ -33,7 +33,7 @@
   return made;
 }
 
-// Ready, warm engines with ids 10, 20, ... and room on all of them.
+// Builds a state with ready, warm engines with ids 10, 20, ... that all have capacity.
 inline State state_with(int engines, std::vector<Profile> profiles) {
   State state;
   state.profiles = std::move(profiles);
@@ -54,14 +54,14 @@
 
 inline void put_in_zone(State& state, size_t engine, const std::string& zone) {
   state.engines[engine].zone = zone;
-  state.engines[engine].zone_index = index_of(state.zones, zone);
+  state.engines[engine].zone_index = find_or_add_index(state.zones, zone);
 }
 
-// A queued command of the given profile, admitted at 0, with 10 s to go and 100 ms of predicted work.
+// Adds a queued command of the profile, admitted at 0, with a deadline in 10 s and 100 ms of predicted work.
 inline Command& add_command(State& state, size_t profile = 0) {
   const size_t slot = state.slots.size();
-  state.slots.reserve(64);  // so that references stay good
-  state.in_hand.push_back(slot);
+  state.slots.reserve(64);  // keeps references valid
+  state.active_slots.push_back(slot);
   Command& command = state.slots.emplace_back();
   command.request.id = id_of(static_cast<int>(slot));
   command.request.profile = static_cast<int>(profile);
@@ -71,20 +71,20 @@
   return command;
 }
 
-// An attempt of it is in flight on that engine.
+// Puts an attempt of the command in flight on the engine.
 inline void start_attempt(State& state, Command& command, size_t engine, TimePoint now) {
   command.desired = DesiredState::kInFlight;
-  command.desired_engine = engine;
+  command.desired_engine_index = engine;
   command.attempts += 1;
   command.attempt = Attempt{};
   command.attempt.state = AttemptState::kInFlight;
-  command.attempt.engine = engine;
+  command.attempt.engine_index = engine;
   command.attempt.started_at = command.attempt.reported_at = now;
-  EngineLoad& load = state.engines[engine].in_flight;
-  load.attempts += 1;
-  load.threads += state.profiles[command.profile].threads;
-  load.work += command.predicted_work;
-  if (is_short(state, command)) load.short_threads += 1;
+  InFlightTotals& in_flight = state.engines[engine].in_flight;
+  in_flight.attempts += 1;
+  in_flight.threads += state.profiles[command.profile].threads;
+  in_flight.work += command.predicted_work;
+  if (is_short(state, command)) in_flight.short_threads += 1;
 }
 
 inline AttemptFinished attempt_finished(const Command& command, Outcome outcome) {
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -1,3 +1,4 @@
+// Checks which engines are ejected and reinstated.
 #include "policy/outlier_detection.h"
 
 #include "policy/cancellation.h"
@@ -25,7 +26,7 @@
   EXPECT_EQ(command.desired, DesiredState::kCancelled);
 }
 
-TEST(OutlierDetection, AFewGoodProbesInARowReinstateAFailingEngine) {
+TEST(OutlierDetection, ConsecutiveSuccessfulProbesReinstateAFailingEngine) {
   State state = state_with(2, {make_profile(Effect::kReplayable)});
   state.engines[0].outlier.failures = state.engines[0].outlier.attempts = 9;
   review_engines(state, at(0));
@@ -38,7 +39,7 @@
   EXPECT_FALSE(state.engines[0].outlier.is_ejected);
 }
 
-TEST(OutlierDetection, AShortCommandThatTakesLongEjectsNoEngine) {
+TEST(OutlierDetection, UnderestimatedCommandDoesNotEjectItsEngine) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   state.profiles[0].costs.mean_predicted_work = span(200);
   Command& command = add_command(state);
@@ -48,7 +49,7 @@
   EXPECT_FALSE(state.engines[0].outlier.is_ejected);
 }
 
-TEST(OutlierDetection, NeitherAWaitingAttemptNorAStallOfTheGatewayEjectsAnEngine) {
+TEST(OutlierDetection, WaitingAttemptsAndGatewayStallsDoNotEjectAnEngine) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   Command& command = add_command(state);
   start_attempt(state, command, 0, at(0));
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -1,3 +1,4 @@
+// Checks the decisions of the policy as a whole during shutdown.
 #include "policy/policy.h"
 
 #include "policy/helpers.h"
@@ -5,7 +6,7 @@
 namespace firvalve {
 namespace {
 
-TEST(PolicyShutdown, NoCommandOutlastsItsGateway) {
+TEST(PolicyShutdown, CommandsAreAnsweredBeforeTheGatewayShutsDown) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   state.engines[0].state = EngineState::kRemoved;
   add_command(state);
--- a/tests/policy/reconciliation_test.cpp
+++ b/tests/policy/reconciliation_test.cpp
@@ -1,3 +1,4 @@
+// Checks that each command gets one final answer, and each attempt at most one cancellation.
 #include "policy/reconciliation.h"
 
 #include "policy/helpers.h"
@@ -5,9 +6,7 @@
 namespace firvalve {
 namespace {
 
-// Each command gets one final answer.
-
-TEST(Reconciliation, AttemptThatTimedOutAtTheDeadlineFailsItsCommandAtOnce) {
+TEST(Reconciliation, TimeoutAtTheDeadlineFailsTheCommandImmediately) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   Command& command = add_command(state);
   start_attempt(state, command, 0, at(0));
@@ -15,19 +14,19 @@
   Actions actions;
   append_actions(state, at(10000), actions);
   EXPECT_EQ(count_of(actions, Action::Kind::kFailCommand), 1);
-  EXPECT_TRUE(state.in_hand.empty());
+  EXPECT_TRUE(state.active_slots.empty());
 }
 
-TEST(Reconciliation, NoActionFollowsOnceTheClientLeft) {
+TEST(Reconciliation, NoActionAfterTheClientLeft) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   add_command(state).is_ended = true;
   Actions actions;
   append_actions(state, at(10), actions);
   EXPECT_TRUE(actions.empty());
-  EXPECT_TRUE(state.in_hand.empty());
+  EXPECT_TRUE(state.active_slots.empty());
 }
 
-TEST(Reconciliation, AttemptOfAClientThatLeftIsCancelledOnce) {
+TEST(Reconciliation, CancelsAttemptOnceAfterTheClientLeft) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   Command& command = add_command(state);
   start_attempt(state, command, 0, at(0));
@@ -36,7 +35,7 @@
   append_actions(state, at(10), actions);
   append_actions(state, at(11), actions);
   EXPECT_EQ(count_of(actions, Action::Kind::kCancelAttempt), 1);
-  EXPECT_EQ(state.in_hand.size(), 1u);  // its key and slot are kept until the attempt has finished
+  EXPECT_EQ(state.active_slots.size(), 1u);  // holds its ordering key and slot until the attempt has finished
 }
 
 }  // namespace
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -1,3 +1,4 @@
+// Checks that no retry repeats a command's effect and that retries stay within their budget.
 #include "policy/retry.h"
 
 #include "policy/admission_queue.h"
@@ -7,17 +8,15 @@
 namespace firvalve {
 namespace {
 
-// No effect twice, and the retry budget.
-
 struct RetryAfterOutcome : testing::TestWithParam<std::tuple<Outcome, bool>> {};
 
 TEST_P(RetryAfterOutcome, NonReplayableIsRetriedOnlyIfItNeverRan) {
-  const auto [outcome, again] = GetParam();
+  const auto [outcome, may_retry] = GetParam();
   State state = state_with(1, {make_profile(Effect::kNonReplayable)});
   Command& command = add_command(state);
   start_attempt(state, command, 0, at(0));
   handle(state, at(100), attempt_finished(command, outcome));
-  EXPECT_EQ(may_attempt(state, command, state.engines[0], at(100)), again);
+  EXPECT_EQ(may_attempt(state, command, state.engines[0], at(100)), may_retry);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -51,22 +50,23 @@
   EXPECT_FALSE(may_attempt(state, command, state.engines[0], at(5050)));
 }
 
-// A refusal says that trying again is harmless: so it is while the engines will still recognize it then.
+// A client that is shed may send the command again, so a deduplicated command that may have run is shed only
+// while the engines will still recognize the duplicate by then.
 TEST(Retry, DeduplicatedThatMayHaveRunIsShedEarlyInItsWindowAndFailsLater) {
   Profile profile = make_profile(Effect::kDeduplicated);
   profile.deduplication_window = span(4000);
-  for (const auto& [now, want] :
+  for (const auto& [now, expected] :
        {std::pair<Ms, DesiredState>{1000, DesiredState::kShed}, {2500, DesiredState::kFailed}}) {
     State state = state_with(1, {profile});
     Command& command = add_command(state);
     command.attempts = state.options.max_attempts;
     command.possible_run = PossibleRun{0, at(100)};
     review_queue(state, at(now));
-    EXPECT_EQ(command.desired, want) << now;
+    EXPECT_EQ(command.desired, expected) << now;
   }
 }
 
-TEST(Retry, DeduplicatedPastItsWindowEndsAtOnce) {
+TEST(Retry, DeduplicatedFailsImmediatelyAfterItsWindow) {
   Profile profile = make_profile(Effect::kDeduplicated);
   profile.deduplication_window = span(1000);
   State state = state_with(1, {profile});
@@ -77,12 +77,13 @@
   EXPECT_EQ(command.desired, DesiredState::kFailed);
   command.desired = DesiredState::kInFlight;
   command.attempt.state = AttemptState::kInFlight;
-  command.attempt.engine = command.desired_engine = 0;
+  command.attempt.engine_index = command.desired_engine_index = 0;
   EXPECT_TRUE(may_start_attempt(state, command.request.id, at(800)));
-  EXPECT_FALSE(may_start_attempt(state, command.request.id, at(1000)));  // its connection came up too late
+  // The connection was established too late.
+  EXPECT_FALSE(may_start_attempt(state, command.request.id, at(1000)));
 }
 
-TEST(Retry, OneAttemptAtATimeAndNoMoreThanAllowed) {
+TEST(Retry, OneAttemptAtATimeUpToTheMaximum) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   Command& command = add_command(state);
   start_attempt(state, command, 0, at(0));
@@ -103,11 +104,11 @@
   EXPECT_TRUE(has_retry_budget(state, at(100)));
   state.retry_budget.retries.add(at(100));
   state.retry_budget.retries.add(at(200));
-  EXPECT_FALSE(has_retry_budget(state, at(5000)));  // 2 of 1 + 1
-  EXPECT_TRUE(has_retry_budget(state, at(5250)));   // all have slid out
+  EXPECT_FALSE(has_retry_budget(state, at(5000)));  // 2 retries used of 1 allowed plus 10 % of 10 commands
+  EXPECT_TRUE(has_retry_budget(state, at(5250)));   // all events have left the window
 }
 
-TEST(RetryBudget, RetriesOfOneMomentCountForEachOther) {
+TEST(RetryBudget, RetriesOfOneReviewShareTheBudget) {
   State state = state_with(4, {make_profile(Effect::kReplayable)});
   state.options.retry_budget.is_limited = true;
   state.options.retry_budget.allowance = 1;
--- a/tests/policy/scheduling_hints_test.cpp
+++ b/tests/policy/scheduling_hints_test.cpp
@@ -1,3 +1,4 @@
+// Checks how the memory grant is learned.
 #include "policy/scheduling_hints.h"
 
 #include "policy/helpers.h"
@@ -5,7 +6,7 @@
 namespace firvalve {
 namespace {
 
-TEST(SchedulingHints, MemoryGrantCoversMostOfWhatIsNeeded) {
+TEST(SchedulingHints, MemoryGrantCoversMostCommands) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   state.profiles[0].memory_factor = 1;
   for (int i = 0; i < 400; ++i) {
@@ -15,7 +16,7 @@
     AttemptFinished finished = attempt_finished(command, Outcome::kOk);
     finished.memory_mb = i % 10 == 0 ? 190 : 110;  // one in ten needs far more
     handle(state, at(100), finished);
-    state.in_hand.clear();
+    state.active_slots.clear();
     state.slots.clear();
   }
   EXPECT_GT(state.profiles[0].memory_factor, 1.6);
--- a/tests/policy/state_test.cpp
+++ b/tests/policy/state_test.cpp
@@ -1,3 +1,4 @@
+// Checks the reuse of command slots and the removal of engines.
 #include "policy/state.h"
 
 #include "policy/helpers.h"
@@ -21,16 +22,16 @@
   EXPECT_EQ(state.slots.size(), 1u);
 }
 
-TEST(PolicyState, RemovedEnginesAreForgottenOnceNoCommandRefersToThem) {
+TEST(PolicyState, RemovedEnginesAreErasedOnceNoCommandRefersToThem) {
   State state = state_with(1, {make_profile(Effect::kReplayable)});
   Command& command = add_command(state);
   for (uint32_t id = 1; id <= 6; ++id) find_or_add_engine(state, EngineId{id}).state = EngineState::kRemoved;
-  start_attempt(state, command, 6, at(0));  // on the one that is ready, behind those
+  start_attempt(state, command, 6, at(0));  // on the ready engine, which follows the removed ones
   command.possible_run = PossibleRun{2, {}};
-  forget_removed_engines(state);
+  erase_removed_engines(state);
   ASSERT_EQ(state.engines.size(), 2u);
-  EXPECT_EQ(state.engines[*command.attempt.engine].id, EngineId{10});
-  EXPECT_EQ(state.engines[command.possible_run->engine].id, EngineId{3});
+  EXPECT_EQ(state.engines[*command.attempt.engine_index].id, EngineId{10});
+  EXPECT_EQ(state.engines[command.possible_run->engine_index].id, EngineId{3});
 }
 
 }  // namespace
