--- a/src/policy/cancellation.cpp
+++ b/src/policy/cancellation.cpp
@@ -66,8 +66,8 @@
          now - attempt.started_at > kNoProgressRatio * usual_runtime(state, command, engine);
 }
 
-void review_pace(State& state, Command& command, const Engine& engine, Duration retry_runtime,
-                 TimePoint now) {
+void review_progress(State& state, Command& command, const Engine& engine, Duration retry_runtime,
+                     TimePoint now) {
   if (now - command.attempt.started_at < kMinBadPlanRuntime ||
       command.bad_plan_cancellations >= kMaxBadPlanCancellations)
     return;
@@ -84,7 +84,7 @@
   if (!may_retry(state, command, retry_runtime, now)) return;
   const bool is_blocked = command.attempt.is_blocked;
   if (!is_blocked && !(engine.outlier.is_unresponsive && is_overdue(state, command, engine, now)))
-    return review_pace(state, command, engine, retry_runtime, now);
+    return review_progress(state, command, engine, retry_runtime, now);
   if (!has_retry_budget(state, now)) return;
   if (is_blocked)
     cancel_blocked(command, now);
--- a/src/policy/command.h
+++ b/src/policy/command.h
@@ -21,8 +21,8 @@
   TimePoint reported_at{};   // time of the last status report, or of the start if there was none
   double fraction_done = 0;  // 0 to 1, as last reported; 0 before the first progress report
   bool is_waiting = false;   // by the last report, waits for memory or behind a load
-  bool has_waited = false;
-  bool is_blocked = false;  // waits and has not begun, so it can move to another engine without losing work
+  bool has_waited = false;   // by any report so far
+  bool is_blocked = false;   // waits and has not begun, so it can move to another engine without losing work
 };
 
 // The first attempt that may have run and so may have taken effect.
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -52,8 +52,8 @@
 
 }  // namespace
 
-// Does not eject an engine that owes no report: a blocked attempt sends none, and right after a stall of this
-// gateway the first reports are still to arrive.
+// A response is not overdue while the attempt is blocked, since it then sends no reports, nor right after a
+// stall of this gateway, when the first reports are still to arrive.
 bool is_overdue(const State& state, const Command& command, const Engine& engine, TimePoint now) {
   const Attempt& attempt = command.attempt;
   TimePoint since = std::max(attempt.started_at, engine.outlier.last_response_at);
@@ -97,7 +97,8 @@
   outlier.is_unresponsive = false;
   outlier.probes_since_success = 0;
   if (!outlier.is_ejected) return;
-  // Decaying counts alone would keep an engine ejected for as long again as it failed.
+  // Decaying counts alone would keep an engine ejected for as long again as it failed, so enough successful
+  // probes reset them.
   outlier.next_probe_at = now;
   if (++outlier.consecutive_successful_probes >= kReinstatementProbes)
     outlier.failures = outlier.consecutive_successful_probes = 0;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -49,8 +49,8 @@
 }
 
 void handle_admitted(State& state, TimePoint now, const Admitted& event) {
-  const auto profiles = static_cast<int>(state.profiles.size());
-  if (!event.profile || *event.profile < 0 || *event.profile >= profiles)
+  const auto profile_count = static_cast<int>(state.profiles.size());
+  if (!event.profile || *event.profile < 0 || *event.profile >= profile_count)
     return state.unknown_profile_commands.push_back(event.id);
   Command& command = add_active_command(state);
   command.request = event;
--- a/src/policy/profile.cpp
+++ b/src/policy/profile.cpp
@@ -10,19 +10,19 @@
 
 namespace keys = setting::profile;
 
-std::string prefix_of(int profile_number) {
+std::string key_prefix(int profile_number) {
   std::string prefix = setting::kProfiles;
   prefix += '.';
   prefix += std::to_string(profile_number);
   return prefix += '.';
 }
 
-Effect effect_named(const std::string& name) {
+Effect parse_effect(const std::string& name) {
   if (name == "replayable") return Effect::kReplayable;
   return name == "uniqued" ? Effect::kDeduplicated : Effect::kNonReplayable;
 }
 
-DeduplicationScope scope_named(const std::string& name) {
+DeduplicationScope parse_deduplication_scope(const std::string& name) {
   if (name == "all") return DeduplicationScope::kAllEngines;
   return name == "zone" ? DeduplicationScope::kZone : DeduplicationScope::kCell;
 }
@@ -30,18 +30,18 @@
 }  // namespace
 
 bool has_profile(const Settings& settings, int profile_number) {
-  return settings.count(prefix_of(profile_number) + keys::kName) > 0;
+  return settings.count(key_prefix(profile_number) + keys::kName) > 0;
 }
 
 Profile profile_from(const Settings& settings, int profile_number) {
-  const std::string prefix = prefix_of(profile_number);
+  const std::string prefix = key_prefix(profile_number);
   Profile profile;
   profile.benefit = number_setting(settings, prefix + keys::kBenefit, 1);
   profile.late_share = number_setting(settings, prefix + keys::kLateShare);
   profile.latency_target = duration_of(number_setting(settings, prefix + keys::kLatencyTarget));
   profile.target_slowdown = number_setting(settings, prefix + keys::kTargetStretch);
-  profile.effect = effect_named(text_setting(settings, prefix + keys::kEffect));
-  profile.deduplication_scope = scope_named(text_setting(settings, prefix + keys::kDedupScope));
+  profile.effect = parse_effect(text_setting(settings, prefix + keys::kEffect));
+  profile.deduplication_scope = parse_deduplication_scope(text_setting(settings, prefix + keys::kDedupScope));
   profile.deduplication_window = duration_of(number_setting(settings, prefix + keys::kRepeatWindow));
   profile.is_ordered = number_setting(settings, prefix + keys::kInOrder) > 0;
   profile.is_load = number_setting(settings, prefix + keys::kIsLoad) > 0;
--- a/src/policy/state.cpp
+++ b/src/policy/state.cpp
@@ -18,7 +18,7 @@
 
 bool refers_to(const Command& command, size_t index) {
   bool refers = false;
-  visit_engine_indices(command, [&](size_t engine) { refers |= engine == index; });
+  visit_engine_indices(command, [&](size_t engine_index) { refers |= engine_index == index; });
   return refers;
 }
 
@@ -41,8 +41,8 @@
   if (at != state.engines.end() && at->id == id) return *at;
   const auto index = static_cast<size_t>(at - state.engines.begin());
   for (const size_t slot : state.active_slots)
-    visit_engine_indices(state.slots[slot], [&](size_t& engine) {
-      if (engine >= index) ++engine;
+    visit_engine_indices(state.slots[slot], [&](size_t& engine_index) {
+      if (engine_index >= index) ++engine_index;
     });
   Engine& added = *state.engines.insert(at, Engine{});
   added.id = id;
@@ -61,8 +61,8 @@
       continue;
     state.engines.erase(state.engines.begin() + static_cast<std::ptrdiff_t>(index));
     for (const size_t slot : state.active_slots)
-      visit_engine_indices(state.slots[slot], [&](size_t& engine) {
-        if (engine > index) --engine;
+      visit_engine_indices(state.slots[slot], [&](size_t& engine_index) {
+        if (engine_index > index) --engine_index;
       });
   }
 }
