--- a/src/policy/engine_selection.cpp
+++ b/src/policy/engine_selection.cpp
@@ -12,7 +12,8 @@
 using namespace std::chrono_literals;
 
 constexpr double kShortCommandLimitFactor = 1.25;  // short commands soon free the capacity again
-constexpr double kCachedTablesWorkFactor = 0.85;   // where the engine has read the tables recently
+constexpr double kCachedTablesWorkFactor =
+    0.85;                                    // of the work, on an engine that has read the tables recently
 constexpr Duration kTableLockLifetime = 3s;  // how long a report is trusted: the usual duration of a load
 
 // The command to place and its properties, looked up once for all engines.
@@ -21,7 +22,7 @@
   const Profile& profile;
   TimePoint now;
   bool is_short = false;
-  bool is_unbound = false;  // it may run on any machine type
+  bool is_unrestricted = false;  // it may run on any machine type
 };
 
 // Result of scanning one partition (the pool, or the light engines). Engines with capacity are in
@@ -64,7 +65,7 @@
   const SlowStartAdmission admission =
       slow_start_admission(state, engine, request.profile.costs.mean_predicted_work, request.now);
   if (admission == SlowStartAdmission::kDenied || is_blocked_by_load(state, request.command, engine) ||
-      (engine.is_reserved_this_review && request.is_unbound && !request.is_short))
+      (engine.is_reserved_this_review && request.is_unrestricted && !request.is_short))
     return;
   if (admission == SlowStartAdmission::kScheduledTurn)
     partition.chosen = index;
@@ -117,7 +118,7 @@
   std::vector<size_t>& candidates = state.selection.candidates;
   const auto is_reserved_for_others = [&](size_t index) {
     const Engine& engine = state.engines[index];
-    return request.is_unbound && engine.is_reserved &&
+    return request.is_unrestricted && engine.is_reserved &&
            (!request.is_short || engine.concurrency.limit >= request.profile.threads);
   };
   if (!std::all_of(candidates.begin(), candidates.end(), is_reserved_for_others))
