--- a/src/base/monotonic_clock.h
+++ b/src/base/monotonic_clock.h
@@ -36,8 +36,8 @@
 // Ms since the Unix epoch, as the wall clock had it when this process first asked, and steady from there on.
 // The same for all threads and loops of the process. Above 0, which stands for "no time" elsewhere.
 inline Ms monotonic_ms() {
-  constexpr Ms kLeastStart = 1000;  // a machine whose wall clock was never set
-  static const Ms offset = std::max(wall_clock_ms(), kLeastStart) - steady_clock_ms();
+  constexpr Ms kMinStart = 1000;  // a machine whose wall clock was never set
+  static const Ms offset = std::max(wall_clock_ms(), kMinStart) - steady_clock_ms();
   return steady_clock_ms() + offset;
 }
 
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -39,9 +39,9 @@
     {setting::kTick, "tick", Unit::kNanoseconds},
     {setting::kIdleClose, "ceilings.conn_idle", Unit::kNanoseconds},
     {setting::kRetriesAreMarked, "client_habits.marks_retry"},
-    {setting::kGoalWhole, "goal.whole"},
+    {setting::kGoalOverall, "goal.whole"},
     {setting::kGoalWorstProfile, "goal.worst_class"},
-    {setting::kGoalWorstCustomer, "goal.worst_tenant"},
+    {setting::kGoalWorstTenant, "goal.worst_tenant"},
     {setting::kGoalWorstWindow, "goal.worst_window"},
     {setting::kPriceCrossZone, "fees.cross_zone"},
     {setting::kPriceLate, "fees.late_fail"},
@@ -55,11 +55,11 @@
     {setting::kWarmUp, "rules.warm_up", Unit::kNanoseconds},
     {setting::kOverloadFactor, "rules.overload_factor"},
     {setting::kOverloadWindow, "rules.overload_for", Unit::kNanoseconds},
-    {setting::kKeyQuietTime, "rules.key_quiet", Unit::kNanoseconds},
+    {setting::kOrderingKeyCooldown, "rules.key_quiet", Unit::kNanoseconds},
     {setting::kFreeRetries, "rules.extra_free"},
     {setting::kRetryShare, "rules.extra_ratio"},
     {setting::kRetryWindow, "rules.look_back", Unit::kNanoseconds},
-    {setting::kAnswersTellCost, "specifics.bills"},
+    {setting::kAnswersReportCost, "specifics.bills"},
     {setting::kHonoursMemoryGrants, "specifics.grants_count"},
     {setting::kMaxGrantShare, "specifics.most_grant"},
     {setting::kStatusPeriod, "specifics.note_period", Unit::kNanoseconds},
@@ -76,22 +76,22 @@
     {setting::profile::kClientTimeout, "deadline", Unit::kNanoseconds},
     {setting::profile::kRepeatWindow, "window", Unit::kNanoseconds},
     {setting::profile::kDedupScope, "dedup_scope"},
-    {setting::profile::kInOrder, "keep_order"},
+    {setting::profile::kIsOrdered, "keep_order"},
     {setting::profile::kZones, "azs_allowed"},
     {setting::profile::kMachines, "allowed_on"},
 };
 
-constexpr SettingName kCustomerSettings[] = {
-    {setting::customer::kName, "name"},
-    {setting::customer::kQuota, "quota_per_s"},
-    {setting::customer::kShare, "share"},
+constexpr SettingName kTenantSettings[] = {
+    {setting::tenant::kName, "name"},
+    {setting::tenant::kQuota, "quota_per_s"},
+    {setting::tenant::kShare, "share"},
 };
 
 // Lists of the settings whose entries belong to the profiles, in their order.
 constexpr SettingName kSettingsByProfile[] = {
     {setting::profile::kThreads, "specifics.class_threads"},
     {setting::profile::kIsLoad, "specifics.holds_tables"},
-    {setting::profile::kWaits, "specifics.class_waits"},
+    {setting::profile::kWaitsForLoads, "specifics.class_waits"},
 };
 
 // The same for the kinds of machines.
@@ -182,9 +182,9 @@
 }
 
 void store_customers(Settings& settings, const Value& json) {
-  const Value* customers = find_path(json, "tenants");
-  for (rapidjson::SizeType i = 0; i < list_size(customers); ++i)
-    store_members(settings, prefix_of(setting::kCustomers, i), (*customers)[i], kCustomerSettings);
+  const Value* tenants = find_path(json, "tenants");
+  for (rapidjson::SizeType i = 0; i < list_size(tenants); ++i)
+    store_members(settings, prefix_of(setting::kTenants, i), (*tenants)[i], kTenantSettings);
 }
 
 }  // namespace
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -15,7 +15,7 @@
 // setting has are passed over.
 Settings parse_settings(const rapidjson::Value& json);
 
-// The names of the profiles (setting::kProfiles) or customers (setting::kCustomers), in their order.
+// The names of the profiles (setting::kProfiles) or tenants (setting::kTenants), in their order.
 std::vector<std::string> names_of(const Settings& settings, const std::string& list);
 
 }  // namespace firvalve
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -34,7 +34,7 @@
   if (flag(setting::kMayAdviseRetry))
     options.retry_after = positive_time(number(settings, setting::kMaxRetryAfter));
   options.status_period = positive_time(number(settings, setting::kStatusPeriod));
-  options.key_cooldown = time(setting::kKeyQuietTime);
+  options.key_cooldown = time(setting::kOrderingKeyCooldown);
   options.retry_budget.is_limited =
       settings.count(setting::kRetryShare) > 0 || settings.count(setting::kFreeRetries) > 0;
   options.retry_budget.allowance = number(settings, setting::kFreeRetries);
--- a/src/policy/profile.cpp
+++ b/src/policy/profile.cpp
@@ -42,9 +42,9 @@
   profile.effect = effect_named(text(settings, prefix + keys::kEffect));
   profile.deduplication_scope = scope_named(text(settings, prefix + keys::kDedupScope));
   profile.deduplication_window = duration_of(number(settings, prefix + keys::kRepeatWindow));
-  profile.is_ordered = number(settings, prefix + keys::kInOrder) > 0;
+  profile.is_ordered = number(settings, prefix + keys::kIsOrdered) > 0;
   profile.is_load = number(settings, prefix + keys::kIsLoad) > 0;
-  profile.waits_for_loads = number(settings, prefix + keys::kWaits) > 0;
+  profile.waits_for_loads = number(settings, prefix + keys::kWaitsForLoads) > 0;
   profile.threads = std::max(1, static_cast<int>(number(settings, prefix + keys::kThreads, 1)));
   profile.zones = texts(settings, prefix + keys::kZones);
   profile.machine_types = texts(settings, prefix + keys::kMachines);
--- a/src/policy/setting_keys.h
+++ b/src/policy/setting_keys.h
@@ -2,7 +2,7 @@
 // the same settings have the operators' names (core/settings.cpp has both).
 //
 // Times are in milliseconds, flags are numbers above 0. A list is numbered from 0: "key.0", "key.1" and so
-// on; the keys of a profile and a customer stand behind its place in the list, as in "profile.0.name".
+// on; the keys of a profile and a tenant stand behind its place in the list, as in "profile.0.name".
 #pragma once
 
 namespace firvalve::setting {
@@ -25,9 +25,9 @@
 inline constexpr char kTick[] = "tick";
 inline constexpr char kIdleClose[] = "idle close";
 inline constexpr char kRetriesAreMarked[] = "repeats marked";
-inline constexpr char kGoalWhole[] = "goal whole";
+inline constexpr char kGoalOverall[] = "goal whole";
 inline constexpr char kGoalWorstProfile[] = "goal worst profile";
-inline constexpr char kGoalWorstCustomer[] = "goal worst customer";
+inline constexpr char kGoalWorstTenant[] = "goal worst customer";
 inline constexpr char kGoalWorstWindow[] = "goal worst stretch";
 inline constexpr char kPriceCrossZone[] = "price crossing";
 inline constexpr char kPriceLate[] = "price late";
@@ -41,11 +41,11 @@
 inline constexpr char kWarmUp[] = "warm-up";
 inline constexpr char kOverloadFactor[] = "fall multiple";
 inline constexpr char kOverloadWindow[] = "fall window";
-inline constexpr char kKeyQuietTime[] = "key rest";
+inline constexpr char kOrderingKeyCooldown[] = "key rest";
 inline constexpr char kFreeRetries[] = "further sends free";
 inline constexpr char kRetryShare[] = "further sends share";
 inline constexpr char kRetryWindow[] = "further sends window";
-inline constexpr char kAnswersTellCost[] = "answers tell cost";
+inline constexpr char kAnswersReportCost[] = "answers tell cost";
 inline constexpr char kHonoursMemoryGrants[] = "grants heeded";
 inline constexpr char kMaxGrantShare[] = "grant share at most";
 inline constexpr char kStatusPeriod[] = "note period";
@@ -60,7 +60,7 @@
 // ---- Lists
 
 inline constexpr char kProfiles[] = "profile";
-inline constexpr char kCustomers[] = "customer";
+inline constexpr char kTenants[] = "customer";
 
 namespace profile {
 
@@ -72,22 +72,22 @@
 inline constexpr char kClientTimeout[] = "client timeout";
 inline constexpr char kRepeatWindow[] = "repeat window";
 inline constexpr char kDedupScope[] = "group";
-inline constexpr char kInOrder[] = "in order";
+inline constexpr char kIsOrdered[] = "in order";
 inline constexpr char kZones[] = "zone";
 inline constexpr char kMachines[] = "machine";
 inline constexpr char kEffect[] = "effect";
 inline constexpr char kThreads[] = "threads";
 inline constexpr char kIsLoad[] = "load";
-inline constexpr char kWaits[] = "waits";
+inline constexpr char kWaitsForLoads[] = "waits";
 
 }  // namespace profile
 
-namespace customer {
+namespace tenant {
 
 inline constexpr char kName[] = "name";
 inline constexpr char kQuota[] = "quota";
 inline constexpr char kShare[] = "share";
 
-}  // namespace customer
+}  // namespace tenant
 
 }  // namespace firvalve::setting
