--- a/bench/client_bench.cpp
+++ b/bench/client_bench.cpp
@@ -72,7 +72,7 @@
           socket_ = StreamSocket();
           socket_.connect(address_, Poco::Timespan(1, 0));
           up_ = true;
-          inbox_ = {};
+          read_buffer_ = {};
           frames_ = proto::RpcFrames();
         }
         std::string out;
@@ -97,9 +97,9 @@
     const auto began = Clock::now();
     std::span<char> body;
     for (;;) {
-      const proto::Read what = frames_.next(inbox_, body);
-      if (what == proto::Read::kBroken) throw Poco::Net::NetException("broken");
-      if (what == proto::Read::kWhole) {
+      const proto::ReadResult what = frames_.next(read_buffer_, body);
+      if (what == proto::ReadResult::kMalformed) throw Poco::Net::NetException("broken");
+      if (what == proto::ReadResult::kComplete) {
         proto::RpcReply reply = proto::read_reply(body);
         if (reply.id == id_) return reply;
         continue;
@@ -107,17 +107,17 @@
       const double left = std::max(1.0, most - ms_since(began));
       if (!socket_.poll(Poco::Timespan(static_cast<long>(left * 1000)), Poco::Net::Socket::SELECT_READ))
         throw Poco::TimeoutException();
-      const auto room = inbox_.room(65536);
-      const int got = socket_.receiveBytes(room.data(), static_cast<int>(room.size()));
+      const auto space = read_buffer_.prepare(65536);
+      const int got = socket_.receiveBytes(space.data(), static_cast<int>(space.size()));
       if (got <= 0) throw Poco::Net::NetException("closed");
-      inbox_.filled(static_cast<size_t>(got));
+      read_buffer_.commit(static_cast<size_t>(got));
     }
   }
 
   SocketAddress address_;
   Moments& attempts_;
   StreamSocket socket_;
-  proto::Inbox inbox_;
+  proto::ReadBuffer read_buffer_;
   proto::RpcFrames frames_;
   bool up_ = false;
   int64_t id_ = 0;
@@ -327,7 +327,7 @@
   }
   StreamSocket socket;
   socket.connect(SocketAddress(gateway.address));
-  proto::Inbox inbox;
+  proto::ReadBuffer read_buffer;
   proto::RpcFrames frames;
   int sent = 0, ended = 0;
   const auto send = [&](int count) {
@@ -341,11 +341,11 @@
   const auto start = Clock::now();
   send(window);
   while (ended < calls) {
-    const auto room = inbox.room(65536);
-    const int got = socket.receiveBytes(room.data(), static_cast<int>(room.size()));
-    inbox.filled(static_cast<size_t>(std::max(got, 0)));
+    const auto space = read_buffer.prepare(65536);
+    const int got = socket.receiveBytes(space.data(), static_cast<int>(space.size()));
+    read_buffer.commit(static_cast<size_t>(std::max(got, 0)));
     int came = 0;
-    for (std::span<char> body; frames.next(inbox, body) == proto::Read::kWhole; ++came)
+    for (std::span<char> body; frames.next(read_buffer, body) == proto::ReadResult::kComplete; ++came)
       proto::read_reply(body);
     ended += came;
     send(came);
--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -146,9 +146,9 @@
   const auto next = [&] { return (seed = seed * 6364136223846793005ULL + 1442695040888963407ULL) >> 33; };
   {
     base::TimingWheel wheel;
-    for (Node& n : nodes) wheel.put(n, 1 + next() % 4000);
+    for (Node& n : nodes) wheel.schedule(n, 1 + next() % 4000);
     const auto start = Clock::now();
-    for (int i = 0; i < 2000000; ++i) wheel.put(nodes[next() % nodes.size()], 1 + next() % 4000);
+    for (int i = 0; i < 2000000; ++i) wheel.schedule(nodes[next() % nodes.size()], 1 + next() % 4000);
     const double put = ms_since(start);
     const auto going = Clock::now();
     uint64_t fired = 0;
--- a/src/base/backoff.h
+++ b/src/base/backoff.h
@@ -15,22 +15,24 @@
 
 class Backoff {
  public:
-  // The first wait lies between half of `first` and one and a half times as much; none is longer than `most`.
-  Backoff(Ms first, Ms most, uint64_t seed) : first_(first), most_(std::max(first, most)), chance_(seed) {}
+  // The first wait lies between half of `first_delay` and one and a half times as much; none is longer than
+  // `max_delay`.
+  Backoff(Ms first_delay, Ms max_delay, uint64_t seed)
+      : first_delay_(first_delay), max_delay_(std::max(first_delay, max_delay)), random_(seed) {}
 
   Ms next_delay() {  // after a failure
     const Ms width =
-        std::min(first_ * static_cast<double>(1 << std::min(failures_++, kDoublingsMost)), most_);
-    return std::min(width / 2 + spread(width), most_);
+        std::min(first_delay_ * static_cast<double>(1 << std::min(failures_++, kMaxDoublings)), max_delay_);
+    return std::min(width / 2 + draw_jitter(width), max_delay_);
   }
   void reset() { failures_ = 0; }  // it has come back: the next failure is the first again
-  Ms spread(Ms over) { return std::uniform_real_distribution<Ms>(0, over)(chance_); }
+  Ms draw_jitter(Ms max_jitter) { return std::uniform_real_distribution<Ms>(0, max_jitter)(random_); }
 
  private:
-  static constexpr int kDoublingsMost = 16;  // of the first wait: past any end
-  Ms first_, most_;
+  static constexpr int kMaxDoublings = 16;  // of the first wait: past any end
+  Ms first_delay_, max_delay_;
   int failures_ = 0;
-  pcg32 chance_;
+  pcg32 random_;
 };
 
 }  // namespace firvalve
--- a/src/base/timing_wheel.h
+++ b/src/base/timing_wheel.h
@@ -23,12 +23,12 @@
  public:
   explicit TimingWheel(uint64_t now = 1) : now_(now) {}
 
-  void put(TimingWheelNode& node, uint64_t due) {
+  void schedule(TimingWheelNode& node, uint64_t due) {
     node.unlink();
     node.due = due;
     place(node);
   }
-  static void take_out(TimingWheelNode& node) { node.unlink(); }
+  static void cancel(TimingWheelNode& node) { node.unlink(); }
 
   // Goes on to `now` and hands out each node that is due by then, in the order of their ticks. `fire` may put
   // nodes in and take them out, the handed one too, which is out of the wheel by then.
@@ -99,11 +99,11 @@
     return 0;
   }
 
-  // To the next moment at which a slot begins that holds anything, or to `most`.
-  void step(uint64_t most) {
+  // To the next moment at which a slot begins that holds anything, or to `until`.
+  void step(uint64_t until) {
     const uint64_t first = next();
-    if (first == 0 || first > most) {
-      now_ = most;
+    if (first == 0 || first > until) {
+      now_ = until;
       return;
     }
     now_ = first;
--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -96,7 +96,7 @@
 
 Handle Client::ask_about_topic(const std::string& method, const std::string& topic, const std::string& params,
                                double timeout_ms, Callback done) {
-  auto named = proto::with_bulletin(topic, params, timeout_ms);
+  auto named = proto::add_topic_params(topic, params, timeout_ms);
   if (!named) throw std::invalid_argument("params are no JSON object");
   if (!proto::is_topic_method(method)) throw std::invalid_argument("no such method about topics");
   return submit(
--- a/src/client/client.h
+++ b/src/client/client.h
@@ -102,10 +102,10 @@
   uint64_t calls = 0;  // accepted from the user, or refused to the user
   uint64_t answered = 0, refused = 0, failed = 0, unknown = 0, expired = 0;  // by their outcome
   uint64_t cancelled = 0;                                                    // of those
-  uint64_t refused_unsent = 0;    // of the refused: without an attempt
-  uint64_t attempts = 0;          // first attempts and retries
-  uint64_t retries = 0;           // within the budget
-  uint64_t crossing_retries = 0;  // beside it: once more after a gateway's close of an idle connection
+  uint64_t refused_without_attempt = 0;  // of the refused: without an attempt
+  uint64_t attempts = 0;                 // first attempts and retries
+  uint64_t retries = 0;                  // within the budget
+  uint64_t crossing_retries = 0;         // beside it: once more after a gateway's close of an idle connection
   uint64_t revoked = 0, late_answers = 0;
   uint64_t connects = 0, connects_failed = 0, reconnects = 0, connections_lost = 0, outages = 0;
   uint64_t open = 0;  // calls open now
--- a/src/client/connection.cpp
+++ b/src/client/connection.cpp
@@ -85,10 +85,10 @@
 }
 
 std::optional<LossCause> Connection::receive() {
-  const auto room = inbox_.room(kReadBytes);
-  const ssize_t got = ::recv(*descriptor_, room.data(), room.size(), 0);
+  const auto space = read_buffer_.prepare(kReadBytes);
+  const ssize_t got = ::recv(*descriptor_, space.data(), space.size(), 0);
   if (got > 0) {
-    inbox_.filled(static_cast<size_t>(got));
+    read_buffer_.commit(static_cast<size_t>(got));
     return std::nullopt;
   }
   if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return std::nullopt;
@@ -96,10 +96,10 @@
 }
 
 Connection::Next Connection::next_message(std::span<char>& body) {
-  switch (frames_.next(inbox_, body)) {
-    case proto::Read::kMore:
+  switch (frames_.next(read_buffer_, body)) {
+    case proto::ReadResult::kIncomplete:
       return Next::kNone;
-    case proto::Read::kBroken:
+    case proto::ReadResult::kMalformed:
       return Next::kUnreadable;
     default:
       return Next::kMessage;
--- a/src/client/connection.h
+++ b/src/client/connection.h
@@ -49,7 +49,7 @@
   std::optional<LossCause> receive();
   enum class Next { kMessage, kNone, kUnreadable };
   Next next_message(std::span<char>& body);
-  void messages_read() { inbox_.rest(); }  // all complete ones: frees what they took
+  void messages_read() { read_buffer_.release_if_empty(); }  // all complete ones: frees what they took
 
   bool is_touched = false;  // the driver's mark: it is to be flushed in this turn
 
@@ -64,7 +64,7 @@
   Poco::Net::StreamSocket socket_;
   std::optional<int> descriptor_;
   bool is_up_ = false, is_writing_ = false;
-  proto::Inbox inbox_;
+  proto::ReadBuffer read_buffer_;
   proto::RpcFrames frames_;
   std::string out_;
   size_t out_sent_ = 0;                         // bytes of out_ that the system took
--- a/src/client/driver.cpp
+++ b/src/client/driver.cpp
@@ -109,7 +109,7 @@
   Stats stats = stats_;
   stats.calls += refused_at_submit_;
   stats.refused += refused_at_submit_;
-  stats.refused_unsent += refused_at_submit_;
+  stats.refused_without_attempt += refused_at_submit_;
   stats.open = open_calls_;
   return stats;
 }
@@ -141,7 +141,7 @@
       cancels_all = must_cancel_all_;
     }
     const TimePoint now = MonotonicClock::now();
-    for (const Order& order : orders) carry_out(now, order);
+    for (const Order& order : orders) execute(now, order);
     orders.clear();
     if (cancels_all) cancel_all(now);
     decide(now);
@@ -152,7 +152,7 @@
   callback_thread_.finish();
 }
 
-void Driver::carry_out(TimePoint now, const Order& order) {
+void Driver::execute(TimePoint now, const Order& order) {
   const CallState& call = *order.call;
   if (order.kind == Order::Kind::kCancel) return scheduler_.cancel_call(now, call.id);
   calls_[call.id] = order.call;
@@ -176,13 +176,13 @@
     report_losses(now);
     actions_.clear();
     scheduler_.decide(now, actions_);
-    for (const Action& action : actions_) std::visit([this](const auto& one) { carry_out(one); }, action);
+    for (const Action& action : actions_) std::visit([this](const auto& one) { execute(one); }, action);
     flush_touched();
   } while (!losses_.empty());
 }
 
 void Driver::report_losses(TimePoint now) {
-  for (const Loss& loss : std::exchange(losses_, {})) {
+  for (const ConnectionLoss& loss : std::exchange(losses_, {})) {
     const auto at = connections_.find(loss.connection);
     if (at == connections_.end()) continue;
     const std::set<RequestId> unsent = at->second.unsent();
@@ -220,7 +220,7 @@
   stats_.unknown = from.unknown;
   stats_.expired = from.expired;
   stats_.cancelled = from.cancelled;
-  stats_.refused_unsent = from.refused_unsent;
+  stats_.refused_without_attempt = from.refused_without_attempt;
   stats_.attempts = from.attempts;
   stats_.retries = from.retries;
   stats_.crossing_retries = from.crossing_retries;
@@ -288,7 +288,7 @@
 bool Driver::handle_message(TimePoint now, ConnectionId id, std::span<char> body) {
   using Kind = proto::RpcReply::Kind;
   proto::RpcReply message = proto::read_reply(body);
-  if (message.kind == Kind::kUnread) return false;
+  if (message.kind == Kind::kUnreadable) return false;
   // An error about a message of ours that could not be read; the close that follows it counts.
   if (!message.has_id) return true;
   Reply reply;
@@ -308,14 +308,14 @@
   result.token = std::move(message.token);
   result.pages = message.pages;
   result.total_rows = message.all_rows;
-  result.gone = message.code == proto::kRpcGone;
+  result.gone = message.code == proto::kRpcResultGone;
   result.no_such_page = message.code == proto::kRpcNoSuchPage;
   return true;
 }
 
 // ---- Actions ------------------------------------------------------------------------------------
 
-void Driver::carry_out(const Connect& action) {
+void Driver::execute(const Connect& action) {
   Connection& connection =
       connections_.try_emplace(action.connection, poll_set_, options_.max_answer_bytes).first->second;
   if (connection.connect(addresses_[action.gateway]))
@@ -324,7 +324,7 @@
     losses_.push_back({action.connection, LossCause::kRefused});
 }
 
-void Driver::carry_out(const CloseConnection& action) {
+void Driver::execute(const CloseConnection& action) {
   const auto at = connections_.find(action.connection);
   if (at == connections_.end()) return;
   if (at->second.is_up()) flush(action.connection, at->second);  // a revocation is sent before it
@@ -352,7 +352,7 @@
   }
 }
 
-void Driver::carry_out(const SendAttempt& action) {
+void Driver::execute(const SendAttempt& action) {
   Connection* const connection = touch(action.connection);
   if (!connection) return;
   const size_t before = connection->out().size();
@@ -360,7 +360,7 @@
   connection->message_appended(connection->out().size() - before, action.request);
 }
 
-void Driver::carry_out(const SendRevoke& action) {
+void Driver::execute(const SendRevoke& action) {
   Connection* const connection = touch(action.connection);
   if (!connection) return;
   const size_t before = connection->out().size();
@@ -368,7 +368,7 @@
   connection->message_appended(connection->out().size() - before, std::nullopt);
 }
 
-void Driver::carry_out(const SendHeartbeat& action) {
+void Driver::execute(const SendHeartbeat& action) {
   Connection* const connection = touch(action.connection);
   if (!connection) return;
   const size_t before = connection->out().size();
@@ -376,7 +376,7 @@
   connection->message_appended(connection->out().size() - before, std::nullopt);
 }
 
-void Driver::carry_out(const EndCall& action) {
+void Driver::execute(const EndCall& action) {
   const auto at = calls_.find(action.call);
   const CallStatePtr call = std::move(at->second);
   calls_.erase(at);
@@ -402,7 +402,7 @@
   count_closed_call();
 }
 
-void Driver::carry_out(const LogGatewayChange& action) {
+void Driver::execute(const LogGatewayChange& action) {
   callback_thread_.post_log(LogLevel::kWarning,
                             fmt::format("gateway {} {}", options_.gateways[action.gateway], action.text));
 }
--- a/src/client/driver.h
+++ b/src/client/driver.h
@@ -51,7 +51,7 @@
     enum class Kind { kStart, kCancel } kind = Kind::kStart;
     CallStatePtr call;
   };
-  struct Loss {
+  struct ConnectionLoss {
     ConnectionId connection{};
     LossCause cause = LossCause::kReset;
   };
@@ -63,7 +63,7 @@
 
   // The I/O thread's.
   void run();
-  void carry_out(TimePoint now, const Order& order);
+  void execute(TimePoint now, const Order& order);
   void cancel_all(TimePoint now);
   void decide(TimePoint now);
   void publish_stats();
@@ -78,13 +78,13 @@
   // Where the message of an action is appended; null: the connection is gone.
   Connection* touch(ConnectionId id);
 
-  void carry_out(const Connect& action);
-  void carry_out(const CloseConnection& action);
-  void carry_out(const SendAttempt& action);
-  void carry_out(const SendRevoke& action);
-  void carry_out(const SendHeartbeat& action);
-  void carry_out(const EndCall& action);
-  void carry_out(const LogGatewayChange& action);
+  void execute(const Connect& action);
+  void execute(const CloseConnection& action);
+  void execute(const SendAttempt& action);
+  void execute(const SendRevoke& action);
+  void execute(const SendHeartbeat& action);
+  void execute(const EndCall& action);
+  void execute(const LogGatewayChange& action);
   void append_attempt(std::string& out, const SendAttempt& action) const;
 
   const Options options_;
@@ -109,8 +109,8 @@
   Poco::Net::PollSet poll_set_;
   Connections connections_;
   std::unordered_map<int, ConnectionId> by_descriptor_;
-  std::vector<Loss> losses_;           // found and not reported to the scheduler yet
-  std::vector<ConnectionId> touched_;  // with messages that are not flushed yet
+  std::vector<ConnectionLoss> losses_;  // found and not reported to the scheduler yet
+  std::vector<ConnectionId> touched_;   // with messages that are not flushed yet
 };
 
 }  // namespace firvalve::client
--- a/src/client/ping.cpp
+++ b/src/client/ping.cpp
@@ -48,18 +48,18 @@
     std::string message;
     proto::append_heartbeat(message, 1);
     socket.sendBytes(message.data(), static_cast<int>(message.size()));
-    proto::Inbox inbox;
+    proto::ReadBuffer read_buffer;
     proto::RpcFrames frames;
     for (std::span<char> body;;) {
-      const proto::Read read = frames.next(inbox, body);
-      if (read == proto::Read::kBroken) return "unreadable";
-      if (read == proto::Read::kWhole) return take_answer(body);
+      const proto::ReadResult read = frames.next(read_buffer, body);
+      if (read == proto::ReadResult::kMalformed) return "unreadable";
+      if (read == proto::ReadResult::kComplete) return take_answer(body);
       if (MonotonicClock::now() >= deadline_ || !socket.poll(time_left(), Poco::Net::Socket::SELECT_READ))
         return "no answer in time";
-      const auto room = inbox.room(kReadBytes);
-      const int got = socket.receiveBytes(room.data(), static_cast<int>(room.size()));
+      const auto space = read_buffer.prepare(kReadBytes);
+      const int got = socket.receiveBytes(space.data(), static_cast<int>(space.size()));
       if (got <= 0) return "closed";
-      inbox.filled(static_cast<size_t>(got));
+      read_buffer.commit(static_cast<size_t>(got));
     }
   }
 
--- a/src/client/request_scheduler.h
+++ b/src/client/request_scheduler.h
@@ -63,8 +63,8 @@
 // Counts since the start; see client.h.
 struct SchedulerStats {
   uint64_t calls = 0, answered = 0, refused = 0, failed = 0, unknown = 0, expired = 0;
-  uint64_t cancelled = 0;       // of the ended calls
-  uint64_t refused_unsent = 0;  // of the refused: without an attempt
+  uint64_t cancelled = 0;                // of the ended calls
+  uint64_t refused_without_attempt = 0;  // of the refused: without an attempt
   uint64_t attempts = 0, retries = 0, crossing_retries = 0, revoked = 0, late_answers = 0;
   uint64_t connects = 0, connects_failed = 0, connections_lost = 0, outages = 0, reconnects = 0;
 };
--- a/src/client/scheduler_calls.cpp
+++ b/src/client/scheduler_calls.cpp
@@ -171,7 +171,7 @@
       break;
   }
   stats_.cancelled += cancelled;
-  stats_.refused_unsent += outcome == Outcome::kRefused && call.attempts == 0;
+  stats_.refused_without_attempt += outcome == Outcome::kRefused && call.attempts == 0;
   pending_.emplace_back(EndCall{id, outcome, cancelled, call.may_have_run, call.attempts, call.gateway,
                                 retry_after, std::move(reason)});
   calls_.erase(at);
--- a/src/cluster/cluster_service.cpp
+++ b/src/cluster/cluster_service.cpp
@@ -57,7 +57,7 @@
                                                    static_cast<PeerConnections::Receiver&>(*this), log_);
 }
 
-void ClusterService::run_on(Core& core) { run_once_requests_->run_on(core); }
+void ClusterService::set_core(Core& core) { run_once_requests_->set_core(core); }
 
 void ClusterService::handle_message(BootTime now, PeerId from, const Message& message) {
   node_->handle(now, from, message);
@@ -105,7 +105,7 @@
   connections_->due(boot_now);
   node_->on_tick(boot_now);
   exchange_messages(boot_now);
-  run_once_requests_->carry_out(now);
+  run_once_requests_->execute_actions(now);
   topic_requests_->deliver_replies();
   log_events();
   if (is_shutting_down_) continue_shutdown(boot_now);
@@ -125,7 +125,7 @@
 void ClusterService::begin_shutdown(TimePoint now, TimePoint deadline) {
   is_shutting_down_ = true;
   run_once_requests_->begin_shutdown(deadline);
-  run_once_requests_->carry_out(now);
+  run_once_requests_->execute_actions(now);
 }
 
 void ClusterService::continue_shutdown(BootTime now) {
--- a/src/cluster/cluster_service.h
+++ b/src/cluster/cluster_service.h
@@ -32,7 +32,7 @@
   // storage directory cannot be used, or the address is taken.
   ClusterService(net::Loop& loop, Metrics& metrics, const ClusterOptions& options, ResponseSink& clients,
                  LogSink log_sink);
-  void run_on(Core& core);  // which runs the commands of run-once jobs
+  void set_core(Core& core);  // which runs the commands of run-once jobs
 
   void due(TimePoint now);  // once a turn of the loop
   TimePoint next_due(TimePoint now) const;
--- a/src/cluster/inbound_peer.h
+++ b/src/cluster/inbound_peer.h
@@ -40,9 +40,9 @@
   void on_bytes() override {
     std::span<char> body;
     for (;;) {
-      const proto::Read read = frames_.next(inbox_, body);
-      if (read == proto::Read::kMore) return;
-      if (read == proto::Read::kBroken) {
+      const proto::ReadResult read = frames_.next(read_buffer_, body);
+      if (read == proto::ReadResult::kIncomplete) return;
+      if (read == proto::ReadResult::kMalformed) {
         observer_.handle_broken_framing(*this);
         return end();
       }
--- a/src/cluster/outbound_peer.cpp
+++ b/src/cluster/outbound_peer.cpp
@@ -32,9 +32,9 @@
     owner_.unanswered_since_.reset();
     std::span<char> body;
     for (;;) {
-      const proto::Read read = frames_.next(inbox_, body);
-      if (read == proto::Read::kMore) return;
-      if (read == proto::Read::kBroken) return owner_.end(BootClock::now(), "broken framing");
+      const proto::ReadResult read = frames_.next(read_buffer_, body);
+      if (read == proto::ReadResult::kIncomplete) return;
+      if (read == proto::ReadResult::kMalformed) return owner_.end(BootClock::now(), "broken framing");
       owner_.observer_.handle_frame(owner_, body);
       if (!is_open()) return;
     }
@@ -72,7 +72,7 @@
   if (connection_ || now < connect_at_) return;
   connecting_since_ = now;
   unanswered_since_.reset();
-  if (!loop_.make_room(false)) return end(now, "no descriptor left");
+  if (!loop_.reserve_descriptor(false)) return end(now, "no descriptor left");
   observer_.handle_connecting(*this);
   connection_ = std::make_unique<Connection>(*this, SocketAddress(address_));
   if (connection_->was_refused()) end(now, "refused");
--- a/src/cluster/peer_connections.cpp
+++ b/src/cluster/peer_connections.cpp
@@ -62,7 +62,7 @@
 
 void PeerConnections::accept_all(const Poco::AutoPtr<ReadableNotification>&) {
   for (int i = 0; i < kMaxAcceptsAtOnce; ++i) {
-    const bool has_room = loop_.make_room(false);
+    const bool has_room = loop_.reserve_descriptor(false);
     const int descriptor =
         has_room ? ::accept4(listener_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC) : -1;
     if (!has_room || (descriptor < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)) {
--- a/src/cluster/run_once_requests.cpp
+++ b/src/cluster/run_once_requests.cpp
@@ -36,7 +36,7 @@
   if (requests_.erase(call) > 0) jobs_.on_caller_gone(BootClock::now(), to_number(call));
 }
 
-void RunOnceRequests::carry_out(TimePoint now) {
+void RunOnceRequests::execute_actions(TimePoint now) {
   // A job that could not be started has an answer at once.
   for (std::vector<Action> actions = jobs_.take_actions(); !actions.empty(); actions = jobs_.take_actions())
     for (const Action& action : actions)
--- a/src/cluster/run_once_requests.h
+++ b/src/cluster/run_once_requests.h
@@ -21,12 +21,12 @@
   RunOnceRequests(lease::RunOnceJobs& jobs, ResponseSink& clients, const ClusterLog& log)
       : jobs_(jobs), clients_(clients), log_(log) {}
   // The core that runs the commands. Until it is set, a job that falls to this gateway never ran.
-  void run_on(Core& core) { core_ = &core; }
+  void set_core(Core& core) { core_ = &core; }
 
   void request(TimePoint now, CallId call, std::string_view job, CommandRequest&& command);
   void cancel(CallId call);  // its client waits no longer; of another call: nothing happens
   // Starts the commands and gives the answers that the jobs call for now.
-  void carry_out(TimePoint now);
+  void execute_actions(TimePoint now);
 
   // The command behind a call of the core's has ended. False: the call is no run-once job's.
   bool finish(CallId call, lease::RunOnceJobs::RunEnd end, std::string_view rows = {},
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -89,7 +89,7 @@
   if (command->profile != profile || command->statement != request.statement) return false;
   if (command->paged != results_.applies_to(request) || command->result_key != request.result_key)
     return false;
-  commands_.join(*command, call);
+  commands_.add_call(*command, call);
   metrics_.add("retries joined", profile_name(*command));
   update_half_closed(now, *command);
   return true;
@@ -105,7 +105,7 @@
   if (!command) return;
   metrics_.add("given up by client", profile_name(*command));
   if (!command->joined_retries.empty()) {  // the others still wait for it
-    commands_.leave(*command, call);
+    commands_.remove_call(*command, call);
     return update_half_closed(now, *command);
   }
   notify_observer(now, *command, {.kind = CommandEvent::Kind::kClientGone});
@@ -271,7 +271,7 @@
   decided_at_ = now;
   actions_.clear();
   firvalve::decide(state_, now, actions_);
-  for (const Action& action : actions_) carry_out(now, action);
+  for (const Action& action : actions_) execute(now, action);
   commands_.erase_released();
 }
 
@@ -304,7 +304,7 @@
     handle_event(now, TimerFired{});
 }
 
-void Core::carry_out(TimePoint now, const Action& action) {
+void Core::execute(TimePoint now, const Action& action) {
   using Kind = Action::Kind;
   if (action.kind == Kind::kSetTimer) {
     timers_.insert(now + action.timer_delay);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -112,7 +112,7 @@
   void handle_event(TimePoint now, const Event& event);
   void cancel_past_deadline(TimePoint now);
   void fire_timers(TimePoint now);
-  void carry_out(TimePoint now, const Action& action);
+  void execute(TimePoint now, const Action& action);
   void start_attempt(TimePoint now, PendingCommand& command, EngineId engine);
   void cancel_attempt(TimePoint now, PendingCommand& command, const Action& action);
   void set_priority(TimePoint now, PendingCommand& command, int priority);
--- a/src/core/pending_commands.cpp
+++ b/src/core/pending_commands.cpp
@@ -35,7 +35,7 @@
   return command && !command->is_finished() ? command : nullptr;
 }
 
-void PendingCommands::join(PendingCommand& command, CallId call) {
+void PendingCommands::add_call(PendingCommand& command, CallId call) {
   command.joined_retries.push_back(call);
   calls_[call] = {&command};
 }
@@ -45,7 +45,7 @@
   return at == calls_.end() ? nullptr : at->second.command;
 }
 
-void PendingCommands::leave(PendingCommand& command, CallId call) {
+void PendingCommands::remove_call(PendingCommand& command, CallId call) {
   if (command.call == call) {
     command.call = command.joined_retries.back();
     command.joined_retries.pop_back();
--- a/src/core/pending_commands.h
+++ b/src/core/pending_commands.h
@@ -68,10 +68,10 @@
   PendingCommand* find_in_chain(const CommandId& first);
 
   // ---- Calls
-  void join(PendingCommand& command, CallId call);
+  void add_call(PendingCommand& command, CallId call);
   PendingCommand* find_by_call(CallId call);
   // One of several calls waits no longer.
-  void leave(PendingCommand& command, CallId call);
+  void remove_call(PendingCommand& command, CallId call);
   void half_close(CallId call) { calls_.at(call).half_closed = true; }
   bool is_half_closed(CallId call) const { return calls_.at(call).half_closed; }
 
--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -36,22 +36,22 @@
 
   void more() {
     while (!waits && is_open()) {
-      const size_t end = proto::head_end(inbox_.text());
+      const size_t end = proto::head_end(read_buffer_.text());
       if (end == std::string_view::npos) return;
-      std::string_view head = inbox_.text().substr(0, end);
+      std::string_view head = read_buffer_.text().substr(0, end);
       Call call;
       call.line = proto::take_line(head);
       int64_t length = 0;
       for (std::string_view line = proto::take_line(head); !line.empty(); line = proto::take_line(head)) {
         const auto field = proto::field_of(line);
         if (!field) return owner_.connections_.end(this);
-        if (proto::same_name(field->name, "Content-Length"))
-          length = proto::whole_number(field->value, 1 << 24).value_or(0);
-        if (proto::same_name(field->name, "Call-Id")) call.id = field->value;
+        if (proto::equals_ignore_case(field->name, "Content-Length"))
+          length = proto::parse_whole_number(field->value, 1 << 24).value_or(0);
+        if (proto::equals_ignore_case(field->name, "Call-Id")) call.id = field->value;
       }
-      if (inbox_.text().size() < end + static_cast<size_t>(length)) return;
-      call.statement = inbox_.text().substr(end, static_cast<size_t>(length));
-      inbox_.used(end + static_cast<size_t>(length));
+      if (read_buffer_.text().size() < end + static_cast<size_t>(length)) return;
+      call.statement = read_buffer_.text().substr(end, static_cast<size_t>(length));
+      read_buffer_.consume(end + static_cast<size_t>(length));
       owner_.handle(*this, call);
       if (!owner_.connections_.has(this)) return;
     }
@@ -182,9 +182,10 @@
     return connection.write(http(fmt::format("{} No", status), status > 500 ? "Not-Begun: 1\r\n" : "", ""));
   }
   const size_t slash = rest.find('/');
-  const int page = slash == std::string_view::npos
-                       ? 0
-                       : static_cast<int>(proto::whole_number(rest.substr(slash + 1), 1000).value_or(0));
+  const int page =
+      slash == std::string_view::npos
+          ? 0
+          : static_cast<int>(proto::parse_whole_number(rest.substr(slash + 1), 1000).value_or(0));
   tell(connection, id, page, now);
 }
 
--- a/src/fakes/fake_event_bus.cpp
+++ b/src/fakes/fake_event_bus.cpp
@@ -32,12 +32,12 @@
 
  protected:
   void on_bytes() override {
-    const size_t end = inbox_.text().find('\n');
+    const size_t end = read_buffer_.text().find('\n');
     if (end == std::string_view::npos) return;
-    const std::string_view line = inbox_.text().substr(0, end);
+    const std::string_view line = read_buffer_.text().substr(0, end);
     const auto from =
-        line.starts_with("from ") ? proto::whole_number(line.substr(5), 1LL << 40) : std::nullopt;
-    inbox_.used(end + 1);
+        line.starts_with("from ") ? proto::parse_whole_number(line.substr(5), 1LL << 40) : std::nullopt;
+    read_buffer_.consume(end + 1);
     ++owner_.traffic_.lines_in;
     owner_.traffic_.bytes_in += end + 1;
     if (!from) return owner_.connections_.end(this);
--- a/src/fakes/fake_gateway.cpp
+++ b/src/fakes/fake_gateway.cpp
@@ -15,9 +15,9 @@
   void on_bytes() override {
     std::span<char> body;
     for (;;) {
-      const proto::Read read = frames_.next(inbox_, body);
-      if (read == proto::Read::kMore) return;
-      if (read == proto::Read::kBroken) return owner_.connections_.end(this);
+      const proto::ReadResult read = frames_.next(read_buffer_, body);
+      if (read == proto::ReadResult::kIncomplete) return;
+      if (read == proto::ReadResult::kMalformed) return owner_.connections_.end(this);
       owner_.handle(*this, body);
       if (!is_open()) return;
     }
@@ -98,7 +98,7 @@
   if (call.kind == Kind::kHeartbeat) {
     if (mute_) return;
     std::string out;
-    proto::append_healthy(out, call.id, healthy_, marks_);
+    proto::append_heartbeat_reply(out, call.id, healthy_, marks_);
     return connection.write(out);
   }
   if (call.kind != Kind::kCommand) {
--- a/src/fakes/fault_proxy.cpp
+++ b/src/fakes/fault_proxy.cpp
@@ -29,9 +29,9 @@
     void on_bytes() override {
       std::span<char> body;
       for (;;) {
-        const proto::Read read = frames_.next(inbox_, body);
-        if (read == proto::Read::kMore) return;
-        if (read == proto::Read::kBroken) return proxy_.end_pair(pair_id_);
+        const proto::ReadResult read = frames_.next(read_buffer_, body);
+        if (read == proto::ReadResult::kIncomplete) return;
+        if (read == proto::ReadResult::kMalformed) return proxy_.end_pair(pair_id_);
         std::string frame = "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
         frame.append(body.data(), body.size());
         proxy_.forward(pair_id_, is_forward_, std::move(frame));
--- a/src/gateway/call_report.cpp
+++ b/src/gateway/call_report.cpp
@@ -87,7 +87,7 @@
     write_count(writer, std::string(client::name_of(static_cast<Outcome>(i))), outcome_counts_[i]);
   write_count(writer, "sends", stats.attempts);
   write_count(writer, "repeats", stats.retries + stats.crossing_retries);
-  write_count(writer, "stopped_here", stats.refused_unsent);
+  write_count(writer, "stopped_here", stats.refused_without_attempt);
   write_count(writer, "connects", stats.connects);
   write_count(writer, "reconnects", stats.reconnects);
   write_count(writer, "late_answers", stats.late_answers);
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -114,7 +114,7 @@
   const Duration connect_timeout = duration_setting(settings, "connect time-out", kDefaultConnectTimeout);
   const Duration idle_timeout = duration_setting(settings, "idle close", kDefaultIdleTimeout);
   net::ClientServer clients(loop, metrics);
-  clients.accept_repeat_marks(operator_config.clients.marks);
+  clients.set_reads_retry_markers(operator_config.clients.marks);
   net::EngineConnections engines(loop, metrics, {connect_timeout, idle_timeout});
   std::unique_ptr<cluster::ClusterService> cluster;
   if (operator_config.fleet.on)
@@ -128,7 +128,7 @@
   core.set_max_statement_bytes(static_cast<size_t>(kStatementShare * memory_bytes));
   engines.set_core(core);
   if (cluster) {
-    cluster->run_on(core);
+    cluster->set_core(core);
     clients.set_cluster(*cluster);
   }
 
--- a/src/gateway/shutdown.cpp
+++ b/src/gateway/shutdown.cpp
@@ -7,14 +7,14 @@
 void Shutdown::start(TimePoint now) {
   if (started_at_) return;
   started_at_ = now;
-  const TimePoint answers_due_at = now + proto::time_to_answer(longest_client_timeout_);
+  const TimePoint answers_due_at = now + proto::max_answer_time(longest_client_timeout_);
   parts_.core.begin_shutdown(now, answers_due_at);
   if (parts_.cluster) parts_.cluster->begin_shutdown(now, answers_due_at);
   parts_.event_log.log_shutdown_started();
 }
 
 bool Shutdown::is_all_answered(TimePoint now) const {
-  return now >= *started_at_ + proto::kLastRequestsWithin && parts_.core.unanswered_call_count() == 0 &&
+  return now >= *started_at_ + proto::kLateRequestWindow && parts_.core.unanswered_call_count() == 0 &&
          parts_.clients.unsent_bytes() == 0 &&
          (!parts_.result_store || !parts_.result_store->has_pending_reads()) &&
          (!parts_.cluster || parts_.cluster->is_shut_down());
@@ -22,7 +22,7 @@
 
 bool Shutdown::is_complete(TimePoint now) {
   const bool are_clients_closed = is_all_answered(now) && parts_.clients.close_connections(now);
-  return are_clients_closed || now >= *started_at_ + proto::time_to_exit(longest_client_timeout_);
+  return are_clients_closed || now >= *started_at_ + proto::max_exit_time(longest_client_timeout_);
 }
 
 }  // namespace firvalve
--- a/src/loadtest/gateway_run.cpp
+++ b/src/loadtest/gateway_run.cpp
@@ -116,7 +116,7 @@
       "core ({} answered, {} refused, {} of them by the client itself, {} failed, {} unknown, {} expired, {} "
       "open): the machine is too small or too busy",
       seen.load.view.engines, seen.load.view.zones, 100 * seen.answered_share, seen.load.rate,
-      seen.core_share, ends.answered, ends.refused, ends.refused_unsent, ends.failed, ends.unknown,
+      seen.core_share, ends.answered, ends.refused, ends.refused_without_attempt, ends.failed, ends.unknown,
       ends.expired, ends.open);
 }
 
--- a/src/loadtest/region_proxy.cpp
+++ b/src/loadtest/region_proxy.cpp
@@ -43,8 +43,8 @@
   int descriptor = -1;
   bool is_gateway = false;
   uint32_t watched = 0;
-  std::string unsent;  // to this side
-  proto::Inbox inbox;  // from this side: the frame that is not whole yet
+  std::string unsent;             // to this side
+  proto::ReadBuffer read_buffer;  // from this side: the frame that is not whole yet
   proto::RpcFrames frames{cluster::kMaxFrameBytes};
 };
 
@@ -160,15 +160,15 @@
 
 void RegionProxy::read(Side& side) {
   Connection& connection = *side.connection;
-  const std::span<char> room = side.inbox.room(kReadBytes);
-  const ssize_t count = ::recv(side.descriptor, room.data(), room.size(), 0);
+  const std::span<char> space = side.read_buffer.prepare(kReadBytes);
+  const ssize_t count = ::recv(side.descriptor, space.data(), space.size(), 0);
   if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
   if (count <= 0) return close(connection);
-  const std::string bytes(room.data(), static_cast<size_t>(count));
+  const std::string bytes(space.data(), static_cast<size_t>(count));
   const auto is_cut = [&] { return connection.member && cut_[options_.region_of(*connection.member)]; };
   if (connection.lost_bytes && !is_cut()) return close(connection);  // what follows would not be whole
   if (connection.lost_bytes) return;
-  side.inbox.filled(bytes.size());
+  side.read_buffer.commit(bytes.size());
   if (!connection.member || !is_cut()) look_at_frames(side);
   if (is_cut()) {
     connection.lost_bytes = true;
@@ -182,7 +182,7 @@
 void RegionProxy::look_at_frames(Side& side) {
   Connection& connection = *side.connection;
   std::span<char> body;
-  while (side.frames.next(side.inbox, body) == proto::Read::kWhole) {
+  while (side.frames.next(side.read_buffer, body) == proto::ReadResult::kComplete) {
     const char* why = "";
     const std::optional<cluster::Frame> frame = cluster::read_frame(body, why);
     if (!frame) continue;
@@ -192,7 +192,7 @@
     if (side.is_gateway || !connection.member || !options_.on_answer) continue;
     for (const consensus::Message& message : frame->messages) options_.on_answer(*connection.member, message);
   }
-  side.inbox.rest();
+  side.read_buffer.release_if_empty();
 }
 
 // Sends what waits for this side.
--- a/src/loadtest/simulated_gateway.cpp
+++ b/src/loadtest/simulated_gateway.cpp
@@ -101,7 +101,7 @@
              counters, [](const EngineHealthChange&) {}) {
     loop.set_limits(kDescriptorsMost, kBufferBytesMost);
     engines.set_core(core);
-    if (fleet) fleet->run_on(core);
+    if (fleet) fleet->set_core(core);
     follow_list(options);
     waker = std::make_unique<net::Waker>(loop, [this] { run_posted(); });
     loop.on_turn = [this](TimePoint now) { return turn(now); };
--- a/src/loadtest/simulated_gateways_main.cpp
+++ b/src/loadtest/simulated_gateways_main.cpp
@@ -88,7 +88,7 @@
     for (const auto& gateway : gateways_) gateway->start();
   }
 
-  GatewayProcessReport carry_out(const GatewayProcessCommand& command) {
+  GatewayProcessReport execute(const GatewayProcessCommand& command) {
     using Kind = GatewayProcessCommand::Kind;
     if (command.kind == Kind::kReport) return report();
     if (command.kind == Kind::kAnnounce) {
@@ -167,7 +167,7 @@
     Child child(read_options(*first));
     channel.write(to_line(GatewayProcessReport{}));
     while (const std::optional<std::string> line = channel.read_line())
-      channel.write(to_line(child.carry_out(read_command(*line))));
+      channel.write(to_line(child.execute(read_command(*line))));
   } catch (const std::exception& error) {
     channel.write(error_line(error.what()));
     return 1;
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -41,7 +41,7 @@
   server_.forget(*this, reason, open_calls);
 }
 
-void ClientConnection::leave() {
+void ClientConnection::start_graceful_close() {
   cancel_open_calls();
   active_at_ = loop_.now();
   start_lingering_close();
@@ -54,7 +54,7 @@
   proto::append_error(out, 0, false, proto::kRpcUnreadable, reason);
   for (const auto& [id, call] : open_calls_) proto::append_error(out, id, true, proto::kRpcFailed, "failed");
   write(out);
-  leave();
+  start_graceful_close();
 }
 
 void ClientConnection::handle_answered() {
@@ -75,7 +75,8 @@
   if (!has_sent_message_ && now - active_at_ > proto::kRpcMessageTimeout)
     return reject_connection("no message");
   // What has arrived by now is handled first.
-  if (open_calls_.empty() && now - active_at_ > proto::kRpcIdleTimeout && has_nothing_to_read()) leave();
+  if (open_calls_.empty() && now - active_at_ > proto::kRpcIdleTimeout && has_nothing_to_read())
+    start_graceful_close();
 }
 
 void ClientConnection::on_bytes() {
@@ -83,10 +84,10 @@
   for (;;) {
     // Guards the memory limit against a client that sends but does not read: its requests wait in the system.
     if (unsent_bytes() > kMaxUnsentBytes) return set_reading(false);
-    const proto::Read read = frames_.next(inbox_, message);
-    if (read == proto::Read::kMore) return note_partial_message();
+    const proto::ReadResult read = frames_.next(read_buffer_, message);
+    if (read == proto::ReadResult::kIncomplete) return note_partial_message();
     partial_since_.reset();
-    if (read == proto::Read::kBroken) return reject_connection("broken framing");
+    if (read == proto::ReadResult::kMalformed) return reject_connection("broken framing");
     has_sent_message_ = true;
     active_at_ = loop_.now();
     handle(message);
@@ -95,7 +96,7 @@
 }
 
 void ClientConnection::note_partial_message() {
-  const bool is_partial = frames_.in_message() || !inbox_.text().empty();
+  const bool is_partial = frames_.is_in_message() || !read_buffer_.text().empty();
   if (!is_partial)
     partial_since_.reset();
   else if (!partial_since_)
@@ -104,7 +105,7 @@
 
 void ClientConnection::on_written() {
   if (!is_peer_done_) set_reading(true);
-  if (!inbox_.text().empty()) on_bytes();
+  if (!read_buffer_.text().empty()) on_bytes();
   if (is_open() && !is_lingering()) handle_answered();
 }
 
@@ -156,7 +157,7 @@
 }
 
 void ClientConnection::handle_heartbeat(const proto::RpcCall& call, std::string& out) {
-  if (call.has_id) proto::append_healthy(out, call.id, true, server_.reads_repeat_marks_);
+  if (call.has_id) proto::append_heartbeat_reply(out, call.id, true, server_.reads_retry_markers_);
 }
 
 void ClientConnection::refuse(const proto::RpcCall& call, std::string& out, int code,
@@ -223,7 +224,7 @@
   request.profile = call.profile;
   request.table_group = proto::table_group(call.statement).value_or(-1);
   request.statement = std::move(call.statement);
-  if (server_.reads_repeat_marks_ && !call.first_command.empty()) {
+  if (server_.reads_retry_markers_ && !call.first_command.empty()) {
     if (!proto::is_command_id(call.first_command)) {
       refuse(call, out, proto::kRpcBadParams, "first is not 16 hex digits");
       return std::nullopt;
@@ -278,7 +279,7 @@
   if (server_.result_store_->release(loop_.now(), call.token, call.key))
     proto::append_released(out, call.id);
   else
-    proto::append_error(out, call.id, true, proto::kRpcGone, "gone");
+    proto::append_error(out, call.id, true, proto::kRpcResultGone, "gone");
 }
 
 void ClientConnection::handle_page_read(const proto::RpcCall& request, std::string& out) {
@@ -294,7 +295,7 @@
       if (outcome == ResultStore::ReadStatus::kRows)
         proto::append_page(text, id, page, page_count, rows);
       else if (outcome == ResultStore::ReadStatus::kGone)
-        proto::append_error(text, id, true, proto::kRpcGone, "gone");
+        proto::append_error(text, id, true, proto::kRpcResultGone, "gone");
       else
         proto::append_error(text, id, true, proto::kRpcNoSuchPage, "no such page");
     });
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -31,7 +31,7 @@
   void handle_answered();  // an answer was written
 
   // Starts a graceful close: what arrives from now on is not taken.
-  void leave();
+  void start_graceful_close();
   // Ends the connection where its time is over.
   void check_timeouts(TimePoint now);
 
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -53,7 +53,7 @@
   bool are_all_lingering = true;
   for (const auto& [key, connection] : connections_) {
     if (!connection->is_lingering() && !connection->has_open_calls() && connection->has_nothing_to_read())
-      connection->leave();
+      connection->start_graceful_close();
     are_all_lingering &= connection->is_lingering();
   }
   if (!are_all_lingering) return false;
@@ -116,14 +116,15 @@
       case Kind::kDone:
         return proto::append_json_result(out, id, cluster_reply.text);
       case Kind::kRejected:
-        return proto::append_refused_change(out, id, cluster_reply.text);
+        return proto::append_rejected_change(out, id, cluster_reply.text);
       case Kind::kInvalidParams:
         return proto::append_error(out, id, true, proto::kRpcBadParams, cluster_reply.text);
       case Kind::kNoQuorum:
-        return proto::append_error(out, id, true, proto::kRpcNoMajority,
+        return proto::append_error(out, id, true, proto::kRpcNoQuorum,
                                    "no majority of keepers: nothing was changed");
       case Kind::kOutcomeUnknown:
-        return proto::append_error(out, id, true, proto::kRpcMayBeMade, "it may have been made: ask again");
+        return proto::append_error(out, id, true, proto::kRpcOutcomeUnknown,
+                                   "it may have been made: ask again");
     }
   });
 }
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -29,7 +29,7 @@
   void set_cluster(ClusterRequests& cluster) { cluster_ = &cluster; }
   void observe(ConnectionObserver observer) { observer_ = std::move(observer); }
   // Whether the marks of repeated commands are read: as the operator's file has it.
-  void accept_repeat_marks(bool on) { reads_repeat_marks_ = on; }
+  void set_reads_retry_markers(bool on) { reads_retry_markers_ = on; }
   // Throws Poco::Exception where the address cannot be listened on.
   void listen(const std::string& address, Core& core);
 
@@ -75,7 +75,7 @@
   ClusterRequests* cluster_ = nullptr;   // null: this gateway is in no cluster
   ResultStore* result_store_ = nullptr;  // null: there are no paged answers
   Listener listener_;
-  bool reads_repeat_marks_ = false, is_listener_closed_ = false;
+  bool reads_retry_markers_ = false, is_listener_closed_ = false;
   std::optional<TimePoint> check_at_, all_lingering_since_;
   std::map<ClientConnection*, std::unique_ptr<ClientConnection>> connections_;
   std::map<CallId, OpenCall> open_calls_;
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -65,7 +65,7 @@
 
 void Connection::account_buffers() {
   if (!is_open_) return;
-  const size_t bytes_now = inbox_.space() + output_.capacity();
+  const size_t bytes_now = read_buffer_.capacity() + output_.capacity();
   loop_.account_buffered(buffered_bytes_, bytes_now);
   buffered_bytes_ = bytes_now;
 }
@@ -80,8 +80,8 @@
   if (!is_open_ || is_lingering_) return;
   is_lingering_ = true;
   loop_.mark_idlest(entry_);
-  inbox_.used(inbox_.text().size());
-  inbox_.rest();
+  read_buffer_.consume(read_buffer_.text().size());
+  read_buffer_.release_if_empty();
   account_buffers();
   set_interest(true, is_writing_);
   if (unsent_bytes() == 0) end_stream();
@@ -168,14 +168,14 @@
   if (!is_open_) return;
   if (!is_connected_) return;
   if (is_lingering_) return discard_input();
-  const auto space = inbox_.room(kReadBytes);
+  const auto space = read_buffer_.prepare(kReadBytes);
   const ssize_t got = ::recv(socket_.impl()->sockfd(), space.data(), space.size(), 0);
   if (got > 0) {
-    inbox_.filled(static_cast<size_t>(got));
+    read_buffer_.commit(static_cast<size_t>(got));
     loop_.mark_active(entry_);
     on_bytes();
     if (!is_open_) return;
-    inbox_.rest();
+    read_buffer_.release_if_empty();
     account_buffers();
   } else if (got == 0) {
     if (keeps_half_open()) return set_interest(false, is_writing_);
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "net/loop.h"
-#include "proto/inbox.h"
+#include "proto/read_buffer.h"
 
 namespace firvalve::net {
 
@@ -47,14 +47,14 @@
 
  protected:
   virtual void on_connected() {}
-  virtual void on_bytes() = 0;  // inbox_ holds more than before
+  virtual void on_bytes() = 0;  // read_buffer_ holds more than before
   virtual void on_written() {}  // what was buffered has been sent
   // Called once. The connection is closed by then, save after kClosed with keeps_half_open().
   virtual void on_end(End end) = 0;
   virtual bool keeps_half_open() { return false; }  // after the peer's end: go on writing
 
   Loop& loop_;
-  proto::Inbox inbox_;
+  proto::ReadBuffer read_buffer_;
 
  private:
   void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { read_available(); }
--- a/src/net/endpoint_watcher.cpp
+++ b/src/net/endpoint_watcher.cpp
@@ -23,9 +23,10 @@
     const TimePoint now = loop_.now();
     std::span<char> line;
     for (;;) {
-      const proto::Read read = proto::next_line(inbox_, line);
-      if (read == proto::Read::kMore) return;
-      if (read == proto::Read::kBroken) return owner_.handle_disconnect(now, CloseReason::kProtocolError);
+      const proto::ReadResult read = proto::next_line(read_buffer_, line);
+      if (read == proto::ReadResult::kIncomplete) return;
+      if (read == proto::ReadResult::kMalformed)
+        return owner_.handle_disconnect(now, CloseReason::kProtocolError);
       owner_.handle_line(now, line);
       if (!is_open()) return;
     }
@@ -66,7 +67,8 @@
       address_(std::move(address)),
       connect_timeout_(connect_timeout),
       backoff_(to_ms(connect_timeout), to_ms(kMaxReconnectDelay), seed) {
-  due_at_ = loop_.now() + duration_of(backoff_.spread(to_ms(std::min(connect_timeout_, max_first_delay))));
+  due_at_ =
+      loop_.now() + duration_of(backoff_.draw_jitter(to_ms(std::min(connect_timeout_, max_first_delay))));
 }
 EndpointWatcher::~EndpointWatcher() = default;
 
@@ -124,7 +126,7 @@
   address_ = std::move(address);
   // Guards against configurations in a row that would each put the migration off: the first one's time
   // stands.
-  if (!is_migrating_) due_at_ = now + duration_of(backoff_.spread(to_ms(kMigrationSpread)));
+  if (!is_migrating_) due_at_ = now + duration_of(backoff_.draw_jitter(to_ms(kMigrationSpread)));
   is_migrating_ = true;
   report(now, EndpointChange::Kind::kMigrationScheduled);
 }
--- a/src/net/engine_connection.cpp
+++ b/src/net/engine_connection.cpp
@@ -13,15 +13,15 @@
 
 void EngineConnection::on_bytes() {
   proto::HttpResponse response;
-  const proto::Read read = reader_.next(inbox_, response);
-  if (read == proto::Read::kMore && task != Task::kIdle) return;
+  const proto::ReadResult read = reader_.next(read_buffer_, response);
+  if (read == proto::ReadResult::kIncomplete && task != Task::kIdle) return;
   // Guards against bytes beyond a response's end, which would be read as that to the next call: the
   // connection is not reused. A second copy of the response spoils no more; before anything else behind it a
   // length may have been cut, and the engine is asked for the response again.
-  const std::string_view behind = inbox_.text();
+  const std::string_view behind = read_buffer_.text();
   const bool may_be_cut =
       !behind.empty() && !behind.starts_with(std::string_view("HTTP/1.").substr(0, behind.size()));
-  if (read != proto::Read::kWhole || task == Task::kIdle || (may_be_cut && response.status == 200)) {
+  if (read != proto::ReadResult::kComplete || task == Task::kIdle || (may_be_cut && response.status == 200)) {
     metrics_.add(task == Task::kIdle ? "engine responses unsolicited" : "engine responses malformed");
     response = {};
   }
--- a/src/net/engine_connections.cpp
+++ b/src/net/engine_connections.cpp
@@ -76,7 +76,7 @@
 }
 
 EngineConnection* EngineConnections::open_connection(EnginePool& pool, uint32_t engine, TimePoint now) {
-  if (!loop_.make_room(false)) {
+  if (!loop_.reserve_descriptor(false)) {
     metrics_.add("engine connections not opened: no descriptor");
     return nullptr;
   }
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -45,7 +45,7 @@
   for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
     // Guards against a loop that spins on connections it has no descriptor for: they wait in the system
     // meanwhile.
-    if (!loop_.make_room(for_clients_)) return pause();
+    if (!loop_.reserve_descriptor(for_clients_)) return pause();
     const int descriptor =
         ::accept4(socket_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (descriptor < 0) {
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -15,8 +15,9 @@
  public:
   using AcceptHandler = std::function<void(const Poco::Net::StreamSocket& accepted)>;
 
-  // for_clients: which share of the loop's descriptors the connections count against (Loop::make_room()). The
-  // accepted sockets are non-blocking and closed on exec. The loop outlives this.
+  // for_clients: which share of the loop's descriptors the connections count against
+  // (Loop::reserve_descriptor()). The accepted sockets are non-blocking and closed on exec. The loop outlives
+  // this.
   Listener(Loop& loop, bool for_clients, AcceptHandler on_accept);
   ~Listener();
   Listener(const Listener&) = delete;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -43,7 +43,7 @@
 
 // Guards against peers that connect and stay, or connect by hundreds: without a descriptor nobody is served.
 // It may cost a peer that would have sent more a new connection.
-bool Loop::make_room(bool for_client) {
+bool Loop::reserve_descriptor(bool for_client) {
   const auto limit = static_cast<size_t>(max_descriptors_);
   if (connections_.size() < limit) return true;
   const bool only_clients = for_client && client_count_ * 3 >= max_descriptors_;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -36,7 +36,7 @@
 
   // True: there is a descriptor for one more connection. Where none is left, the idlest evictable connection
   // is evicted; once clients hold their third of the descriptors, a new client evicts clients alone.
-  bool make_room(bool for_client);
+  bool reserve_descriptor(bool for_client);
 
   // For Connection alone: its entry in the accounts.
   using Entry = std::list<Connection*>::iterator;
--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -73,9 +73,9 @@
 }
 
 void Signals::on_bytes() {
-  while (!inbox_.text().empty()) {
-    const int signal_number = inbox_.text().front();
-    inbox_.used(1);
+  while (!read_buffer_.text().empty()) {
+    const int signal_number = read_buffer_.text().front();
+    read_buffer_.consume(1);
     on_signal_(signal_number);
   }
 }
--- a/src/net/waker.cpp
+++ b/src/net/waker.cpp
@@ -35,7 +35,7 @@
 }
 
 void Waker::on_bytes() {
-  inbox_.used(inbox_.text().size());
+  read_buffer_.consume(read_buffer_.text().size());
   if (on_wake_) on_wake_();
 }
 
--- a/src/proto/bus/bus.cpp
+++ b/src/proto/bus/bus.cpp
@@ -38,12 +38,13 @@
 
 }  // namespace
 
-Read next_line(Inbox& in, std::span<char>& line) {
+ReadResult next_line(ReadBuffer& in, std::span<char>& line) {
   const size_t end = in.text().find('\n');
-  if (end == std::string_view::npos) return in.text().size() > kMaxBusLineBytes ? Read::kBroken : Read::kMore;
-  line = in.held().first(end);
-  in.used(end + 1);
-  return Read::kWhole;
+  if (end == std::string_view::npos)
+    return in.text().size() > kMaxBusLineBytes ? ReadResult::kMalformed : ReadResult::kIncomplete;
+  line = in.unread().first(end);
+  in.consume(end + 1);
+  return ReadResult::kComplete;
 }
 
 std::optional<BusEvent> read_bus_event(const Value& event) {
--- a/src/proto/bus/bus.h
+++ b/src/proto/bus/bus.h
@@ -10,7 +10,7 @@
 
 #include "base/time.h"
 #include "policy/events.h"
-#include "proto/inbox.h"
+#include "proto/read_buffer.h"
 
 namespace firvalve::proto {
 
@@ -29,7 +29,7 @@
 };
 
 // The next line of what is held, without its end.
-Read next_line(Inbox& in, std::span<char>& line);
+ReadResult next_line(ReadBuffer& in, std::span<char>& line);
 // Reads a line; an event without listings is the last number alone. Empty: it cannot be read.
 std::optional<BusEvent> read_bus_line(std::span<char> line);
 std::optional<BusEvent> read_bus_event(const rapidjson::Value& event);
--- a/src/proto/head.cpp
+++ b/src/proto/head.cpp
@@ -21,20 +21,20 @@
   return HeadField{line.substr(0, colon), value};
 }
 
-bool same_name(std::string_view a, std::string_view b) {
+bool equals_ignore_case(std::string_view a, std::string_view b) {
   const auto lower = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; };
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(), [&](char x, char y) { return lower(x) == lower(y); });
 }
 
-std::optional<int64_t> whole_number(std::string_view text, int64_t most) {
+std::optional<int64_t> parse_whole_number(std::string_view text, int64_t max) {
   if (text.empty() || text.size() > 18) return std::nullopt;
   int64_t value = 0;
   for (const char c : text) {
     if (c < '0' || c > '9') return std::nullopt;
     value = value * 10 + (c - '0');
   }
-  return value <= most ? std::optional(value) : std::nullopt;
+  return value <= max ? std::optional(value) : std::nullopt;
 }
 
 size_t head_end(std::string_view text) {
--- a/src/proto/jsonrpc/reply.cpp
+++ b/src/proto/jsonrpc/reply.cpp
@@ -45,7 +45,7 @@
     reply.message.assign(text->GetString(), std::min<size_t>(text->GetStringLength(), kMessageMost));
   const Value* data = member(error, "data");
   const bool has_data = data && data->IsObject();
-  if (reply.code == kRpcRefusedChange && has_data)
+  if (reply.code == kRpcChangeRejected && has_data)
     if (const Value* breaches = member(*data, "breaches")) reply.rows = text_of(*breaches);
   if (reply.code != kRpcShed) return;
   reply.kind = RpcReply::Kind::kShed;
@@ -88,13 +88,13 @@
       out, fmt::format(R"({{"jsonrpc":"2.0","id":{},"method":{},"params":{}}})", id, quoted(method), params));
 }
 
-std::optional<std::string> with_bulletin(std::string_view bulletin, const std::string& params, Ms timeout) {
+std::optional<std::string> add_topic_params(std::string_view topic, const std::string& params, Ms timeout) {
   rapidjson::Document d;
   d.Parse<rapidjson::kParseIterativeFlag>(params.data(), params.size());
   if (d.HasParseError() || !d.IsObject()) return {};
   d.RemoveMember("bulletin");
   d.RemoveMember("timeout");
-  Value name(bulletin.data(), static_cast<rapidjson::SizeType>(bulletin.size()), d.GetAllocator());
+  Value name(topic.data(), static_cast<rapidjson::SizeType>(topic.size()), d.GetAllocator());
   d.AddMember("bulletin", name, d.GetAllocator());
   d.AddMember("timeout", std::max(1.0, std::floor(timeout)), d.GetAllocator());
   return text_of(d);
--- a/src/proto/jsonrpc/reply.h
+++ b/src/proto/jsonrpc/reply.h
@@ -36,14 +36,14 @@
 // Any method with params as they are: a JSON object.
 void append_method(std::string& out, int64_t id, std::string_view method, std::string_view params);
 // A JSON object with the bulletin's name and the time-out put in; none: it is no object.
-std::optional<std::string> with_bulletin(std::string_view bulletin, const std::string& params, Ms timeout);
+std::optional<std::string> add_topic_params(std::string_view topic, const std::string& params, Ms timeout);
 void append_revoke(std::string& out, int64_t id, std::string_view req);
 void append_heartbeat(std::string& out, int64_t id);
 
 // One answer. The kind tells which of the other fields mean anything.
 struct RpcReply {
-  enum class Kind { kRows, kShed, kFailed, kHeartbeat, kUnread };
-  Kind kind = Kind::kUnread;
+  enum class Kind { kRows, kShed, kFailed, kHeartbeat, kUnreadable };
+  Kind kind = Kind::kUnreadable;
   bool has_id = false;
   int64_t id = 0;
   std::string rows;   // kRows, decoded; of a bulletin, or a change of one refused (kFailed), JSON as it came
--- a/src/proto/jsonrpc/rpc.cpp
+++ b/src/proto/jsonrpc/rpc.cpp
@@ -164,35 +164,35 @@
   return text.size() == 16 && text.find_first_not_of("0123456789abcdefABCDEF") == std::string_view::npos;
 }
 
-Read RpcFrames::next(Inbox& in, std::span<char>& body) {
+ReadResult RpcFrames::next(ReadBuffer& in, std::span<char>& body) {
   if (!in_body_)
-    if (const Read head = read_head(in); head != Read::kWhole) return head;
-  if (in.held().size() < body_bytes_) return Read::kMore;
-  body = in.held().first(body_bytes_);
-  in.used(body_bytes_);
+    if (const ReadResult head = read_head(in); head != ReadResult::kComplete) return head;
+  if (in.unread().size() < body_bytes_) return ReadResult::kIncomplete;
+  body = in.unread().first(body_bytes_);
+  in.consume(body_bytes_);
   in_body_ = false;
-  return Read::kWhole;
+  return ReadResult::kComplete;
 }
 
-Read RpcFrames::read_head(Inbox& in) {
+ReadResult RpcFrames::read_head(ReadBuffer& in) {
   const size_t end = head_end(in.text().substr(0, kMaxRpcHeadBytes));
   if (end == std::string_view::npos)
-    return in.text().size() >= kMaxRpcHeadBytes ? Read::kBroken : Read::kMore;
+    return in.text().size() >= kMaxRpcHeadBytes ? ReadResult::kMalformed : ReadResult::kIncomplete;
   std::string_view head = in.text().substr(0, end);
   bool has_length = false;
   for (std::string_view line = take_line(head); !line.empty(); line = take_line(head)) {
     const auto field = field_of(line);
-    if (!field) return Read::kBroken;
-    if (!same_name(field->name, "Content-Length")) continue;
-    const auto length = whole_number(field->value, static_cast<int64_t>(max_body_bytes_));
-    if (!length || has_length) return Read::kBroken;
+    if (!field) return ReadResult::kMalformed;
+    if (!equals_ignore_case(field->name, "Content-Length")) continue;
+    const auto length = parse_whole_number(field->value, static_cast<int64_t>(max_body_bytes_));
+    if (!length || has_length) return ReadResult::kMalformed;
     has_length = true;
     body_bytes_ = static_cast<size_t>(*length);
   }
-  if (!has_length || body_bytes_ == 0) return Read::kBroken;
-  in.used(end);
+  if (!has_length || body_bytes_ == 0) return ReadResult::kMalformed;
+  in.consume(end);
   in_body_ = true;
-  return Read::kWhole;
+  return ReadResult::kComplete;
 }
 
 RpcCall read_call(std::span<char> body) {
@@ -229,20 +229,20 @@
   append_message(out, fmt::format(R"({{"jsonrpc":"2.0","id":{},"result":{{"released":true}}}})", id));
 }
 
-void append_healthy(std::string& out, int64_t id, bool is_healthy, bool reads_repeat_marks) {
+void append_heartbeat_reply(std::string& out, int64_t id, bool is_healthy, bool reads_retry_markers) {
   append_message(out, fmt::format(R"({{"jsonrpc":"2.0","id":{},"result":{{"healthy":{}{}}}}})", id,
-                                  is_healthy, reads_repeat_marks ? R"(,"marks":true)" : ""));
+                                  is_healthy, reads_retry_markers ? R"(,"marks":true)" : ""));
 }
 
 void append_json_result(std::string& out, int64_t id, std::string_view json) {
   append_message(out, fmt::format(R"({{"jsonrpc":"2.0","id":{},"result":{}}})", id, json));
 }
 
-void append_refused_change(std::string& out, int64_t id, std::string_view violations) {
+void append_rejected_change(std::string& out, int64_t id, std::string_view violations) {
   append_message(out,
                  fmt::format(R"({{"jsonrpc":"2.0","id":{},"error":{{"code":{},"message":"refused: it would )"
                              R"(break subscribers or itself","data":{{"breaches":{}}}}}}})",
-                             id, kRpcRefusedChange, violations));
+                             id, kRpcChangeRejected, violations));
 }
 
 void append_error(std::string& out, int64_t id, bool has_id, int code, std::string_view message) {
--- a/src/proto/jsonrpc/rpc.h
+++ b/src/proto/jsonrpc/rpc.h
@@ -8,7 +8,7 @@
 #include <string_view>
 
 #include "base/time.h"
-#include "proto/inbox.h"
+#include "proto/read_buffer.h"
 
 namespace firvalve::proto {
 
@@ -27,11 +27,12 @@
 class RpcFrames {
  public:
   explicit RpcFrames(size_t max_body_bytes = kMaxRpcBodyBytes) : max_body_bytes_(max_body_bytes) {}
-  Read next(Inbox& in, std::span<char>& body);  // the body is good until the inbox's next room()
-  bool in_message() const { return in_body_; }
+  ReadResult next(ReadBuffer& in,
+                  std::span<char>& body);  // the body is good until the read_buffer's next prepare()
+  bool is_in_message() const { return in_body_; }
 
  private:
-  Read read_head(Inbox& in);
+  ReadResult read_head(ReadBuffer& in);
 
   size_t max_body_bytes_;
   bool in_body_ = false;
@@ -73,7 +74,7 @@
 
 // The answers, each appended as a whole message.
 void append_result(std::string& out, int64_t id, std::string_view rows);
-void append_healthy(std::string& out, int64_t id, bool is_healthy, bool reads_repeat_marks = false);
+void append_heartbeat_reply(std::string& out, int64_t id, bool is_healthy, bool reads_retry_markers = false);
 void append_error(std::string& out, int64_t id, bool has_id, int code, std::string_view message);
 void append_shed(std::string& out, int64_t id, std::optional<Duration> retry_after);
 void append_paged(std::string& out, int64_t id, std::string_view token, uint64_t pages, uint64_t rows,
@@ -81,9 +82,9 @@
 void append_page(std::string& out, int64_t id, uint64_t page, uint64_t pages, std::string_view rows);
 void append_released(std::string& out, int64_t id);
 void append_json_result(std::string& out, int64_t id, std::string_view json);
-void append_refused_change(std::string& out, int64_t id, std::string_view violations);      // a JSON list
-constexpr int kRpcRefusedChange = -32010, kRpcNoMajority = -32011, kRpcMayBeMade = -32012;  // of a topic
-constexpr int kRpcFailed = -32000, kRpcShed = -32001, kRpcGone = -32002, kRpcNoSuchPage = -32003,
+void append_rejected_change(std::string& out, int64_t id, std::string_view violations);         // a JSON list
+constexpr int kRpcChangeRejected = -32010, kRpcNoQuorum = -32011, kRpcOutcomeUnknown = -32012;  // of a topic
+constexpr int kRpcFailed = -32000, kRpcShed = -32001, kRpcResultGone = -32002, kRpcNoSuchPage = -32003,
               kRpcUnreadable = -32700;
 constexpr int kRpcBadRequest = -32600, kRpcNoMethod = -32601, kRpcBadParams = -32602;  // as JSON-RPC has them
 
--- a/src/proto/statement.cpp
+++ b/src/proto/statement.cpp
@@ -87,7 +87,7 @@
 std::optional<int64_t> group_of_schema(std::string_view schema) {
   const size_t underscore = schema.rfind('_');
   if (underscore == std::string_view::npos || underscore == 0) return std::nullopt;
-  return whole_number(schema.substr(underscore + 1), INT64_MAX);
+  return parse_whole_number(schema.substr(underscore + 1), INT64_MAX);
 }
 
 }  // namespace
@@ -101,7 +101,7 @@
     is_after_dot = is_dot;
     if (!may_be_schema) continue;
     const size_t next = skip_blanks(statement, at);
-    if (next >= statement.size() || statement[next] != '.' || same_name(name, "staging")) continue;
+    if (next >= statement.size() || statement[next] != '.' || equals_ignore_case(name, "staging")) continue;
     if (const auto group = group_of_schema(name)) return group;
   }
   return std::nullopt;
--- a/src/proto/store/http.cpp
+++ b/src/proto/store/http.cpp
@@ -14,86 +14,87 @@
 
 std::optional<StatusLine> read_status_line(std::string_view line) {
   if (!line.starts_with("HTTP/1.") || line.size() < 12 || line[8] != ' ') return std::nullopt;
-  const auto status = whole_number(line.substr(9, 3), 599);
+  const auto status = parse_whole_number(line.substr(9, 3), 599);
   if (!status || *status < 100 || (line.size() > 12 && line[12] != ' ')) return std::nullopt;
   return StatusLine{static_cast<int>(*status), line[7] == '1'};
 }
 
 // The fields that do not bear on framing; others are passed over.
 void read_field(const HeadField& field, HttpResponse& response) {
-  if (same_name(field.name, "Connection")) {
-    if (same_name(field.value, "close")) response.is_reusable = false;
-  } else if (same_name(field.name, "Not-Begun")) {
+  if (equals_ignore_case(field.name, "Connection")) {
+    if (equals_ignore_case(field.value, "close")) response.is_reusable = false;
+  } else if (equals_ignore_case(field.name, "Not-Begun")) {
     response.is_not_started = field.value == "1";
-  } else if (same_name(field.name, "X-Sheets")) {
-    response.page_count = whole_number(field.value, kMaxPageNumber);
-  } else if (same_name(field.name, "X-Sheet")) {
-    response.page = whole_number(field.value, kMaxPageNumber);
-  } else if (same_name(field.name, "Detail")) {
+  } else if (equals_ignore_case(field.name, "X-Sheets")) {
+    response.page_count = parse_whole_number(field.value, kMaxPageNumber);
+  } else if (equals_ignore_case(field.name, "X-Sheet")) {
+    response.page = parse_whole_number(field.value, kMaxPageNumber);
+  } else if (equals_ignore_case(field.name, "Detail")) {
     response.status_kind = field.value;
-  } else if (same_name(field.name, "X-Val")) {
+  } else if (equals_ignore_case(field.name, "X-Val")) {
     response.status_value = field.value;
   }
 }
 
 }  // namespace
 
-Read HttpResponseReader::next(Inbox& in, HttpResponse& response) {
+ReadResult HttpResponseReader::next(ReadBuffer& in, HttpResponse& response) {
   if (head_bytes_ == 0)
-    if (const Read found = find_head(in); found != Read::kWhole) return found;
-  if (in.text().size() < head_bytes_ + body_bytes_) return Read::kMore;
+    if (const ReadResult found = find_head(in); found != ReadResult::kComplete) return found;
+  if (in.text().size() < head_bytes_ + body_bytes_) return ReadResult::kIncomplete;
   response = {};
   read_head(in.text().substr(0, head_bytes_), response);
   response.body = in.text().substr(head_bytes_, body_bytes_);
-  in.used(head_bytes_ + body_bytes_);
-  return Read::kWhole;
+  in.consume(head_bytes_ + body_bytes_);
+  return ReadResult::kComplete;
 }
 
 // Finds the head's end and the body's length; heads of 1xx are dropped on the way.
-Read HttpResponseReader::find_head(Inbox& in) {
+ReadResult HttpResponseReader::find_head(ReadBuffer& in) {
   for (;;) {
     const size_t end = head_end(in.text().substr(0, kMaxHttpHeadBytes));
     if (end == std::string_view::npos)
-      return in.text().size() >= kMaxHttpHeadBytes ? Read::kBroken : Read::kMore;
+      return in.text().size() >= kMaxHttpHeadBytes ? ReadResult::kMalformed : ReadResult::kIncomplete;
     HttpResponse first_look;
-    const Read read = read_head(in.text().substr(0, end), first_look);
-    if (read == Read::kBroken) return Read::kBroken;
-    if (read == Read::kWhole) {
+    const ReadResult read = read_head(in.text().substr(0, end), first_look);
+    if (read == ReadResult::kMalformed) return ReadResult::kMalformed;
+    if (read == ReadResult::kComplete) {
       head_bytes_ = end;
-      return Read::kWhole;
+      return ReadResult::kComplete;
     }
-    in.used(end);
+    in.consume(end);
   }
 }
 
 bool HttpResponseReader::read_content_length(std::string_view value, int status) {
-  const auto length = whole_number(value, static_cast<int64_t>(max_body_bytes_));
+  const auto length = parse_whole_number(value, static_cast<int64_t>(max_body_bytes_));
   if (!length) return false;
   body_bytes_ = status == 204 ? 0 : static_cast<size_t>(*length);
   return true;
 }
 
-// kMore: it is a 1xx, the response itself is still to come.
-Read HttpResponseReader::read_head(std::string_view head, HttpResponse& response) {
+// kIncomplete: it is a 1xx, the response itself is still to come.
+ReadResult HttpResponseReader::read_head(std::string_view head, HttpResponse& response) {
   const auto status_line = read_status_line(take_line(head));
-  if (!status_line) return Read::kBroken;
-  if (status_line->status < 200) return Read::kMore;
+  if (!status_line) return ReadResult::kMalformed;
+  if (status_line->status < 200) return ReadResult::kIncomplete;
   response.status = status_line->status;
   response.is_reusable = status_line->is_http_1_1;
   bool has_length = false;
   body_bytes_ = 0;
   for (std::string_view line = take_line(head); !line.empty(); line = take_line(head)) {
     const auto field = field_of(line);
-    if (!field) return Read::kBroken;
-    if (same_name(field->name, "Transfer-Encoding")) return Read::kBroken;  // responses state their length
-    if (same_name(field->name, "Content-Length")) {
-      if (has_length || !read_content_length(field->value, response.status)) return Read::kBroken;
+    if (!field) return ReadResult::kMalformed;
+    if (equals_ignore_case(field->name, "Transfer-Encoding"))
+      return ReadResult::kMalformed;  // responses state their length
+    if (equals_ignore_case(field->name, "Content-Length")) {
+      if (has_length || !read_content_length(field->value, response.status)) return ReadResult::kMalformed;
       has_length = true;
     } else {
       read_field(*field, response);
     }
   }
-  return has_length || response.status == 204 ? Read::kWhole : Read::kBroken;
+  return has_length || response.status == 204 ? ReadResult::kComplete : ReadResult::kMalformed;
 }
 
 }  // namespace firvalve::proto
--- a/src/proto/store/http.h
+++ b/src/proto/store/http.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string_view>
 
-#include "proto/inbox.h"
+#include "proto/read_buffer.h"
 
 namespace firvalve::proto {
 
@@ -27,12 +27,13 @@
 class HttpResponseReader {
  public:
   explicit HttpResponseReader(size_t max_body_bytes = kMaxHttpBodyBytes) : max_body_bytes_(max_body_bytes) {}
-  Read next(Inbox& in, HttpResponse& response);  // the views are good until the inbox's next room()
+  ReadResult next(ReadBuffer& in,
+                  HttpResponse& response);  // the views are good until the read_buffer's next prepare()
   void reset() { head_bytes_ = body_bytes_ = 0; }
 
  private:
-  Read find_head(Inbox& in);
-  Read read_head(std::string_view head, HttpResponse& response);
+  ReadResult find_head(ReadBuffer& in);
+  ReadResult read_head(std::string_view head, HttpResponse& response);
   bool read_content_length(std::string_view value, int status);
 
   size_t max_body_bytes_, head_bytes_ = 0, body_bytes_ = 0;
--- a/src/results/retention.cpp
+++ b/src/results/retention.cpp
@@ -72,7 +72,7 @@
 void Retention::start_lease(Result& result, TimePoint expiry) {
   result.by_read.unlink();
   result.owner->complete.push_back(result);
-  leases_.put(result, tick_after(expiry));
+  leases_.schedule(result, tick_after(expiry));
 }
 
 // Bytes that are on disk, too, cost nothing to take out of memory: they are read from there.
--- a/tests/base/timing_wheel_test.cpp
+++ b/tests/base/timing_wheel_test.cpp
@@ -17,7 +17,7 @@
 TEST(TimingWheel, WhatIsInThePastIsDueAtOnce) {
   TimingWheel wheel(1000);
   Node node;
-  wheel.put(node, 500);
+  wheel.schedule(node, 500);
   EXPECT_EQ(wheel.next(), 1000u);
   int fired = 0;
   wheel.advance(1000, [&](TimingWheelNode&) { ++fired; });
@@ -29,7 +29,7 @@
   TimingWheel wheel;
   {
     Node node;
-    wheel.put(node, 300);
+    wheel.schedule(node, 300);
   }
   wheel.advance(1000, [](TimingWheelNode&) { FAIL(); });
 }
@@ -38,7 +38,7 @@
   TimingWheel wheel;
   Node node;
   const uint64_t far = (uint64_t{1} << 32) + 12345;
-  wheel.put(node, far);
+  wheel.schedule(node, far);
   bool fired = false;
   wheel.advance(far - 1, [&](TimingWheelNode&) { fired = true; });
   EXPECT_FALSE(fired);
@@ -58,7 +58,7 @@
       case 1: {
         nodes.emplace_back().number = static_cast<int>(nodes.size());
         const uint64_t due = now + how % (what % 8 < 4 ? 70000u : 300u);
-        wheel.put(nodes.back(), due);
+        wheel.schedule(nodes.back(), due);
         plain[nodes.back().number] = due;
         break;
       }
@@ -66,10 +66,10 @@
         if (nodes.empty()) break;
         Node& node = nodes[how % nodes.size()];
         if (how % 3 == 0) {
-          TimingWheel::take_out(node);
+          TimingWheel::cancel(node);
           plain.erase(node.number);
         } else {
-          wheel.put(node, now + how % 1000);
+          wheel.schedule(node, now + how % 1000);
           plain[node.number] = now + how % 1000;
         }
         break;
--- a/tests/client/request_scheduler_test.cpp
+++ b/tests/client/request_scheduler_test.cpp
@@ -416,7 +416,7 @@
     if (const SendAttempt* s = find<SendAttempt>(a)) reply(*s, Reply::Kind::kRefused);
     step(now += 10);
   }
-  EXPECT_GT(scheduler->stats().refused_unsent, 120u);
+  EXPECT_GT(scheduler->stats().refused_without_attempt, 120u);
   EXPECT_LT(scheduler->stats().attempts, 80u);
   EXPECT_EQ(scheduler->stats().refused, 200u);
 }
--- a/tests/core/pending_commands_test.cpp
+++ b/tests/core/pending_commands_test.cpp
@@ -62,13 +62,13 @@
 TEST(PendingCommands, OneOfSeveralCallsLeavesAndAnotherTakesItsPlace) {
   PendingCommands commands;
   PendingCommand& command = *commands.add(kOne, CallId{1}, kOne, "select 1");
-  commands.join(command, CallId{2});
-  commands.join(command, CallId{3});
-  commands.leave(command, CallId{1});
+  commands.add_call(command, CallId{2});
+  commands.add_call(command, CallId{3});
+  commands.remove_call(command, CallId{1});
   EXPECT_FALSE(commands.find_by_call(CallId{1}));
   EXPECT_EQ(commands.find_by_call(CallId{2}), &command);
   EXPECT_EQ(command.call, CallId{3});
-  commands.leave(command, CallId{2});
+  commands.remove_call(command, CallId{2});
   EXPECT_EQ(command.call, CallId{3});
   EXPECT_EQ(commands.call_count(), 1u);
 }
--- a/tests/gateway/spool_gateway_test.cpp
+++ b/tests/gateway/spool_gateway_test.cpp
@@ -253,16 +253,16 @@
   }
   proto::RpcReply reply() {
     std::span<char> body;
-    while (frames.next(inbox, body) != proto::Read::kWhole) {
-      const auto room = inbox.room(65536);
-      const int got = socket.receiveBytes(room.data(), static_cast<int>(room.size()));
+    while (frames.next(read_buffer, body) != proto::ReadResult::kComplete) {
+      const auto space = read_buffer.prepare(65536);
+      const int got = socket.receiveBytes(space.data(), static_cast<int>(space.size()));
       if (got <= 0) return {};
-      inbox.filled(static_cast<size_t>(got));
+      read_buffer.commit(static_cast<size_t>(got));
     }
     return proto::read_reply(body);
   }
   Poco::Net::StreamSocket socket;
-  proto::Inbox inbox;
+  proto::ReadBuffer read_buffer;
   proto::RpcFrames frames;
 };
 
--- a/tests/proto/proto_test.cpp
+++ b/tests/proto/proto_test.cpp
@@ -26,21 +26,21 @@
   return call;
 }
 
-Read feed(HttpResponseReader& reader, Inbox& in, std::string_view bytes, HttpResponse& answer) {
-  in.add(bytes);
+ReadResult feed(HttpResponseReader& reader, ReadBuffer& in, std::string_view bytes, HttpResponse& answer) {
+  in.append(bytes);
   return reader.next(in, answer);
 }
 
 TEST(RpcFrames, AByteAtATimeGivesEachMessageOnce) {
   RpcFrames frames;
-  Inbox in;
+  ReadBuffer in;
   std::span<char> body;
   int whole = 0;
   for (const char c : framed(kBody) + framed("{}")) {
-    in.add({&c, 1});
-    const Read read = frames.next(in, body);
-    ASSERT_NE(read, Read::kBroken);
-    if (read != Read::kWhole) continue;
+    in.append({&c, 1});
+    const ReadResult read = frames.next(in, body);
+    ASSERT_NE(read, ReadResult::kMalformed);
+    if (read != ReadResult::kComplete) continue;
     EXPECT_EQ(body.size(), whole++ == 0 ? kBody.size() : 2);
   }
   EXPECT_EQ(whole, 2);
@@ -54,10 +54,10 @@
         std::string(kMaxRpcHeadBytes, 'a'),
         std::string("Content-Length: 2\r\nContent-Length: 3\r\n\r\n{}")}) {
     RpcFrames frames;
-    Inbox in;
+    ReadBuffer in;
     std::span<char> body;
-    in.add(bytes);
-    EXPECT_EQ(frames.next(in, body), Read::kBroken) << bytes.substr(0, 40);
+    in.append(bytes);
+    EXPECT_EQ(frames.next(in, body), ReadResult::kMalformed) << bytes.substr(0, 40);
   }
 }
 
@@ -123,12 +123,12 @@
 
 TEST(Http, AByteAtATimeGivesTheWholeAnswer) {
   HttpResponseReader reader;
-  Inbox in;
+  ReadBuffer in;
   HttpResponse answer;
   const std::string bytes = "HTTP/1.1 200 OK\r\nx-sheets: 3\r\nContent-Length: 4\r\n\r\na\tb\n";
   for (size_t i = 0; i + 1 < bytes.size(); ++i)
-    ASSERT_EQ(feed(reader, in, bytes.substr(i, 1), answer), Read::kMore);
-  ASSERT_EQ(feed(reader, in, bytes.substr(bytes.size() - 1), answer), Read::kWhole);
+    ASSERT_EQ(feed(reader, in, bytes.substr(i, 1), answer), ReadResult::kIncomplete);
+  ASSERT_EQ(feed(reader, in, bytes.substr(bytes.size() - 1), answer), ReadResult::kComplete);
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(answer.page_count, 3);
   EXPECT_EQ(answer.body, "a\tb\n");
@@ -145,21 +145,21 @@
         std::string("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n"),
         std::string("HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n")}) {
     HttpResponseReader reader;
-    Inbox in;
+    ReadBuffer in;
     HttpResponse answer;
-    EXPECT_EQ(feed(reader, in, bytes, answer), Read::kBroken) << bytes.substr(0, 40);
+    EXPECT_EQ(feed(reader, in, bytes, answer), ReadResult::kMalformed) << bytes.substr(0, 40);
   }
 }
 
 TEST(Http, AnswersAheadArePassedOver) {
   HttpResponseReader reader;
-  Inbox in;
+  ReadBuffer in;
   HttpResponse answer;
   ASSERT_EQ(
       feed(reader, in,
            "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 202 Ac", answer),
-      Read::kMore);
-  ASSERT_EQ(feed(reader, in, "cepted\r\nContent-Length: 0\r\n\r\n", answer), Read::kWhole);
+      ReadResult::kIncomplete);
+  ASSERT_EQ(feed(reader, in, "cepted\r\nContent-Length: 0\r\n\r\n", answer), ReadResult::kComplete);
   EXPECT_EQ(answer.status, 202);
 }
 
@@ -264,10 +264,10 @@
                            R"({"offset":1,"topology":{"servers":[{"id":"s"}]}})",
                            R"({"offset":1,"topology":{"servers":[{"id":"s","state":"ODD"}]}})"})
     EXPECT_FALSE(line(text)) << text;
-  Inbox in;
+  ReadBuffer in;
   std::span<char> out;
-  in.add(std::string(kMaxBusLineBytes + 1, ' '));
-  EXPECT_EQ(next_line(in, out), Read::kBroken);
+  in.append(std::string(kMaxBusLineBytes + 1, ' '));
+  EXPECT_EQ(next_line(in, out), ReadResult::kMalformed);
 }
 
 TEST(Statements, TheGroupIsThatOfTheSchema) {
@@ -327,7 +327,7 @@
   for (const char* text : {"", "{", "[]", "7", "{}", R"({"id":1})", R"({"id":1,"result":{}})",
                            R"({"id":1,"result":{"bytes":7}})", R"({"id":1,"result":{"bytes":"a"}})",
                            R"({"result":{"bytes":""}})", R"({"id":1e999,"result":{"bytes":""}})"})
-    EXPECT_EQ(reply_of(text).kind, RpcReply::Kind::kUnread) << text;
+    EXPECT_EQ(reply_of(text).kind, RpcReply::Kind::kUnreadable) << text;
 }
 
 TEST(Reply, WhatAClientWritesAGatewayReads) {
@@ -335,22 +335,22 @@
   append_command(out, {5, "a\"b", "select 1", "00000000000000a1", "00000000000000a0", 1500.7, 20, 3});
   append_revoke(out, 5, "00000000000000a1");
   append_heartbeat(out, 6);
-  Inbox in;
-  in.add(out);
+  ReadBuffer in;
+  in.append(out);
   RpcFrames frames;
   std::span<char> body;
-  ASSERT_EQ(frames.next(in, body), Read::kWhole);
+  ASSERT_EQ(frames.next(in, body), ReadResult::kComplete);
   RpcCall call = read_call(body);
   EXPECT_EQ(call.kind, RpcCall::Kind::kCommand);
   EXPECT_EQ(call.profile, "a\"b");
   EXPECT_EQ(call.statement, "select 1");
   EXPECT_EQ(call.first_command, "00000000000000a0");
   EXPECT_EQ(to_ms(call.timeout), 1500);
-  ASSERT_EQ(frames.next(in, body), Read::kWhole);
+  ASSERT_EQ(frames.next(in, body), ReadResult::kComplete);
   call = read_call(body);
   EXPECT_EQ(call.kind, RpcCall::Kind::kRevoke);
   EXPECT_EQ(call.revoked_id, 5);
-  ASSERT_EQ(frames.next(in, body), Read::kWhole);
+  ASSERT_EQ(frames.next(in, body), ReadResult::kComplete);
   EXPECT_EQ(read_call(body).kind, RpcCall::Kind::kHeartbeat);
 }
 
