--- a/src/policy/profile.cpp
+++ b/src/policy/profile.cpp
@@ -43,9 +43,9 @@
   profile.effect = parse_effect(text_setting(settings, prefix + keys::kEffect));
   profile.deduplication_scope = parse_deduplication_scope(text_setting(settings, prefix + keys::kDedupScope));
   profile.deduplication_window = duration_of(number_setting(settings, prefix + keys::kRepeatWindow));
-  profile.is_ordered = number_setting(settings, prefix + keys::kInOrder) > 0;
+  profile.is_ordered = number_setting(settings, prefix + keys::kIsOrdered) > 0;
   profile.is_load = number_setting(settings, prefix + keys::kIsLoad) > 0;
-  profile.waits_for_loads = number_setting(settings, prefix + keys::kWaits) > 0;
+  profile.waits_for_loads = number_setting(settings, prefix + keys::kWaitsForLoads) > 0;
   profile.threads = std::max(1, static_cast<int>(number_setting(settings, prefix + keys::kThreads, 1)));
   profile.zones = text_list_setting(settings, prefix + keys::kZones);
   profile.machine_types = text_list_setting(settings, prefix + keys::kMachines);
