--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -72,13 +72,13 @@
     {setting::profile::kBenefit, "credit"},
     {setting::profile::kLateShare, "late_share"},
     {setting::profile::kLatencyTarget, "slo", Unit::kNanoseconds},
-    {setting::profile::kTargetStretch, "aim_stretch"},
+    {setting::profile::kTargetSlowdown, "aim_stretch"},
     {setting::profile::kClientTimeout, "deadline", Unit::kNanoseconds},
-    {setting::profile::kRepeatWindow, "window", Unit::kNanoseconds},
-    {setting::profile::kDedupScope, "dedup_scope"},
+    {setting::profile::kDeduplicationWindow, "window", Unit::kNanoseconds},
+    {setting::profile::kDeduplicationScope, "dedup_scope"},
     {setting::profile::kIsOrdered, "keep_order"},
     {setting::profile::kZones, "azs_allowed"},
-    {setting::profile::kMachines, "allowed_on"},
+    {setting::profile::kMachineTypes, "allowed_on"},
 };
 
 constexpr SettingName kTenantSettings[] = {
--- a/src/policy/actions.h
+++ b/src/policy/actions.h
@@ -1,4 +1,4 @@
-// What goes out of the policy: everything that its host is to carry out, in the order given.
+// Output actions of the policy, which its host performs in the given order.
 #pragma once
 
 #include <optional>
@@ -11,24 +11,24 @@
 
 namespace firvalve {
 
-// Why an attempt is cancelled, or a command is shed or fails: for the log and the metrics.
+// Why an attempt is cancelled, or a command is shed or fails; used in logs and metrics.
 enum class Reason {
   kNone,
-  kEngineUnresponsive,  // its engine owes a sign of life
+  kEngineUnresponsive,  // a response of the engine is overdue
   kBlocked,             // it waits for memory or behind a load, and has not begun
-  kNoProgress,          // no progress was reported for several times its usual time
-  kBadPlan,             // at its pace it would run several times its predicted time
-  kClientGone,          // nobody waits for it any more
-  kDeadlineTooClose,    // it could not end before its client's deadline
-  kDeadlineExceeded,    // its client's deadline came while it ran
-  kAttemptsExhausted,   // all attempts that the settings allow were made
-  kUnsafeToRetry,       // it may have run, and must not run again
-  kPoolOverloaded,      // a heavy command was held as long as such are while the pool is overloaded
+  kNoProgress,          // no progress was reported for several times the usual runtime
+  kBadPlan,             // at its current speed it would run several times its predicted runtime
+  kClientGone,          // no client waits for it any more
+  kDeadlineTooClose,    // it could not finish before the client's deadline
+  kDeadlineExceeded,    // the client's deadline passed while it ran
+  kAttemptsExhausted,   // it has used all attempts that the settings allow
+  kUnsafeToRetry,       // it may have run and must not run again
+  kPoolOverloaded,      // a heavy command waited its maximum time while the pool was overloaded
   kUnknownProfile,
 };
 std::string_view name_of(Reason reason);
 
-// What outlier detection has found out about an engine.
+// Changes that outlier detection reports about an engine.
 enum class EngineHealth {
   kReinstated,
   kUnresponsive,   // ejected
@@ -41,8 +41,8 @@
     kCancelAttempt,       // command, attempt, reason
     kShedCommand,         // command, reason, retry_after
     kFailCommand,         // command, reason
-    kSetSchedulingHints,  // command, priority, memory_grant_mb: of the attempts to come and the one in flight
-    kSetTimer,            // timer_delay; it stands in for the timer before it
+    kSetSchedulingHints,  // command, priority, memory_grant_mb: for the attempt in flight and later ones
+    kSetTimer,            // timer_delay: replaces the previous timer
     kLogEngineHealth,     // engine, health
   };
   Kind kind = Kind::kLogEngineHealth;
@@ -50,15 +50,15 @@
   EngineId engine{};
   int attempt = 0;
   int priority = 0;
-  double memory_grant_mb = 0;           // 0: the engine's own choice
-  std::optional<Duration> retry_after;  // how long the client is advised to stay away
+  double memory_grant_mb = 0;           // 0: the engine decides
+  std::optional<Duration> retry_after;  // time that the client is advised to wait before a retry
   Duration timer_delay{};
   Reason reason = Reason::kNone;
   EngineHealth health = EngineHealth::kReinstated;
 };
 using Actions = std::vector<Action>;
 
-// Action::Kind::kLogEngineHealth in words, for hosts whose log takes plain text.
+// Describes an Action::Kind::kLogEngineHealth in words, for hosts that log plain text.
 std::string engine_health_text(EngineId engine, EngineHealth health);
 
 }  // namespace firvalve
--- a/src/policy/events.h
+++ b/src/policy/events.h
@@ -1,7 +1,8 @@
-// What comes into the policy: everything that happens to commands, attempts and engines, one struct an event.
+// Input events of the policy: everything that happens to commands, attempts and engines, one struct per
+// event.
 //
-// A command is a client's query. An attempt is one execution of it on one engine; attempts of a command are
-// numbered from 0, and the second and all after it are retries. A command has at most one attempt in flight.
+// A command is a client's query. An attempt is one execution of it on one engine. The attempts of a command
+// are numbered from 0; all after the first are retries. A command has at most one attempt in flight.
 #pragma once
 
 #include <array>
@@ -20,8 +21,8 @@
   bool operator==(const CommandId&) const = default;
 };
 
-// An engine's number. All gateways derive the same one from an engine's name, so that its order means the
-// same to each of them.
+// The number of an engine. All gateways derive the same number from an engine's name, so the order of engines
+// is the same on every gateway.
 enum class EngineId : uint32_t {};
 constexpr uint32_t to_number(EngineId id) { return static_cast<uint32_t>(id); }
 
@@ -29,16 +30,16 @@
 enum class Outcome {
   kOk,
   kFailed,                // the engine answered with an error
-  kQueueFull,             // the engine rejected it: it did not start
-  kTimedOut,              // its client's deadline came first
-  kConnectFailed,         // no connection came up: it did not start
+  kQueueFull,             // the engine rejected the attempt: it did not start
+  kTimedOut,              // the client's deadline passed first
+  kConnectFailed,         // no connection was established: it did not start
   kReset,                 // the connection was lost after the start was written: it may have run
-  kCancelled,             // it was cancelled, and may have run
-  kCancelledBeforeStart,  // it was cancelled, and did not start
-  kIndeterminate,         // it may have run, and what came back says nothing about its engine
+  kCancelled,             // cancelled; it may have run
+  kCancelledBeforeStart,  // cancelled; it did not start
+  kIndeterminate,         // it may have run; the response says nothing about the engine
 };
 
-// What the endpoint list says of an engine.
+// The state of an engine in the endpoint list.
 enum class EngineState { kRemoved, kReady, kDraining };
 
 // ---- The endpoint list --------------------------------------------------------------------------
@@ -46,19 +47,19 @@
 struct EngineInfo {
   EngineId engine{};
   std::string zone;
-  std::string machine_type;  // what kind of machine it runs on; settings name its cores and who may use it
+  std::string machine_type;  // the settings give its cores and which profiles may use it
   int cell = 0;              // failure domain within the zone
   EngineState state = EngineState::kReady;
-  std::optional<TimePoint> started_at;  // by the clock of the list's writer; none: long ago
+  std::optional<TimePoint> started_at;  // by the clock of the list's writer; empty: long ago
 };
 
 struct EngineListUpdate {
-  bool is_complete = false;  // the whole list: engines that it omits are removed
+  bool is_complete = false;  // the full list: engines missing from it are removed
   std::vector<EngineInfo> engines;
-  std::optional<TimePoint> current_at = {};  // the list was known to be current then, before this change
+  std::optional<TimePoint> current_at = {};  // when the list was last known to be current, before this change
 };
 
-// An active health check has ended. Nothing is decided from its outcome.
+// The end of an active health check. The policy ignores its outcome.
 struct ProbeResult {
   EngineId engine{};
   Outcome outcome = Outcome::kOk;
@@ -66,32 +67,31 @@
 
 // ---- Commands and their clients -----------------------------------------------------------------
 
-// A command was admitted. The policy answers for it until it is shed, failed or its last attempt has
-// finished.
+// A command was admitted. The policy is responsible for it until the command is shed or fails, or its last
+// attempt has finished.
 struct Admitted {
   CommandId id;
-  std::optional<int> profile;  // its place among the settings' profiles; none: an unknown profile
-  std::optional<uint64_t>
-      ordering_key;    // commands of one key run one at a time, where the profile asks for it
-  TimePoint deadline;  // its client waits no longer
-  std::optional<Duration> estimated_work;  // of all threads together, as its client estimates it
+  std::optional<int> profile;  // index among the profiles of the settings; empty: an unknown profile
+  std::optional<uint64_t> ordering_key;  // if its profile is ordered, commands with one key run one at a time
+  TimePoint deadline;                    // the client stops waiting at this time
+  std::optional<Duration> estimated_work;  // the client's estimate, summed over all threads
   double estimated_memory_mb = 0;          // 0: no estimate
-  std::optional<int64_t> table_group;      // the tables that it reads, or loads
+  std::optional<int64_t> table_group;      // the tables that it reads or loads
 };
 
-// Nobody waits for the command any more: its client cancelled it or is known to have left.
+// No client waits for the command any more: the client cancelled it or is known to have left.
 struct ClientGone {
   CommandId id;
 };
 
-// Its client has ended its sending direction. It may still read, or have closed altogether: that looks the
-// same. `is_half_closed` false: some client waits for it again.
+// The client closed its sending direction. It may still read, or may have closed the connection altogether;
+// the two cannot be told apart. `is_half_closed` is false when a client waits for the command again.
 struct ClientHalfClosed {
   CommandId id;
   bool is_half_closed = true;
 };
 
-// Whether the rows of a command have storage reserved. A command without such an event needs none.
+// Whether storage is reserved for the rows of a command. A command without this event needs no reservation.
 struct ResultReservation {
   CommandId id;
   bool is_granted = true;
@@ -101,34 +101,34 @@
 
 enum class AttemptStatusKind { kProgress = 1, kSpilling = 2, kWaiting = 3 };
 
-// The values of AttemptStatusKind::kWaiting that the policy acts on.
-constexpr double kWaitingForMemory = 1;  // queued on the engine for memory
-constexpr double kWaitingForLoad = 2;    // blocked: a load holds the tables
+// Values of AttemptStatusKind::kWaiting that the policy acts on.
+constexpr double kWaitingForMemory = 1;  // queued for memory on the engine
+constexpr double kWaitingForLoad = 2;    // blocked by a load that holds the tables
 
-// An engine reports on an attempt in flight.
+// A status report of an engine about an attempt in flight.
 struct AttemptStatus {
   CommandId id;
   int attempt = 0;
   AttemptStatusKind kind = AttemptStatusKind::kProgress;
-  double value = 0;  // of kProgress: the share done, 0 to 1; of kWaiting: what for, as above
+  double value = 0;  // kProgress: the fraction done, 0 to 1; kWaiting: what it waits for, as above
 };
 
 struct AttemptFinished {
   CommandId id;
   int attempt = 0;
   Outcome outcome = Outcome::kOk;
-  Duration elapsed{};                // since the attempt was started
-  bool is_command_finished = false;  // its client has its answer, or waits no longer
-  std::optional<Duration> work;      // what the answer says that it cost, all threads together
-  std::optional<double> memory_mb;   // what the answer says that it needed
+  Duration elapsed{};                // since the start of the attempt
+  bool is_command_finished = false;  // the client has its answer or no longer waits
+  std::optional<Duration> work;      // cost as reported in the answer, summed over all threads
+  std::optional<double> memory_mb;   // memory needed, as reported in the answer
 };
 
 // ---- The gateway itself -------------------------------------------------------------------------
 
-// The timer that was set last (Action::Kind::kSetTimer) has expired.
+// The timer of the last Action::Kind::kSetTimer has expired.
 struct TimerFired {};
 
-// This gateway ends at that time: every command must have its answer before.
+// This gateway shuts down at `ends_at`: every command must have its answer before.
 struct ShutdownStarted {
   TimePoint ends_at;
 };
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -1,8 +1,9 @@
-// The policy: decides which engine runs which command, when, and what is shed.
+// The policy: decides which engine runs which command, when, and which commands are shed.
 //
-// It is a state machine without I/O, clocks or threads: its host makes the state with open(), gives it every
-// event with handle(), and after the events of one moment asks once with decide() what to do. The same events
-// at the same times give the same actions. A State belongs to one thread at a time; states share nothing.
+// The policy is a state machine without I/O, clocks or threads. The host creates a state with open(), passes
+// every event to handle(), and calls decide() once after the events of one moment. The same events at the
+// same times give the same actions. A State may be used by one thread at a time; different states share
+// nothing.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +16,18 @@
 
 namespace firvalve {
 
-// The state of a gateway that knows no engine yet. The seed fixes its random draws.
+// Creates the state of a gateway that knows no engine yet. `seed` determines its random draws.
 State open(const Settings& settings, uint64_t seed);
 
-// Takes an event into the state. Times never go back from one call to the next.
+// Applies an event to the state. `now` must not decrease from one call to the next.
 void handle(State& state, TimePoint now, const Event& event);
 
-// Decides on all commands in hand, and appends what is to be done about them.
+// Decides about all active commands and appends the actions to perform.
 void decide(State& state, TimePoint now, Actions& actions);
 
-// Whether the attempt that kStartAttempt asked for may still start. The host asks right before it writes the
-// start: connections come up late, and meanwhile the engine may have begun to drain, the client have gone or
-// the window for retries have closed.
+// Whether the attempt requested by kStartAttempt may still start. The host asks right before it writes the
+// start: establishing a connection takes time, and meanwhile the engine may have started to drain, the client
+// may have left or the deduplication window may have closed.
 bool may_start_attempt(const State& state, const CommandId& command, TimePoint now);
 
 }  // namespace firvalve
--- a/src/policy/profile.cpp
+++ b/src/policy/profile.cpp
@@ -39,16 +39,17 @@
   profile.benefit = number_setting(settings, prefix + keys::kBenefit, 1);
   profile.late_share = number_setting(settings, prefix + keys::kLateShare);
   profile.latency_target = duration_of(number_setting(settings, prefix + keys::kLatencyTarget));
-  profile.target_slowdown = number_setting(settings, prefix + keys::kTargetStretch);
+  profile.target_slowdown = number_setting(settings, prefix + keys::kTargetSlowdown);
   profile.effect = parse_effect(text_setting(settings, prefix + keys::kEffect));
-  profile.deduplication_scope = parse_deduplication_scope(text_setting(settings, prefix + keys::kDedupScope));
-  profile.deduplication_window = duration_of(number_setting(settings, prefix + keys::kRepeatWindow));
+  profile.deduplication_scope =
+      parse_deduplication_scope(text_setting(settings, prefix + keys::kDeduplicationScope));
+  profile.deduplication_window = duration_of(number_setting(settings, prefix + keys::kDeduplicationWindow));
   profile.is_ordered = number_setting(settings, prefix + keys::kIsOrdered) > 0;
   profile.is_load = number_setting(settings, prefix + keys::kIsLoad) > 0;
   profile.waits_for_loads = number_setting(settings, prefix + keys::kWaitsForLoads) > 0;
   profile.threads = std::max(1, static_cast<int>(number_setting(settings, prefix + keys::kThreads, 1)));
   profile.zones = text_list_setting(settings, prefix + keys::kZones);
-  profile.machine_types = text_list_setting(settings, prefix + keys::kMachines);
+  profile.machine_types = text_list_setting(settings, prefix + keys::kMachineTypes);
   return profile;
 }
 
--- a/src/policy/random.h
+++ b/src/policy/random.h
@@ -1,5 +1,5 @@
-// The random generator of the policy (PCG-XSH-RR 32). Its draws are part of the decisions: the same seed and
-// events give the same actions.
+// The policy's random number generator (PCG-XSH-RR 32). Its draws are part of the decisions: the same seed
+// and events give the same actions.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/setting_keys.h
+++ b/src/policy/setting_keys.h
@@ -1,13 +1,14 @@
-// The keys of Settings. Only the code knows these words: in the deploy file and on the wire of the simulator
-// the same settings have the operators' names (core/settings.cpp has both).
+// The keys of Settings. These names are internal: the deploy file and the simulator's protocol have other
+// names for the same settings (core/settings.cpp maps between them).
 //
-// Times are in milliseconds, flags are numbers above 0. A list is numbered from 0: "key.0", "key.1" and so
-// on; the keys of a profile and a tenant stand behind its place in the list, as in "profile.0.name".
+// Times are in milliseconds; a flag is set if its number is above 0. List elements are numbered from 0:
+// "key.0", "key.1" and so on. The keys of a profile or a tenant follow its list index, as in
+// "profile.0.name".
 #pragma once
 
 namespace firvalve::setting {
 
-// ---- Of the gateway
+// ---- Gateway
 
 inline constexpr char kZone[] = "zone";
 inline constexpr char kGatewayCount[] = "gateways";
@@ -52,7 +53,7 @@
 inline constexpr char kHonoursPriorities[] = "priorities heeded";
 inline constexpr char kOnShortage[] = "on shortage";
 
-// ---- Of a kind of machine: behind them stands its name
+// ---- Per machine type: prefixes that the name of the type follows
 
 inline constexpr char kCoresPrefix[] = "cores.";
 inline constexpr char kMemoryPrefix[] = "memory.";  // MB
@@ -68,13 +69,13 @@
 inline constexpr char kBenefit[] = "benefit";
 inline constexpr char kLateShare[] = "late share";
 inline constexpr char kLatencyTarget[] = "latency target";
-inline constexpr char kTargetStretch[] = "target stretch";
+inline constexpr char kTargetSlowdown[] = "target stretch";
 inline constexpr char kClientTimeout[] = "client timeout";
-inline constexpr char kRepeatWindow[] = "repeat window";
-inline constexpr char kDedupScope[] = "group";
+inline constexpr char kDeduplicationWindow[] = "repeat window";
+inline constexpr char kDeduplicationScope[] = "group";
 inline constexpr char kIsOrdered[] = "in order";
 inline constexpr char kZones[] = "zone";
-inline constexpr char kMachines[] = "machine";
+inline constexpr char kMachineTypes[] = "machine";
 inline constexpr char kEffect[] = "effect";
 inline constexpr char kThreads[] = "threads";
 inline constexpr char kIsLoad[] = "load";
