--- a/src/cluster/cluster_service.cpp
+++ b/src/cluster/cluster_service.cpp
@@ -166,17 +166,17 @@
 }
 
 void ClusterService::answer(CallId call, std::string_view rows) {
-  if (!run_once_requests_->finish(call, lease::RunOnceJobs::RunEnd::kCompleted, rows))
+  if (!run_once_requests_->finish(call, lease::RunOnceJobs::RunOutcome::kCompleted, rows))
     clients_.answer(call, rows);
 }
 
 void ClusterService::shed(CallId call, std::optional<Duration> retry_after) {
-  if (!run_once_requests_->finish(call, lease::RunOnceJobs::RunEnd::kNeverRan, {}, retry_after))
+  if (!run_once_requests_->finish(call, lease::RunOnceJobs::RunOutcome::kNeverRan, {}, retry_after))
     clients_.shed(call, retry_after);
 }
 
 void ClusterService::fail(CallId call, std::string_view reason) {
-  if (!run_once_requests_->finish(call, lease::RunOnceJobs::RunEnd::kFailed)) clients_.fail(call, reason);
+  if (!run_once_requests_->finish(call, lease::RunOnceJobs::RunOutcome::kFailed)) clients_.fail(call, reason);
 }
 
 void ClusterService::run_once_job(TimePoint now, CallId call, std::string_view job_name,
--- a/src/cluster/run_once_requests.cpp
+++ b/src/cluster/run_once_requests.cpp
@@ -7,7 +7,7 @@
 namespace firvalve::cluster {
 
 using Action = lease::RunOnceJobs::Action;
-using End = lease::RunOnceJobs::RunEnd;
+using End = lease::RunOnceJobs::RunOutcome;
 
 namespace {
 
@@ -33,7 +33,7 @@
 }
 
 void RunOnceRequests::cancel(CallId call) {
-  if (requests_.erase(call) > 0) jobs_.on_caller_gone(BootClock::now(), to_number(call));
+  if (requests_.erase(call) > 0) jobs_.remove_call(BootClock::now(), to_number(call));
 }
 
 void RunOnceRequests::carry_out(TimePoint now) {
--- a/src/cluster/run_once_requests.h
+++ b/src/cluster/run_once_requests.h
@@ -29,7 +29,7 @@
   void carry_out(TimePoint now);
 
   // The command behind a call of the core's has ended. False: the call is no run-once job's.
-  bool finish(CallId call, lease::RunOnceJobs::RunEnd end, std::string_view rows = {},
+  bool finish(CallId call, lease::RunOnceJobs::RunOutcome end, std::string_view rows = {},
               std::optional<Duration> retry_after = {});
 
   // Requests end by then, whatever their clients said.
--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// An incarnation is a count and random bits: the count lets a later one be greater, the random bits keep two
-// first ones apart.
+// An incarnation has a counter in its high bits, so that later incarnations are greater, and random low bits,
+// so that the first incarnations of two starts without storage differ.
 constexpr int kRandomBits = 40;
 constexpr Incarnation random_part(uint64_t random) { return random & ((Incarnation{1} << kRandomBits) - 1); }
 constexpr Incarnation next_incarnation(Incarnation incarnation, uint64_t random) {
@@ -39,7 +39,8 @@
   if (options.replica_count == 1 || is_injected(InjectedBug::kForgetfulAcceptor)) metadata_.is_voting = true;
 }
 
-// One that had begun to recover starts over: the others may have noted its incarnation, so it takes the next.
+// A replica that was stopped during recovery recovers from the start. Other replicas may have recorded its
+// incarnation, so start_recovery() takes the next one.
 Acceptor::Acceptor(const AcceptorOptions& options, ReplicaMetadata metadata,
                    std::map<std::string, AcceptorSlot> slots)
     : options_(options),
@@ -50,7 +51,7 @@
   metadata_.bootstrap_incarnations.resize(options.replica_count);
   for (const auto& [key, slot] : slots_) {
     value_bytes_ += slot.accepted.value.size();
-    if (slot.accepted.version > 0) move_to_newest(key);
+    if (slot.accepted.version > 0) assign_newest_position(key);
   }
 }
 
@@ -74,11 +75,11 @@
     case MessageType::kAccepted:
     case MessageType::kRejected:
     case MessageType::kChanges:
-      return;  // responses to proposers and watchers
+      return;  // responses for proposers and watchers, not for acceptors
   }
 }
 
-// Voting.
+// Prepare and accept.
 
 void Acceptor::handle_prepare(PeerId from, const Message& message) {
   if (!metadata_.is_voting) return;
@@ -101,7 +102,7 @@
   const bool breaks_promise =
       message.ballot < slot->promised_ballot && !is_injected(InjectedBug::kSkipPromiseCheck);
   if (is_too_large || breaks_promise) return reject(from, message, slot, is_too_large);
-  // A repeated request changes nothing and is answered again.
+  // A duplicate request is answered again but changes nothing.
   if (slot->accepted_ballot != message.ballot) store_accepted(now, message.key, *slot, message);
   Message accepted = response_to(message, MessageType::kAccepted);
   accepted.ballot = message.ballot;
@@ -125,8 +126,8 @@
 }
 
 AcceptorSlot* Acceptor::find_or_add_slot(const std::string& key) {
-  const auto at = slots_.find(key);
-  if (at != slots_.end()) return &at->second;
+  const auto it = slots_.find(key);
+  if (it != slots_.end()) return &it->second;
   if (slots_.size() >= options_.max_registers || key.size() > kMaxKeyBytes) return nullptr;
   return &slots_[key];
 }
@@ -145,19 +146,19 @@
   slot.accepted = accept.register_state;
   unwritten_keys_.insert(key);
   if (!is_new_change) return;
-  move_to_newest(key);
+  assign_newest_position(key);
   has_urgent_change_ |= accept.register_state.is_urgent;
   if (!unnotified_since_) unnotified_since_ = now;
 }
 
-void Acceptor::move_to_newest(const std::string& key) {
+void Acceptor::assign_newest_position(const std::string& key) {
   WatchPosition& position = position_by_key_[key];
   if (position != 0) changes_by_position_.erase(position);
   position = ++last_position_;
   changes_by_position_[position] = key;
 }
 
-// Watchers.
+// Watch requests.
 
 void Acceptor::handle_watch(BootTime now, PeerId from, const Message& message) {
   if (!metadata_.is_voting) return;
@@ -177,14 +178,14 @@
   changes.request_id = watcher.request_id;
   changes.incarnation = metadata_.incarnation;
   changes.since = watcher.since;
-  auto at = changes_by_position_.upper_bound(watcher.since);
-  for (size_t bytes = 0; at != changes_by_position_.end() && page_has_space(changes, bytes); ++at) {
-    const AcceptorSlot& slot = slots_[at->second];
+  auto it = changes_by_position_.upper_bound(watcher.since);
+  for (size_t bytes = 0; it != changes_by_position_.end() && page_has_space(changes, bytes); ++it) {
+    const AcceptorSlot& slot = slots_[it->second];
     bytes += slot.accepted.value.size();
-    changes.entries.emplace_back(at->second, slot);
-    changes.since = at->first;
+    changes.entries.emplace_back(it->second, slot);
+    changes.since = it->first;
   }
-  changes.has_more = at != changes_by_position_.end();
+  changes.has_more = it != changes_by_position_.end();
   send(to, std::move(changes));
 }
 
@@ -195,14 +196,14 @@
     has_urgent_change_ = false;
     unnotified_since_.reset();
   }
-  for (auto at = watchers_.begin(); at != watchers_.end();) {
-    const bool has_news = is_due && has_changes_after(at->second.since);
-    if (!has_news && now < at->second.asked_at + options_.watch_timeout) {
-      ++at;
+  for (auto it = watchers_.begin(); it != watchers_.end();) {
+    const bool has_news = is_due && has_changes_after(it->second.since);
+    if (!has_news && now < it->second.requested_at + options_.watch_timeout) {
+      ++it;
       continue;
     }
-    send_changes(at->first, at->second);
-    at = watchers_.erase(at);
+    send_changes(it->first, it->second);
+    it = watchers_.erase(it);
   }
 }
 
@@ -233,24 +234,24 @@
   peer.bootstrap_incarnations = message.bootstrap_incarnations;
   if (!is_same_incarnation) {
     peer.is_fetched = false;
-    peer.last_key.clear();
+    peer.last_fetched_key.clear();
   }
   const bool was_bootstrapped_with =
       peer.is_voting && peer.bootstrap_incarnations[options_.self] == metadata_.incarnation;
   if (was_bootstrapped_with && !is_recovering_)
     return start_voting(peer.known_incarnations, peer.bootstrap_incarnations);
-  uint32_t empty = 0, voting = 0;
+  uint32_t empty_replicas = 0, voting_replicas = 0;
   for (PeerId replica = 0; replica < options_.replica_count; ++replica) {
     if (replica == options_.self || !peers_[replica].has_answered) continue;
-    peers_[replica].is_voting ? ++voting : ++empty;
+    peers_[replica].is_voting ? ++voting_replicas : ++empty_replicas;
   }
-  if (empty + 1 == options_.replica_count && !is_recovering_) {
-    std::vector<Incarnation> all(options_.replica_count);
+  if (empty_replicas + 1 == options_.replica_count && !is_recovering_) {
+    std::vector<Incarnation> incarnations(options_.replica_count);
     for (PeerId replica = 0; replica < options_.replica_count; ++replica)
-      all[replica] = replica == options_.self ? metadata_.incarnation : peers_[replica].incarnation;
-    return start_voting(all, all);
+      incarnations[replica] = replica == options_.self ? metadata_.incarnation : peers_[replica].incarnation;
+    return start_voting(incarnations, incarnations);
   }
-  if (voting < quorum_size(options_.replica_count)) return;
+  if (voting_replicas < quorum_size(options_.replica_count)) return;
   if (!is_recovering_ || peer.known_incarnations[options_.self] > metadata_.incarnation) start_recovery();
 }
 
@@ -276,8 +277,8 @@
   }
 }
 
-// Takes an incarnation past every one that a voting replica has noted, and fetches anew what was fetched for
-// the one before.
+// Takes an incarnation greater than every one that a voting replica has recorded for this replica, and starts
+// the fetch again: state fetched under the previous incarnation does not count.
 void Acceptor::start_recovery() {
   Incarnation highest = metadata_.incarnation;
   for (const PeerState& peer : peers_)
@@ -290,7 +291,7 @@
   for (PeerId replica = 0; replica < options_.replica_count; ++replica) {
     PeerState& peer = peers_[replica];
     peer.is_fetched = false;
-    peer.last_key.clear();
+    peer.last_fetched_key.clear();
     if (peer.has_answered && peer.is_voting) fetch_state(replica);
   }
 }
@@ -299,27 +300,28 @@
   Message request;
   request.type = MessageType::kFetchState;
   request.request_id = metadata_.incarnation;
-  request.key = peers_[from].last_key;
+  request.key = peers_[from].last_fetched_key;
   send(from, std::move(request));
 }
 
 void Acceptor::handle_fetch_state(PeerId from, const Message& message) {
   if (!metadata_.is_voting || !is_other_replica(from)) return;
   const Incarnation incarnation = message.request_id;
-  // A later incarnation of it is noted here: the response makes it take one past that.
+  // A later incarnation of the sender is already recorded here. The response makes the sender take an even
+  // later one.
   if (incarnation < metadata_.known_incarnations[from]) return send(from, metadata_response_to(message));
-  note_incarnation(from, incarnation);
+  record_incarnation(from, incarnation);
   Message state = response_to(message, MessageType::kState);
-  auto at = message.key.empty() ? slots_.begin() : slots_.upper_bound(message.key);
-  for (size_t bytes = 0; at != slots_.end() && page_has_space(state, bytes); ++at) {
-    bytes += at->second.accepted.value.size();
-    state.entries.emplace_back(at->first, at->second);
+  auto it = message.key.empty() ? slots_.begin() : slots_.upper_bound(message.key);
+  for (size_t bytes = 0; it != slots_.end() && page_has_space(state, bytes); ++it) {
+    bytes += it->second.accepted.value.size();
+    state.entries.emplace_back(it->first, it->second);
   }
-  state.has_more = at != slots_.end();
+  state.has_more = it != slots_.end();
   send(from, std::move(state));
 }
 
-void Acceptor::note_incarnation(PeerId replica, Incarnation incarnation) {
+void Acceptor::record_incarnation(PeerId replica, Incarnation incarnation) {
   if (metadata_.known_incarnations[replica] >= incarnation) return;
   metadata_.known_incarnations[replica] = incarnation;
   has_new_metadata_ = true;
@@ -331,41 +333,42 @@
   if (metadata_.is_voting || !is_recovering_ || message.request_id != metadata_.incarnation ||
       message.known_incarnations.size() != options_.replica_count || peer.is_fetched)
     return;
-  // The peer has lost its own storage since its metadata came: pages of two incarnations are not one state.
+  // The peer has lost its storage since it sent its metadata. Pages of two incarnations are not one state.
   if (message.incarnation != peer.incarnation) return;
-  // A page that was requested twice comes twice: only one that continues what is here moves last_key.
-  for (const auto& [key, theirs] : message.entries) {
-    merge_slot(key, theirs);
-    peer.last_key = std::max(peer.last_key, key);
+  // A page that was requested twice may arrive twice. std::max keeps a late duplicate from moving
+  // last_fetched_key backwards.
+  for (const auto& [key, fetched] : message.entries) {
+    merge_slot(key, fetched);
+    peer.last_fetched_key = std::max(peer.last_fetched_key, key);
   }
   for (PeerId replica = 0; replica < options_.replica_count; ++replica)
-    if (replica != options_.self) note_incarnation(replica, message.known_incarnations[replica]);
+    if (replica != options_.self) record_incarnation(replica, message.known_incarnations[replica]);
   if (message.has_more) return fetch_state(from);
   peer.is_fetched = true;
-  const auto fetched =
+  const auto fetched_replicas =
       std::count_if(peers_.begin(), peers_.end(), [](const PeerState& each) { return each.is_fetched; });
-  if (fetched >= quorum_size(options_.replica_count)) finish_recovery(peer.bootstrap_incarnations);
+  if (fetched_replicas >= quorum_size(options_.replica_count)) finish_recovery(peer.bootstrap_incarnations);
 }
 
-void Acceptor::merge_slot(const std::string& key, const AcceptorSlot& theirs) {
-  AcceptorSlot& mine = slots_[key];
-  mine.promised_ballot = std::max(mine.promised_ballot, theirs.promised_ballot);
-  if (theirs.accepted_ballot <= mine.accepted_ballot) return;
-  value_bytes_ += theirs.accepted.value.size() - mine.accepted.value.size();
-  mine.accepted_ballot = theirs.accepted_ballot;
-  mine.accepted = theirs.accepted;
+void Acceptor::merge_slot(const std::string& key, const AcceptorSlot& fetched) {
+  AcceptorSlot& local = slots_[key];
+  local.promised_ballot = std::max(local.promised_ballot, fetched.promised_ballot);
+  if (fetched.accepted_ballot <= local.accepted_ballot) return;
+  value_bytes_ += fetched.accepted.value.size() - local.accepted.value.size();
+  local.accepted_ballot = fetched.accepted_ballot;
+  local.accepted = fetched.accepted;
 }
 
 void Acceptor::finish_recovery(std::vector<Incarnation> bootstrap) {
   for (const auto& [key, slot] : slots_) {
     unwritten_keys_.insert(key);
-    if (slot.accepted.version > 0) move_to_newest(key);
+    if (slot.accepted.version > 0) assign_newest_position(key);
   }
   is_recovering_ = false;
   start_voting(metadata_.known_incarnations, std::move(bootstrap));
 }
 
-// Time and output.
+// Timers and output.
 
 void Acceptor::on_tick(BootTime now) {
   request_metadata(now);
@@ -377,7 +380,7 @@
   if (!metadata_.is_voting) next = metadata_request_due_.value_or(kImmediately);
   if (watchers_.empty()) return next;
   for (const auto& [peer, watcher] : watchers_)
-    next = earlier_of(next, std::optional(watcher.asked_at + options_.watch_timeout));
+    next = earlier_of(next, std::optional(watcher.requested_at + options_.watch_timeout));
   if (has_urgent_change_) next = earlier_of(next, std::optional(kImmediately));
   if (unnotified_since_)
     next = earlier_of(next, std::optional(*unnotified_since_ + options_.notify_interval));
@@ -412,7 +415,7 @@
         .add(peer.incarnation)
         .add(peer.known_incarnations)
         .add(peer.bootstrap_incarnations)
-        .add(peer.last_key);
+        .add(peer.last_fetched_key);
   return digest.text();
 }
 
--- a/src/consensus/digest.h
+++ b/src/consensus/digest.h
@@ -1,5 +1,5 @@
-// Digest: states written out as bytes, so that a search can tell which it has seen. Not for storage or the
-// wire.
+// Digest: serializes state to bytes, so that a state-space search can recognize states that it has visited.
+// The format is for neither storage nor the wire.
 #pragma once
 
 #include <string>
--- a/src/consensus/proposer.cpp
+++ b/src/consensus/proposer.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// What the register becomes by the proposal's change.
-Register changed_by(const Register& current, const Proposal& proposal) {
+// Returns the register as it is after the proposal's change.
+Register apply_change(const Register& current, const Proposal& proposal) {
   Register next = current;
   if (current.version > 0) next.earlier_changes.insert(next.earlier_changes.begin(), current.change_id);
   if (next.earlier_changes.size() > kMaxEarlierChanges) next.earlier_changes.resize(kMaxEarlierChanges);
@@ -21,7 +21,8 @@
   return next;
 }
 
-// What becomes of the proposal where `current` is committed before it.
+// Returns the result of a proposal for which `current` is the committed register. A change that `current`
+// already includes was committed by an earlier attempt.
 ProposalResult::Kind outcome_of(const Proposal& proposal, const Register& current) {
   if (proposal.is_read()) return ProposalResult::Kind::kRead;
   const bool is_applicable =
@@ -34,14 +35,14 @@
 Proposer::Proposer(const ProposerOptions& options) : options_(options) {}
 
 void Proposer::propose(BootTime now, Proposal proposal) {
-  const uint64_t seed = options_.seed + ++seeds_used_;
+  const uint64_t seed = options_.seed + ++backoff_seeds_used_;
   const Backoff backoff(to_ms(options_.min_backoff), to_ms(options_.max_backoff), seed);
   start_attempt(now, Round(now, std::move(proposal), backoff));
 }
 
 void Proposer::start_attempt(BootTime now, Round round) {
   round.phase = Round::Phase::kPrepare;
-  round.ballot = {++highest_number_, options_.proposer_id};
+  round.ballot = {++highest_ballot_number_, options_.proposer_id};
   start_phase(now, std::move(round));
 }
 
@@ -51,8 +52,8 @@
   round.resends = 0;
   round.deadline = now + options_.response_timeout;
   const RequestId id = ++last_request_id_;
-  const auto at = rounds_.emplace(id, std::move(round)).first;
-  for (PeerId replica = 0; replica < options_.replica_count; ++replica) send_request(id, at->second, replica);
+  const auto it = rounds_.emplace(id, std::move(round)).first;
+  for (PeerId replica = 0; replica < options_.replica_count; ++replica) send_request(id, it->second, replica);
 }
 
 void Proposer::send_request(RequestId id, const Round& round, PeerId to) {
@@ -67,18 +68,19 @@
   messages_.push_back({to, std::move(request)});
 }
 
-// Guards against proposers that outbid each other for ever.
-void Proposer::back_off(BootTime now, Rounds::iterator at) {
-  Round round = std::move(at->second);
-  rounds_.erase(at);
+// Waits before the next attempt, so that concurrent proposers do not preempt each other indefinitely.
+void Proposer::back_off(BootTime now, Rounds::iterator it) {
+  Round round = std::move(it->second);
+  rounds_.erase(it);
   round.phase = Round::Phase::kBackoff;
   round.deadline = now + duration_of(round.backoff.next_delay());
   round.responses.clear();
   rounds_.emplace(++last_request_id_, std::move(round));
 }
 
-// A response does not count where another here comes from a replica that has noted a later incarnation of its
-// sender: what that one promised before it lost its storage holds no longer.
+// Returns the responses that count towards a quorum. A response does not count if another one comes from a
+// replica that has recorded a later incarnation of the first one's sender: the sender has lost its storage
+// since, and no longer keeps what it promised or accepted.
 Proposer::Responses Proposer::countable_responses(const Round& round) const {
   Responses countable;
   for (const auto& entry : round.responses) {
@@ -95,46 +97,46 @@
 }
 
 bool Proposer::is_expecting(const Message& message) const {
-  const auto at = rounds_.find(message.request_id);
-  if (at == rounds_.end()) return false;
+  const auto it = rounds_.find(message.request_id);
+  if (it == rounds_.end()) return false;
   if (message.type == MessageType::kRejected) return true;
-  const Round::Phase phase = at->second.phase;
-  return message.ballot == at->second.ballot &&
+  const Round::Phase phase = it->second.phase;
+  return message.ballot == it->second.ballot &&
          ((message.type == MessageType::kPromise && phase == Round::Phase::kPrepare) ||
           (message.type == MessageType::kAccepted && phase == Round::Phase::kAccept));
 }
 
 void Proposer::handle(BootTime now, PeerId replica, const Message& message) {
-  const auto at = rounds_.find(message.request_id);
-  if (at == rounds_.end() || replica >= options_.replica_count) return;
-  if (message.type == MessageType::kRejected) return handle_rejected(now, at, message);
+  const auto it = rounds_.find(message.request_id);
+  if (it == rounds_.end() || replica >= options_.replica_count) return;
+  if (message.type == MessageType::kRejected) return handle_rejected(now, it, message);
   if (!is_expecting(message)) return;
-  Round& round = at->second;
+  Round& round = it->second;
   Response& response = round.responses[replica];
-  if (response.incarnation > message.incarnation) return;  // of an earlier incarnation, delayed
+  if (response.incarnation > message.incarnation) return;  // delayed response of an earlier incarnation
   response = {message.incarnation, message.known_incarnations, message.accepted_ballot,
               message.register_state};
   const Responses countable = countable_responses(round);
   if (countable.size() < quorum_size(options_.replica_count)) return;
-  if (round.phase == Round::Phase::kPrepare) return on_prepared(now, at, countable);
+  if (round.phase == Round::Phase::kPrepare) return on_prepared(now, it, countable);
   finish(round, round.outcome, round.proposed);
-  rounds_.erase(at);
+  rounds_.erase(it);
 }
 
-void Proposer::handle_rejected(BootTime now, Rounds::iterator at, const Message& message) {
-  highest_number_ = std::max(highest_number_, message.ballot.number);
-  const uint32_t tolerable = options_.replica_count - quorum_size(options_.replica_count);
-  if (++at->second.rejections > tolerable) back_off(now, at);
+void Proposer::handle_rejected(BootTime now, Rounds::iterator it, const Message& message) {
+  highest_ballot_number_ = std::max(highest_ballot_number_, message.ballot.number);
+  const uint32_t max_rejections = options_.replica_count - quorum_size(options_.replica_count);
+  if (++it->second.rejections > max_rejections) back_off(now, it);
 }
 
-void Proposer::on_prepared(BootTime now, Rounds::iterator at, const Responses& responses) {
-  Round& round = at->second;
+void Proposer::on_prepared(BootTime now, Rounds::iterator it, const Responses& responses) {
+  Round& round = it->second;
   const Response* highest = responses.front();
   for (const Response* const response : responses)
     if (response->accepted_ballot > highest->accepted_ballot) highest = response;
   const Register current = highest->accepted;
-  // What a quorum has accepted under one ballot is committed, unless an accept of this proposal under a later
-  // ballot could still be.
+  // A register that a quorum has accepted under one ballot is committed. That is not enough if this proposal
+  // has sent an accept request under a later ballot: it may still be accepted.
   const bool is_committed = highest->accepted_ballot >= round.highest_sent_accept &&
                             std::all_of(responses.begin(), responses.end(), [&](const Response* response) {
                               return response->accepted_ballot == highest->accepted_ballot;
@@ -142,17 +144,17 @@
   round.outcome = outcome_of(round.proposal, current);
   const bool adds_change =
       round.outcome == ProposalResult::Kind::kCommitted && !current.includes_change(round.proposal.id);
-  round.proposed = adds_change ? changed_by(current, round.proposal) : current;
-  round.own_change_sent |= adds_change;
+  round.proposed = adds_change ? apply_change(current, round.proposal) : current;
+  round.has_sent_own_change |= adds_change;
   const bool skips_write_back =
       is_injected(InjectedBug::kSkipConflictWriteBack) && round.outcome == ProposalResult::Kind::kConflict;
   if ((is_committed && !adds_change) || skips_write_back) {
     finish(round, round.outcome, current);
-    rounds_.erase(at);
+    rounds_.erase(it);
     return;
   }
   Round next = std::move(round);
-  rounds_.erase(at);
+  rounds_.erase(it);
   next.phase = Round::Phase::kAccept;
   next.highest_sent_accept = next.ballot;
   start_phase(now, std::move(next));
@@ -169,23 +171,23 @@
   for (const RequestId id : expired) on_phase_timeout(now, rounds_.find(id));
 }
 
-void Proposer::on_phase_timeout(BootTime now, Rounds::iterator at) {
-  Round& round = at->second;
+void Proposer::on_phase_timeout(BootTime now, Rounds::iterator it) {
+  Round& round = it->second;
   if (now >= round.proposal.deadline) {
     using Kind = ProposalResult::Kind;
-    finish(round, round.own_change_sent ? Kind::kUnknown : Kind::kNoQuorum, {});
-    rounds_.erase(at);
+    finish(round, round.has_sent_own_change ? Kind::kUnknown : Kind::kNoQuorum, {});
+    rounds_.erase(it);
     return;
   }
   if (round.phase == Round::Phase::kBackoff) {
     Round next = std::move(round);
-    rounds_.erase(at);
+    rounds_.erase(it);
     return start_attempt(now, std::move(next));
   }
-  if (++round.resends > options_.max_resends) return back_off(now, at);
+  if (++round.resends > options_.max_resends) return back_off(now, it);
   round.deadline = now + options_.response_timeout;
   for (PeerId replica = 0; replica < options_.replica_count; ++replica)
-    if (!round.responses.count(replica)) send_request(at->first, round, replica);
+    if (!round.responses.count(replica)) send_request(it->first, round, replica);
 }
 
 std::optional<BootTime> Proposer::next_deadline() const {
@@ -197,11 +199,11 @@
 
 std::string Proposer::digest() const {
   Digest digest;
-  digest.add(highest_number_);
+  digest.add(highest_ballot_number_);
   for (const auto& [id, round] : rounds_) {
     const Proposal& proposal = round.proposal;
     digest.add(id).add(proposal.id).add(proposal.key).add(proposal.expected_change).add(proposal.value);
-    digest.add(round.phase).add(round.ballot).add(round.highest_sent_accept).add(round.own_change_sent);
+    digest.add(round.phase).add(round.ballot).add(round.highest_sent_accept).add(round.has_sent_own_change);
     digest.add(round.proposed).add(round.outcome).add(round.rejections).add(round.resends);
     for (const auto& [replica, response] : round.responses)
       digest.add(replica)
--- a/src/consensus/proposer.h
+++ b/src/consensus/proposer.h
@@ -1,8 +1,8 @@
 // Proposer: changes and reads registers. It runs the two phases of each proposal, prepare and accept, with a
-// quorum of replicas. No I/O, clock or thread; the randomness of its backoff comes from its seed.
+// quorum of replicas. It does no I/O, reads no clock and starts no threads; its backoff is seeded.
 //
-// Two proposers of one key at a time delay each other but never get wrong results: one that is rejected backs
-// off for a random time that grows.
+// Concurrent proposers for one key can delay each other but never produce wrong results. A proposer that is
+// rejected backs off for a random time that grows with each attempt.
 #pragma once
 
 #include <map>
@@ -16,98 +16,101 @@
 
 struct ProposerOptions {
   uint32_t replica_count = 3;
-  uint64_t proposer_id = 1;  // unique: drawn at each start
-  uint64_t seed = 1;
-  Duration response_timeout = 120ms;  // of a replica, before the request is sent once more
-  int max_resends = 3;                // without a quorum; then the proposal starts over with a higher ballot
-  Duration min_backoff = 10ms, max_backoff = 400ms;  // after a rejection
+  uint64_t proposer_id = 1;  // must be unique, so it is drawn at random at each start
+  uint64_t seed = 1;         // for the backoff
+  // A request is resent to replicas that have not answered within response_timeout, up to max_resends times.
+  // After that the proposer backs off and starts a new attempt with a higher ballot.
+  Duration response_timeout = 120ms;
+  int max_resends = 3;
+  Duration min_backoff = 10ms, max_backoff = 400ms;  // before the next attempt
 };
 
+// A request to change or read the register of a key.
 struct Proposal {
-  ChangeId id = 0;  // 0: it only reads
+  ChangeId id = 0;  // 0: read only
   std::string key;
-  ChangeId expected_change = 0;  // that it builds on; 0: the register has no value yet
+  ChangeId expected_change = 0;  // compare-and-set condition; 0: the register must have no value
   std::string value;
-  bool is_urgent = false;  // watchers are to be notified without delay
-  BootTime deadline;       // the result comes by then
+  bool is_urgent = false;  // watchers are notified without delay
+  BootTime deadline;       // the proposal ends at this time at the latest
 
   bool is_read() const { return id == 0; }
 };
 
 struct ProposalResult {
   enum class Kind : uint8_t {
-    kCommitted,  // the change was made, on top of the one that it named
-    kConflict,   // another change was there; this one was not made and never will be
-    kRead,       // what was there at some moment between the proposal and now
-    kNoQuorum,   // too few replicas answered in time; the change was not made and never will be
-    kUnknown,    // too few answered, and it may yet be committed. The same id proposed again tells, before
-                 // kMaxEarlierChanges further changes
+    kCommitted,  // the change was committed on top of expected_change
+    kConflict,   // the register held another change; this one was not committed and never will be
+    kRead,       // `current` was the committed register at some time between the proposal and now
+    kNoQuorum,   // too few replicas answered in time; the change was not committed and never will be
+    kUnknown,    // too few replicas answered in time; the change may be committed now or later. Proposing it
+                 // again under the same id tells, unless more than kMaxEarlierChanges changes followed it
   };
   Kind kind = Kind::kUnknown;
   Proposal proposal;
-  Register current;      // what is committed: with kCommitted, kConflict and kRead
-  BootTime proposed_at;  // when its first message was sent
+  Register current;      // the committed register, for kCommitted, kConflict and kRead
+  BootTime proposed_at;  // when the first request of the proposal was sent
 };
 
 class Proposer {
  public:
   explicit Proposer(const ProposerOptions& options);
 
-  void propose(BootTime now, Proposal proposal);
+  void propose(BootTime now, Proposal proposal);  // the result comes with a later take_results()
   void handle(BootTime now, PeerId replica, const Message& message);
   void on_tick(BootTime now);
-  std::optional<BootTime> next_deadline() const;  // none: no proposal is open
-  size_t open_count() const { return rounds_.size(); }
-  // Whether a response can still matter; handling any other changes nothing.
+  std::optional<BootTime> next_deadline() const;  // when to call on_tick(); none: no proposal is open
+  size_t open_proposal_count() const { return rounds_.size(); }
+  // Whether a response belongs to the current phase of an open proposal. Any other response has no effect.
   bool is_expecting(const Message& message) const;
 
   std::vector<Envelope> take_messages() { return std::exchange(messages_, {}); }
   std::vector<ProposalResult> take_results() { return std::exchange(results_, {}); }
-  std::string digest() const;  // all that its future depends on, for searches over states
+  std::string digest() const;  // state that determines future behaviour, for state-space searches
 
  private:
-  struct Response {
+  struct Response {  // a promise or an accepted message of one replica
     Incarnation incarnation = 0;
     std::vector<Incarnation> known_incarnations;
     Ballot accepted_ballot;
     Register accepted;
   };
-  // One proposal's present phase.
+  // A proposal with the state of its current phase.
   struct Round {
-    Round(BootTime now, Proposal asked, const Backoff& delays)
-        : proposal(std::move(asked)), proposed_at(now), backoff(delays) {}
+    Round(BootTime now, Proposal submitted, const Backoff& delays)
+        : proposal(std::move(submitted)), proposed_at(now), backoff(delays) {}
 
     Proposal proposal;
     BootTime proposed_at;
     enum class Phase : uint8_t { kBackoff, kPrepare, kAccept } phase = Phase::kBackoff;
-    Ballot ballot;               // of this attempt
-    Ballot highest_sent_accept;  // under which an accept was sent by any attempt
-    bool own_change_sent = false;
-    Register proposed;                                              // by the present accept phase
-    ProposalResult::Kind outcome = ProposalResult::Kind::kUnknown;  // once that is accepted
+    Ballot ballot;                     // of the current attempt
+    Ballot highest_sent_accept;        // highest ballot of an accept request sent by any attempt
+    bool has_sent_own_change = false;  // an accept request with the proposal's change was sent
+    Register proposed;                 // sent in the current accept phase
+    ProposalResult::Kind outcome = ProposalResult::Kind::kUnknown;  // result if `proposed` is accepted
     std::map<PeerId, Response> responses;
     uint32_t rejections = 0;
     int resends = 0;
-    BootTime deadline;  // of the phase: requests are sent again, or the backoff ends
+    BootTime deadline;  // of the phase: when to resend requests or end the backoff
     Backoff backoff;
   };
-  using Rounds = std::map<RequestId, Round>;  // by the request of their present phase
+  using Rounds = std::map<RequestId, Round>;  // keyed by the request id of the current phase
   using Responses = std::vector<const Response*>;
 
   void start_attempt(BootTime now, Round round);
-  void start_phase(BootTime now, Round round);  // sends its request to all replicas, under a new id
+  void start_phase(BootTime now, Round round);  // sends the request to all replicas under a new request id
   void send_request(RequestId id, const Round& round, PeerId to);
-  void back_off(BootTime now, Rounds::iterator at);
+  void back_off(BootTime now, Rounds::iterator it);
   Responses countable_responses(const Round& round) const;
-  void handle_rejected(BootTime now, Rounds::iterator at, const Message& message);
-  void on_prepared(BootTime now, Rounds::iterator at, const Responses& responses);
-  void on_phase_timeout(BootTime now, Rounds::iterator at);
+  void handle_rejected(BootTime now, Rounds::iterator it, const Message& message);
+  void on_prepared(BootTime now, Rounds::iterator it, const Responses& responses);
+  void on_phase_timeout(BootTime now, Rounds::iterator it);
   void finish(const Round& round, ProposalResult::Kind kind, const Register& current);
 
   ProposerOptions options_;
-  uint64_t highest_number_ = 0;
+  uint64_t highest_ballot_number_ = 0;
   RequestId last_request_id_ = 0;
-  uint64_t seeds_used_ = 0;
+  uint64_t backoff_seeds_used_ = 0;
   Rounds rounds_;
   std::vector<Envelope> messages_;
   std::vector<ProposalResult> results_;
--- a/src/lease/fence.h
+++ b/src/lease/fence.h
@@ -1,5 +1,6 @@
-// Fence: the check of fencing tokens at a receiver of requests from lease holders. It remembers the highest
-// epoch of each lease, so that a holder that was paused past its lease is refused.
+// Fence: checks the fencing tokens (lease epochs) of requests that lease holders send to this process. It
+// remembers the highest epoch of each lease and rejects older ones, so that a holder that was paused until
+// after its lease had passed to another cannot act any more.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +13,7 @@
 
 class Fence {
  public:
-  // Whether a request under this epoch is to be served.
+  // Returns whether to serve a request sent under `epoch`, and records the epoch.
   bool admits(const std::string& lease, uint64_t epoch) {
     uint64_t& highest = highest_epochs_[lease];
     if (epoch < highest && !is_injected(InjectedBug::kSkipFencingCheck)) return false;
--- a/src/lease/lease_record.h
+++ b/src/lease/lease_record.h
@@ -1,5 +1,5 @@
-// LeaseRecord: what is stored in the register under a lease's name. Who holds the lease, under which epoch
-// and for how long, and the application's state that is passed from holder to holder.
+// LeaseRecord: the value of the register whose key is the lease's name. It states who holds the lease, under
+// which epoch and for how long, and carries the application's state from one holder to the next.
 #pragma once
 
 #include <cstdint>
@@ -17,17 +17,17 @@
 using consensus::kImmediately;
 
 struct LeaseRecord {
-  uint64_t epoch = 0;           // fencing token: grows with every new holder; 0: never held
-  std::string holder;           // the address at which its peers reach it
+  uint64_t epoch = 0;           // fencing token: increases with every acquisition; 0: never held
+  std::string holder;           // address at which peers reach the holder
   Incarnation incarnation = 0;  // of the holder's process
-  Duration duration{};          // counted by the holder from before it proposed the record
-  bool is_released = false;     // the holder acts no more
-  std::string state;            // of the application, opaque here
+  Duration duration{};          // the holder counts it from before it proposed the record
+  bool is_released = false;     // the holder has given up the lease
+  std::string state;            // application state, opaque to the lease package
   bool operator==(const LeaseRecord&) const = default;
 };
 
 std::string encode(const LeaseRecord& record);
-// None: the bytes are no lease record.
+// Returns nothing if the bytes are not a valid lease record.
 std::optional<LeaseRecord> decode_lease_record(std::string_view bytes);
 
 }  // namespace firvalve::lease
--- a/src/lease/run_once_job.h
+++ b/src/lease/run_once_job.h
@@ -1,4 +1,4 @@
-// RunOnceJob: the application state in the lease of a run-once job, how far the job has come.
+// RunOnceJob: the progress and result of a run-once job, stored as the application state of the job's lease.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,28 @@
 namespace firvalve::lease {
 
 struct RunOnceJob {
-  // The values are stored.
+  // The values are part of the stored format.
   enum class Stage : uint8_t {
     kNone,       // never started, or proved not to have run
-    kStarted,    // it may be running or have run
-    kCompleted,  // rows
-    kFailed,     // it may have run
-    kUnknown,    // its end is not known to anybody: it may have run
+    kStarted,    // may be running or have run
+    kCompleted,  // ran; the result is in `rows`
+    kFailed,     // failed; may have run
+    kUnknown,    // the outcome is lost; may have run
   };
   Stage stage = Stage::kNone;
-  uint64_t run_id = 0;          // of kStarted: unique for each start
-  uint64_t statement_hash = 0;  // one key stands for one statement; 0: not known
-  std::string rows;             // of kCompleted, up to kMaxStoredRowsBytes
+  uint64_t run_id = 0;          // for kStarted: unique per start
+  uint64_t statement_hash = 0;  // an idempotency key belongs to one statement; 0: not known
+  std::string rows;             // for kCompleted: empty if longer than kMaxStoredRowsBytes
   bool operator==(const RunOnceJob&) const = default;
 
   bool is_finished() const { return stage != Stage::kNone && stage != Stage::kStarted; }
 };
 
-constexpr size_t kMaxStoredRowsBytes =
-    4096;  // longer rows go to the callers of the gateway that ran it alone
+// Longer rows are returned only to callers of the gateway that ran the job.
+constexpr size_t kMaxStoredRowsBytes = 4096;
 
 std::string encode(const RunOnceJob& job);
-// Of no bytes: kNone. Of bytes that cannot be read: kUnknown, never kNone.
+// Returns kNone for empty bytes, and kUnknown, never kNone, for bytes that are not a valid record.
 RunOnceJob decode_run_once_job(std::string_view bytes);
 
 }  // namespace firvalve::lease
--- a/src/lease/run_once_jobs.cpp
+++ b/src/lease/run_once_jobs.cpp
@@ -9,188 +9,188 @@
 
 namespace {
 
-// What clients are answered.
+// Error messages to clients.
 constexpr std::string_view kMayHaveRun = "it may have run";
 constexpr std::string_view kFailedMayHaveRun = "failed; it may have run";
 constexpr std::string_view kOtherStatement = "another statement stands under this name";
-// Another gateway may have started it meanwhile: no proof that it never ran.
+// Another gateway may have started the job in the meantime, so this gateway cannot say that it never ran.
 constexpr std::string_view kShuttingDown = "this gateway ends; it may have run";
 
 }  // namespace
 
 void RunOnceJobs::submit(BootTime now, const std::string& key, CallId call, uint64_t statement_hash,
                          BootTime deadline) {
-  if (is_shutting_down_) return fail(key, {call, statement_hash, deadline}, kShuttingDown);
-  const auto at = jobs_.try_emplace(key).first;
-  at->second.calls.push_back({call, statement_hash, deadline});
+  if (is_shutting_down_) return fail_call(key, {call, statement_hash, deadline}, kShuttingDown);
+  const auto it = jobs_.try_emplace(key).first;
+  it->second.calls.push_back({call, statement_hash, deadline});
   leases_.campaign(now, lease_name_of(key));
-  advance(now, at);
+  advance_job(now, it);
 }
 
 void RunOnceJobs::stop_accepting() {
   is_shutting_down_ = true;
   for (auto& [key, job] : jobs_) {
     if (job.step != Step::kCampaign) continue;
-    for (const WaitingCall& waiting : job.calls) fail(key, waiting, kShuttingDown);
+    for (const WaitingCall& waiting : job.calls) fail_call(key, waiting, kShuttingDown);
     job.calls.clear();
   }
 }
 
-void RunOnceJobs::on_caller_gone(BootTime now, CallId call) {
-  for (auto at = jobs_.begin(); at != jobs_.end(); ++at) {
-    Job& job = at->second;
+void RunOnceJobs::remove_call(BootTime now, CallId call) {
+  for (auto it = jobs_.begin(); it != jobs_.end(); ++it) {
+    Job& job = it->second;
     if (std::erase_if(job.calls, [call](const WaitingCall& each) { return each.call == call; }) == 0)
       continue;
-    if (job.calls.empty() && job.step == Step::kCampaign && !job.owes_end) remove(now, at);
+    if (job.calls.empty() && job.step == Step::kCampaign && !job.has_unrecorded_outcome) remove_job(now, it);
     return;
   }
 }
 
-void RunOnceJobs::fail(const std::string& key, const WaitingCall& call, std::string_view error) {
+void RunOnceJobs::fail_call(const std::string& key, const WaitingCall& call, std::string_view error) {
   actions_.push_back({Action::Kind::kFail, key, call.call, {}, error, {}});
 }
 
-void RunOnceJobs::answer_all(Jobs::iterator at, const RunOnceJob& end) {
-  const std::string& key = at->first;
-  for (const WaitingCall& waiting : at->second.calls) {
-    if (end.statement_hash != 0 && waiting.statement_hash != end.statement_hash)
+void RunOnceJobs::answer_callers(Jobs::iterator it, const RunOnceJob& outcome) {
+  const std::string& key = it->first;
+  for (const WaitingCall& waiting : it->second.calls) {
+    if (outcome.statement_hash != 0 && waiting.statement_hash != outcome.statement_hash)
       actions_.push_back({Action::Kind::kReject, key, waiting.call, {}, kOtherStatement, {}});
-    else if (end.stage == RunOnceJob::Stage::kCompleted)
-      actions_.push_back({Action::Kind::kComplete, key, waiting.call, end.rows, {}, {}});
+    else if (outcome.stage == RunOnceJob::Stage::kCompleted)
+      actions_.push_back({Action::Kind::kComplete, key, waiting.call, outcome.rows, {}, {}});
     else
-      fail(key, waiting, end.stage == RunOnceJob::Stage::kFailed ? kFailedMayHaveRun : kMayHaveRun);
+      fail_call(key, waiting, outcome.stage == RunOnceJob::Stage::kFailed ? kFailedMayHaveRun : kMayHaveRun);
   }
-  at->second.calls.clear();
+  it->second.calls.clear();
 }
 
-void RunOnceJobs::remove(BootTime now, Jobs::iterator at) {
-  const std::string lease = lease_name_of(at->first);
-  jobs_.erase(at);
+void RunOnceJobs::remove_job(BootTime now, Jobs::iterator it) {
+  const std::string lease = lease_name_of(it->first);
+  jobs_.erase(it);
   leases_.set_in_use(now, lease, false);
   leases_.resign(now, lease);
 }
 
-RunOnceJob RunOnceJobs::recorded(const std::string& key) const {
+RunOnceJob RunOnceJobs::recorded_job(const std::string& key) const {
   const LeaseRecord* const record = leases_.record(lease_name_of(key));
   return record ? decode_run_once_job(record->state) : RunOnceJob{};
 }
 
-// Takes the step that the recorded state allows here.
-void RunOnceJobs::advance(BootTime now, Jobs::iterator at) {
+// Takes the next step that the recorded state of the job and the state of its lease allow.
+void RunOnceJobs::advance_job(BootTime now, Jobs::iterator it) {
   using Stage = RunOnceJob::Stage;
-  Job& job = at->second;
+  Job& job = it->second;
   if (job.step != Step::kCampaign) return;
-  const std::string lease = lease_name_of(at->first);
-  const RunOnceJob stored = recorded(at->first);
-  // Another holder has recorded an end or a start since: this one's is not wanted any more.
-  if (stored.stage != Stage::kStarted || stored.run_id != job.run_id) job.owes_end = false;
-  if (job.owes_end) {
-    if (leases_.active_epoch(now, lease)) record_end(now, at);
+  const std::string lease = lease_name_of(it->first);
+  const RunOnceJob stored = recorded_job(it->first);
+  // Another outcome or start was recorded since: the outcome of this gateway's run is obsolete.
+  if (stored.stage != Stage::kStarted || stored.run_id != job.run_id) job.has_unrecorded_outcome = false;
+  if (job.has_unrecorded_outcome) {
+    if (leases_.active_epoch(now, lease)) record_outcome(now, it);
     return;
   }
   if (stored.is_finished()) {
-    answer_all(at, stored);
-    return remove(now, at);
+    answer_callers(it, stored);
+    return remove_job(now, it);
   }
-  if (job.calls.empty()) return remove(now, at);
+  if (job.calls.empty()) return remove_job(now, it);
   if (!leases_.active_epoch(now, lease)) return;
   leases_.set_in_use(now, lease, true);
-  if (stored.stage == Stage::kNone || never_started_.count(stored.run_id)) return record_start(now, at);
-  // Started by a holder of which nothing is known any more: it may have run, for ever and for everybody.
-  job.end = stored;
-  job.end.stage = Stage::kUnknown;
+  if (stored.stage == Stage::kNone || unstarted_run_ids_.count(stored.run_id)) return record_start(now, it);
+  // Started by a holder that lost the lease without recording an outcome: record that it may have run.
+  job.outcome = stored;
+  job.outcome.stage = Stage::kUnknown;
   job.run_id = stored.run_id;
-  answer_all(at, job.end);
-  record_end(now, at);
+  answer_callers(it, job.outcome);
+  record_outcome(now, it);
 }
 
-void RunOnceJobs::record_start(BootTime now, Jobs::iterator at) {
-  Job& job = at->second;
+void RunOnceJobs::record_start(BootTime now, Jobs::iterator it) {
+  Job& job = it->second;
   RunOnceJob started;
   started.stage = RunOnceJob::Stage::kStarted;
   started.run_id = job.run_id = (incarnation_ << 16) + ++runs_started_;
   started.statement_hash = job.calls.front().statement_hash;
-  never_started_.insert(job.run_id);
+  unstarted_run_ids_.insert(job.run_id);
   job.step = Step::kRecordStart;
-  if (!leases_.write_state(now, lease_name_of(at->first), encode(started))) {
+  if (!leases_.write_state(now, lease_name_of(it->first), encode(started))) {
     job.step = Step::kCampaign;
     return;
   }
   if (is_injected(InjectedBug::kRecordIntentAfterStart))
-    actions_.push_back({Action::Kind::kStart, at->first, job.calls.front().call, {}, {}, {}});
+    actions_.push_back({Action::Kind::kStart, it->first, job.calls.front().call, {}, {}, {}});
 }
 
 void RunOnceJobs::handle(BootTime now, const Event& event) {
   if (!event.lease.starts_with(kLeasePrefix)) return;
-  const auto at = jobs_.find(event.lease.substr(kLeasePrefix.size()));
-  if (at == jobs_.end()) return;
-  Job& job = at->second;
+  const auto it = jobs_.find(event.lease.substr(kLeasePrefix.size()));
+  if (it == jobs_.end()) return;
+  Job& job = it->second;
   const bool is_state_written = event.kind == Event::Kind::kStateWritten;
   if (is_state_written && job.step == Step::kRecordStart && event.is_committed)
-    return on_start_recorded(now, at);
+    return on_start_recorded(now, it);
   if (is_state_written && job.step == Step::kRecordStart) {
     job.step = Step::kCampaign;
-    return advance(now, at);
+    return advance_job(now, it);
   }
-  if (is_state_written && job.step == Step::kRecordEnd) {
+  if (is_state_written && job.step == Step::kRecordOutcome) {
     job.step = Step::kCampaign;
-    job.owes_end = !event.is_committed;
-    return advance(now, at);
+    job.has_unrecorded_outcome = !event.is_committed;
+    return advance_job(now, it);
   }
-  if (event.kind == Event::Kind::kAcquired || event.kind == Event::Kind::kObserved) advance(now, at);
+  if (event.kind == Event::Kind::kAcquired || event.kind == Event::Kind::kObserved) advance_job(now, it);
 }
 
-void RunOnceJobs::on_start_recorded(BootTime now, Jobs::iterator at) {
-  Job& job = at->second;
+void RunOnceJobs::on_start_recorded(BootTime now, Jobs::iterator it) {
+  Job& job = it->second;
   job.step = Step::kRun;
-  if (job.calls.empty()) return on_run_finished(now, at->first, RunEnd::kNeverRan, {});
-  never_started_.erase(job.run_id);
-  job.runs_for = job.calls.front().call;
+  if (job.calls.empty()) return on_run_finished(now, it->first, RunOutcome::kNeverRan, {});
+  unstarted_run_ids_.erase(job.run_id);
+  job.running_call = job.calls.front().call;
   if (!is_injected(InjectedBug::kRecordIntentAfterStart))
-    actions_.push_back({Action::Kind::kStart, at->first, job.runs_for, {}, {}, {}});
+    actions_.push_back({Action::Kind::kStart, it->first, job.running_call, {}, {}, {}});
 }
 
-// Callers here are answered at once: the end is known, whether or not it can be recorded.
-void RunOnceJobs::on_run_finished(BootTime now, const std::string& key, RunEnd end, std::string rows,
+// Callers at this gateway are answered at once: the outcome is known here even if it cannot be recorded.
+void RunOnceJobs::on_run_finished(BootTime now, const std::string& key, RunOutcome outcome, std::string rows,
                                   Duration retry_after) {
-  const auto at = jobs_.find(key);
-  if (at == jobs_.end()) return;
-  Job& job = at->second;
-  job.end = {};
-  if (end == RunEnd::kNeverRan) return on_never_ran(now, at, retry_after);
+  const auto it = jobs_.find(key);
+  if (it == jobs_.end()) return;
+  Job& job = it->second;
+  job.outcome = {};
+  if (outcome == RunOutcome::kNeverRan) return on_never_ran(now, it, retry_after);
   using Stage = RunOnceJob::Stage;
-  job.end.stage = end == RunEnd::kCompleted ? Stage::kCompleted : Stage::kFailed;
-  job.end.statement_hash = job.calls.empty() ? 0 : job.calls.front().statement_hash;
+  job.outcome.stage = outcome == RunOutcome::kCompleted ? Stage::kCompleted : Stage::kFailed;
+  job.outcome.statement_hash = job.calls.empty() ? 0 : job.calls.front().statement_hash;
   if (const LeaseRecord* const record = leases_.record(lease_name_of(key)))
-    job.end.statement_hash = decode_run_once_job(record->state).statement_hash;
-  job.end.rows = std::move(rows);
-  answer_all(at, job.end);
-  if (job.end.rows.size() > kMaxStoredRowsBytes) job.end.rows.clear();
-  record_end(now, at);
+    job.outcome.statement_hash = decode_run_once_job(record->state).statement_hash;
+  job.outcome.rows = std::move(rows);
+  answer_callers(it, job.outcome);
+  if (job.outcome.rows.size() > kMaxStoredRowsBytes) job.outcome.rows.clear();
+  record_outcome(now, it);
 }
 
-void RunOnceJobs::on_never_ran(BootTime now, Jobs::iterator at, Duration retry_after) {
-  Job& job = at->second;
+void RunOnceJobs::on_never_ran(BootTime now, Jobs::iterator it, Duration retry_after) {
+  Job& job = it->second;
   const auto waiting = std::find_if(job.calls.begin(), job.calls.end(),
-                                    [&](const WaitingCall& each) { return each.call == job.runs_for; });
+                                    [&](const WaitingCall& each) { return each.call == job.running_call; });
   if (waiting != job.calls.end()) {
-    actions_.push_back({Action::Kind::kShed, at->first, waiting->call, {}, {}, retry_after});
+    actions_.push_back({Action::Kind::kShed, it->first, waiting->call, {}, {}, retry_after});
     job.calls.erase(waiting);
   }
-  never_started_.insert(job.run_id);
-  record_end(now, at);
+  unstarted_run_ids_.insert(job.run_id);
+  record_outcome(now, it);
 }
 
-void RunOnceJobs::record_end(BootTime now, Jobs::iterator at) {
-  Job& job = at->second;
-  const std::string lease = lease_name_of(at->first);
-  job.step = Step::kRecordEnd;
-  job.owes_end = true;
+void RunOnceJobs::record_outcome(BootTime now, Jobs::iterator it) {
+  Job& job = it->second;
+  const std::string lease = lease_name_of(it->first);
+  job.step = Step::kRecordOutcome;
+  job.has_unrecorded_outcome = true;
   leases_.set_in_use(now, lease, true);
-  const bool is_none = job.end.stage == RunOnceJob::Stage::kNone;
-  if (leases_.write_state(now, lease, is_none ? std::string() : encode(job.end))) return;
-  // The lease is lost. The end is recorded if the lease is acquired again before another holder has recorded
-  // that the job may have run.
+  const bool is_none = job.outcome.stage == RunOnceJob::Stage::kNone;
+  if (leases_.write_state(now, lease, is_none ? std::string() : encode(job.outcome))) return;
+  // The lease is lost. The outcome is recorded if this gateway acquires the lease again before another holder
+  // has recorded that the job may have run.
   job.step = Step::kCampaign;
   leases_.set_in_use(now, lease, false);
 }
@@ -205,11 +205,12 @@
   for (auto& [key, job] : jobs_) {
     const auto is_expired = [now](const WaitingCall& waiting) { return waiting.deadline <= now; };
     for (const WaitingCall& waiting : job.calls)
-      if (is_expired(waiting)) fail(key, waiting, kMayHaveRun);
+      if (is_expired(waiting)) fail_call(key, waiting, kMayHaveRun);
     std::erase_if(job.calls, is_expired);
-    if (job.calls.empty() && job.step == Step::kCampaign && !job.owes_end) unused.push_back(key);
+    if (job.calls.empty() && job.step == Step::kCampaign && !job.has_unrecorded_outcome)
+      unused.push_back(key);
   }
-  for (const std::string& key : unused) remove(now, jobs_.find(key));
+  for (const std::string& key : unused) remove_job(now, jobs_.find(key));
 }
 
 std::optional<BootTime> RunOnceJobs::next_deadline() const {
@@ -222,10 +223,10 @@
 std::string RunOnceJobs::digest() const {
   consensus::Digest digest;
   for (const auto& [key, job] : jobs_) {
-    digest.add(key).add(job.step).add(job.run_id).add(job.owes_end).add(job.calls.size());
-    digest.add(job.end.stage);
+    digest.add(key).add(job.step).add(job.run_id).add(job.has_unrecorded_outcome).add(job.calls.size());
+    digest.add(job.outcome.stage);
   }
-  for (const uint64_t run_id : never_started_) digest.add(run_id);
+  for (const uint64_t run_id : unstarted_run_ids_) digest.add(run_id);
   return digest.text();
 }
 
--- a/src/simulation/fleet_world.cpp
+++ b/src/simulation/fleet_world.cpp
@@ -421,7 +421,7 @@
       case What::kRunEnd:
         if (!up || e.number != g.start) return;
         g.node->run_once_jobs().on_run_finished(time_point_of<BootClock>(at), run_names_[e.other],
-                                                lease::RunOnceJobs::RunEnd::kCompleted, "1\n");
+                                                lease::RunOnceJobs::RunOutcome::kCompleted, "1\n");
         return turn(e.node);
       default:
         return;
--- a/tests/consensus/explore_test.cpp
+++ b/tests/consensus/explore_test.cpp
@@ -62,7 +62,7 @@
       if (bounds_.repeats > 0) out.push_back({Move::kRepeat, i});
     }
     for (size_t proposer = 0; proposer < proposers_.size(); ++proposer)
-      if (timeouts_[proposer] > 0 && proposers_[proposer].open_count() > 0)
+      if (timeouts_[proposer] > 0 && proposers_[proposer].open_proposal_count() > 0)
         out.push_back({Move::kTimeout, proposer});
     for (size_t replica = 0; replica < replicas_.size(); ++replica) {
       if (bounds_.storage_losses > 0 && replicas_[replica].is_voting())
--- a/tests/lease/lease_manager_test.cpp
+++ b/tests/lease/lease_manager_test.cpp
@@ -210,19 +210,19 @@
   run(registers, up, at(500), at(2000));
   size_t most = 0, least = 200;
   for (FakeGateway* gateway : up)
-    most = std::max(most, gateway->leases.held_count()),
-    least = std::min(least, gateway->leases.held_count());
+    most = std::max(most, gateway->leases.held_lease_count()),
+    least = std::min(least, gateway->leases.held_lease_count());
   EXPECT_LE(most, 40u);
   EXPECT_GE(least, 8u);
-  const size_t dead = up[0]->leases.held_count();
+  const size_t dead = up[0]->leases.held_lease_count();
   std::map<std::string, size_t> before;
-  for (FakeGateway* gateway : up) before[gateway->options.self] = gateway->leases.held_count();
+  for (FakeGateway* gateway : up) before[gateway->options.self] = gateway->leases.held_lease_count();
   up.erase(up.begin());
   run(registers, up, at(2000), at(6000), 5ms);
   size_t gained = 0, heirs = 0;
   for (FakeGateway* gateway : up) {
-    gained += gateway->leases.held_count() - before[gateway->options.self];
-    heirs += gateway->leases.held_count() > before[gateway->options.self];
+    gained += gateway->leases.held_lease_count() - before[gateway->options.self];
+    heirs += gateway->leases.held_lease_count() > before[gateway->options.self];
     EXPECT_EQ(gateway->count(Kind::kLost), 0);
   }
   EXPECT_EQ(gained, dead);
--- a/tests/lease/run_once_jobs_test.cpp
+++ b/tests/lease/run_once_jobs_test.cpp
@@ -21,7 +21,7 @@
   run(registers_, {&a_, &b_}, at(100), at(1000));
   EXPECT_EQ(a_.count(Act::kStart) + b_.count(Act::kStart), 1);
   FakeGateway& runs = a_.count(Act::kStart) ? a_ : b_;
-  runs.jobs.on_run_finished(at(1000), "night", RunOnceJobs::RunEnd::kCompleted, "12 rows\n");
+  runs.jobs.on_run_finished(at(1000), "night", RunOnceJobs::RunOutcome::kCompleted, "12 rows\n");
   run(registers_, {&a_, &b_}, at(1000), at(1500));
   for (FakeGateway* gateway : {&a_, &b_}) {
     EXPECT_EQ(gateway->count(Act::kComplete), 1);
@@ -70,7 +70,7 @@
   run(registers_, {&a_, &b_}, at(100), at(1000));
   FakeGateway& first = a_.count(Act::kStart) ? a_ : b_;
   FakeGateway& second = a_.count(Act::kStart) ? b_ : a_;
-  first.jobs.on_run_finished(at(1000), "night", RunOnceJobs::RunEnd::kNeverRan, {}, 200ms);
+  first.jobs.on_run_finished(at(1000), "night", RunOnceJobs::RunOutcome::kNeverRan, {}, 200ms);
   run(registers_, {&a_, &b_}, at(1000), at(2000));
   EXPECT_EQ(first.count(Act::kShed), 1);
   EXPECT_EQ(second.count(Act::kStart), 1);
@@ -79,7 +79,7 @@
 TEST_F(RunOnceJobsTest, AnotherStatementUnderTheKeyIsRejected) {
   submit(a_, 1, at(100), 7);
   run(registers_, {&a_}, at(100), at(1000));
-  a_.jobs.on_run_finished(at(1000), "night", RunOnceJobs::RunEnd::kCompleted, "");
+  a_.jobs.on_run_finished(at(1000), "night", RunOnceJobs::RunOutcome::kCompleted, "");
   submit(b_, 2, at(1000), 8);
   run(registers_, {&a_, &b_}, at(1000), at(2000));
   EXPECT_EQ(b_.count(Act::kReject), 1);
@@ -90,7 +90,7 @@
   run(registers_, {&a_}, at(100), at(11000));
   EXPECT_EQ(a_.count(Act::kFail), 1);
   EXPECT_FALSE(a_.jobs.is_idle());
-  a_.jobs.on_run_finished(at(11000), "night", RunOnceJobs::RunEnd::kCompleted, "late\n");
+  a_.jobs.on_run_finished(at(11000), "night", RunOnceJobs::RunOutcome::kCompleted, "late\n");
   run(registers_, {&a_}, at(11000), at(12000));
   EXPECT_TRUE(a_.jobs.is_idle());
   submit(b_, 2, at(12000));
@@ -110,7 +110,7 @@
   a_.tick(registers_, at(510));
   EXPECT_EQ(a_.count(Act::kFail), 2);
   EXPECT_TRUE(a_.jobs.is_running());
-  a_.jobs.on_run_finished(at(600), "night", RunOnceJobs::RunEnd::kCompleted, "done\n");
+  a_.jobs.on_run_finished(at(600), "night", RunOnceJobs::RunOutcome::kCompleted, "done\n");
   run(registers_, {&a_}, at(600), at(700));
   EXPECT_EQ(a_.count(Act::kComplete), 1);
   EXPECT_TRUE(a_.jobs.is_idle());
@@ -122,7 +122,7 @@
   submit(b_, 2, at(500));
   run(registers_, {&b_}, at(500), at(3000));  // a is paused past its lease
   EXPECT_EQ(b_.count(Act::kFail), 1);
-  a_.jobs.on_run_finished(at(3000), "night", RunOnceJobs::RunEnd::kCompleted, "done\n");
+  a_.jobs.on_run_finished(at(3000), "night", RunOnceJobs::RunOutcome::kCompleted, "done\n");
   run(registers_, {&a_}, at(3000), at(5000));
   EXPECT_EQ(a_.count(Act::kComplete), 1);
   EXPECT_TRUE(a_.jobs.is_idle());
