--- a/src/lease/run_once_jobs.h
+++ b/src/lease/run_once_jobs.h
@@ -72,8 +72,8 @@
   void on_tick(BootTime now);
   std::optional<BootTime> next_deadline() const;
   bool is_idle() const { return jobs_.empty(); }
-  bool is_running()
-      const;  // whether this gateway is recording the start, running or recording the outcome of a job
+  // Whether this gateway is running a job, or recording a start or an outcome.
+  bool is_running() const;
   std::vector<Action> take_actions() { return std::exchange(actions_, {}); }
   std::string digest() const;  // state that determines future behaviour, for state-space searches
 
@@ -109,8 +109,8 @@
   uint64_t runs_started_ = 0;
   Jobs jobs_;
   bool is_shutting_down_ = false;
-  std::set<uint64_t>
-      unstarted_run_ids_;  // runs of this process that never started but may be recorded as started
+  // Runs of this process that never started but may be recorded as started.
+  std::set<uint64_t> unstarted_run_ids_;
   std::vector<Action> actions_;
 };
 
--- a/tests/consensus/acceptor_test.cpp
+++ b/tests/consensus/acceptor_test.cpp
@@ -1,3 +1,5 @@
+// Tests of Acceptor together with Proposer: voting, compare-and-set, bootstrap, recovery, watching and
+// limits.
 #include "consensus/acceptor.h"
 
 #include <gtest/gtest.h>
@@ -27,7 +29,7 @@
   return message;
 }
 
-// Three replicas and their clients, with nothing between them.
+// Three replicas whose messages are delivered by direct calls.
 class ConsensusTest : public testing::Test {
  protected:
   ConsensusTest() {
@@ -40,18 +42,18 @@
     options.self = self;
     return Acceptor(options, random);
   }
-  // Delivers what replicas send each other, and ticks them every 50 ms.
+  // Ticks the replicas every 50 ms and delivers the messages that they send each other.
   void run_replicas(Duration span = 3000ms) {
     for (const BootTime end = now_ + span; now_ < end; now_ += 50ms) {
-      for (bool more = true; more;) {
-        more = false;
+      for (bool made_progress = true; made_progress;) {
+        made_progress = false;
         for (PeerId replica = 0; replica < replicas_.size(); ++replica) {
-          if (down_ == replica) continue;
+          if (unreachable_replica_ == replica) continue;
           replicas_[replica].on_tick(now_);
           for (Envelope& envelope : replicas_[replica].take_output().messages) {
-            if (envelope.to >= replicas_.size() || down_ == envelope.to) continue;
+            if (envelope.to >= replicas_.size() || unreachable_replica_ == envelope.to) continue;
             replicas_[envelope.to].handle(now_, replica, envelope.message);
-            more = true;
+            made_progress = true;
           }
         }
       }
@@ -62,16 +64,16 @@
     const AcceptorOutput output = replicas_[replica].take_output();
     return output.messages.empty() ? Message{} : output.messages.back().message;
   }
-  ProposalResult propose(Proposal proposal, const std::vector<PeerId>& reached = {0, 1, 2}) {
+  ProposalResult propose(Proposal proposal, const std::vector<PeerId>& reachable = {0, 1, 2}) {
     Proposer proposer({3, ++last_proposer_id_, 1});
     proposal.deadline = now_ + 1000ms;
     proposer.propose(now_, proposal);
     for (;;) {
       for (const Envelope& envelope : proposer.take_messages()) {
-        if (std::find(reached.begin(), reached.end(), envelope.to) == reached.end()) continue;
+        if (std::find(reachable.begin(), reachable.end(), envelope.to) == reachable.end()) continue;
         replicas_[envelope.to].handle(now_, kClient, envelope.message);
-        for (const Envelope& answer : replicas_[envelope.to].take_output().messages)
-          proposer.handle(now_, envelope.to, answer.message);
+        for (const Envelope& response : replicas_[envelope.to].take_output().messages)
+          proposer.handle(now_, envelope.to, response.message);
       }
       const auto results = proposer.take_results();
       if (!results.empty()) return results.front();
@@ -79,7 +81,7 @@
       proposer.on_tick(now_);
     }
   }
-  Proposal change_of(uint64_t id, uint64_t expected, const std::string& key = "k") {
+  Proposal make_change(uint64_t id, uint64_t expected, const std::string& key = "k") {
     Proposal proposal;
     proposal.id = id;
     proposal.key = key;
@@ -87,7 +89,7 @@
     proposal.value = std::to_string(id);
     return proposal;
   }
-  Proposal read_of(const std::string& key = "k") {
+  Proposal make_read(const std::string& key = "k") {
     Proposal proposal;
     proposal.key = key;
     return proposal;
@@ -95,7 +97,7 @@
 
   std::vector<Acceptor> replicas_;
   BootTime now_ = time_point_of<BootClock>(1);
-  std::optional<PeerId> down_;
+  std::optional<PeerId> unreachable_replica_;
   uint64_t last_proposer_id_ = 40;
 };
 
@@ -104,106 +106,106 @@
   EXPECT_EQ(replicas_[0].metadata().bootstrap_incarnations, replicas_[2].metadata().bootstrap_incarnations);
 }
 
-TEST_F(ConsensusTest, AnAcceptorKeepsItsPromise) {
+TEST_F(ConsensusTest, AcceptorRejectsBallotsBelowItsPromise) {
   EXPECT_EQ(response_to(0, prepare(5)).type, MessageType::kPromise);
   EXPECT_EQ(response_to(0, prepare(4)).type, MessageType::kRejected);
   EXPECT_EQ(response_to(0, accept(4, 1)).type, MessageType::kRejected);
   EXPECT_EQ(response_to(0, accept(4, 1)).ballot.number, 5u);
   EXPECT_EQ(response_to(0, accept(5, 1)).type, MessageType::kAccepted);
-  EXPECT_EQ(response_to(0, accept(5, 1)).type, MessageType::kAccepted);  // once more, as a repeated message
+  EXPECT_EQ(response_to(0, accept(5, 1)).type, MessageType::kAccepted);  // duplicate request
   EXPECT_EQ(response_to(0, prepare(6)).register_state.change_id, 1u);
 }
 
-TEST_F(ConsensusTest, AChangeIsCommittedOnTopOfTheOneThatItNames) {
-  EXPECT_EQ(propose(change_of(1, 0)).kind, ProposalResult::Kind::kCommitted);
-  const ProposalResult second = propose(change_of(2, 0));
+TEST_F(ConsensusTest, CompareAndSetCommitsOnlyOnTheExpectedChange) {
+  EXPECT_EQ(propose(make_change(1, 0)).kind, ProposalResult::Kind::kCommitted);
+  const ProposalResult second = propose(make_change(2, 0));
   EXPECT_EQ(second.kind, ProposalResult::Kind::kConflict);
   EXPECT_EQ(second.current.change_id, 1u);
-  EXPECT_EQ(propose(change_of(3, 1)).current.version, 2u);
-  const ProposalResult read = propose(read_of());
+  EXPECT_EQ(propose(make_change(3, 1)).current.version, 2u);
+  const ProposalResult read = propose(make_read());
   EXPECT_EQ(read.kind, ProposalResult::Kind::kRead);
   EXPECT_EQ(read.current.value, "3");
-  EXPECT_EQ(propose(read_of("other")).current.version, 0u);
+  EXPECT_EQ(propose(make_read("other")).current.version, 0u);
 }
 
-TEST_F(ConsensusTest, AChangeThatIsProposedAgainIsCommittedOnce) {
-  EXPECT_EQ(propose(change_of(1, 0)).kind, ProposalResult::Kind::kCommitted);
-  EXPECT_EQ(propose(change_of(1, 0)).current.version, 1u);
-  EXPECT_EQ(propose(change_of(2, 1)).kind, ProposalResult::Kind::kCommitted);
-  const ProposalResult again = propose(change_of(1, 0));  // another has built on it since
+TEST_F(ConsensusTest, RepeatedProposalIsCommittedOnce) {
+  EXPECT_EQ(propose(make_change(1, 0)).kind, ProposalResult::Kind::kCommitted);
+  EXPECT_EQ(propose(make_change(1, 0)).current.version, 1u);
+  EXPECT_EQ(propose(make_change(2, 1)).kind, ProposalResult::Kind::kCommitted);
+  const ProposalResult again = propose(make_change(1, 0));  // another change has been committed on top of it
   EXPECT_EQ(again.kind, ProposalResult::Kind::kCommitted);
   EXPECT_EQ(again.current.change_id, 2u);
 }
 
-TEST_F(ConsensusTest, TwoOfThreeReplicasAreAQuorumAndOneIsNot) {
-  EXPECT_EQ(propose(change_of(1, 0), {0, 1}).kind, ProposalResult::Kind::kCommitted);
-  EXPECT_EQ(propose(read_of(), {1, 2}).current.change_id, 1u);
-  EXPECT_EQ(propose(change_of(2, 1), {2}).kind, ProposalResult::Kind::kNoQuorum);
-  EXPECT_EQ(propose(read_of()).current.change_id, 1u);
+TEST_F(ConsensusTest, ProposalNeedsAMajorityOfReplicas) {
+  EXPECT_EQ(propose(make_change(1, 0), {0, 1}).kind, ProposalResult::Kind::kCommitted);
+  EXPECT_EQ(propose(make_read(), {1, 2}).current.change_id, 1u);
+  EXPECT_EQ(propose(make_change(2, 1), {2}).kind, ProposalResult::Kind::kNoQuorum);
+  EXPECT_EQ(propose(make_read()).current.change_id, 1u);
 }
 
-TEST_F(ConsensusTest, AReplicaThatLostItsStorageVotesOnlyAfterRecovery) {
-  for (int i = 0; i < 200; ++i)  // more than one page
+TEST_F(ConsensusTest, ReplicaWithoutStorageVotesOnlyAfterRecovery) {
+  for (int i = 0; i < 200; ++i)  // more than fit into one page
     ASSERT_EQ(
-        propose(change_of(1000u + static_cast<uint64_t>(i), 0, std::string("k").append(std::to_string(i))),
+        propose(make_change(1000u + static_cast<uint64_t>(i), 0, std::string("k").append(std::to_string(i))),
                 {0, 1})
             .kind,
         ProposalResult::Kind::kCommitted);
   replicas_[1] = empty_replica(1, 77);
-  EXPECT_EQ(response_to(1, prepare(900)).type, Message{}.type);  // no answer
+  EXPECT_EQ(response_to(1, prepare(900)).type, Message{}.type);  // no response
   EXPECT_FALSE(replicas_[1].is_voting());
   run_replicas();
   EXPECT_TRUE(replicas_[1].is_voting());
   EXPECT_EQ(replicas_[1].slots().size(), 200u);
   for (int i = 0; i < 200; i += 17)
-    EXPECT_EQ(propose(read_of("k" + std::to_string(i)), {1, 2}).current.version, 1u);
+    EXPECT_EQ(propose(make_read("k" + std::to_string(i)), {1, 2}).current.version, 1u);
   EXPECT_GT(replicas_[0].metadata().known_incarnations[1], Incarnation{77});
 }
 
-TEST_F(ConsensusTest, RecoveryWaitsForAQuorumOfTheOthers) {
+TEST_F(ConsensusTest, RecoveryNeedsAQuorumOfOtherReplicas) {
   replicas_[1] = empty_replica(1, 77);
-  down_ = 2;
+  unreachable_replica_ = 2;
   run_replicas();
   EXPECT_FALSE(replicas_[1].is_voting());
-  down_.reset();
+  unreachable_replica_.reset();
   run_replicas();
   EXPECT_TRUE(replicas_[1].is_voting());
 }
 
-TEST_F(ConsensusTest, AReplicaThatMissedTheEndOfTheBootstrapVotesAtOnce) {
+TEST_F(ConsensusTest, ReplicaThatMissedBootstrapResponsesVotesWithoutRecovery) {
   std::vector<Acceptor> empty_replicas;
   for (PeerId replica = 0; replica < 3; ++replica)
     empty_replicas.push_back(empty_replica(replica, 200 + replica));
   replicas_ = std::move(empty_replicas);
-  // All three tell each other that they are empty; the last responses do not reach the third.
+  // All three replicas request metadata from each other; the responses to replica 2 are lost.
   for (PeerId replica = 0; replica < 3; ++replica) replicas_[replica].on_tick(now_);
-  std::vector<std::pair<PeerId, Envelope>> asked;
+  std::vector<std::pair<PeerId, Envelope>> requests;
   for (PeerId replica = 0; replica < 3; ++replica)
     for (Envelope& envelope : replicas_[replica].take_output().messages)
-      asked.emplace_back(replica, envelope);
-  for (auto& [from, envelope] : asked) replicas_[envelope.to].handle(now_, from, envelope.message);
+      requests.emplace_back(replica, envelope);
+  for (auto& [from, envelope] : requests) replicas_[envelope.to].handle(now_, from, envelope.message);
   for (PeerId replica = 0; replica < 3; ++replica)
     for (Envelope& envelope : replicas_[replica].take_output().messages)
       if (envelope.to != 2) replicas_[envelope.to].handle(now_, replica, envelope.message);
   EXPECT_TRUE(replicas_[0].is_voting());
   EXPECT_FALSE(replicas_[2].is_voting());
-  propose(change_of(1, 0), {0, 1});
+  propose(make_change(1, 0), {0, 1});
   const Incarnation before = replicas_[2].metadata().incarnation;
   run_replicas();
   EXPECT_TRUE(replicas_[2].is_voting());
-  EXPECT_EQ(replicas_[2].metadata().incarnation, before);  // the one that was bootstrapped
+  EXPECT_EQ(replicas_[2].metadata().incarnation, before);  // it did not recover under a new one
 }
 
-TEST_F(ConsensusTest, AReplicaWithItsStorageVotesAtOnce) {
-  propose(change_of(1, 0), {0, 1});
+TEST_F(ConsensusTest, RestartedReplicaWithStorageVotesAtOnce) {
+  propose(make_change(1, 0), {0, 1});
   AcceptorOptions options;
   options.self = 1;
   replicas_[1] = Acceptor(options, replicas_[1].metadata(), replicas_[1].slots());
   EXPECT_TRUE(replicas_[1].is_voting());
-  EXPECT_EQ(propose(read_of(), {1, 2}).current.change_id, 1u);
+  EXPECT_EQ(propose(make_read(), {1, 2}).current.change_id, 1u);
 }
 
-TEST_F(ConsensusTest, FailedWritesAreRepeatedAndTheirResponsesAreNot) {
+TEST_F(ConsensusTest, FailedWritesAreRetriedAndTheirResponsesDropped) {
   replicas_[0].handle(now_, kClient, prepare(5));
   const AcceptorOutput output = replicas_[0].take_output();
   EXPECT_EQ(output.writes.size(), 1u);
@@ -213,7 +215,7 @@
   EXPECT_TRUE(again.messages.empty());
 }
 
-TEST_F(ConsensusTest, WatchersAreNotifiedOfUrgentChangesAtOnceAndOfOthersTogether) {
+TEST_F(ConsensusTest, WatchersGetUrgentChangesAtOnceAndOthersBatched) {
   Message watch;
   watch.type = MessageType::kWatch;
   watch.request_id = 1;
@@ -221,7 +223,7 @@
   watch.incarnation = replicas_[0].metadata().incarnation;
   replicas_[0].handle(now_, kClient, watch);
   EXPECT_TRUE(replicas_[0].take_output().messages.empty());
-  propose(change_of(1, 0), {0, 1});
+  propose(make_change(1, 0), {0, 1});
   replicas_[0].on_tick(now_);
   EXPECT_TRUE(replicas_[0].take_output().messages.empty());
   replicas_[0].on_tick(now_ + 250ms);
@@ -230,17 +232,17 @@
   EXPECT_EQ(notified.messages[0].message.entries.size(), 1u);
   watch.since = notified.messages[0].message.since;
   replicas_[0].handle(now_, kClient, watch);
-  Proposal urgent = change_of(2, 1);
+  Proposal urgent = make_change(2, 1);
   urgent.is_urgent = true;
   propose(urgent, {0, 1});
   replicas_[0].on_tick(now_);
   EXPECT_EQ(replicas_[0].take_output().messages.size(), 1u);
 }
 
-TEST_F(ConsensusTest, LargeValuesAreFetchedInPagesAndTheirBytesAreLimited) {
+TEST_F(ConsensusTest, LargeValuesAreFetchedInPagesAndTotalSizeIsLimited) {
   Proposal large;
   for (int i = 0; i < 12; ++i) {
-    large = change_of(100 + static_cast<uint64_t>(i), 0, "large" + std::to_string(i));
+    large = make_change(100 + static_cast<uint64_t>(i), 0, "large" + std::to_string(i));
     large.value.assign(100 * 1024, 'x');
     ASSERT_EQ(propose(large, {0, 1}).kind, ProposalResult::Kind::kCommitted);
   }
@@ -262,26 +264,26 @@
   AcceptorOptions options;
   options.replica_count = 1;
   options.max_value_bytes = 1000;
-  Acceptor small(options, 5);
+  Acceptor acceptor(options, 5);
   Message message = accept(1, 1);
   message.register_state.value.assign(900, 'x');
-  small.handle(now_, kClient, message);
+  acceptor.handle(now_, kClient, message);
   message.key = "other";
-  small.handle(now_, kClient, message);
-  const AcceptorOutput output = small.take_output();
+  acceptor.handle(now_, kClient, message);
+  const AcceptorOutput output = acceptor.take_output();
   EXPECT_EQ(output.messages[0].message.type, MessageType::kAccepted);
   EXPECT_EQ(output.messages[1].message.type, MessageType::kRejected);
   EXPECT_TRUE(output.messages[1].message.is_out_of_space);
 }
 
-TEST_F(ConsensusTest, TheNumberOfRegistersIsLimited) {
+TEST_F(ConsensusTest, NumberOfRegistersIsLimited) {
   AcceptorOptions options;
   options.self = 0;
   options.replica_count = 1;
   options.max_registers = 2;
-  Acceptor one(options, 5);
-  for (const char* key : {"a", "b", "c"}) one.handle(now_, kClient, prepare(1, key));
-  const AcceptorOutput output = one.take_output();
+  Acceptor acceptor(options, 5);
+  for (const char* key : {"a", "b", "c"}) acceptor.handle(now_, kClient, prepare(1, key));
+  const AcceptorOutput output = acceptor.take_output();
   EXPECT_EQ(output.messages[1].message.type, MessageType::kPromise);
   EXPECT_EQ(output.messages[2].message.type, MessageType::kRejected);
   EXPECT_TRUE(output.messages[2].message.is_out_of_space);
--- a/tests/consensus/explore_test.cpp
+++ b/tests/consensus/explore_test.cpp
@@ -1,5 +1,6 @@
-// Every way in which messages are delivered, lost and repeated, in which replicas lose their storage and in
-// which proposers time out, over the real acceptors and proposers, up to the bounds that each test names.
+// State-space search over the real acceptors and proposers: tries every order of message deliveries, losses
+// and duplicates, storage losses, restarts and proposer timeouts within the bounds of each test, and checks
+// that the reported results are consistent.
 
 #include <gtest/gtest.h>
 
@@ -15,23 +16,23 @@
 namespace {
 
 struct Bounds {
-  int timeouts = 1;               // of each proposer
-  int repeats = 0;                // messages that arrive and may arrive again
-  int storage_losses = 0;         // replicas that lose their storage
-  bool recovers_at_once = false;  // before anything else happens
-  int restarts = 0;               // replicas that restart with their storage
-  int changes = 1;                // that each proposer proposes, on top of what it saw before
+  int timeouts = 1;                   // per proposer
+  int duplicates = 0;                 // deliveries of a message that stays in flight
+  int storage_losses = 0;             // of replicas
+  bool recovers_immediately = false;  // a replica recovers from a storage loss before any other move
+  int restarts = 0;                   // of replicas, with their storage
+  int changes = 1;                    // proposed by each proposer, each on top of the register it saw last
 };
 
-// Two proposers that change one register of three replicas.
-class Race {
+// A state of the search: three replicas, two proposers that change one register, and the messages in flight.
+class TwoProposersState {
  public:
   struct Move {
-    enum Kind { kDeliver, kRepeat, kTimeout, kLoseStorage, kRestart } kind = kDeliver;
-    size_t which = 0;
+    enum Kind { kDeliver, kDuplicate, kTimeout, kLoseStorage, kRestart } kind = kDeliver;
+    size_t index = 0;
   };
 
-  explicit Race(const Bounds& bounds) : bounds_(bounds) {
+  explicit TwoProposersState(const Bounds& bounds) : bounds_(bounds) {
     for (PeerId replica = 0; replica < 3; ++replica) {
       AcceptorOptions options;
       options.self = replica;
@@ -44,22 +45,22 @@
     for (uint64_t proposer = 0; proposer < 2; ++proposer) {
       ProposerOptions options;
       options.proposer_id = options.seed = proposer + 1;
-      options.max_resends = 0;  // after the first timeout the proposal starts over under a new ballot
+      options.max_resends = 0;  // the first timeout starts a new attempt with a higher ballot
       proposers_.emplace_back(options);
       timeouts_.push_back(bounds.timeouts);
       changes_.push_back(0);
       results_.emplace_back();
       propose(proposer, 0);
     }
-    settle();
+    collect_output();
   }
 
   std::vector<Move> moves() const {
     std::vector<Move> out;
     for (size_t i = 0; i < in_flight_.size(); ++i) {
-      if (i > 0 && in_flight_[i].same(in_flight_[i - 1])) continue;
+      if (i > 0 && in_flight_[i].is_same_as(in_flight_[i - 1])) continue;
       out.push_back({Move::kDeliver, i});
-      if (bounds_.repeats > 0) out.push_back({Move::kRepeat, i});
+      if (bounds_.duplicates > 0) out.push_back({Move::kDuplicate, i});
     }
     for (size_t proposer = 0; proposer < proposers_.size(); ++proposer)
       if (timeouts_[proposer] > 0 && proposers_[proposer].open_proposal_count() > 0)
@@ -74,37 +75,37 @@
 
   void apply(const Move& move) {
     switch (move.kind) {
-      case Move::kRepeat:
-        --bounds_.repeats;
-        deliver(in_flight_[move.which]);
+      case Move::kDuplicate:
+        --bounds_.duplicates;
+        deliver(in_flight_[move.index]);
         break;
       case Move::kDeliver: {
-        const InFlight arrived = in_flight_[move.which];
-        in_flight_.erase(in_flight_.begin() + static_cast<long>(move.which));
+        const InFlight arrived = in_flight_[move.index];
+        in_flight_.erase(in_flight_.begin() + static_cast<long>(move.index));
         deliver(arrived);
         break;
       }
       case Move::kTimeout:
-        --timeouts_[move.which];
-        // Once for the response timeout, once for the backoff after it.
-        proposers_[move.which].on_tick(now_ += 1000ms);
-        proposers_[move.which].on_tick(now_ += 1000ms);
+        --timeouts_[move.index];
+        // The first tick ends the response timeout, the second the backoff that follows.
+        proposers_[move.index].on_tick(now_ += 1000ms);
+        proposers_[move.index].on_tick(now_ += 1000ms);
         break;
       case Move::kLoseStorage: {
         --bounds_.storage_losses;
         AcceptorOptions options;
-        options.self = static_cast<PeerId>(move.which);
-        replicas_[move.which] = Acceptor(options, 50 + move.which);
-        replicas_[move.which].on_tick(now_ += 1000ms);
-        for (bool more = bounds_.recovers_at_once; more;) {
-          more = false;
+        options.self = static_cast<PeerId>(move.index);
+        replicas_[move.index] = Acceptor(options, 50 + move.index);
+        replicas_[move.index].on_tick(now_ += 1000ms);
+        for (bool keep_delivering = bounds_.recovers_immediately; keep_delivering;) {
+          keep_delivering = false;
           for (PeerId replica = 0; replica < 3; ++replica)
             for (const Envelope& envelope : replicas_[replica].take_output().messages) {
               if (envelope.to < 3) {
                 replicas_[envelope.to].handle(now_, replica, envelope.message);
-                more = true;
+                keep_delivering = true;
               } else {
-                put_in_flight(replica, envelope.to, envelope.message);
+                add_in_flight(replica, envelope.to, envelope.message);
               }
             }
         }
@@ -113,55 +114,55 @@
       case Move::kRestart: {
         --bounds_.restarts;
         AcceptorOptions options;
-        options.self = static_cast<PeerId>(move.which);
-        Acceptor& replica = replicas_[move.which];
+        options.self = static_cast<PeerId>(move.index);
+        Acceptor& replica = replicas_[move.index];
         replica = Acceptor(options, replica.metadata(), replica.slots());
         replica.on_tick(now_ += 1000ms);
         break;
       }
     }
-    settle();
+    collect_output();
   }
 
   std::string told(const Move& move) const {
-    if (move.kind == Move::kTimeout) return "proposer " + std::to_string(move.which) + " times out";
+    if (move.kind == Move::kTimeout) return "proposer " + std::to_string(move.index) + " times out";
     if (move.kind == Move::kLoseStorage)
-      return "replica " + std::to_string(move.which) + " loses its storage";
-    if (move.kind == Move::kRestart) return "replica " + std::to_string(move.which) + " restarts";
+      return "replica " + std::to_string(move.index) + " loses its storage";
+    if (move.kind == Move::kRestart) return "replica " + std::to_string(move.index) + " restarts";
     static const char* const kNames[] = {
         "",      "prepare", "promise",          "accept",   "accepted",    "rejected",
         "watch", "changes", "metadata request", "metadata", "fetch state", "state"};
-    const InFlight& sent = in_flight_[move.which];
+    const InFlight& sent = in_flight_[move.index];
     return std::string(kNames[static_cast<int>(sent.message.type)]) + " of ballot " +
            std::to_string(sent.message.ballot.number) + "/" +
            std::to_string(sent.message.ballot.proposer_id) + " from " + std::to_string(sent.from) + " to " +
-           std::to_string(sent.to) + (move.kind == Move::kRepeat ? ", and again later" : "");
+           std::to_string(sent.to) + (move.kind == Move::kDuplicate ? " (duplicated)" : "");
   }
 
   std::string digest() const {
     Digest digest;
-    for (const Acceptor& k : replicas_) digest.add(k.digest());
+    for (const Acceptor& replica : replicas_) digest.add(replica.digest());
     for (size_t proposer = 0; proposer < proposers_.size(); ++proposer) {
       digest.add(proposers_[proposer].digest()).add(timeouts_[proposer]).add(changes_[proposer]);
       for (const ProposalResult& result : results_[proposer])
         digest.add(static_cast<uint8_t>(result.kind)).add(result.proposal.id).add(result.current);
     }
     for (const InFlight& f : in_flight_) digest.add(f.from).add(f.to).add(f.message);
-    digest.add(bounds_.repeats).add(bounds_.storage_losses).add(bounds_.restarts);
+    digest.add(bounds_.duplicates).add(bounds_.storage_losses).add(bounds_.restarts);
     return digest.text();
   }
 
-  // What was reported as committed must fit into one chain: each version was made once, on top of the one
-  // before, what was reported as a conflict is in none of them, and no proposer sees less than it saw before.
+  // Checks the reported results: the committed changes form one chain with one change per version, no change
+  // reported as a conflict is in it, and the version that a proposer sees never decreases.
   std::optional<std::string> breach() const {
     std::map<uint64_t, uint64_t> committed;
     for (const ProposalResult& result : all_results_) {
       const Register& current = result.current;
       for (uint64_t version = current.version, i = 0; version > 0; --version, ++i) {
         const uint64_t id = i == 0 ? current.change_id : current.earlier_changes[i - 1];
-        const auto [at, first] = committed.emplace(version, id);
-        if (!first && at->second != id)
-          return "version " + std::to_string(version) + " was reported as " + std::to_string(at->second) +
+        const auto [it, is_new] = committed.emplace(version, id);
+        if (!is_new && it->second != id)
+          return "version " + std::to_string(version) + " was reported as " + std::to_string(it->second) +
                  " and as " + std::to_string(id);
       }
     }
@@ -170,11 +171,11 @@
         for (const auto& [version, id] : committed)
           if (id == result.proposal.id)
             return "change " + std::to_string(id) + " was reported as a conflict, and is committed";
-    // The proposals of one proposer follow each other; those of two may overlap.
+    // Versions are compared per proposer only: proposals of different proposers may overlap.
     for (const auto& results : results_)
       for (size_t i = 1; i < results.size(); ++i)
         if (results[i].current.version < results[i - 1].current.version)
-          return "a proposer saw less than before";
+          return "a proposer saw an older version than before";
     return {};
   }
 
@@ -183,7 +184,7 @@
     PeerId from = 0, to = 0;  // proposers are 3 and 4
     Message message;
     std::string text;
-    bool same(const InFlight& o) const { return text == o.text; }
+    bool is_same_as(const InFlight& other) const { return text == other.text; }
   };
 
   void propose(size_t proposer, ChangeId expected) {
@@ -202,16 +203,16 @@
       proposers_[arrived.to - 3].handle(now_, arrived.from, arrived.message);
   }
 
-  void put_in_flight(PeerId from, PeerId to, const Message& message) {
+  void add_in_flight(PeerId from, PeerId to, const Message& message) {
     Digest digest;
     digest.add(from).add(to).add(message);
     in_flight_.push_back({from, to, message, digest.text()});
   }
 
-  void settle() {
+  void collect_output() {
     for (PeerId replica = 0; replica < 3; ++replica)
       for (const Envelope& envelope : replicas_[replica].take_output().messages)
-        put_in_flight(replica, envelope.to, envelope.message);
+        add_in_flight(replica, envelope.to, envelope.message);
     for (PeerId proposer = 0; proposer < 2; ++proposer) {
       for (const ProposalResult& result : proposers_[proposer].take_results()) {
         results_[proposer].push_back(result);
@@ -219,9 +220,9 @@
         if (changes_[proposer] < bounds_.changes) propose(proposer, result.current.change_id);
       }
       for (const Envelope& envelope : proposers_[proposer].take_messages())
-        put_in_flight(3 + proposer, envelope.to, envelope.message);
+        add_in_flight(3 + proposer, envelope.to, envelope.message);
     }
-    // Responses to rounds that are over change nothing: not worth a state.
+    // Drop responses to finished phases: they have no effect and would only add states.
     std::erase_if(in_flight_, [this](const InFlight& f) {
       return f.to >= 3 && !proposers_[f.to - 3].is_expecting(f.message);
     });
@@ -239,59 +240,64 @@
   BootTime now_ = time_point_of<BootClock>(1);
 };
 
-const size_t kMost = states_most();
+const size_t kMaxStates = states_most();
 
-simulation::Explored explore(const Bounds& bounds, size_t most) { return explored<Race>(bounds, most); }
-bool found(const Bounds& bounds, InjectedBug bug) { return walks_find<Race>(bounds, bug, kMost / 2); }
+simulation::Explored explore(const Bounds& bounds, size_t max_states) {
+  return explored<TwoProposersState>(bounds, max_states);
+}
+bool random_walks_find_violation(const Bounds& bounds, InjectedBug bug) {
+  return walks_find<TwoProposersState>(bounds, bug, kMaxStates / 2);
+}
 
-TEST(ExploreConsensus, TwoProposersOfOneRegisterWithoutTimeouts) {
+TEST(ExploreConsensus, TwoProposersWithoutTimeouts) {
   Bounds bounds;
   bounds.timeouts = 0;
-  EXPECT_FALSE(explore(bounds, kMost).breach);
+  EXPECT_FALSE(explore(bounds, kMaxStates).breach);
 }
 
-TEST(ExploreConsensus, TwoProposersOfOneRegisterWithATimeout) {
+TEST(ExploreConsensus, TwoProposersWithATimeout) {
   Bounds bounds;
   bounds.timeouts = 1;
-  const simulation::Explored out = explore(bounds, kMost);
+  const simulation::Explored out = explore(bounds, kMaxStates);
   EXPECT_FALSE(out.breach);
 }
 
-TEST(ExploreConsensus, AReplicaLosesItsStorage) {
+TEST(ExploreConsensus, ReplicaLosesItsStorage) {
   Bounds bounds;
   bounds.timeouts = 1;
   bounds.storage_losses = 1;
-  const simulation::Explored out = explore(bounds, kMost);
+  const simulation::Explored out = explore(bounds, kMaxStates);
   EXPECT_FALSE(out.breach);
 }
 
-TEST(ExploreConsensus, AReplicaLosesItsStorageAndRecoversAtOnce) {
+TEST(ExploreConsensus, ReplicaLosesItsStorageAndRecoversAtOnce) {
   Bounds bounds;
   bounds.timeouts = 0;
   bounds.storage_losses = 1;
-  bounds.recovers_at_once = true;
-  EXPECT_FALSE(explore(bounds, kMost).breach);
+  bounds.recovers_immediately = true;
+  EXPECT_FALSE(explore(bounds, kMaxStates).breach);
 }
 
-TEST(ExploreConsensus, AMessageIsDeliveredTwice) {
+TEST(ExploreConsensus, MessageIsDeliveredTwice) {
   Bounds bounds;
   bounds.timeouts = 1;
-  bounds.repeats = 1;
-  EXPECT_FALSE(explore(bounds, kMost).breach);
+  bounds.duplicates = 1;
+  EXPECT_FALSE(explore(bounds, kMaxStates).breach);
 }
 
 TEST(ExploreConsensus, EachInjectedBugIsFound) {
   Bounds bounds;
   bounds.timeouts = 1;
-  EXPECT_TRUE(found(bounds, InjectedBug::kSkipPromiseCheck));
-  EXPECT_TRUE(found(bounds, InjectedBug::kSkipConflictWriteBack));
+  EXPECT_TRUE(random_walks_find_violation(bounds, InjectedBug::kSkipPromiseCheck));
+  EXPECT_TRUE(random_walks_find_violation(bounds, InjectedBug::kSkipConflictWriteBack));
   bounds.storage_losses = 1;
-  EXPECT_TRUE(found(bounds, InjectedBug::kForgetfulAcceptor));
-  bounds.recovers_at_once = true;
-  EXPECT_TRUE(found(bounds, InjectedBug::kIgnoreIncarnations));
-  EXPECT_FALSE(found(bounds, InjectedBug::kNone));
+  EXPECT_TRUE(random_walks_find_violation(bounds, InjectedBug::kForgetfulAcceptor));
+  bounds.recovers_immediately = true;
+  EXPECT_TRUE(random_walks_find_violation(bounds, InjectedBug::kIgnoreIncarnations));
+  EXPECT_FALSE(random_walks_find_violation(bounds, InjectedBug::kNone));
   bounds.changes = 2;
-  EXPECT_FALSE(found(bounds, InjectedBug::kNone));  // and nothing without one
+  EXPECT_FALSE(
+      random_walks_find_violation(bounds, InjectedBug::kNone));  // no violation is reported without a bug
 }
 
 }  // namespace
--- a/tests/consensus/register_watcher_test.cpp
+++ b/tests/consensus/register_watcher_test.cpp
@@ -1,3 +1,4 @@
+// Tests of RegisterWatcher: paging, switching replicas and timeouts.
 #include "consensus/register_watcher.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +27,7 @@
   return messages.empty() ? Envelope{} : messages.front();
 }
 
-TEST(RegisterWatcherTest, ItContinuesWhereTheLastResponseEnded) {
+TEST(RegisterWatcherTest, ContinuesAfterTheLastResponse) {
   RegisterWatcher watcher(3, 1);
   EXPECT_EQ(watcher.next_deadline(), kImmediately);
   watcher.on_tick(kStart);
@@ -45,7 +46,7 @@
   EXPECT_EQ(updates[1].second.version, 6u);
 }
 
-TEST(RegisterWatcherTest, AReplicaThatDoesNotAnswerIsFollowedByTheNext) {
+TEST(RegisterWatcherTest, SwitchesToTheNextReplicaAfterATimeout) {
   RegisterWatcher watcher(3, 2);
   watcher.on_tick(kStart);
   const Envelope first = only_message_of(watcher);
@@ -55,11 +56,12 @@
   const Envelope second = only_message_of(watcher);
   EXPECT_EQ(second.to, 0u);
   EXPECT_EQ(second.message.incarnation, 0u);
-  watcher.handle(kStart + 300ms, 2, changes_for(first, 7, 5, false));  // too late
+  watcher.handle(kStart + 300ms, 2,
+                 changes_for(first, 7, 5, false));  // late response of the previous replica
   EXPECT_TRUE(watcher.take_updates().empty());
 }
 
-TEST(RegisterWatcherTest, AReplicaThatHasAnsweredMayHoldARequestUntilItsWatchTimeout) {
+TEST(RegisterWatcherTest, AllowsTheWatchTimeoutAfterTheFirstResponse) {
   RegisterWatcher watcher(3, 0);
   watcher.on_tick(kStart);
   watcher.handle(kStart, 0, changes_for(only_message_of(watcher), 7, 5, false));
--- a/tests/lease/explore_test.cpp
+++ b/tests/lease/explore_test.cpp
@@ -1,6 +1,6 @@
-// Two candidates for one lease, over registers that commit at once and whose results and updates come at any
-// time or never, on clocks at both ends of what is allowed. Which of them is ticked next, and when, is left
-// open: a paused process is one that is not ticked.
+// State-space search with two candidates for one lease. Registers commit at once, but results and updates
+// arrive at any time or never. The candidates' clock rates differ by the maximum allowed. They are ticked in
+// any order and at any time; a paused process is one that is not ticked.
 
 #include <gtest/gtest.h>
 
@@ -16,20 +16,28 @@
 namespace {
 
 struct Bounds {
-  int thirds = 9;        // of a lease that pass
-  int lost_results = 1;  // reported as unknown
-  bool has_job = false;  // a run-once job is submitted to both
+  int lease_thirds = 9;  // that pass, in thirds of a lease
+  int lost_results = 1;  // results reported as unknown
+  bool has_job = false;  // a run-once job is submitted to both gateways
 };
 
-class Pair {
+class TwoCandidatesState {
  public:
   struct Move {
-    enum Kind { kPass, kTick, kCommit, kReport, kReportUnknown, kObserve, kObserveOld } kind = kPass;
-    size_t who = 0;
+    enum Kind {
+      kAdvanceTime,
+      kTick,
+      kCommit,
+      kReport,
+      kReportUnknown,
+      kObserve,
+      kObserveOld
+    } kind = kAdvanceTime;
+    size_t gateway = 0;
   };
-  static constexpr Ms kLease = 1000, kThird = kLease / 3;
+  static constexpr Ms kLease = 1000, kLeaseThird = kLease / 3;
 
-  explicit Pair(const Bounds& bounds) : bounds_(bounds) {
+  explicit TwoCandidatesState(const Bounds& bounds) : bounds_(bounds) {
     for (size_t gateway = 0; gateway < 2; ++gateway) {
       managers_.emplace_back(at(1),
                              LeaseOptions{gateway == 0 ? "a" : "b", 1001 + gateway, duration_of(kLease)});
@@ -44,12 +52,12 @@
         jobs_[gateway].submit(at(1), "m", 1, 7, at(1e9));
       else
         managers_[gateway].campaign(at(1), "merge:m");
-      settle(gateway);
+      collect_output(gateway);
     }
   }
-  // The jobs refer to their own leases.
-  Pair(const Pair& other) { *this = other; }
-  Pair& operator=(const Pair& other) {
+  // Copied by hand, because each RunOnceJobs must refer to the lease manager of its own copy.
+  TwoCandidatesState(const TwoCandidatesState& other) { *this = other; }
+  TwoCandidatesState& operator=(const TwoCandidatesState& other) {
     bounds_ = other.bounds_;
     managers_ = other.managers_;
     jobs_.clear();
@@ -59,16 +67,16 @@
     pending_ = other.pending_;
     results_ = other.results_;
     committed_ = other.committed_;
-    thirds_ = other.thirds_;
-    started_ = other.started_;
+    lease_thirds_ = other.lease_thirds_;
+    started_jobs_ = other.started_jobs_;
     return *this;
   }
 
   std::vector<Move> moves() const {
     std::vector<Move> out;
-    if (thirds_ < bounds_.thirds) out.push_back({Move::kPass, 0});
+    if (lease_thirds_ < bounds_.lease_thirds) out.push_back({Move::kAdvanceTime, 0});
     for (size_t gateway = 0; gateway < 2; ++gateway) {
-      if (ticked_at_[gateway] < thirds_) out.push_back({Move::kTick, gateway});
+      if (ticked_at_[gateway] < lease_thirds_) out.push_back({Move::kTick, gateway});
       if (!pending_[gateway].empty()) out.push_back({Move::kCommit, gateway});
       if (!results_[gateway].empty()) {
         out.push_back({Move::kReport, gateway});
@@ -81,14 +89,14 @@
   }
 
   void apply(const Move& move) {
-    const size_t gateway = move.who;
+    const size_t gateway = move.gateway;
     switch (move.kind) {
-      case Move::kPass:
-        ++thirds_;
+      case Move::kAdvanceTime:
+        ++lease_thirds_;
         return;
       case Move::kTick:
-        ticked_at_[gateway] = thirds_;
-        managers_[gateway].on_tick(local(gateway));
+        ticked_at_[gateway] = lease_thirds_;
+        managers_[gateway].on_tick(local_time(gateway));
         break;
       case Move::kCommit: {
         const consensus::Proposal proposal = pending_[gateway].front();
@@ -108,30 +116,34 @@
           --bounds_.lost_results;
           result.kind = consensus::ProposalResult::Kind::kUnknown;
         }
-        managers_[gateway].on_result(local(gateway), result);
+        managers_[gateway].on_result(local_time(gateway), result);
         break;
       }
       case Move::kObserve:
-        managers_[gateway].observe(local(gateway), "merge:m", committed_.back());
+        managers_[gateway].observe(local_time(gateway), "merge:m", committed_.back());
         break;
       case Move::kObserveOld:
-        managers_[gateway].observe(local(gateway), "merge:m", committed_[committed_.size() - 2]);
+        managers_[gateway].observe(local_time(gateway), "merge:m", committed_[committed_.size() - 2]);
         break;
     }
-    settle(gateway);
+    collect_output(gateway);
   }
 
   std::string told(const Move& move) const {
-    static const char* const kTold[] = {"a third of a lease passes",    "is ticked",
-                                        "has its change committed",     "gets its result",
-                                        "gets an unknown result",       "observes the committed record",
-                                        "observes the record before it"};
-    return (move.kind == Move::kPass ? std::string() : move.who == 0 ? "a " : "b ") + kTold[move.kind];
+    static const char* const kDescriptions[] = {
+        "a third of a lease passes",    "is ticked",
+        "has its change committed",     "gets its result",
+        "gets an unknown result",       "observes the committed record",
+        "observes the record before it"};
+    return (move.kind == Move::kAdvanceTime ? std::string()
+            : move.gateway == 0             ? "a "
+                                            : "b ") +
+           kDescriptions[move.kind];
   }
 
   std::string digest() const {
     consensus::Digest digest;
-    digest.add(thirds_).add(started_).add(bounds_.lost_results);
+    digest.add(lease_thirds_).add(started_jobs_).add(bounds_.lost_results);
     for (size_t gateway = 0; gateway < 2; ++gateway) {
       digest.add(managers_[gateway].digest()).add(ticked_at_[gateway]).add(jobs_[gateway].digest());
       for (const consensus::Proposal& proposal : pending_[gateway])
@@ -145,27 +157,29 @@
   }
 
   std::optional<std::string> breach() const {
-    const auto first = managers_[0].active_epoch(local(0), "merge:m");
-    const auto second = managers_[1].active_epoch(local(1), "merge:m");
+    const auto first = managers_[0].active_epoch(local_time(0), "merge:m");
+    const auto second = managers_[1].active_epoch(local_time(1), "merge:m");
     if (first && second)
       return "both are active, under " + std::to_string(*first) + " and " + std::to_string(*second);
-    if (started_ > 1) return "the job was started twice";
+    if (started_jobs_ > 1) return "the job was started twice";
     return {};
   }
 
  private:
-  // The one clock is slow and the other fast: one part in a hundred apart.
-  BootTime local(size_t gateway) const { return at(1 + thirds_ * kThird * (gateway == 0 ? 0.9951 : 1.0049)); }
+  // One clock is slow and the other fast; their rates differ by about 1%.
+  BootTime local_time(size_t gateway) const {
+    return at(1 + lease_thirds_ * kLeaseThird * (gateway == 0 ? 0.9951 : 1.0049));
+  }
 
-  void settle(size_t gateway) {
-    for (bool more = true; more;) {
-      more = false;
+  void collect_output(size_t gateway) {
+    for (bool made_progress = true; made_progress;) {
+      made_progress = false;
       for (const Event& event : managers_[gateway].take_events()) {
-        more = true;
-        if (bounds_.has_job) jobs_[gateway].handle(local(gateway), event);
+        made_progress = true;
+        if (bounds_.has_job) jobs_[gateway].handle(local_time(gateway), event);
       }
       for (const auto& action : jobs_[gateway].take_actions())
-        started_ += action.kind == RunOnceJobs::Action::Kind::kStart;
+        started_jobs_ += action.kind == RunOnceJobs::Action::Kind::kStart;
       for (const consensus::Proposal& proposal : managers_[gateway].take_proposals())
         pending_[gateway].push_back(proposal);
     }
@@ -178,33 +192,37 @@
   std::vector<std::vector<consensus::Proposal>> pending_;
   std::vector<std::vector<consensus::ProposalResult>> results_;
   std::vector<consensus::Register> committed_;
-  int thirds_ = 0, started_ = 0;
+  int lease_thirds_ = 0, started_jobs_ = 0;
 };
 
-const size_t kMost = states_most();
+const size_t kMaxStates = states_most();
 
-simulation::Explored explore(const Bounds& bounds, size_t most) { return explored<Pair>(bounds, most); }
-bool found(const Bounds& bounds, InjectedBug bug) { return walks_find<Pair>(bounds, bug, kMost / 2); }
+simulation::Explored explore(const Bounds& bounds, size_t max_states) {
+  return explored<TwoCandidatesState>(bounds, max_states);
+}
+bool random_walks_find_violation(const Bounds& bounds, InjectedBug bug) {
+  return walks_find<TwoCandidatesState>(bounds, bug, kMaxStates / 2);
+}
 
-TEST(ExploreLease, NeverTwoActiveHolders) {
-  const simulation::Explored out = explore({}, kMost);
+TEST(ExploreLease, AtMostOneHolderIsActive) {
+  const simulation::Explored out = explore({}, kMaxStates);
   EXPECT_FALSE(out.breach);
 }
 
-TEST(ExploreLease, ARunOnceJobStartsOnceAtMost) {
+TEST(ExploreLease, RunOnceJobStartsAtMostOnce) {
   Bounds bounds;
   bounds.has_job = true;
-  bounds.thirds = 7;
-  EXPECT_FALSE(explore(bounds, kMost).breach);
+  bounds.lease_thirds = 7;
+  EXPECT_FALSE(explore(bounds, kMaxStates).breach);
 }
 
 TEST(ExploreLease, EachInjectedBugIsFound) {
-  EXPECT_TRUE(found({}, InjectedBug::kLeaseFromResponse));
-  EXPECT_TRUE(found({}, InjectedBug::kSkipTakeoverWait));
+  EXPECT_TRUE(random_walks_find_violation({}, InjectedBug::kLeaseFromResponse));
+  EXPECT_TRUE(random_walks_find_violation({}, InjectedBug::kSkipTakeoverWait));
   Bounds bounds;
   bounds.has_job = true;
-  EXPECT_TRUE(found(bounds, InjectedBug::kRecordIntentAfterStart));
-  EXPECT_FALSE(found(bounds, InjectedBug::kNone));
+  EXPECT_TRUE(random_walks_find_violation(bounds, InjectedBug::kRecordIntentAfterStart));
+  EXPECT_FALSE(random_walks_find_violation(bounds, InjectedBug::kNone));
 }
 
 }  // namespace
--- a/tests/lease/fence_test.cpp
+++ b/tests/lease/fence_test.cpp
@@ -1,3 +1,4 @@
+// Tests of Fence, the check of fencing tokens.
 #include "lease/fence.h"
 
 #include <gtest/gtest.h>
@@ -5,7 +6,7 @@
 namespace firvalve::lease {
 namespace {
 
-TEST(FenceTest, AnOlderEpochIsRefusedAndTheSameIsAdmitted) {
+TEST(FenceTest, RejectsOnlyEpochsOlderThanTheHighestSeen) {
   Fence fence;
   EXPECT_TRUE(fence.admits("d", 3));
   EXPECT_TRUE(fence.admits("d", 3));
--- a/tests/lease/lease_fixture.h
+++ b/tests/lease/lease_fixture.h
@@ -1,4 +1,5 @@
-// What tests of leases share: registers that commit at once and gateways with their leases and run-once jobs.
+// Shared by the lease tests: fake registers that commit at once, and fake gateways with a lease manager and
+// run-once jobs.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,7 +16,7 @@
 
 constexpr BootTime at(Ms ms) { return time_point_of<BootClock>(ms); }
 
-// Commits the change where the register allows it, as consensus would.
+// Applies the proposal to the register if its compare-and-set condition holds, as consensus would.
 inline consensus::ProposalResult::Kind compare_and_set(consensus::Register& current,
                                                        const consensus::Proposal& proposal) {
   using Kind = consensus::ProposalResult::Kind;
@@ -28,7 +29,7 @@
   return Kind::kCommitted;
 }
 
-// Registers that commit at once, as a LeaseManager sees them.
+// Registers that commit each proposal at once.
 struct FakeRegisters {
   std::map<std::string, consensus::Register> stored;
   consensus::ProposalResult change(BootTime now, const consensus::Proposal& proposal) {
@@ -43,18 +44,18 @@
       : options{name, incarnation, duration}, leases(at(1), options), jobs(leases, incarnation) {
     leases.on_synced(at(1));
   }
-  // Ticks it, commits what it proposes and keeps its events and actions.
+  // Ticks the gateway, applies its proposals to the registers and collects its events and actions.
   void tick(FakeRegisters& registers, BootTime now) {
     leases.on_tick(now);
     jobs.on_tick(now);
-    for (bool more = true; more;) {
-      more = false;
+    for (bool made_progress = true; made_progress;) {
+      made_progress = false;
       for (const consensus::Proposal& proposal : leases.take_proposals()) {
-        more = true;
+        made_progress = true;
         leases.on_result(now, registers.change(now, proposal));
       }
       for (Event& event : leases.take_events()) {
-        more = true;
+        made_progress = true;
         jobs.handle(now, event);
         events.push_back(event);
       }
@@ -80,14 +81,14 @@
   std::vector<RunOnceJobs::Action> actions;
 };
 
-// Ticks the gateways; others are paused.
+// Ticks the given gateways at every step; a gateway that is not given is paused.
 inline void run(FakeRegisters& registers, std::vector<FakeGateway*> gateways, BootTime from, BootTime until,
                 Duration step = 10ms) {
   for (BootTime now = from; now <= until; now += step)
     for (FakeGateway* gateway : gateways) gateway->observe_and_tick(registers, now);
 }
 
-// Two gateways, a_ and b_, over the same registers.
+// Two gateways, a_ and b_, that share registers.
 class LeaseFixture : public testing::Test {
  protected:
   FakeRegisters registers_;
