--- a/src/consensus/acceptor.h
+++ b/src/consensus/acceptor.h
@@ -67,7 +67,7 @@
 
   void handle(BootTime now, PeerId from, const Message& message);
   void on_tick(BootTime now);
-  std::optional<BootTime> next_deadline() const;
+  std::optional<BootTime> next_deadline() const;  // when to call on_tick(); none: not needed
   AcceptorOutput take_output();
   // Reports that the writes of `output` could not be made durable. The next output contains them again; the
   // messages of `output` are dropped.
--- a/src/lease/lease_manager.h
+++ b/src/lease/lease_manager.h
@@ -121,7 +121,7 @@
   }
 
   void on_tick(BootTime now);
-  std::optional<BootTime> next_deadline() const;
+  std::optional<BootTime> next_deadline() const;  // when to call on_tick(); none: not needed
   std::vector<consensus::Proposal> take_proposals() { return std::exchange(proposals_, {}); }
   std::vector<Event> take_events() { return std::exchange(events_, {}); }
   std::string digest() const;  // state that determines future behaviour, for state-space searches
--- a/src/lease/run_once_jobs.h
+++ b/src/lease/run_once_jobs.h
@@ -28,8 +28,10 @@
  public:
   using CallId = uint64_t;  // identifies a caller's call; assigned by the driver
 
+  // Outcome of a run, as the driver reports it. kFailed: the job may have run.
   enum class RunOutcome : uint8_t { kCompleted, kFailed, kNeverRan };
 
+  // What the driver must do for a call.
   struct Action {
     enum class Kind : uint8_t {
       kStart,     // run the job for this call
@@ -64,7 +66,10 @@
   void submit(BootTime now, const std::string& key, CallId call, uint64_t statement_hash, BootTime deadline);
   // Drops a call whose caller no longer waits for the answer. A job that has started continues.
   void remove_call(BootTime now, CallId call);
+  // Takes an event of the lease manager. Events of leases that belong to no job here have no effect.
   void handle(BootTime now, const Event& event);
+  // Reports the outcome of the run that a kStart action requested. `rows` is for kCompleted, `retry_after`
+  // for kNeverRan.
   void on_run_finished(BootTime now, const std::string& key, RunOutcome outcome, std::string rows,
                        Duration retry_after = 0ms);
   // Called at shutdown: no further job is started, and callers of jobs not started are answered at once.
--- a/tests/consensus/explore_test.cpp
+++ b/tests/consensus/explore_test.cpp
@@ -294,10 +294,10 @@
   EXPECT_TRUE(random_walks_find_violation(bounds, InjectedBug::kForgetfulAcceptor));
   bounds.recovers_immediately = true;
   EXPECT_TRUE(random_walks_find_violation(bounds, InjectedBug::kIgnoreIncarnations));
+  // Without a bug no violation is found.
   EXPECT_FALSE(random_walks_find_violation(bounds, InjectedBug::kNone));
   bounds.changes = 2;
-  EXPECT_FALSE(
-      random_walks_find_violation(bounds, InjectedBug::kNone));  // no violation is reported without a bug
+  EXPECT_FALSE(random_walks_find_violation(bounds, InjectedBug::kNone));
 }
 
 }  // namespace
--- a/tests/lease/explore_test.cpp
+++ b/tests/lease/explore_test.cpp
@@ -1,6 +1,6 @@
-// State-space search with two candidates for one lease. Registers commit at once, but results and updates
-// arrive at any time or never. The candidates' clock rates differ by the maximum allowed. They are ticked in
-// any order and at any time; a paused process is one that is not ticked.
+// State-space search with two candidates for one lease. A proposal is committed in a single step; its result
+// and the updates of watchers arrive at any time or never. The candidates' clock rates differ by the maximum
+// allowed. They are ticked in any order and at any time; a paused process is one that is not ticked.
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
 namespace {
 
 struct Bounds {
-  int lease_thirds = 9;  // that pass, in thirds of a lease
+  int lease_thirds = 9;  // time that passes, in thirds of a lease
   int lost_results = 1;  // results reported as unknown
   bool has_job = false;  // a run-once job is submitted to both gateways
 };
@@ -24,15 +24,7 @@
 class TwoCandidatesState {
  public:
   struct Move {
-    enum Kind {
-      kAdvanceTime,
-      kTick,
-      kCommit,
-      kReport,
-      kReportUnknown,
-      kObserve,
-      kObserveOld
-    } kind = kAdvanceTime;
+    enum Kind { kAdvance, kTick, kCommit, kReport, kReportUnknown, kObserve, kObserveOld } kind = kAdvance;
     size_t gateway = 0;
   };
   static constexpr Ms kLease = 1000, kLeaseThird = kLease / 3;
@@ -74,7 +66,7 @@
 
   std::vector<Move> moves() const {
     std::vector<Move> out;
-    if (lease_thirds_ < bounds_.lease_thirds) out.push_back({Move::kAdvanceTime, 0});
+    if (lease_thirds_ < bounds_.lease_thirds) out.push_back({Move::kAdvance, 0});
     for (size_t gateway = 0; gateway < 2; ++gateway) {
       if (ticked_at_[gateway] < lease_thirds_) out.push_back({Move::kTick, gateway});
       if (!pending_[gateway].empty()) out.push_back({Move::kCommit, gateway});
@@ -91,7 +83,7 @@
   void apply(const Move& move) {
     const size_t gateway = move.gateway;
     switch (move.kind) {
-      case Move::kAdvanceTime:
+      case Move::kAdvance:
         ++lease_thirds_;
         return;
       case Move::kTick:
@@ -135,9 +127,9 @@
         "has its change committed",     "gets its result",
         "gets an unknown result",       "observes the committed record",
         "observes the record before it"};
-    return (move.kind == Move::kAdvanceTime ? std::string()
-            : move.gateway == 0             ? "a "
-                                            : "b ") +
+    return (move.kind == Move::kAdvance ? std::string()
+            : move.gateway == 0         ? "a "
+                                        : "b ") +
            kDescriptions[move.kind];
   }
 
