--- a/tests/consensus/acceptor_test.cpp
+++ b/tests/consensus/acceptor_test.cpp
@@ -243,7 +243,7 @@
   Proposal large;
   for (int i = 0; i < 12; ++i) {
     large = make_change(100 + static_cast<uint64_t>(i), 0, "large" + std::to_string(i));
-    large.value.assign(100 * 1024, 'x');
+    large.value.assign(size_t{100} * 1024, 'x');
     ASSERT_EQ(propose(large, {0, 1}).kind, ProposalResult::Kind::kCommitted);
   }
   replicas_[2] = empty_replica(2, 88);
