--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -11,10 +11,12 @@
 
 // An incarnation has a counter in its high bits, so that later incarnations are greater, and random low bits,
 // so that the first incarnations of two starts without storage differ.
-constexpr int kRandomBits = 40;
-constexpr Incarnation random_part(uint64_t random) { return random & ((Incarnation{1} << kRandomBits) - 1); }
+constexpr int kIncarnationRandomBits = 40;
+constexpr Incarnation random_part(uint64_t random) {
+  return random & ((Incarnation{1} << kIncarnationRandomBits) - 1);
+}
 constexpr Incarnation next_incarnation(Incarnation incarnation, uint64_t random) {
-  return (((incarnation >> kRandomBits) + 1) << kRandomBits) | random_part(random);
+  return (((incarnation >> kIncarnationRandomBits) + 1) << kIncarnationRandomBits) | random_part(random);
 }
 
 bool carries_incarnations(MessageType type) {
@@ -87,7 +89,7 @@
   if (!slot || message.ballot < slot->promised_ballot) return reject(from, message, slot, !slot);
   if (slot->promised_ballot != message.ballot) unwritten_keys_.insert(message.key);
   slot->promised_ballot = message.ballot;
-  Message promise = response_to(message, MessageType::kPromise);
+  Message promise = make_response(message, MessageType::kPromise);
   promise.ballot = message.ballot;
   promise.accepted_ballot = slot->accepted_ballot;
   promise.register_state = slot->accepted;
@@ -104,19 +106,19 @@
   if (is_too_large || breaks_promise) return reject(from, message, slot, is_too_large);
   // A duplicate request is answered again but changes nothing.
   if (slot->accepted_ballot != message.ballot) store_accepted(now, message.key, *slot, message);
-  Message accepted = response_to(message, MessageType::kAccepted);
+  Message accepted = make_response(message, MessageType::kAccepted);
   accepted.ballot = message.ballot;
   send(from, std::move(accepted));
 }
 
 void Acceptor::reject(PeerId to, const Message& request, const AcceptorSlot* slot, bool is_out_of_space) {
-  Message rejected = response_to(request, MessageType::kRejected);
+  Message rejected = make_response(request, MessageType::kRejected);
   if (slot) rejected.ballot = slot->promised_ballot;
   rejected.is_out_of_space = is_out_of_space;
   send(to, std::move(rejected));
 }
 
-Message Acceptor::response_to(const Message& request, MessageType type) const {
+Message Acceptor::make_response(const Message& request, MessageType type) const {
   Message response;
   response.type = type;
   response.request_id = request.request_id;
@@ -209,15 +211,15 @@
 
 // Bootstrap and recovery.
 
-Message Acceptor::metadata_response_to(const Message& request) const {
-  Message response = response_to(request, MessageType::kMetadata);
+Message Acceptor::make_metadata_response(const Message& request) const {
+  Message response = make_response(request, MessageType::kMetadata);
   response.is_voting = metadata_.is_voting;
   response.bootstrap_incarnations = metadata_.bootstrap_incarnations;
   return response;
 }
 
 void Acceptor::handle_metadata_request(PeerId from, const Message& message) {
-  if (is_other_replica(from)) send(from, metadata_response_to(message));
+  if (is_other_replica(from)) send(from, make_metadata_response(message));
 }
 
 void Acceptor::handle_metadata(PeerId from, const Message& message) {
@@ -309,9 +311,9 @@
   const Incarnation incarnation = message.request_id;
   // A later incarnation of the sender is already recorded here. The response makes the sender take an even
   // later one.
-  if (incarnation < metadata_.known_incarnations[from]) return send(from, metadata_response_to(message));
+  if (incarnation < metadata_.known_incarnations[from]) return send(from, make_metadata_response(message));
   record_incarnation(from, incarnation);
-  Message state = response_to(message, MessageType::kState);
+  Message state = make_response(message, MessageType::kState);
   auto it = message.key.empty() ? slots_.begin() : slots_.upper_bound(message.key);
   for (size_t bytes = 0; it != slots_.end() && page_has_space(state, bytes); ++it) {
     bytes += it->second.accepted.value.size();
--- a/src/consensus/acceptor.h
+++ b/src/consensus/acceptor.h
@@ -105,8 +105,8 @@
 
   void send(PeerId to, Message message) { messages_.push_back({to, std::move(message)}); }
   void reject(PeerId to, const Message& request, const AcceptorSlot* slot, bool is_out_of_space);
-  Message response_to(const Message& request, MessageType type) const;
-  Message metadata_response_to(const Message& request) const;
+  Message make_response(const Message& request, MessageType type) const;
+  Message make_metadata_response(const Message& request) const;
 
   AcceptorSlot* find_or_add_slot(const std::string& key);  // null: too many registers, or the key is too long
   bool exceeds_limits(const AcceptorSlot& slot, const Register& proposed) const;
--- a/src/consensus/digest.h
+++ b/src/consensus/digest.h
@@ -55,9 +55,9 @@
     for (const auto& [key, slot] : message.entries) add(key).add(slot);
     return *this;
   }
-  Digest& add(const std::vector<uint64_t>& all) {
-    add(all.size());
-    for (const uint64_t one : all) add(one);
+  Digest& add(const std::vector<uint64_t>& values) {
+    add(values.size());
+    for (const uint64_t value : values) add(value);
     return *this;
   }
   const std::string& text() const { return text_; }
