--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -128,7 +128,7 @@
 }
 
 void ClusterNode::on_tick(BootTime now) {
-  for (schema::Change& withdrawal : declaration_expiry_.due(now))
+  for (schema::Change& withdrawal : declaration_expiry_.take_due_withdrawals(now))
     registry_.submit(std::move(withdrawal), now + kExpiryTimeout);
   if (acceptor_) acceptor_->on_tick(now);
   proposer_.on_tick(now);
--- a/src/cluster/topic_requests.cpp
+++ b/src/cluster/topic_requests.cpp
@@ -68,7 +68,7 @@
   for (const auto& [callback, reason] : std::exchange(rejected_, {}))
     callback({Reply::Kind::kInvalidParams, reason});
   for (const Result& result : registry_.take_results()) {
-    const auto pending = pending_.find(result.change);
+    const auto pending = pending_.find(result.change_number);
     if (pending == pending_.end()) continue;
     const ReplyCallback callback = std::move(pending->second);
     pending_.erase(pending);
--- a/src/schema/compatibility_checker.h
+++ b/src/schema/compatibility_checker.h
@@ -1,6 +1,6 @@
-// Whether a version may be added or retired, or a declaration be made. Pure functions: the same topic and
-// proposal give the same verdict everywhere, in whatever order its declarations came, and a further
-// declaration never removes a violation.
+// Checks whether a version can be added or retired, or a declaration can be made. Pure functions: the same
+// topic and proposal give the same verdict on every gateway, independent of the order of declarations. Adding
+// a declaration never removes a violation.
 #pragma once
 
 #include "schema/schema.h"
--- a/src/schema/compatibility_rules.h
+++ b/src/schema/compatibility_rules.h
@@ -1,4 +1,4 @@
-// Whether one reader can be served across two versions of a schema.
+// The rules that decide whether one reader can be served across two versions of a schema.
 #pragma once
 
 #include <vector>
@@ -8,8 +8,8 @@
 
 namespace firvalve::schema {
 
-// What keeps messages published as `from` from being given to the reader as `to`; only fields that it reads
-// count. Violations name no readers. Empty: nothing.
+// Returns the reasons why messages published under `from` cannot be converted to `to` for the reader; empty
+// if they can. Only fields that the reader reads count. The violations list no readers.
 std::vector<Violation> find_incompatibilities(const Schema& from, const Schema& to,
                                               const Declaration& reader);
 
--- a/src/schema/declaration_expiry.cpp
+++ b/src/schema/declaration_expiry.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-constexpr double kDrift = 0.02;      // between clocks: twice what leases allow for one
-constexpr Duration kMaxOffset(500);  // between the replicas that watch
+constexpr double kMaxClockDrift = 0.02;     // between two clocks: twice the drift that leases allow for one
+constexpr Duration kMaxReplicaOffset(500);  // spreads the withdrawals of the replicas that watch
 
 }  // namespace
 
@@ -14,16 +14,17 @@
   std::map<std::string, Observed> next;
   for (const Declaration& declaration : topic.declarations) {
     if (declaration.expires_after_ms == 0) continue;
-    const auto before = known.find(declaration.subscriber);
-    const bool is_unchanged = before != known.end() && before->second.renewals == declaration.renewals;
-    next[declaration.subscriber] = {declaration.renewals, is_unchanged ? before->second.since : now,
+    const auto previous = known.find(declaration.subscriber);
+    const bool is_unchanged = previous != known.end() && previous->second.renewals == declaration.renewals;
+    next[declaration.subscriber] = {declaration.renewals,
+                                    is_unchanged ? previous->second.unchanged_since : now,
                                     Duration(static_cast<double>(declaration.expires_after_ms))};
   }
   known = std::move(next);
   if (known.empty()) observed_.erase(name);
 }
 
-std::vector<Change> DeclarationExpiry::due(BootClock::time_point now) {
+std::vector<Change> DeclarationExpiry::take_due_withdrawals(BootClock::time_point now) {
   std::vector<Change> out;
   for (auto& [topic, subscribers] : observed_)
     for (auto& [subscriber, observed] : subscribers) {
@@ -33,7 +34,7 @@
       change.topic = topic;
       change.declaration.subscriber = subscriber;
       change.declaration.renewals = observed.renewals;
-      observed.since = now;
+      observed.unchanged_since = now;
     }
   return out;
 }
@@ -47,7 +48,7 @@
 }
 
 BootClock::time_point DeclarationExpiry::expires_at(const Observed& observed) const {
-  return observed.since + observed.lifetime * (1 + kDrift) + kMaxOffset * offset_;
+  return observed.unchanged_since + observed.lifetime * (1 + kMaxClockDrift) + kMaxReplicaOffset * offset_;
 }
 
 }  // namespace firvalve::schema
--- a/src/schema/declaration_expiry.h
+++ b/src/schema/declaration_expiry.h
@@ -1,11 +1,14 @@
-// Declarations whose subscriber has not renewed them for longer than it said: they are withdrawn, so that one
-// that is gone for good does not block every change for ever. No I/O and no clock.
+// Withdraws declarations that their subscribers have not renewed within the declared lifetime. Otherwise a
+// subscriber that is permanently gone would block incompatible changes for ever. No I/O and no clock.
 //
-// Only the count of renewals is compared, and only with what this gateway saw itself, so that the clocks of
-// others do not matter: a declaration expires once its count has stood still here for its whole lifetime, on
-// the slowest clock allowed. The withdrawal names that count: a renewal that comes first keeps the
-// declaration. Each replica watches, with an offset of its own; what two withdraw is withdrawn once. It harms
-// a subscriber that stays away for longer than it said: it has to declare again, and may be rejected.
+// A declaration expires when this gateway has seen its renewal count unchanged for its whole lifetime,
+// extended by the maximum clock drift. Only that count is compared, so the clocks of other machines do not
+// matter. The withdrawal names the count, so a renewal that is committed first keeps the declaration. Every
+// replica watches with an offset of its own; if two replicas withdraw the same declaration, the second
+// withdrawal has no effect.
+//
+// Limit: a subscriber that is away for longer than its declared lifetime has to declare again, and may then
+// be rejected.
 #pragma once
 
 #include <map>
@@ -20,20 +23,21 @@
 
 class DeclarationExpiry {
  public:
-  // `offset`: from 0 to 1, this gateway's own: which replica withdraws first.
+  // `offset`: from 0 to 1; the replica with the lowest offset withdraws first.
   explicit DeclarationExpiry(double offset) : offset_(offset) {}
 
-  // A topic as it stands now.
+  // Records the current state of a topic.
   void observe(BootClock::time_point now, const std::string& name, const Topic& topic);
 
-  // What is to be withdrawn now. Each is returned once; where it was not agreed, again a lifetime later.
-  std::vector<Change> due(BootClock::time_point now);
+  // Returns a withdrawal for each declaration that has expired. Each is returned once; if it is not
+  // committed, it is returned again after another lifetime.
+  std::vector<Change> take_due_withdrawals(BootClock::time_point now);
   std::optional<BootClock::time_point> next_due() const;
 
  private:
   struct Observed {
     uint64_t renewals = 0;
-    BootClock::time_point since;  // this count was seen first
+    BootClock::time_point unchanged_since;
     Duration lifetime;
   };
   BootClock::time_point expires_at(const Observed& observed) const;
--- a/src/schema/field_values.cpp
+++ b/src/schema/field_values.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Floating-point types hold every integer up to these, and not every one beyond.
+// Largest integers (2^24 and 2^53) up to which floating-point types represent every integer exactly.
 constexpr double kMaxFloat32Integer = 16777216, kMaxFloat64Integer = 9007199254740992.0;
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
 
@@ -28,8 +28,8 @@
   }
 }
 
-// Whether every value of the one type is a value of the other, as it is.
-bool holds_all_of(Type wide, Type narrow) {
+// Whether every value of the type `narrow` can be represented exactly in the type `wide`.
+bool can_represent(Type wide, Type narrow) {
   if (wide == narrow) return true;
   switch (wide) {
     case Type::kInt64:
@@ -41,7 +41,7 @@
   }
 }
 
-bool is_of_type(const Value& value, Type type) {
+bool has_type(const Value& value, Type type) {
   switch (type) {
     case Type::kBool:
       return std::holds_alternative<bool>(value);
@@ -56,8 +56,8 @@
   }
 }
 
-// What a field's range bounds: a number itself, a text's length.
-double amount_of(const Value& value) {
+// Returns the amount that the range of a field limits: the number itself, or the length of a text in bytes.
+double bounded_amount(const Value& value) {
   if (const auto* const text = std::get_if<std::string>(&value)) return static_cast<double>(text->size());
   if (const auto* const real = std::get_if<double>(&value)) return *real;
   return static_cast<double>(std::get<int64_t>(value));
@@ -73,13 +73,13 @@
 
 ValueRange range_of(const Field& field) {
   ValueRange range = range_of(field.type);
-  if (field.least) range.least = std::max(range.least, *field.least);
-  if (field.most) range.most = std::min(range.most, *field.most);
+  if (field.min) range.min = std::max(range.min, *field.min);
+  if (field.max) range.max = std::min(range.max, *field.max);
   return range;
 }
 
 bool is_convertible(const Field& from, const Field& to) {
-  if (holds_all_of(to.type, from.type)) return true;
+  if (can_represent(to.type, from.type)) return true;
   if (!is_integer(from.type)) return false;
   const ValueRange range = range_of(from);
   switch (to.type) {
@@ -96,22 +96,21 @@
   }
 }
 
-std::string find_value_fault(const Field& field, const Value& value) {
-  if (!is_of_type(value, field.type))
-    return fmt::format("{} is no {}", described(field), name_of(field.type));
+std::string find_value_error(const Field& field, const Value& value) {
+  if (!has_type(value, field.type)) return fmt::format("{} is no {}", describe(field), name_of(field.type));
   if (field.type == Type::kChoice) {
     const int64_t choice = std::get<int64_t>(value);
-    return field.choices.count(choice) ? "" : fmt::format("{} has no choice {}", described(field), choice);
+    return field.choices.count(choice) ? "" : fmt::format("{} has no choice {}", describe(field), choice);
   }
   if (field.type == Type::kBool) return "";
   const ValueRange range = range_of(field);
-  const double amount = amount_of(value);
-  // Written so that a value that is no number is out of range, too.
-  if (!(amount >= range.least && amount <= range.most))
-    return fmt::format("{} is out of its range", described(field));
+  const double amount = bounded_amount(value);
+  // Written so that NaN is out of range, too.
+  if (!(amount >= range.min && amount <= range.max))
+    return fmt::format("{} is out of its range", describe(field));
   return "";
 }
 
-std::string described(const Field& field) { return fmt::format("{} ({})", field.name, field.number); }
+std::string describe(const Field& field) { return fmt::format("{} ({})", field.name, field.number); }
 
 }  // namespace firvalve::schema
--- a/src/schema/field_values.h
+++ b/src/schema/field_values.h
@@ -1,4 +1,4 @@
-// What values a field may have, and which of them another field can hold.
+// Values of fields: which values a field can have, and whether another field can represent them.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace firvalve::schema {
 
-// By Type: as clients and stored topics have them.
+// Indexed by Type. Used in messages to clients and in stored topics.
 inline constexpr const char* kTypeNames[] = {"bool",    "int32", "int64", "float32",
                                              "float64", "text",  "choice"};
 const char* name_of(Type type);
@@ -16,20 +16,20 @@
 bool is_float(Type type);
 
 struct ValueRange {
-  double least, most;
-  bool is_within(const ValueRange& other) const { return least >= other.least && most <= other.most; }
+  double min, max;
+  bool is_within(const ValueRange& other) const { return min >= other.min && max <= other.max; }
 };
-// Of a number its values, of a text its length in bytes.
+// The range of a number's values, or of a text's length in bytes.
 ValueRange range_of(const Field& field);
 
-// Whether every value that may come as `from` can be held as `to`: by its type, or because its range is small
-// enough.
+// Whether every value of `from` can be represented in `to`, either because the type of `to` is wide enough or
+// because the range of `from` is small enough.
 bool is_convertible(const Field& from, const Field& to);
 
-// What is wrong with the value: its type, its range, an unknown choice. Empty: nothing.
-std::string find_value_fault(const Field& field, const Value& value);
+// Returns what is wrong with the value (its type, its range, an unknown choice); empty if it is valid.
+std::string find_value_error(const Field& field, const Value& value);
 
-// For sentences: name and number.
-std::string described(const Field& field);
+// The field's name and number, for error messages.
+std::string describe(const Field& field);
 
 }  // namespace firvalve::schema
--- a/src/schema/message_projection.h
+++ b/src/schema/message_projection.h
@@ -1,4 +1,4 @@
-// Messages against their schema, and how a message of one version is given in another.
+// Validates messages against their schema, and converts messages of one version to another.
 #pragma once
 
 #include <optional>
@@ -9,22 +9,25 @@
 
 namespace firvalve::schema {
 
-// What to do for each field of the version that a reader gets.
+// How to convert a message: one step for each field of the reader's version.
 struct Projection {
   struct Step {
     uint32_t field = 0;
-    enum class Kind : uint8_t { kCopy, kWiden, kPreset, kLeaveOut } kind = Kind::kCopy;
-    Type type = Type::kText;      // that it becomes
-    std::optional<Value> preset;  // also of kCopy and kWiden: where the message has no value
+    enum class Kind : uint8_t { kCopy, kConvert, kUseDefault, kOmit } kind = Kind::kCopy;
+    Type type = Type::kText;             // type of the field in the reader's version
+    std::optional<Value> default_value;  // kUseDefault: the value; else used if the message has no value
   };
   std::vector<Step> steps;
 };
-// None: messages of the one cannot be given to this reader as the other (compatibility_rules.h).
+// Returns nothing if messages of `from` cannot be converted to `to` for this reader; see
+// compatibility_rules.h.
 std::optional<Projection> plan_projection(const Schema& from, const Schema& to, const Declaration& reader);
-// None: this one message cannot be given so, as it has a choice that the reader ignores in a required field.
-std::optional<Content> project(const Projection& projection, const Schema& to, const Content& message);
+// Returns nothing if this message has a value that does not fit a required field of `to`, for example a
+// choice that the reader ignores.
+std::optional<FieldValues> project(const Projection& projection, const Schema& to,
+                                   const FieldValues& message);
 
-// What is wrong with a message under a schema; empty: nothing.
-std::string find_message_fault(const Schema& schema, const Content& message);
+// Returns what is wrong with a message under a schema; empty if it is valid.
+std::string find_message_error(const Schema& schema, const FieldValues& message);
 
 }  // namespace firvalve::schema
--- a/src/schema/registry.cpp
+++ b/src/schema/registry.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-// The injected bug: what was checked before is put on top of what stands now.
-Topic merged_unchecked(const Topic& checked, const Topic& current) {
+// Used by InjectedBug::kCheckStaleDeclarations: merges a change that was checked against an older value into
+// the current value without checking it again.
+Topic merge_unchecked(const Topic& checked, const Topic& current) {
   Topic out = current;
   for (const Version& version : checked.versions)
     if (!out.find(version.number)) out.versions.push_back(version);
@@ -24,7 +25,7 @@
 }  // namespace
 
 uint64_t Registry::submit(Change change, consensus::BootTime deadline) {
-  const uint64_t number = ++last_change_;
+  const uint64_t number = ++last_change_number_;
   Pending& pending = pending_[number];
   pending.change = std::move(change);
   pending.deadline = deadline;
@@ -36,13 +37,13 @@
   consensus::Proposal proposal;
   proposal.key = key_of(pending.change.topic);
   proposal.deadline = pending.deadline;
-  pending.proposal = 0;
+  pending.proposal_id = 0;
   proposals_.push_back(std::move(proposal));
 }
 
 void Registry::propose_change(Pending& pending, const consensus::ProposalResult& result) {
   consensus::Proposal proposal;
-  proposal.id = pending.proposal = next_proposal_id();
+  proposal.id = pending.proposal_id = next_proposal_id();
   proposal.key = result.proposal.key;
   proposal.expected_change = result.current.change_id;
   proposal.value = encode(pending.applied.after);
@@ -51,8 +52,10 @@
   proposals_.push_back(std::move(proposal));
 }
 
+// Mixes the incarnation and a counter as SplitMix64 does, so that ids of different gateways are unlikely to
+// collide. The lowest bit is set because id 0 stands for a read.
 uint64_t Registry::next_proposal_id() {
-  uint64_t id = incarnation_ + ++proposal_ids_ * 0x9e3779b97f4a7c15ull;
+  uint64_t id = incarnation_ + ++proposal_count_ * 0x9e3779b97f4a7c15ull;
   id = (id ^ (id >> 30)) * 0xbf58476d1ce4e5b9ull;
   id = (id ^ (id >> 27)) * 0x94d049bb133111ebull;
   return (id ^ (id >> 31)) | 1;
@@ -66,11 +69,12 @@
 }
 
 void Registry::handle_result(const consensus::ProposalResult& result) {
-  // A reading answers all that wait for one of that key: what it shows stood after each of them asked, or is
-  // found to be older when the change is agreed on top of it.
+  // One read result serves every change that waits for a read of the same key, including changes submitted
+  // after the read began: if the value read is outdated for one of them, the compare-and-set of its change
+  // fails and the change is checked again.
   std::vector<uint64_t> numbers;
   for (const auto& [number, pending] : pending_)
-    if (result.proposal.key == key_of(pending.change.topic) && pending.proposal == result.proposal.id)
+    if (result.proposal.key == key_of(pending.change.topic) && pending.proposal_id == result.proposal.id)
       numbers.push_back(number);
   using Kind = consensus::ProposalResult::Kind;
   for (const uint64_t number : numbers) {
@@ -92,16 +96,16 @@
   }
 }
 
-// It was read, or another change came first: it is checked against what stands now, and agreed on top of just
-// that.
+// Called after a read, or when another change was committed first. Checks the change against the current
+// value and proposes it as the direct successor of that value.
 void Registry::handle_current(uint64_t number, const consensus::ProposalResult& result) {
   Pending& pending = pending_[number];
-  std::string why;
+  std::string error;
   const std::optional<Topic> topic =
-      result.current.version == 0 ? Topic{} : decode_topic(result.current.value, why);
+      result.current.version == 0 ? Topic{} : decode_topic(result.current.value, error);
   if (!topic) return finish(number, Result::Kind::kUnreadable);
   if (is_injected(InjectedBug::kCheckStaleDeclarations) && pending.applied.has_changed)
-    pending.applied.after = merged_unchecked(pending.applied.after, *topic);
+    pending.applied.after = merge_unchecked(pending.applied.after, *topic);
   else
     pending.applied = apply(*topic, pending.change);
   if (!pending.applied.verdict.is_compatible()) return finish(number, Result::Kind::kRejected);
--- a/src/schema/registry.h
+++ b/src/schema/registry.h
@@ -1,8 +1,9 @@
-// Changes of topics, agreed by consensus. No I/O and no clock.
+// Changes topics by consensus. No I/O and no clock.
 //
-// A topic is one register. Each change reads it, is checked against exactly what it read, and is agreed only
-// on top of that: where another change comes first, it is read and checked anew. So nothing is agreed that
-// was checked against declarations other than those in force.
+// Each topic is stored in one consensus register. A change reads the register, is checked against the value
+// read, and is committed by compare-and-set on that value. If another change was committed in between, the
+// change is checked again against the new value. So no change is committed that was checked against outdated
+// declarations.
 #pragma once
 
 #include <map>
@@ -19,7 +20,7 @@
 
 class Registry {
  public:
-  // `incarnation`: of this process, nobody else's; ids of changes come from it.
+  // `incarnation`: unique to this run of the process; the ids of its proposals are derived from it.
   explicit Registry(uint64_t incarnation) : incarnation_(incarnation) {}
 
   static constexpr const char* kKeyPrefix = "bulletin ";
@@ -27,22 +28,22 @@
 
   struct Result {
     enum class Kind : uint8_t {
-      kAgreed,      // it stands, or was read
-      kRejected,    // by the verdict
-      kNoQuorum,    // it was not made
-      kUnknown,     // it may yet stand
-      kUnreadable,  // what stands under the topic's key is none; nothing was changed
+      kAgreed,      // the change was committed or had no effect, or the read completed
+      kRejected,    // the verdict has violations
+      kNoQuorum,    // the change was not made
+      kUnknown,     // the change may still be committed
+      kUnreadable,  // the stored topic could not be decoded; nothing was changed
     };
-    uint64_t change = 0;  // as submit() numbered it
+    uint64_t change_number = 0;  // as returned by submit()
     Kind kind = Kind::kUnknown;
     AppliedChange applied;
     std::string topic;
     Change::Kind requested = Change::Kind::kRead;
   };
 
-  // The number of the change; its result comes by take_results().
+  // Starts a change and returns its number. Its result is returned later by take_results().
   uint64_t submit(Change change, consensus::BootTime deadline);
-  // Results of proposals that are not this registry's are ignored.
+  // Ignores results of proposals that are not from this registry.
   void handle_result(const consensus::ProposalResult& result);
   std::vector<consensus::Proposal> take_proposals() { return std::exchange(proposals_, {}); }
   std::vector<Result> take_results() { return std::exchange(results_, {}); }
@@ -51,7 +52,7 @@
   struct Pending {
     Change change;
     consensus::BootTime deadline;
-    consensus::ChangeId proposal = 0;  // its id; 0: it reads
+    consensus::ChangeId proposal_id = 0;  // of the proposal in flight; 0: a read is in flight
     AppliedChange applied;
   };
 
@@ -61,8 +62,8 @@
   void finish(uint64_t number, Result::Kind kind);
   uint64_t next_proposal_id();
 
-  uint64_t incarnation_, last_change_ = 0, proposal_ids_ = 0;
-  std::map<uint64_t, Pending> pending_;  // by the number of the change
+  uint64_t incarnation_, last_change_number_ = 0, proposal_count_ = 0;
+  std::map<uint64_t, Pending> pending_;  // by change number
   std::vector<consensus::Proposal> proposals_;
   std::vector<Result> results_;
 };
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -5,15 +5,15 @@
 namespace firvalve::schema {
 
 const Field* Schema::find(uint32_t number) const {
-  const auto at = std::lower_bound(fields.begin(), fields.end(), number,
+  const auto found = std::lower_bound(fields.begin(), fields.end(), number,
                                    [](const Field& field, uint32_t wanted) { return field.number < wanted; });
-  return at != fields.end() && at->number == number ? &*at : nullptr;
+  return found != fields.end() && found->number == number ? &*found : nullptr;
 }
 
 const Version* Topic::find(uint32_t number) const {
-  const auto at = std::find_if(versions.begin(), versions.end(),
+  const auto found = std::find_if(versions.begin(), versions.end(),
                                [&](const Version& version) { return version.number == number; });
-  return at != versions.end() ? &*at : nullptr;
+  return found != versions.end() ? &*found : nullptr;
 }
 
 }  // namespace firvalve::schema
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -1,9 +1,10 @@
-// What the messages of a topic look like. Values alone: no I/O, no clock.
+// Schemas of topics: their versions, and the declarations of the subscribers that read them. Plain values; no
+// I/O and no clock.
 //
-// A topic has versions of its schema. A message is published under one of them; each subscriber declares
-// which versions it speaks and which fields it reads, and gets each message in a version that it speaks, or
-// is not served at all. So a new version may stand only where every declaration in force can still be given
-// what it reads: the compatibility checker decides, and names every violation.
+// A topic has versions of its schema, and each message is published under one of them. Each subscriber
+// declares which versions it can read and which fields it reads. It gets each message converted to a version
+// that it can read; messages that cannot be converted are not delivered to it. A new version is therefore
+// accepted only if every current declaration can still be served; see compatibility_checker.h.
 #pragma once
 
 #include <cstdint>
@@ -18,26 +19,26 @@
 
 enum class Type : uint8_t { kBool, kInt32, kInt64, kFloat32, kFloat64, kText, kChoice };
 
-// A field's value in a message; of a choice its number.
+// The value of a field in a message. A choice is stored as its number.
 using Value = std::variant<bool, int64_t, double, std::string>;
 
 struct Field {
-  uint32_t number = 0;  // from 1; stays this field's for ever, whatever becomes of it
-  std::string name;     // the same
+  uint32_t number = 0;  // from 1; never reused for another field, even after the field is removed
+  std::string name;     // never reused for another field
   Type type = Type::kText;
-  std::string unit;  // of a number: "MB", "ms", "cabins"; empty: none
+  std::string unit;  // of numeric fields, for example "MB" or "ms"; empty: no unit
   bool required = false;
-  std::optional<Value> preset;             // its default: stands for it where a message has no value
-  std::optional<double> least, most;       // of a number; of a text, of its length in bytes
-  std::map<int64_t, std::string> choices;  // of a choice: names by number
+  std::optional<Value> default_value;      // used where a message has no value; `preset` in JSON
+  std::optional<double> min, max;          // of a number; for text, of its length in bytes
+  std::map<int64_t, std::string> choices;  // kChoice: names by number
   bool operator==(const Field&) const = default;
 };
 
 struct Schema {
-  std::vector<Field> fields;  // by number, ascending
-  std::vector<uint32_t> key;  // numbers of fields; of messages with the same values in them the last counts
-  std::string order = "number";  // that readers may rely on: "number" (one for all) or "key" (for each key)
-  const Field* find(uint32_t number) const;  // null: there is none
+  std::vector<Field> fields;  // sorted by number
+  std::vector<uint32_t> key;  // numbers of the key fields; a message replaces earlier ones with the same key
+  std::string order = "number";  // order that readers can rely on: "number" (total) or "key" (per key only)
+  const Field* find(uint32_t number) const;  // null if there is no such field
   bool operator==(const Schema&) const = default;
 };
 
@@ -53,23 +54,23 @@
 // What one subscriber relies on.
 struct Declaration {
   std::string subscriber, site;
-  std::set<uint32_t> versions;           // that it speaks
-  std::set<uint32_t> reads;              // numbers of fields
-  std::set<uint32_t> relies_on_presets;  // those of them whose preset it relies on where there is no value
-  bool ignores_unknown_choices = false;  // a choice's value that it does not know is no error
-  uint64_t expires_after_ms = 0;         // without a renewal; 0: it never expires
-  uint64_t renewals = 0;                 // counts its declarations
+  std::set<uint32_t> versions;            // version numbers that it can read
+  std::set<uint32_t> reads;               // numbers of the fields that it reads
+  std::set<uint32_t> relies_on_defaults;  // fields among them whose default it uses for missing values
+  bool ignores_unknown_choices = false;   // true: an unknown choice is not an error for it
+  uint64_t expires_after_ms = 0;          // lifetime without a renewal; 0: never expires
+  uint64_t renewals = 0;                  // how often it was declared, the first time included
   bool operator==(const Declaration&) const = default;
 };
 
 struct Topic {
-  std::vector<Version> versions;               // by number, ascending; retired ones stay
-  std::vector<Declaration> declarations;       // by subscriber, ascending
-  const Version* find(uint32_t number) const;  // null: there is none
+  std::vector<Version> versions;               // sorted by number, retired versions included
+  std::vector<Declaration> declarations;       // sorted by subscriber
+  const Version* find(uint32_t number) const;  // null if there is no such version
   bool operator==(const Topic&) const = default;
 };
 
-// A message's values under a version, by field number.
-using Content = std::map<uint32_t, Value>;
+// The values of a message's fields, by field number.
+using FieldValues = std::map<uint32_t, Value>;
 
 }  // namespace firvalve::schema
--- a/src/schema/schema_validation.cpp
+++ b/src/schema/schema_validation.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-class Validation {
+class SchemaValidator {
  public:
   void check_number(const Field& field) {
     if (field.number == 0 || field.number <= last_number_)
@@ -26,28 +26,26 @@
   void check_choices(const Field& field) {
     if ((field.type == Type::kChoice) != !field.choices.empty())
       report(field.number, fmt::format("{}: choices belong to a field of type choice, which has at least one",
-                                       described(field)));
+                                       describe(field)));
     std::set<std::string> names;
     for (const auto& [value, name] : field.choices)
       if (!names.insert(name).second)
-        report(field.number, fmt::format("{}: the choice {} stands twice", described(field), name));
+        report(field.number, fmt::format("{}: the choice {} stands twice", describe(field), name));
   }
   void check_range(const Field& field) {
-    if ((field.least || field.most) && !is_number(field.type) && field.type != Type::kText)
-      report(field.number,
-             fmt::format("{} has a range and is neither a number nor a text", described(field)));
+    if ((field.min || field.max) && !is_number(field.type) && field.type != Type::kText)
+      report(field.number, fmt::format("{} has a range and is neither a number nor a text", describe(field)));
     const ValueRange range = range_of(field);
-    if (range.least > range.most)
-      report(field.number, fmt::format("{} has an empty range", described(field)));
+    if (range.min > range.max) report(field.number, fmt::format("{} has an empty range", describe(field)));
   }
   void check_unit(const Field& field) {
     if (!field.unit.empty() && !is_number(field.type))
-      report(field.number, fmt::format("{} has a unit and is no number", described(field)));
+      report(field.number, fmt::format("{} has a unit and is no number", describe(field)));
   }
-  void check_preset(const Field& field) {
-    if (!field.preset) return;
-    if (const std::string fault = find_value_fault(field, *field.preset); !fault.empty())
-      report(field.number, fmt::format("its preset: {}", fault));
+  void check_default(const Field& field) {
+    if (!field.default_value) return;
+    if (const std::string error = find_value_error(field, *field.default_value); !error.empty())
+      report(field.number, fmt::format("its preset: {}", error));
   }
   void check_key(const Schema& schema) {
     for (const uint32_t number : schema.key) {
@@ -55,7 +53,7 @@
       if (!field)
         report(number, fmt::format("the key names field {}, which is not there", number));
       else if (!field->required)
-        report(number, fmt::format("{} is in the key and so has to be required", described(*field)));
+        report(number, fmt::format("{} is in the key and so has to be required", describe(*field)));
     }
   }
   void check_order(const Schema& schema) {
@@ -75,19 +73,19 @@
 
 }  // namespace
 
-std::vector<Violation> find_contradictions(const Schema& schema) {
-  Validation validation;
+std::vector<Violation> find_schema_errors(const Schema& schema) {
+  SchemaValidator validator;
   for (const Field& field : schema.fields) {
-    validation.check_number(field);
-    validation.check_name(field);
-    validation.check_choices(field);
-    validation.check_range(field);
-    validation.check_unit(field);
-    validation.check_preset(field);
+    validator.check_number(field);
+    validator.check_name(field);
+    validator.check_choices(field);
+    validator.check_range(field);
+    validator.check_unit(field);
+    validator.check_default(field);
   }
-  validation.check_key(schema);
-  validation.check_order(schema);
-  return validation.take_violations();
+  validator.check_key(schema);
+  validator.check_order(schema);
+  return validator.take_violations();
 }
 
 }  // namespace firvalve::schema
--- a/src/schema/schema_validation.h
+++ b/src/schema/schema_validation.h
@@ -1,4 +1,4 @@
-// Whether a schema is sound in itself, whoever reads it.
+// Checks that a schema is valid in itself, independent of its readers and of earlier versions.
 #pragma once
 
 #include <vector>
@@ -8,7 +8,7 @@
 
 namespace firvalve::schema {
 
-// All of them are Rule::kMalformed.
-std::vector<Violation> find_contradictions(const Schema& schema);
+// All violations have Rule::kMalformed.
+std::vector<Violation> find_schema_errors(const Schema& schema);
 
 }  // namespace firvalve::schema
--- a/src/schema/topic_change.cpp
+++ b/src/schema/topic_change.cpp
@@ -15,7 +15,8 @@
 }
 
 void apply_proposal(const Topic& before, const Change& change, AppliedChange& out) {
-  // The same schema proposed again is what stands, so that a client whose answer was lost can repeat itself.
+  // Proposing the schema of a live version again returns that version, so that a client that lost the answer
+  // can safely retry.
   for (const Version& version : before.versions)
     if (version.state == State::kLive && version.schema == change.schema) {
       out.version = version.number;
@@ -30,7 +31,7 @@
   out.after.versions.push_back({out.version, State::kLive, change.schema});
 }
 
-void apply_state(const Change& change, State state, AppliedChange& out) {
+void set_version_state(const Change& change, State state, AppliedChange& out) {
   std::vector<Version>& versions = out.after.versions;
   const auto changed = std::find_if(versions.begin(), versions.end(), [&](const Version& version) {
     return version.number == change.version && version.state != State::kRetired;
@@ -43,7 +44,7 @@
 
 void apply_retirement(const Topic& before, const Change& change, AppliedChange& out) {
   out.verdict = check_retirement(before, change.version);
-  if (out.verdict.is_compatible()) apply_state(change, State::kRetired, out);
+  if (out.verdict.is_compatible()) set_version_state(change, State::kRetired, out);
 }
 
 void apply_declaration(const Topic& before, const Change& change, AppliedChange& out) {
@@ -52,16 +53,16 @@
   out.verdict = check_declaration(before, change.declaration);
   if (!out.verdict.is_compatible()) return;
   std::vector<Declaration>& all = out.after.declarations;
-  const auto place = std::lower_bound(
+  const auto position = std::lower_bound(
       all.begin(), all.end(), change.declaration,
-      [](const Declaration& one, const Declaration& other) { return one.subscriber < other.subscriber; });
-  const bool is_renewal = place != all.end() && place->subscriber == change.declaration.subscriber;
+      [](const Declaration& left, const Declaration& right) { return left.subscriber < right.subscriber; });
+  const bool is_renewal = position != all.end() && position->subscriber == change.declaration.subscriber;
   Declaration declaration = change.declaration;
-  declaration.renewals = is_renewal ? place->renewals + 1 : 1;
+  declaration.renewals = is_renewal ? position->renewals + 1 : 1;
   if (is_renewal)
-    *place = std::move(declaration);
+    *position = std::move(declaration);
   else
-    all.insert(place, std::move(declaration));
+    all.insert(position, std::move(declaration));
 }
 
 void apply_withdrawal(const Change& change, AppliedChange& out) {
@@ -108,7 +109,7 @@
       apply_proposal(before, change, out);
       break;
     case Kind::kDeprecate:
-      apply_state(change, State::kDeprecated, out);
+      set_version_state(change, State::kDeprecated, out);
       break;
     case Kind::kRetire:
       apply_retirement(before, change, out);
--- a/src/schema/topic_change.h
+++ b/src/schema/topic_change.h
@@ -1,4 +1,4 @@
-// Changes of a topic's versions and declarations, and what they make of it. Pure functions.
+// Changes to the versions and declarations of a topic, and how they are applied. Pure functions.
 #pragma once
 
 #include <string>
@@ -8,17 +8,18 @@
 
 namespace firvalve::schema {
 
-constexpr size_t kMaxVersions = 256, kMaxFields = 1024, kMaxDeclarations = 8192;  // of one topic
+constexpr size_t kMaxVersions = 256, kMaxFields = 1024, kMaxDeclarations = 8192;  // per topic
 
 struct Change {
+  // Each kind lists the members of Change that it uses, apart from the topic.
   enum class Kind : uint8_t {
-    kPropose,    // schema: a new version
-    kDeprecate,  // version: nobody is to publish it any more
-    kRetire,     // version: nobody may read it any more
-    kDeclare,    // declaration: made, or renewed
-    kWithdraw,   // declaration.subscriber: it reads no longer
-    kExpire,     // the same, where its count of renewals is still declaration.renewals
-    kRead,       // nothing changes: the topic is the answer
+    kPropose,    // schema: adds it as a new version
+    kDeprecate,  // version: publishers must stop using it
+    kRetire,     // version: readers can no longer use it
+    kDeclare,    // declaration: adds or renews it
+    kWithdraw,   // declaration.subscriber: removes its declaration
+    kExpire,     // like kWithdraw, but only if the renewal count is still declaration.renewals
+    kRead,       // changes nothing; the topic is the result
   };
   Kind kind = Kind::kRead;
   std::string topic;
@@ -27,13 +28,13 @@
   Declaration declaration;
 };
 
-// Which of the client's parameters the change still lacks, as a sentence; empty: none.
+// Returns an error message if a parameter that the change needs is missing; otherwise empty.
 std::string find_missing_parameter(const Change& change);
 
 struct AppliedChange {
   Topic after;
-  Verdict verdict;       // why it may not be
-  uint32_t version = 0;  // that was made or changed, or already stood just so
+  Verdict verdict;       // why the change is rejected; empty if it is not
+  uint32_t version = 0;  // the version added or changed, or the live version that equals the proposed schema
   bool has_changed = false;
 };
 AppliedChange apply(const Topic& before, const Change& change);
--- a/src/schema/topic_codec.cpp
+++ b/src/schema/topic_codec.cpp
@@ -17,23 +17,23 @@
 using Json = rapidjson::Value;
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-constexpr const char* kStates[] = {"live", "deprecated", "gone"};
+constexpr const char* kStates[] = {"live", "deprecated", "gone"};  // indexed by State
 
-// Reads the members of one object; the first fault is kept, and names where it is. A member that is missing
-// leaves the target as it is.
+// Reads the members of one JSON object. Only the first error is kept; it names the path of the member. A
+// missing member leaves the target unchanged.
 class ObjectReader {
  public:
   enum class Presence : uint8_t { kOptional, kRequired };
 
-  ObjectReader(const Json& object, std::string path, std::string& fault)
-      : object_(object), path_(std::move(path)), fault_(fault) {
+  ObjectReader(const Json& object, std::string path, std::string& error)
+      : object_(object), path_(std::move(path)), error_(error) {
     if (!object.IsObject()) fail("", "is no object");
   }
-  bool is_good() const { return fault_.empty(); }
-  void fail(const std::string& name, const char* what) {
-    if (fault_.empty()) fault_ = path_ + (path_.empty() || name.empty() ? "" : ".") + name + " " + what;
+  bool is_valid() const { return error_.empty(); }
+  void fail(const std::string& name, const char* problem) {
+    if (error_.empty()) error_ = path_ + (path_.empty() || name.empty() ? "" : ".") + name + " " + problem;
   }
-  const Json* find(const char* name) const {  // null: missing
+  const Json* find(const char* name) const {  // null if the member is missing
     if (!object_.IsObject()) return nullptr;
     const auto member = object_.FindMember(name);
     return member == object_.MemberEnd() ? nullptr : &member->value;
@@ -64,16 +64,17 @@
     if (!value->IsNumber()) return fail(name, "is no number");
     target = value->GetDouble();
   }
-  // The place of the member's word among `words`.
+  // Returns the index of the member's text in `names`, or `fallback` if it is missing or empty. An unknown name
+  // is an error.
   template <size_t N>
-  size_t read_word(const char* name, const char* const (&words)[N], size_t otherwise) {
+  size_t read_enum(const char* name, const char* const (&names)[N], size_t fallback) {
     std::string text;
     read_text(name, text);
-    if (text.empty()) return otherwise;
-    for (size_t place = 0; place < N; ++place)
-      if (text == words[place]) return place;
+    if (text.empty()) return fallback;
+    for (size_t index = 0; index < N; ++index)
+      if (text == names[index]) return index;
     fail(name, "is none of the words that it may be");
-    return otherwise;
+    return fallback;
   }
   void read_numbers(const char* name, std::set<uint32_t>& target) {
     read_each(name, [&](const Json& value, const std::string&) {
@@ -81,13 +82,13 @@
       target.insert(value.GetUint());
     });
   }
-  // visit(element, its path), until the first fault.
+  // Calls visit(element, path of the element) until the first error.
   template <class Visit>
   void read_each(const char* name, Visit&& visit) {
     const Json* const value = find(name);
     if (!value) return;
     if (!value->IsArray()) return fail(name, "is no list");
-    for (rapidjson::SizeType i = 0; i < value->Size() && is_good(); ++i)
+    for (rapidjson::SizeType i = 0; i < value->Size() && is_valid(); ++i)
       visit((*value)[i], fmt::format("{}{}{}[{}]", path_, path_.empty() ? "" : ".", name, i));
   }
 
@@ -100,12 +101,12 @@
 
   const Json& object_;
   const std::string path_;
-  std::string& fault_;
+  std::string& error_;
 };
 
 constexpr auto kRequired = ObjectReader::Presence::kRequired;
 
-std::optional<Value> value_of(const Json& json, Type type) {
+std::optional<Value> parse_value(const Json& json, Type type) {
   switch (type) {
     case Type::kBool:
       return json.IsBool() ? std::optional<Value>(json.GetBool()) : std::nullopt;
@@ -120,8 +121,8 @@
   }
 }
 
-void read_choice(const Json& json, const std::string& path, std::string& fault, Field& field) {
-  ObjectReader reader(json, path, fault);
+void read_choice(const Json& json, const std::string& path, std::string& error, Field& field) {
+  ObjectReader reader(json, path, error);
   uint32_t value = 0;
   std::string name;
   reader.read_unsigned("value", value, kRequired);
@@ -129,36 +130,36 @@
   if (!field.choices.emplace(value, name).second) reader.fail("value", "stands there twice");
 }
 
-Field field_of(const Json& json, const std::string& path, std::string& fault) {
+Field read_field(const Json& json, const std::string& path, std::string& error) {
   Field field;
-  ObjectReader reader(json, path, fault);
+  ObjectReader reader(json, path, error);
   reader.read_unsigned("number", field.number, kRequired);
   reader.read_text("name", field.name, kRequired);
-  field.type = static_cast<Type>(reader.read_word("type", kTypeNames, static_cast<size_t>(Type::kText)));
+  field.type = static_cast<Type>(reader.read_enum("type", kTypeNames, static_cast<size_t>(Type::kText)));
   reader.read_text("unit", field.unit);
   reader.read_bool("required", field.required);
-  reader.read_number("least", field.least);
-  reader.read_number("most", field.most);
-  reader.read_each("choices", [&](const Json& choice, const std::string& place) {
-    read_choice(choice, place, fault, field);
+  reader.read_number("least", field.min);
+  reader.read_number("most", field.max);
+  reader.read_each("choices", [&](const Json& choice, const std::string& choice_path) {
+    read_choice(choice, choice_path, error, field);
   });
-  if (const Json* const preset = reader.find("preset")) {
-    field.preset = value_of(*preset, field.type);
-    if (!field.preset) reader.fail("preset", "is not of the field's type");
+  if (const Json* const default_value = reader.find("preset")) {
+    field.default_value = parse_value(*default_value, field.type);
+    if (!field.default_value) reader.fail("preset", "is not of the field's type");
   }
   return field;
 }
 
-Schema schema_of(const Json& json, const std::string& path, std::string& fault) {
+Schema read_schema(const Json& json, const std::string& path, std::string& error) {
   Schema schema;
-  ObjectReader reader(json, path, fault);
+  ObjectReader reader(json, path, error);
   reader.read_text("order", schema.order);
-  reader.read_each("fields", [&](const Json& field, const std::string& place) {
-    schema.fields.push_back(field_of(field, place, fault));
-    if (schema.fields.size() > kMaxFields && fault.empty()) fault = place + " is one field too many";
+  reader.read_each("fields", [&](const Json& field, const std::string& field_path) {
+    schema.fields.push_back(read_field(field, field_path, error));
+    if (schema.fields.size() > kMaxFields && error.empty()) error = field_path + " is one field too many";
   });
   std::sort(schema.fields.begin(), schema.fields.end(),
-            [](const Field& one, const Field& other) { return one.number < other.number; });
+            [](const Field& left, const Field& right) { return left.number < right.number; });
   reader.read_each("key", [&](const Json& number, const std::string&) {
     if (!number.IsUint()) return reader.fail("key", "is no list of field numbers");
     schema.key.push_back(number.GetUint());
@@ -166,18 +167,18 @@
   return schema;
 }
 
-Declaration declaration_of(const Json& json, const std::string& path, std::string& fault) {
+Declaration read_declaration(const Json& json, const std::string& path, std::string& error) {
   Declaration declaration;
-  ObjectReader reader(json, path, fault);
+  ObjectReader reader(json, path, error);
   reader.read_text("subscriber", declaration.subscriber, kRequired);
   reader.read_text("site", declaration.site);
   reader.read_numbers("versions", declaration.versions);
   reader.read_numbers("reads", declaration.reads);
-  reader.read_numbers("leans", declaration.relies_on_presets);
+  reader.read_numbers("leans", declaration.relies_on_defaults);
   reader.read_bool("passes_unknown", declaration.ignores_unknown_choices);
   reader.read_unsigned("holds_ms", declaration.expires_after_ms);
   reader.read_unsigned("renewed", declaration.renewals);
-  if (reader.is_good() && declaration.subscriber.empty()) reader.fail("subscriber", "is empty");
+  if (reader.is_valid() && declaration.subscriber.empty()) reader.fail("subscriber", "is empty");
   return declaration;
 }
 
@@ -233,9 +234,9 @@
   write_text(writer, "type", name_of(field.type));
   if (!field.unit.empty()) write_text(writer, "unit", field.unit);
   if (field.required) writer.Key("required"), writer.Bool(true);
-  if (field.preset) writer.Key("preset"), write(writer, *field.preset);
-  if (field.least) writer.Key("least"), writer.Double(*field.least);
-  if (field.most) writer.Key("most"), writer.Double(*field.most);
+  if (field.default_value) writer.Key("preset"), write(writer, *field.default_value);
+  if (field.min) writer.Key("least"), writer.Double(*field.min);
+  if (field.max) writer.Key("most"), writer.Double(*field.max);
   if (!field.choices.empty()) {
     writer.Key("choices");
     write_each(writer, field.choices, [&](const auto& choice) {
@@ -273,7 +274,7 @@
   write_text(writer, "site", declaration.site);
   write_numbers(writer, "versions", declaration.versions);
   write_numbers(writer, "reads", declaration.reads);
-  write_numbers(writer, "leans", declaration.relies_on_presets);
+  write_numbers(writer, "leans", declaration.relies_on_defaults);
   if (declaration.ignores_unknown_choices) writer.Key("passes_unknown"), writer.Bool(true);
   write_number(writer, "holds_ms", declaration.expires_after_ms);
   write_number(writer, "renewed", declaration.renewals);
@@ -300,19 +301,20 @@
   writer.EndObject();
 }
 
-// `read` gets the document's root. None: it is no JSON, or `read` left a fault.
+// Parses the JSON and calls `read` with its root. Returns nothing if it is not valid JSON or if `read` sets
+// an error.
 template <class Read>
-auto decode(const std::string& json, std::string& fault, Read&& read)
+auto decode(const std::string& json, std::string& error, Read&& read)
     -> std::optional<decltype(read(Json()))> {
-  fault.clear();
+  error.clear();
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
   if (document.HasParseError()) {
-    fault = "is no JSON";
+    error = "is no JSON";
     return {};
   }
   auto out = read(document);
-  if (!fault.empty()) return {};
+  if (!error.empty()) return {};
   return out;
 }
 
@@ -337,41 +339,42 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::optional<Topic> decode_topic(const std::string& json, std::string& why) {
-  return decode(json, why, [&why](const Json& root) {
+std::optional<Topic> decode_topic(const std::string& json, std::string& error) {
+  return decode(json, error, [&error](const Json& root) {
     Topic topic;
-    ObjectReader reader(root, "", why);
-    reader.read_each("versions", [&](const Json& element, const std::string& place) {
+    ObjectReader reader(root, "", error);
+    reader.read_each("versions", [&](const Json& element, const std::string& path) {
       Version version;
-      ObjectReader member(element, place, why);
+      ObjectReader member(element, path, error);
       member.read_unsigned("number", version.number, kRequired);
-      version.state = static_cast<State>(member.read_word("state", kStates, 0));
+      version.state = static_cast<State>(member.read_enum("state", kStates, 0));
       if (const Json* const schema = member.find("schema"))
-        version.schema = schema_of(*schema, place + ".schema", why);
+        version.schema = read_schema(*schema, path + ".schema", error);
       topic.versions.push_back(std::move(version));
     });
-    reader.read_each("declarations", [&](const Json& element, const std::string& place) {
-      topic.declarations.push_back(declaration_of(element, place, why));
+    reader.read_each("declarations", [&](const Json& element, const std::string& path) {
+      topic.declarations.push_back(read_declaration(element, path, error));
     });
     return topic;
   });
 }
 
-std::optional<Schema> decode_schema(const std::string& json, std::string& why) {
-  return decode(json, why, [&why](const Json& root) { return schema_of(root, "", why); });
+std::optional<Schema> decode_schema(const std::string& json, std::string& error) {
+  return decode(json, error, [&error](const Json& root) { return read_schema(root, "", error); });
 }
 
-std::optional<Declaration> decode_declaration(const std::string& json, std::string& why) {
-  return decode(json, why, [&why](const Json& root) { return declaration_of(root, "", why); });
+std::optional<Declaration> decode_declaration(const std::string& json, std::string& error) {
+  return decode(json, error, [&error](const Json& root) { return read_declaration(root, "", error); });
 }
 
-std::optional<Change> decode_change(const std::string& json, std::string& why) {
-  return decode(json, why, [&why](const Json& root) {
+std::optional<Change> decode_change(const std::string& json, std::string& error) {
+  return decode(json, error, [&error](const Json& root) {
     Change change;
-    ObjectReader reader(root, "", why);
+    ObjectReader reader(root, "", error);
     reader.read_unsigned("version", change.version);
-    if (const Json* const schema = reader.find("schema")) change.schema = schema_of(*schema, "schema", why);
-    if (reader.find("subscriber")) change.declaration = declaration_of(root, "", why);
+    if (const Json* const schema = reader.find("schema"))
+      change.schema = read_schema(*schema, "schema", error);
+    if (reader.find("subscriber")) change.declaration = read_declaration(root, "", error);
     return change;
   });
 }
--- a/src/schema/topic_codec.h
+++ b/src/schema/topic_codec.h
@@ -1,5 +1,5 @@
-// Topics and changes as JSON: the form in which they are stored and in which clients send and get them. A
-// decoder gives nothing where it cannot read; `why` then names the place and the fault.
+// JSON encoding of topics and changes, as stored in the registers and as exchanged with clients. A decoder
+// returns nothing if the JSON is invalid; `error` then says where and why.
 #pragma once
 
 #include <optional>
@@ -10,13 +10,13 @@
 namespace firvalve::schema {
 
 std::string encode(const Topic& topic);
-std::optional<Topic> decode_topic(const std::string& json, std::string& why);
-std::optional<Schema> decode_schema(const std::string& json, std::string& why);
-std::optional<Declaration> decode_declaration(const std::string& json, std::string& why);
-// A client's parameters: `schema`, `version`, and a declaration's own fields. The kind and the topic are the
-// caller's to set.
-std::optional<Change> decode_change(const std::string& json, std::string& why);
-// A list of its violations.
+std::optional<Topic> decode_topic(const std::string& json, std::string& error);
+std::optional<Schema> decode_schema(const std::string& json, std::string& error);
+std::optional<Declaration> decode_declaration(const std::string& json, std::string& error);
+// Decodes the parameters of a client's request: `schema`, `version`, and the fields of a declaration. The
+// caller sets the change's kind and topic.
+std::optional<Change> decode_change(const std::string& json, std::string& error);
+// Encodes the verdict as the list of its violations.
 std::string encode(const Verdict& verdict);
 
 }  // namespace firvalve::schema
--- a/src/schema/violation.cpp
+++ b/src/schema/violation.cpp
@@ -6,6 +6,7 @@
 namespace firvalve::schema {
 
 const char* name_of(Rule rule) {
+  // Indexed by Rule. Clients match these names, so they stay as they are.
   static const char* const kNames[] = {
       "malformed",     "number_reused",  "name_reused",  "taken_away",      "made_optional",  "type_narrowed",
       "unit_changed",  "range_widened",  "choice_added", "choice_reused",   "preset_changed", "key_changed",
@@ -14,25 +15,25 @@
 }
 
 void add_violation(std::vector<Violation>& violations, const Violation& added) {
-  const auto same = std::find_if(violations.begin(), violations.end(), [&](const Violation& other) {
+  const auto existing = std::find_if(violations.begin(), violations.end(), [&](const Violation& other) {
     return other.rule == added.rule && other.field == added.field && other.description == added.description;
   });
-  if (same == violations.end()) {
+  if (existing == violations.end()) {
     violations.push_back(added);
     return;
   }
-  same->readers.insert(same->readers.end(), added.readers.begin(), added.readers.end());
+  existing->readers.insert(existing->readers.end(), added.readers.begin(), added.readers.end());
 }
 
-Verdict verdict_of(std::vector<Violation> violations) {
+Verdict make_verdict(std::vector<Violation> violations) {
   for (Violation& violation : violations) {
     std::vector<Reader>& readers = violation.readers;
     std::sort(readers.begin(), readers.end());
     readers.erase(std::unique(readers.begin(), readers.end()), readers.end());
   }
-  std::sort(violations.begin(), violations.end(), [](const Violation& one, const Violation& other) {
-    return std::tie(one.rule, one.field, one.description) <
-           std::tie(other.rule, other.field, other.description);
+  std::sort(violations.begin(), violations.end(), [](const Violation& left, const Violation& right) {
+    return std::tie(left.rule, left.field, left.description) <
+           std::tie(right.rule, right.field, right.description);
   });
   return {std::move(violations)};
 }
--- a/tests/compatibility/stored_data_test.cpp
+++ b/tests/compatibility/stored_data_test.cpp
@@ -232,15 +232,15 @@
               field(5, "open", Type::kBool),      field(6, "visits", Type::kInt64),
               field(7, "height", Type::kFloat32), field(8, "note", Type::kText)};
   s.fields[0].required = s.fields[2].required = true;
-  s.fields[1].preset = schema::Value(int64_t{2});
-  s.fields[1].least = 0;
-  s.fields[1].most = 12;
+  s.fields[1].default_value = schema::Value(int64_t{2});
+  s.fields[1].min = 0;
+  s.fields[1].max = 12;
   s.fields[2].choices = {{0, "free"}, {1, "held"}};
   s.fields[3].unit = "dollars";
-  s.fields[4].preset = schema::Value(true);
+  s.fields[4].default_value = schema::Value(true);
   s.fields[6].unit = "m";
-  s.fields[7].preset = schema::Value(std::string("none"));
-  s.fields[7].most = 40;
+  s.fields[7].default_value = schema::Value(std::string("none"));
+  s.fields[7].max = 40;
   return s;
 }
 
--- a/tests/schema/registry_fixture.h
+++ b/tests/schema/registry_fixture.h
@@ -1,4 +1,4 @@
-// Changes, and consensus as a fake that answers at once, for tests of the registry.
+// Helpers for tests of the registry: changes, and a fake consensus register.
 #pragma once
 
 #include <set>
@@ -12,59 +12,62 @@
 inline BootClock::time_point at(double ms) { return time_point_of<BootClock>(ms); }
 inline const BootClock::time_point kDeadline = at(1000);
 
-inline Schema with(std::vector<std::string> names) {
-  Schema s;
+inline Schema make_text_schema(std::vector<std::string> names) {
+  Schema schema;
   for (size_t i = 0; i < names.size(); ++i) {
-    Field f;
-    f.number = static_cast<uint32_t>(i + 1);
-    f.name = names[i];
-    f.type = Type::kText;
-    if (!f.name.empty()) s.fields.push_back(f);
+    Field field;
+    field.number = static_cast<uint32_t>(i + 1);
+    field.name = names[i];
+    field.type = Type::kText;
+    if (!field.name.empty()) schema.fields.push_back(field);
   }
-  return s;
+  return schema;
 }
 
-inline Change propose(const Schema& s) {
-  Change c;
-  c.kind = Change::Kind::kPropose;
-  c.topic = "cabins";
-  c.schema = s;
-  return c;
+inline Change make_proposal(const Schema& schema) {
+  Change change;
+  change.kind = Change::Kind::kPropose;
+  change.topic = "cabins";
+  change.schema = schema;
+  return change;
 }
 
-inline Change declare(const std::string& who, std::set<uint32_t> versions, std::set<uint32_t> reads) {
-  Change c;
-  c.kind = Change::Kind::kDeclare;
-  c.topic = "cabins";
-  c.declaration.subscriber = who;
-  c.declaration.versions = std::move(versions);
-  c.declaration.reads = std::move(reads);
-  return c;
+inline Change make_declaration(const std::string& subscriber, std::set<uint32_t> versions,
+                               std::set<uint32_t> reads) {
+  Change change;
+  change.kind = Change::Kind::kDeclare;
+  change.topic = "cabins";
+  change.declaration.subscriber = subscriber;
+  change.declaration.versions = std::move(versions);
+  change.declaration.reads = std::move(reads);
+  return change;
 }
 
-// The record at a distance: each wish is answered when a test says so.
+// One consensus register. A test decides when each proposal is answered.
 struct FakeRegister {
-  consensus::Register fact;
-  consensus::ProposalResult answer(const consensus::Proposal& w) {
-    consensus::ProposalResult end{consensus::ProposalResult::Kind::kRead, w, {}, {}};
-    if (w.id != 0 && w.expected_change == fact.change_id) {
-      ++fact.version;
-      fact.change_id = w.id;
-      fact.value = w.value;
-      end.kind = consensus::ProposalResult::Kind::kCommitted;
-    } else if (w.id != 0) {
-      end.kind = consensus::ProposalResult::Kind::kConflict;
+  consensus::Register current;
+  consensus::ProposalResult answer(const consensus::Proposal& proposal) {
+    consensus::ProposalResult result{consensus::ProposalResult::Kind::kRead, proposal, {}, {}};
+    if (proposal.id != 0 && proposal.expected_change == current.change_id) {
+      ++current.version;
+      current.change_id = proposal.id;
+      current.value = proposal.value;
+      result.kind = consensus::ProposalResult::Kind::kCommitted;
+    } else if (proposal.id != 0) {
+      result.kind = consensus::ProposalResult::Kind::kConflict;
     }
-    end.current = fact;
-    return end;
+    result.current = current;
+    return result;
   }
 };
 
-inline Registry::Result settle(Registry& r, FakeRegister& fact) {
+// Answers the registry's proposals until it has a result, and returns that.
+inline Registry::Result run_to_result(Registry& registry, FakeRegister& fake) {
   for (;;) {
-    for (const consensus::Proposal& w : r.take_proposals()) r.handle_result(fact.answer(w));
-    auto ends = r.take_results();
-    if (!ends.empty()) return ends.front();
+    for (const consensus::Proposal& proposal : registry.take_proposals())
+      registry.handle_result(fake.answer(proposal));
+    auto results = registry.take_results();
+    if (!results.empty()) return results.front();
   }
 }
 
--- a/tests/schema/registry_test.cpp
+++ b/tests/schema/registry_test.cpp
@@ -13,127 +13,132 @@
 
 using Kind = Registry::Result::Kind;
 
-TEST(RegistryTest, VersionsAndDeclarationsAccumulate) {
-  Registry r(1);
-  FakeRegister fact;
-  r.submit(propose(with({"cabin", "beds"})), kDeadline);
-  EXPECT_EQ(settle(r, fact).applied.version, 1u);
-  r.submit(declare("screen", {1}, {1, 2}), kDeadline);
-  EXPECT_EQ(settle(r, fact).kind, Kind::kAgreed);
-  r.submit(propose(with({"cabin"})), kDeadline);
-  const Registry::Result refused = settle(r, fact);
-  EXPECT_EQ(refused.kind, Kind::kRejected);
-  EXPECT_EQ(refused.applied.verdict.violations.at(0).readers.at(0).subscriber, "screen");
-  r.submit(propose(with({"cabin", "beds", "view"})), kDeadline);
-  EXPECT_EQ(settle(r, fact).applied.version, 2u);
-  r.submit(propose(with({"cabin", "beds", "view"})), kDeadline);  // asked again: the same version
-  EXPECT_EQ(settle(r, fact).applied.version, 2u);
-  EXPECT_EQ(fact.fact.version, 3u);
-  Change retire = propose({});
+TEST(RegistryTest, VersionsAndDeclarationsAreCheckedAgainstEarlierOnes) {
+  Registry registry(1);
+  FakeRegister fake_register;
+  registry.submit(make_proposal(make_text_schema({"cabin", "beds"})), kDeadline);
+  EXPECT_EQ(run_to_result(registry, fake_register).applied.version, 1u);
+  registry.submit(make_declaration("screen", {1}, {1, 2}), kDeadline);
+  EXPECT_EQ(run_to_result(registry, fake_register).kind, Kind::kAgreed);
+  registry.submit(make_proposal(make_text_schema({"cabin"})), kDeadline);
+  const Registry::Result rejected = run_to_result(registry, fake_register);
+  EXPECT_EQ(rejected.kind, Kind::kRejected);
+  EXPECT_EQ(rejected.applied.verdict.violations.at(0).readers.at(0).subscriber, "screen");
+  registry.submit(make_proposal(make_text_schema({"cabin", "beds", "view"})), kDeadline);
+  EXPECT_EQ(run_to_result(registry, fake_register).applied.version, 2u);
+  registry.submit(make_proposal(make_text_schema({"cabin", "beds", "view"})),
+                  kDeadline);  // a retry gives the same version
+  EXPECT_EQ(run_to_result(registry, fake_register).applied.version, 2u);
+  EXPECT_EQ(fake_register.current.version, 3u);
+  Change retire = make_proposal({});
   retire.kind = Change::Kind::kRetire;
   retire.version = 1;
-  r.submit(retire, kDeadline);
-  EXPECT_EQ(settle(r, fact).kind, Kind::kRejected);
-  r.submit(declare("screen", {2}, {1, 2}), kDeadline);
-  EXPECT_EQ(settle(r, fact).kind, Kind::kAgreed);
-  r.submit(retire, kDeadline);
-  EXPECT_EQ(settle(r, fact).kind, Kind::kAgreed);
+  registry.submit(retire, kDeadline);
+  EXPECT_EQ(run_to_result(registry, fake_register).kind, Kind::kRejected);
+  registry.submit(make_declaration("screen", {2}, {1, 2}), kDeadline);
+  EXPECT_EQ(run_to_result(registry, fake_register).kind, Kind::kAgreed);
+  registry.submit(retire, kDeadline);
+  EXPECT_EQ(run_to_result(registry, fake_register).kind, Kind::kAgreed);
 }
 
-TEST(RegistryTest, AProposalThatCrossesADeclarationIsCheckedAgain) {
+TEST(RegistryTest, ProposalIsCheckedAgainAfterAConcurrentDeclaration) {
   Registry publisher(1), screen(2);
-  FakeRegister fact;
-  publisher.submit(propose(with({"cabin", "beds"})), kDeadline);
-  settle(publisher, fact);
-  publisher.submit(propose(with({"cabin"})), kDeadline);
-  for (const consensus::Proposal& w : publisher.take_proposals())
-    publisher.handle_result(fact.answer(w));  // read and checked
-  screen.submit(declare("screen", {1}, {2}), kDeadline);
-  EXPECT_EQ(settle(screen, fact).kind, Kind::kAgreed);
-  EXPECT_EQ(settle(publisher, fact).kind, Kind::kRejected);
+  FakeRegister fake_register;
+  publisher.submit(make_proposal(make_text_schema({"cabin", "beds"})), kDeadline);
+  run_to_result(publisher, fake_register);
+  publisher.submit(make_proposal(make_text_schema({"cabin"})), kDeadline);
+  for (const consensus::Proposal& proposal : publisher.take_proposals())
+    publisher.handle_result(
+        fake_register.answer(proposal));  // the proposal is read and checked, but not committed yet
+  screen.submit(make_declaration("screen", {1}, {2}), kDeadline);
+  EXPECT_EQ(run_to_result(screen, fake_register).kind, Kind::kAgreed);
+  EXPECT_EQ(run_to_result(publisher, fake_register).kind, Kind::kRejected);
 }
 
-TEST(RegistryTest, WhatCannotBeReadIsNotOverwritten) {
-  Registry r(1);
-  FakeRegister fact;
-  fact.fact = {3, 77, {}, "not a bulletin", false};
-  r.submit(propose(with({"cabin"})), kDeadline);
-  EXPECT_EQ(settle(r, fact).kind, Kind::kUnreadable);
-  EXPECT_EQ(fact.fact.change_id, 77u);
+TEST(RegistryTest, UnreadableTopicIsNotOverwritten) {
+  Registry registry(1);
+  FakeRegister fake_register;
+  fake_register.current = {3, 77, {}, "not a bulletin", false};
+  registry.submit(make_proposal(make_text_schema({"cabin"})), kDeadline);
+  EXPECT_EQ(run_to_result(registry, fake_register).kind, Kind::kUnreadable);
+  EXPECT_EQ(fake_register.current.change_id, 77u);
 }
 
-// A proposal that takes a field away, a declaration that reads it, another proposal: in every order of their
-// readings and changes.
-class Crossing {
+// A state of simulation::explore() for three concurrent changes: a proposal that removes a field, a
+// declaration that reads it, and another proposal. Their reads and commits happen in every order.
+class ConcurrentChanges {
  public:
   struct Move {
-    size_t who = 0;
+    size_t actor = 0;
   };
-  Crossing() {
-    for (uint64_t i = 0; i < 3; ++i) all_.emplace_back(i + 1);
+  ConcurrentChanges() {
+    for (uint64_t i = 0; i < 3; ++i) registries_.emplace_back(i + 1);
     Registry first(9);
-    first.submit(propose(with({"cabin", "beds"})), kDeadline);
-    settle(first, fact_);
-    all_[0].submit(propose(with({"cabin"})), kDeadline);
-    all_[1].submit(declare("screen", {1}, {2}), kDeadline);
-    all_[2].submit(propose(with({"cabin", "beds", "view"})), kDeadline);
-    for (Registry& r : all_) wishes_.push_back(r.take_proposals());
+    first.submit(make_proposal(make_text_schema({"cabin", "beds"})), kDeadline);
+    run_to_result(first, register_);
+    registries_[0].submit(make_proposal(make_text_schema({"cabin"})), kDeadline);
+    registries_[1].submit(make_declaration("screen", {1}, {2}), kDeadline);
+    registries_[2].submit(make_proposal(make_text_schema({"cabin", "beds", "view"})), kDeadline);
+    for (Registry& registry : registries_) proposals_.push_back(registry.take_proposals());
   }
   std::vector<Move> moves() const {
     std::vector<Move> out;
     for (size_t i = 0; i < 3; ++i)
-      if (!wishes_[i].empty()) out.push_back({i});
+      if (!proposals_[i].empty()) out.push_back({i});
     return out;
   }
-  void apply(const Move& m) {
-    const consensus::Proposal w = wishes_[m.who].front();
-    wishes_[m.who].clear();
-    all_[m.who].handle_result(fact_.answer(w));
-    wishes_[m.who] = all_[m.who].take_proposals();
-    all_[m.who].take_results();
+  void apply(const Move& move) {
+    const consensus::Proposal proposal = proposals_[move.actor].front();
+    proposals_[move.actor].clear();
+    registries_[move.actor].handle_result(register_.answer(proposal));
+    proposals_[move.actor] = registries_[move.actor].take_proposals();
+    registries_[move.actor].take_results();
   }
-  std::string told(const Move& m) const {
-    static const char* const kWho[] = {"the proposal without beds", "the declaration of beds",
-                                       "the other proposal"};
-    return std::string(kWho[m.who]) +
-           (wishes_[m.who].front().id == 0 ? " reads" : " is put before the record");
+  std::string told(const Move& move) const {
+    static const char* const kActors[] = {"the proposal without beds", "the declaration of beds",
+                                          "the other proposal"};
+    return std::string(kActors[move.actor]) +
+           (proposals_[move.actor].front().id == 0 ? " reads" : " is put before the record");
   }
   std::string digest() const {
-    consensus::Digest d;
-    d.add(fact_.fact);
-    for (const auto& wishes : wishes_)
-      for (const consensus::Proposal& w : wishes) d.add(w.id).add(w.expected_change).add(w.value);
-    return d.text();
+    consensus::Digest digest;
+    digest.add(register_.current);
+    for (const auto& proposals : proposals_)
+      for (const consensus::Proposal& proposal : proposals)
+        digest.add(proposal.id).add(proposal.expected_change).add(proposal.value);
+    return digest.text();
   }
-  // Every version that is published can be read by everybody who declared.
+  // Every live version has the fields that the declared subscribers read.
   std::optional<std::string> breach() const {
-    std::string why;
-    const auto b = decode_topic(fact_.fact.value, why);
-    if (!b) return "the bulletin cannot be read: " + why;
-    for (const Declaration& d : b->declarations)
-      for (const Version& v : b->versions)
-        for (const uint32_t f : d.reads)
-          if (v.state == State::kLive && !v.schema.find(f))
-            return "version " + std::to_string(v.number) + " stands without what " + d.subscriber + " reads";
+    std::string error;
+    const auto topic = decode_topic(register_.current.value, error);
+    if (!topic) return "the bulletin cannot be read: " + error;
+    for (const Declaration& declaration : topic->declarations)
+      for (const Version& version : topic->versions)
+        for (const uint32_t field : declaration.reads)
+          if (version.state == State::kLive && !version.schema.find(field))
+            return "version " + std::to_string(version.number) + " stands without what " +
+                   declaration.subscriber + " reads";
     return {};
   }
 
  private:
-  std::vector<Registry> all_;
-  std::vector<std::vector<consensus::Proposal>> wishes_;
-  FakeRegister fact_;
+  std::vector<Registry> registries_;
+  std::vector<std::vector<consensus::Proposal>> proposals_;
+  FakeRegister register_;
 };
 
-TEST(RegistryExplore, NoOrderOfCrossingChangesAgreesWhatBreaksADeclaration) {
-  const simulation::Explored out = simulation::explore(Crossing(), 100000);
+TEST(RegistryExplore, NoOrderOfConcurrentChangesBreaksADeclaration) {
+  const simulation::Explored out = simulation::explore(ConcurrentChanges(), 100000);
   std::printf("%zu states, whole\n", out.states);
   EXPECT_TRUE(out.whole);
   EXPECT_FALSE(out.breach) << *out.breach;
 }
 
-TEST(RegistryExplore, ACheckBeforeAgreementIsFound) {
+// With the injected bug, a change is not checked again after a conflict; the search must find the violation.
+TEST(RegistryExplore, CommitWithoutASecondCheckIsDetected) {
   injected_bug = InjectedBug::kCheckStaleDeclarations;
-  const simulation::Explored out = simulation::explore(Crossing(), 100000);
+  const simulation::Explored out = simulation::explore(ConcurrentChanges(), 100000);
   injected_bug = InjectedBug::kNone;
   ASSERT_TRUE(out.breach);
   for (const std::string& line : out.trace) std::printf("  %s\n", line.c_str());
--- a/tests/schema/schema_fixture.h
+++ b/tests/schema/schema_fixture.h
@@ -1,4 +1,4 @@
-// Schemas and readers that the tests of this package share.
+// Schemas, declarations and random generators shared by the tests of this package.
 #pragma once
 
 #include <rapidcheck/gtest.h>
@@ -13,105 +13,108 @@
 
 namespace firvalve::schema {
 
-inline Field field(uint32_t number, const std::string& name, Type type, bool required = false) {
-  Field f;
-  f.number = number;
-  f.name = name;
-  f.type = type;
-  f.required = required;
-  return f;
+inline Field make_field(uint32_t number, const std::string& name, Type type, bool required = false) {
+  Field field;
+  field.number = number;
+  field.name = name;
+  field.type = type;
+  field.required = required;
+  return field;
 }
 
-// Cabins: what a lodge's screens handle of.
-inline Schema cabins() {
-  Schema s;
-  s.fields = {field(1, "cabin", Type::kText, true), field(2, "beds", Type::kInt32),
-              field(3, "state", Type::kChoice, true), field(4, "price", Type::kFloat32)};
-  s.fields[1].least = 0;
-  s.fields[1].most = 12;
-  s.fields[1].preset = int64_t{2};
-  s.fields[2].choices = {{0, "free"}, {1, "held"}, {2, "gone"}};
-  s.fields[3].unit = "soles";
-  s.key = {1};
-  return s;
+// An example schema: the cabins of a lodge, with a field of each relevant type.
+inline Schema cabin_schema() {
+  Schema schema;
+  schema.fields = {make_field(1, "cabin", Type::kText, true), make_field(2, "beds", Type::kInt32),
+                   make_field(3, "state", Type::kChoice, true), make_field(4, "price", Type::kFloat32)};
+  schema.fields[1].min = 0;
+  schema.fields[1].max = 12;
+  schema.fields[1].default_value = int64_t{2};
+  schema.fields[2].choices = {{0, "free"}, {1, "held"}, {2, "gone"}};
+  schema.fields[3].unit = "soles";
+  schema.key = {1};
+  return schema;
 }
 
-inline Declaration reader(std::set<uint32_t> reads, std::set<uint32_t> versions = {1}) {
-  Declaration d;
-  d.subscriber = "screen";
-  d.site = "lodge";
-  d.versions = std::move(versions);
-  d.reads = std::move(reads);
-  return d;
+inline Declaration make_reader(std::set<uint32_t> reads, std::set<uint32_t> versions = {1}) {
+  Declaration declaration;
+  declaration.subscriber = "screen";
+  declaration.site = "lodge";
+  declaration.versions = std::move(versions);
+  declaration.reads = std::move(reads);
+  return declaration;
 }
 
-inline Topic standing(std::vector<Declaration> declarations = {reader({1, 2, 3, 4})}) {
-  return {{{1, State::kLive, cabins()}}, std::move(declarations)};
+// A topic whose only version is cabin_schema().
+inline Topic topic_with(std::vector<Declaration> declarations = {make_reader({1, 2, 3, 4})}) {
+  return {{{1, State::kLive, cabin_schema()}}, std::move(declarations)};
 }
 
-template <class ChangeIt>
-inline std::vector<std::string> rules(const Topic& topic, ChangeIt&& change) {
-  Schema s = cabins();
-  change(s);
+// Returns the names of the rules that the modified cabin_schema() violates as a new version of the topic.
+template <class Modify>
+inline std::vector<std::string> violated_rules(const Topic& topic, Modify&& modify) {
+  Schema schema = cabin_schema();
+  modify(schema);
   std::vector<std::string> out;
-  for (const Violation& b : check_new_version(topic, s).violations) out.push_back(name_of(b.rule));
+  for (const Violation& violation : check_new_version(topic, schema).violations)
+    out.push_back(name_of(violation.rule));
   return out;
 }
-using Rules = std::vector<std::string>;
+using RuleNames = std::vector<std::string>;
 
-// Small schemas over four fields, so that changes meet readers.
-inline Field drawn_field(uint32_t number) {
-  Field f = field(number, "f" + std::to_string(number), static_cast<Type>(*rc::gen::inRange(0, 7)),
-                  *rc::gen::arbitrary<bool>());
-  if (f.type == Type::kChoice) {
+// Random schemas have at most four fields, so that random changes often affect fields that are read.
+inline Field random_field(uint32_t number) {
+  Field field = make_field(number, "f" + std::to_string(number), static_cast<Type>(*rc::gen::inRange(0, 7)),
+                           *rc::gen::arbitrary<bool>());
+  if (field.type == Type::kChoice) {
     for (int64_t c = 0; c < 3; ++c)
-      if (c == 0 || *rc::gen::arbitrary<bool>()) f.choices[c] = "c" + std::to_string(c);
-  } else if (f.type != Type::kBool) {
-    if (*rc::gen::arbitrary<bool>()) f.least = *rc::gen::inRange(0, 3);
-    if (*rc::gen::arbitrary<bool>()) f.most = *rc::gen::inRange(4, 8);
+      if (c == 0 || *rc::gen::arbitrary<bool>()) field.choices[c] = "c" + std::to_string(c);
+  } else if (field.type != Type::kBool) {
+    if (*rc::gen::arbitrary<bool>()) field.min = *rc::gen::inRange(0, 3);
+    if (*rc::gen::arbitrary<bool>()) field.max = *rc::gen::inRange(4, 8);
   }
-  if (f.type != Type::kText && f.type != Type::kBool && f.type != Type::kChoice &&
+  if (field.type != Type::kText && field.type != Type::kBool && field.type != Type::kChoice &&
       *rc::gen::arbitrary<bool>())
-    f.unit = "m";
-  return f;
+    field.unit = "m";
+  return field;
 }
 
-inline Schema drawn_schema() {
-  Schema s;
-  for (uint32_t n = 1; n <= 4; ++n)
-    if (*rc::gen::inRange(0, 5) > 0) s.fields.push_back(drawn_field(n));
-  return s;
+inline Schema random_schema() {
+  Schema schema;
+  for (uint32_t number = 1; number <= 4; ++number)
+    if (*rc::gen::inRange(0, 5) > 0) schema.fields.push_back(random_field(number));
+  return schema;
 }
 
-// Another that differs a little, so that some pairs get on.
-inline Schema drawn_change(Schema s) {
-  for (Field& f : s.fields)
-    if (*rc::gen::inRange(0, 4) == 0) f = drawn_field(f.number);
-  if (!s.fields.empty() && *rc::gen::inRange(0, 4) == 0) s.fields.pop_back();
-  return s;
+// Returns a schema that differs only slightly, so that some pairs are compatible.
+inline Schema random_variant(Schema schema) {
+  for (Field& field : schema.fields)
+    if (*rc::gen::inRange(0, 4) == 0) field = random_field(field.number);
+  if (!schema.fields.empty() && *rc::gen::inRange(0, 4) == 0) schema.fields.pop_back();
+  return schema;
 }
 
-// Values that may come: the ends of what a field allows.
-inline std::vector<Value> ends_of(const Field& f) {
-  const double least = f.least.value_or(f.type == Type::kText ? 0 : -3e9),
-               most = f.most.value_or(f.type == Type::kText ? 300 : 3e9);
-  switch (f.type) {
+// Returns valid values of the field, at or near the bounds of its range.
+inline std::vector<Value> boundary_values(const Field& field) {
+  const double min = field.min.value_or(field.type == Type::kText ? 0 : -3e9),
+               max = field.max.value_or(field.type == Type::kText ? 300 : 3e9);
+  switch (field.type) {
     case Type::kBool:
       return {false, true};
     case Type::kText:
-      return {std::string(static_cast<size_t>(least), 'x'), std::string(static_cast<size_t>(most), 'x')};
+      return {std::string(static_cast<size_t>(min), 'x'), std::string(static_cast<size_t>(max), 'x')};
     case Type::kChoice: {
       std::vector<Value> all;
-      for (const auto& [value, name] : f.choices) all.push_back(value);
+      for (const auto& [value, name] : field.choices) all.push_back(value);
       return all;
     }
     case Type::kInt32:
-      return {static_cast<int64_t>(std::max(least, -2147483648.0)),
-              static_cast<int64_t>(std::min(most, 2147483647.0))};
+      return {static_cast<int64_t>(std::max(min, -2147483648.0)),
+              static_cast<int64_t>(std::min(max, 2147483647.0))};
     case Type::kInt64:
-      return {static_cast<int64_t>(least), static_cast<int64_t>(most)};
+      return {static_cast<int64_t>(min), static_cast<int64_t>(max)};
     default:
-      return {least, most, least + (most - least) / 3};
+      return {min, max, min + (max - min) / 3};
   }
 }
 
--- a/tests/schema/schema_validation_test.cpp
+++ b/tests/schema/schema_validation_test.cpp
@@ -5,18 +5,23 @@
 namespace firvalve::schema {
 namespace {
 
-TEST(SchemaValidation, ASchemaMustNotContradictItself) {
-  using S = Schema;
-  const Topic none;
-  EXPECT_EQ(rules(none, [](S& s) { s.fields[1].number = 1; }), Rules{"malformed"});
-  EXPECT_EQ(rules(none, [](S& s) { s.fields[1].name = "cabin"; }), Rules{"malformed"});
-  EXPECT_EQ(rules(none, [](S& s) { s.fields[2].choices.clear(); }), Rules{"malformed"});
-  EXPECT_EQ(rules(none, [](S& s) { s.fields[1].preset = int64_t{13}; }), Rules{"malformed"});
-  EXPECT_EQ(rules(none, [](S& s) { s.fields[1].least = 13; }).size(), 2u);
-  EXPECT_EQ(rules(none, [](S& s) { s.key = {2}; }), Rules{"malformed"});
-  EXPECT_EQ(rules(none, [](S& s) { s.key = {7}; }), Rules{"malformed"});
-  EXPECT_EQ(rules(none, [](S& s) { s.order = "none"; }), Rules{"malformed"});
-  EXPECT_EQ(rules(none, [](S& s) { s.fields[0].unit = "m"; }), Rules{"malformed"});
+TEST(SchemaValidation, InvalidSchemasAreMalformed) {
+  const Topic empty_topic;
+  EXPECT_EQ(violated_rules(empty_topic, [](Schema& schema) { schema.fields[1].number = 1; }),
+            RuleNames{"malformed"});
+  EXPECT_EQ(violated_rules(empty_topic, [](Schema& schema) { schema.fields[1].name = "cabin"; }),
+            RuleNames{"malformed"});
+  EXPECT_EQ(violated_rules(empty_topic, [](Schema& schema) { schema.fields[2].choices.clear(); }),
+            RuleNames{"malformed"});
+  EXPECT_EQ(violated_rules(empty_topic, [](Schema& schema) { schema.fields[1].default_value = int64_t{13}; }),
+            RuleNames{"malformed"});
+  EXPECT_EQ(violated_rules(empty_topic, [](Schema& schema) { schema.fields[1].min = 13; }).size(), 2u);
+  EXPECT_EQ(violated_rules(empty_topic, [](Schema& schema) { schema.key = {2}; }), RuleNames{"malformed"});
+  EXPECT_EQ(violated_rules(empty_topic, [](Schema& schema) { schema.key = {7}; }), RuleNames{"malformed"});
+  EXPECT_EQ(violated_rules(empty_topic, [](Schema& schema) { schema.order = "none"; }),
+            RuleNames{"malformed"});
+  EXPECT_EQ(violated_rules(empty_topic, [](Schema& schema) { schema.fields[0].unit = "m"; }),
+            RuleNames{"malformed"});
 }
 
 }  // namespace
