--- a/src/results/file_descriptor.h
+++ b/src/results/file_descriptor.h
@@ -1,4 +1,4 @@
-// Owns a file descriptor and closes it. One thread at a time.
+// Owns a file descriptor and closes it. Not thread-safe.
 #pragma once
 
 #include <unistd.h>
@@ -10,7 +10,7 @@
 class FileDescriptor {
  public:
   FileDescriptor() = default;
-  explicit FileDescriptor(int descriptor) : descriptor_(descriptor) {}  // below 0: it owns none
+  explicit FileDescriptor(int descriptor) : descriptor_(descriptor) {}  // negative: owns no descriptor
   ~FileDescriptor() { reset(); }
   FileDescriptor(FileDescriptor&& other) noexcept : descriptor_(std::exchange(other.descriptor_, kNone)) {}
   FileDescriptor& operator=(FileDescriptor&& other) noexcept {
--- a/src/results/lease_clock.cpp
+++ b/src/results/lease_clock.cpp
@@ -25,7 +25,7 @@
       static_cast<bool>(stored >> stored_boot_id >> stored_offset) && std::isfinite(stored_offset);
   if (is_readable && stored_boot_id == boot.boot_id) return duration_of(stored_offset);
   const Duration offset = unix_now.time_since_epoch() - boot.now.time_since_epoch();
-  // Replaced in one step: a kill must not leave half a number.
+  // Replaced atomically by a rename: a killed process must not leave a partially written number.
   const std::string new_path = path + ".new";
   std::ofstream file(new_path, std::ios::trunc);
   file << fmt::format("{} {}\n", boot.boot_id, to_ms(offset));
--- a/src/results/lease_clock.h
+++ b/src/results/lease_clock.h
@@ -1,7 +1,7 @@
-// The clock of lease expiries that are stored on disk. It has to go on over restarts of the program, and a
-// step of the wall clock between two of them must neither end a lease nor lengthen it. So it follows the
-// machine's time since boot, and the folder stores by how much that differs from Unix time (file `clock`, one
-// line `BOOT-ID OFFSET-MS`). After a boot there is only the wall clock to go by.
+// The clock of the lease expiries that are stored on disk. It continues across restarts of the process, and a
+// step of the wall clock between two runs neither shortens nor extends a lease. It is therefore derived from
+// the time since boot plus an offset to Unix time, which is stored in the folder (file `clock`, one line
+// `BOOT-ID OFFSET-MS`). After a reboot the offset is set anew from the wall clock.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace firvalve::results {
 
-// A clock without now(): its times are made from another clock's by adding an offset.
+// A clock without now(): its times are computed from another clock's by adding an offset.
 struct LeaseClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -20,7 +20,7 @@
 };
 using LeaseTime = LeaseClock::time_point;
 
-// `offset`: by how much the lease clock is ahead of the monotonic clock.
+// `offset`: how far the lease clock is ahead of the clock of TimePoint.
 constexpr LeaseTime to_lease_time(TimePoint time, Duration offset) {
   return LeaseTime(time.time_since_epoch() + offset);
 }
@@ -28,16 +28,16 @@
   return TimePoint(time.time_since_epoch() - offset);
 }
 
-// The machine's own count of time, and what tells one boot from the next.
+// The time since boot, and an id that differs between boots.
 struct BootTime {
-  std::string boot_id;  // empty: not available
+  std::string boot_id;  // empty if not available
   BootClock::time_point now;
 };
 BootTime read_boot_time();
 
-// By how much the lease clock is ahead of the time since boot: as the folder has it for this boot, or else
-// such that the lease clock starts at `unix_now`, which is then stored in the folder. A file that cannot be
-// read is replaced; if it cannot be written, the offset holds for this run only.
+// Returns how far the lease clock is ahead of the time since boot. Uses the offset stored in the folder for
+// this boot. If there is none, computes it so that the lease clock starts at `unix_now`, and stores it in the
+// folder. An unreadable file is replaced; if it cannot be written, the offset is valid for this run only.
 Duration load_or_create_lease_clock_offset(const std::string& folder, const BootTime& boot,
                                            TimePoint unix_now);
 
--- a/src/results/paged_result_store.cpp
+++ b/src/results/paged_result_store.cpp
@@ -10,21 +10,22 @@
 
 namespace {
 
-constexpr double kPageOverheadBytes = 96;  // of memory, beside the page's own bytes
+constexpr double kPageOverheadBytes = 96;  // memory that a page uses besides its bytes
 
 uint64_t hash(std::string_view text, uint64_t seed = 0) {
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
-// Never 0, which stands for no key.
+// Returns 0 only for an empty key, which means that there is none.
 uint64_t hash_of_key(std::string_view key) { return key.empty() ? 0 : hash(key) | 1; }
 
-// What a retry must match: the id of the first command of its chain, and the whole command.
+// Hash of the fields that a retry must match: the id of the first command of its retry chain, and the
+// command.
 uint64_t hash_of_chain(const ResultStore::Reservation& reservation) {
-  std::string all(reservation.retry_chain);
+  std::string text(reservation.retry_chain);
   for (const std::string_view part : {reservation.profile, reservation.result_key, reservation.statement})
-    all.append("\n").append(part);
-  return hash(all) | 1;
+    text.append("\n").append(part);
+  return hash(text) | 1;
 }
 
 std::string_view metric_of(RemovalReason reason) {
@@ -45,8 +46,8 @@
 
 void erase_entry(std::unordered_multimap<uint64_t, ResultId>& index, uint64_t hash, ResultId id) {
   const auto [begin, end] = index.equal_range(hash);
-  const auto at = std::find_if(begin, end, [id](const auto& entry) { return entry.second == id; });
-  if (at != end) index.erase(at);
+  const auto found = std::find_if(begin, end, [id](const auto& entry) { return entry.second == id; });
+  if (found != end) index.erase(found);
 }
 
 }  // namespace
@@ -135,8 +136,8 @@
 std::optional<ResultHandle> PagedResultStore::find(TimePoint now, const Reservation& reservation) {
   now_ = now;
   const auto [begin, end] = by_chain_.equal_range(hash_of_chain(reservation));
-  for (auto at = begin; at != end; ++at) {
-    const ResultId id = at->second;
+  for (auto entry = begin; entry != end; ++entry) {
+    const ResultId id = entry->second;
     const Result& result = results_.at(id);
     if (!result.is_complete || result.key_hash != hash_of_key(reservation.result_key)) continue;
     if (!retention_.renew_lease(now, id)) continue;
@@ -149,9 +150,9 @@
 ResultStore::AppendResult PagedResultStore::append_page(TimePoint now, ResultHandle id,
                                                         std::string_view rows) {
   now_ = now;
-  const auto at = results_.find(id);
-  if (at == results_.end() || at->second.is_complete) return AppendResult::kOutOfSpace;
-  Result& result = at->second;
+  const auto entry = results_.find(id);
+  if (entry == results_.end() || entry->second.is_complete) return AppendResult::kOutOfSpace;
+  Result& result = entry->second;
   if (result.uncompressed_bytes + static_cast<double>(rows.size()) > options_.retention.max_result_bytes) {
     retention_.remove(id, RemovalReason::kTooLarge);
     return AppendResult::kOutOfSpace;
@@ -171,9 +172,9 @@
 
 void PagedResultStore::clear_pages(TimePoint now, ResultHandle id) {
   now_ = now;
-  const auto at = results_.find(id);
-  if (at == results_.end() || at->second.is_complete) return;
-  Result& result = at->second;
+  const auto entry = results_.find(id);
+  if (entry == results_.end() || entry->second.is_complete) return;
+  Result& result = entry->second;
   release_segments(result);
   result.pages.clear();
   result.rows = 0;
@@ -189,9 +190,9 @@
 
 void PagedResultStore::complete(TimePoint now, ResultHandle id) {
   now_ = now;
-  const auto at = results_.find(id);
-  if (at == results_.end()) return;
-  Result& result = at->second;
+  const auto entry = results_.find(id);
+  if (entry == results_.end()) return;
+  Result& result = entry->second;
   result.is_complete = true;
   result.token = generate_token();
   add_to_indexes(id, result);
@@ -200,26 +201,27 @@
   size_estimator_.add_result(result.profile, result.table_group, size_bytes);
   retention_.complete(now, id);
   count_("results completed");
-  is_space_freed_ = true;  // the rest of its reservation
+  is_space_freed_ = true;  // the unused rest of the reservation
   write_manifest(now, id);
 }
 
 PagedAnswer PagedResultStore::answer_of(ResultHandle id) const {
-  const auto at = results_.find(id);
-  if (at == results_.end()) return {};
-  return {to_hex(at->second.token), at->second.pages.size(), at->second.rows};
+  const auto entry = results_.find(id);
+  if (entry == results_.end()) return {};
+  return {to_hex(entry->second.token), entry->second.pages.size(), entry->second.rows};
 }
 
-// Nothing also where there is such a result and the key is not this client's.
+// Returns nothing also if the result exists but the key does not match.
 std::optional<ResultId> PagedResultStore::find_by_token(std::string_view hex,
                                                         std::string_view result_key) const {
   const auto token = parse_token(hex);
   if (!token) return std::nullopt;
   const auto [begin, end] = by_token_.equal_range(token_hash(*token));
-  for (auto at = begin; at != end; ++at) {
-    const Result& result = results_.at(at->second);
+  for (auto entry = begin; entry != end; ++entry) {
+    const Result& result = results_.at(entry->second);
     const bool is_token = equal_in_constant_time(result.token, *token);
-    if (is_token && (result.key_hash == 0 || result.key_hash == hash_of_key(result_key))) return at->second;
+    if (is_token && (result.key_hash == 0 || result.key_hash == hash_of_key(result_key)))
+      return entry->second;
   }
   return std::nullopt;
 }
@@ -232,7 +234,8 @@
   const Result& result = results_.at(*id);
   if (page_number < 1 || page_number > result.pages.size())
     return callback(now, ReadStatus::kNoSuchPage, {}, result.pages.size());
-  // A renewed lease is stored before half of the stored one is over.
+  // Rewrites the manifest once less than half of the lease remains in the stored one, instead of on every
+  // read.
   if (result.stored_lease_expiry && *result.stored_lease_expiry < now + options_.retention.lease / 2)
     write_manifest(now, *id);
   const Page& page = result.pages[page_number - 1];
@@ -258,7 +261,7 @@
 
 // ---- Storage ------------------------------------------------------------------------------------
 
-// An attempt that starts over is another result to the storage. A recovered result keeps its key.
+// Each attempt is a separate result in the storage. A recovered result keeps its key.
 RecordKey PagedResultStore::record_key(ResultId id, const Result& result) const {
   return result.recovered_key.value_or(RecordKey{incarnation_, (id << 16) + result.attempt});
 }
@@ -281,7 +284,7 @@
   storage_->append(last_request_id_, std::move(record));
 }
 
-// Only a result of which all pages are on their way to the disk can be recovered: others get no manifest.
+// Writes no manifest unless all pages were passed to the storage: only then can the result be recovered.
 void PagedResultStore::write_manifest(TimePoint now, ResultId id) {
   if (!storage_) return;
   Result& result = results_.at(id);
@@ -301,7 +304,7 @@
   storage_->append(std::nullopt, std::move(record));
 }
 
-// Guards against a result that was released, or is over, and would be recovered by the next incarnation.
+// Prevents the next incarnation from recovering a result that was removed before its stored lease expired.
 void PagedResultStore::write_tombstone(ResultId id, const Result& result) {
   const bool is_recoverable = storage_ && result.stored_lease_expiry && *result.stored_lease_expiry > now_;
   if (!is_recoverable) return;
@@ -313,9 +316,9 @@
 
 void PagedResultStore::finish_write(const PendingWrite& write, const Storage::Completion& completion) {
   if (!completion.succeeded) count_("page writes failed");
-  const auto at = results_.find(write.id);
-  if (at == results_.end() || at->second.attempt != write.attempt) return;
-  Page& page = at->second.pages[write.page_index];
+  const auto entry = results_.find(write.id);
+  if (entry == results_.end() || entry->second.attempt != write.attempt) return;
+  Page& page = entry->second.pages[write.page_index];
   page.is_in_storage = page.is_on_disk = completion.succeeded;
   page.location = completion.location;
   if (completion.succeeded) ++live_pages_[completion.location.segment];
@@ -324,9 +327,9 @@
 
 std::optional<std::string> PagedResultStore::decompress_read(const PendingRead& read,
                                                              Storage::Completion completion) {
-  const auto at = results_.find(read.id);
-  if (at == results_.end() || !completion.succeeded) return std::nullopt;
-  StoredPage page = at->second.pages[read.page_index].stored;
+  const auto entry = results_.find(read.id);
+  if (entry == results_.end() || !completion.succeeded) return std::nullopt;
+  StoredPage page = entry->second.pages[read.page_index].stored;
   page.bytes = std::move(completion.bytes);
   return decompress(page);
 }
@@ -341,19 +344,19 @@
 void PagedResultStore::release_segments(const Result& result) {
   for (const Page& page : result.pages) {
     if (!page.is_on_disk) continue;
-    const auto at = live_pages_.find(page.location.segment);
-    if (at != live_pages_.end() && --at->second == 0) live_pages_.erase(at);
+    const auto entry = live_pages_.find(page.location.segment);
+    if (entry != live_pages_.end() && --entry->second == 0) live_pages_.erase(entry);
   }
 }
 
-// Oldest first, so that no tombstone is deleted before the pages that it stands for.
+// Deletes the oldest segments first, so that no tombstone is deleted before the pages of its result.
 void PagedResultStore::delete_unused_segments() {
   if (!storage_) return;
   const size_t current = storage_->current_segment();
-  const size_t first_kept = live_pages_.empty() ? current : std::min(live_pages_.begin()->first, current);
-  if (first_kept <= first_kept_segment_) return;
-  first_kept_segment_ = first_kept;
-  storage_->delete_segments_before(first_kept);
+  const size_t first_needed = live_pages_.empty() ? current : std::min(live_pages_.begin()->first, current);
+  if (first_needed <= first_needed_segment_) return;
+  first_needed_segment_ = first_needed;
+  storage_->delete_segments_before(first_needed);
 }
 
 // ---- Retention ----------------------------------------------------------------------------------
@@ -364,21 +367,21 @@
   count_("results evicted from memory");
 }
 
-// A corrupt page is never served, and without it the other pages are of no use.
+// Removes the whole result: a corrupt page is never served, and the other pages are useless without it.
 void PagedResultStore::handle_corrupt_page(ResultId id) {
   count_("pages corrupt");
   retention_.remove(id, RemovalReason::kEvicted);
 }
 
 void PagedResultStore::handle_removed(ResultId id, RemovalReason reason) {
-  const auto at = results_.find(id);
-  if (at == results_.end()) return;
-  const Result& result = at->second;
+  const auto entry = results_.find(id);
+  if (entry == results_.end()) return;
+  const Result& result = entry->second;
   count_(metric_of(reason));
   if (result.is_complete) remove_from_indexes(id, result);
   release_segments(result);
   write_tombstone(id, result);
-  results_.erase(at);
+  results_.erase(entry);
   is_space_freed_ = true;
   delete_unused_segments();
 }
--- a/src/results/paged_result_store.h
+++ b/src/results/paged_result_store.h
@@ -1,7 +1,8 @@
-// The result store: complete results as compressed pages, read by a token. It holds the bytes and carries out
-// what Retention decides; pages go to memory and, where there is a Storage, to disk as well.
+// The result store: stores results as compressed pages, which clients read with a token. It holds the data;
+// Retention decides which results are retained. Pages are kept in memory and, if there is a Storage, also
+// written to disk.
 //
-// One thread: the event loop's. A Storage has threads of its own.
+// Not thread-safe: used by the event loop only. A Storage may have threads of its own.
 #pragma once
 
 #include <cstdint>
@@ -23,25 +24,26 @@
 
 struct PagedResultStoreOptions {
   RetentionOptions retention;
-  double initial_expected_bytes = 64 * 1024;  // of a result, before any of its profile is known
-  double max_backlog_bytes = 4e6;  // waiting for the disk; beyond it engines are asked for pages more slowly
+  double initial_expected_bytes = 64 * 1024;  // expected size of a result of a profile without statistics
+  double max_backlog_bytes = 4e6;  // unwritten bytes above which pages are fetched from engines more slowly
 };
 
 class PagedResultStore : public ResultStore {
  public:
-  // Increments the metric of this name by one.
+  // Increments the metric of the given name by one.
   using CountMetric = std::function<void(std::string_view name)>;
 
-  // `incarnation`: drawn anew by each start of the program; see RecordKey. Throws std::runtime_error if the
-  // system gives no random numbers.
+  // `incarnation`: random, drawn at each start of the process; see RecordKey. Throws std::runtime_error if
+  // the system's random source fails.
   PagedResultStore(const PagedResultStoreOptions& options, uint64_t incarnation, CountMetric count);
   ~PagedResultStore() override;
 
-  // Takes over the results of earlier incarnations, and stores pages there from now on. The storage must
-  // outlive the result store. `lease_offset`: by how much the storage's lease clock is ahead of `now`.
+  // Adds the results recovered from earlier incarnations, and writes pages to the storage from now on. The
+  // storage must outlive the result store. `lease_offset`: how far the storage's lease clock is ahead of the
+  // clock of `now`.
   void attach_storage(TimePoint now, Storage& storage, const std::vector<RecoveredResult>& recovered,
                       Duration lease_offset = Duration(0));
-  // Called by handle_due() when a reservation that failed may succeed now.
+  // Called by handle_due() after space was freed, so that a failed reservation can be retried.
   std::function<void(TimePoint now)> on_space_freed;
 
   std::optional<ResultHandle> reserve(TimePoint now, const Reservation& reservation) override;
@@ -55,7 +57,7 @@
                  ReadCallback callback) override;
   bool release(TimePoint now, std::string_view token, std::string_view result_key) override;
 
-  // Handles what the storage has completed, and leases that have expired.
+  // Handles completions of the storage and expired leases.
   void handle_due(TimePoint now);
   std::optional<TimePoint> next_due() const;
   const Retention& retention() const { return retention_; }
@@ -63,25 +65,25 @@
 
  private:
   struct Page {
-    StoredPage stored;  // its bytes are empty once the page is on disk only
+    StoredPage stored;  // its bytes are empty if the page is on disk only
     RecordLocation location;
     bool is_on_disk = false;
-    bool is_in_storage = false;  // handed over to it, or on disk already
-    double size_bytes = 0;       // as accounted for by retention
+    bool is_in_storage = false;  // passed to the storage: the write is pending or has succeeded
+    double size_bytes = 0;       // as accounted for by Retention
   };
   struct Result {
     ResultToken token{};
     std::string owner, profile;
-    uint64_t key_hash = 0;  // of the client's key; 0: the token alone suffices
+    uint64_t key_hash = 0;  // of the client's key; 0: the token alone gives access
     uint64_t chain_hash = 0;
     int64_t table_group = -1;
     uint64_t rows = 0;
-    uint64_t attempt = 0;                    // how often it started over
-    std::optional<RecordKey> recovered_key;  // as an earlier incarnation stored it
+    uint64_t attempt = 0;                    // number of times that its pages were cleared
+    std::optional<RecordKey> recovered_key;  // key under which an earlier incarnation stored it
     std::vector<Page> pages;
     double uncompressed_bytes = 0;
     bool is_complete = false;
-    // What the latest manifest in the storage says, in our time. Nothing: the storage has no manifest.
+    // Lease expiry in the latest manifest written, in this process's clock. Nothing if there is no manifest.
     std::optional<TimePoint> stored_lease_expiry;
   };
   using Results = std::unordered_map<ResultId, Result>;
@@ -112,7 +114,7 @@
   void handle_removed(ResultId id, RemovalReason reason);
   void handle_memory_evicted(ResultId id);
   void handle_corrupt_page(ResultId id);
-  void release_segments(const Result& result);  // its pages are no longer needed there
+  void release_segments(const Result& result);  // its pages no longer prevent the deletion of their segments
   void delete_unused_segments();
 
   const PagedResultStoreOptions options_;
@@ -126,12 +128,12 @@
   std::unordered_multimap<uint64_t, ResultId> by_token_, by_chain_;  // complete results, by hash
   std::unordered_map<RequestId, PendingWrite> writes_;
   std::unordered_map<RequestId, PendingRead> reads_;
-  std::map<size_t, int> live_pages_;  // how many pages are needed, by segment
+  std::map<size_t, int> live_pages_;  // number of pages still needed, by segment
   RequestId last_request_id_ = 0;
-  uint64_t token_salt_ = 0;        // keeps clients from choosing tokens that collide in by_token_
-  size_t first_kept_segment_ = 0;  // all before it have been deleted
-  bool is_space_freed_ = false;    // since the last handle_due()
-  TimePoint now_;                  // of the latest call
+  uint64_t token_salt_ = 0;          // random, so that clients cannot choose tokens that collide in by_token_
+  size_t first_needed_segment_ = 0;  // all segments before it have been deleted
+  bool is_space_freed_ = false;      // since the last handle_due()
+  TimePoint now_;                    // time of the latest call
 };
 
 }  // namespace firvalve::results
--- a/src/results/recovery.cpp
+++ b/src/results/recovery.cpp
@@ -6,10 +6,10 @@
   if (!segment.starts_with(kSegmentHeader)) return 0;
   size_t next = 0;
   SegmentRecord record;
-  for (size_t at = kSegmentHeader.size();; at = next) {
-    const RecordStatus status = read_record(segment, at, record, next);
+  for (size_t offset = kSegmentHeader.size();; offset = next) {
+    const RecordStatus status = read_record(segment, offset, record, next);
     if (status == RecordStatus::kEndOfSegment) return std::nullopt;
-    if (status == RecordStatus::kTorn) return at;
+    if (status == RecordStatus::kTorn) return offset;
     PartialResult& result = results_[record.key];
     if (status == RecordStatus::kCorrupt) {
       result.has_corrupt_record = true;
@@ -18,7 +18,7 @@
     } else if (record.kind == SegmentRecord::Kind::kManifest) {
       result.manifest = record.manifest;
     } else {
-      result.pages[record.page_index] = {number, at + kRecordHeadBytes, record.page.bytes.size(),
+      result.pages[record.page_index] = {number, offset + kRecordHeadBytes, record.page.bytes.size(),
                                          record.page.uncompressed_bytes, record.page.checksum};
     }
   }
@@ -41,7 +41,7 @@
       ++outcome.corrupt_results;
       continue;
     }
-    if (!(partial.manifest->lease_expiry > now)) continue;  // also where it is not a number
+    if (!(partial.manifest->lease_expiry > now)) continue;  // also if the expiry is NaN
     RecoveredResult& result = outcome.results.emplace_back();
     result.key = key;
     result.manifest = *partial.manifest;
--- a/src/results/recovery.h
+++ b/src/results/recovery.h
@@ -1,4 +1,4 @@
-// Reads back the results that earlier incarnations of the program stored in segments. No I/O.
+// Recovers the results that earlier incarnations of the process stored in segments. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,23 +16,23 @@
   RecordKey key;
   Manifest manifest;
   std::vector<RecordLocation> pages;  // in order
-  double bytes = 0;                   // of all pages, as stored
+  double bytes = 0;                   // stored size of all pages
 };
 
 class Recovery {
  public:
-  // Takes in one segment; segments come in the order of their numbers. Gives the offset at which the segment
-  // is to be truncated, since what follows is torn; nothing if all of it could be read.
+  // Reads the records of one segment. Must be called in the order of segment numbers. Returns the offset at
+  // which the segment must be truncated because the rest is torn; nothing if all of it could be read.
   std::optional<size_t> add_segment(size_t number, std::string_view segment);
 
   struct Outcome {
-    std::vector<RecoveredResult> results;  // complete, not released, and within their lease
-    size_t corrupt_results = 0;            // with a page that is missing or corrupt
+    std::vector<RecoveredResult> results;  // complete, without a tombstone, and within their lease
+    size_t corrupt_results = 0;            // results with a missing or corrupt page
   };
   Outcome outcome(LeaseTime now) const;
 
  private:
-  // What has been read of one result.
+  // The records of one result that have been read so far.
   struct PartialResult {
     std::optional<Manifest> manifest;
     bool has_tombstone = false, has_corrupt_record = false;
--- a/src/results/result_size_estimator.cpp
+++ b/src/results/result_size_estimator.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 constexpr double kQuantile = 0.9;
-constexpr float kFade = 0.98f;    // of all counts, with each result: some 50 results are remembered
-constexpr float kMinResults = 8;  // before a histogram is relied on
+constexpr float kDecay = 0.98f;   // factor of all counts with each result: weighs about the last 50 results
+constexpr float kMinResults = 8;  // decayed count below which a histogram is not used
 constexpr size_t kMaxGroups = 4096;
 
 }  // namespace
 
 void ResultSizeEstimator::Histogram::add(double bytes) {
   const double size_class = 2 * std::log2(std::max(bytes, 1.0));
-  const auto at = static_cast<size_t>(std::clamp(std::ceil(size_class), 0.0, 63.0));
-  for (float& count : counts) count *= kFade;
-  total = total * kFade + 1;
-  counts[at] += 1;
+  const auto index = static_cast<size_t>(std::clamp(std::ceil(size_class), 0.0, 63.0));
+  for (float& count : counts) count *= kDecay;
+  total = total * kDecay + 1;
+  counts[index] += 1;
 }
 
 double ResultSizeEstimator::Histogram::quantile() const {
@@ -33,17 +33,17 @@
 void ResultSizeEstimator::add_result(const std::string& profile, int64_t table_group, double bytes) {
   profiles_[profile].add(bytes);
   const Key key{profile, table_group};
-  auto at = groups_.find(key);
-  if (at == groups_.end()) {
+  auto entry = groups_.find(key);
+  if (entry == groups_.end()) {
     if (groups_.size() >= kMaxGroups) {
-      groups_.erase(by_use_.front());
-      by_use_.pop_front();
+      groups_.erase(lru_keys_.front());
+      lru_keys_.pop_front();
     }
-    at = groups_.emplace(key, Group{}).first;
-    at->second.by_use = by_use_.insert(by_use_.end(), key);
+    entry = groups_.emplace(key, Group{}).first;
+    entry->second.lru_position = lru_keys_.insert(lru_keys_.end(), key);
   }
-  at->second.histogram.add(bytes);
-  by_use_.splice(by_use_.end(), by_use_, at->second.by_use);
+  entry->second.histogram.add(bytes);
+  lru_keys_.splice(lru_keys_.end(), lru_keys_, entry->second.lru_position);
 }
 
 double ResultSizeEstimator::estimate_bytes(const std::string& profile, int64_t table_group) const {
--- a/src/results/result_size_estimator.h
+++ b/src/results/result_size_estimator.h
@@ -1,5 +1,6 @@
-// Predicts how large a result will be, from the sizes of earlier ones of the same profile and table group. It
-// is a quantile: one result in ten is larger, which is why a result may outgrow its reservation. One thread.
+// Predicts the size of a result from the sizes of earlier results of the same profile and table group. The
+// prediction is the 0.9 quantile: one result in ten is larger, so a result may outgrow its reservation.
+// Not thread-safe.
 #pragma once
 
 #include <array>
@@ -13,18 +14,18 @@
 
 class ResultSizeEstimator {
  public:
-  // `initial_bytes`: the estimate for a profile of which too few results are known.
+  // `initial_bytes`: the estimate for a profile that has had too few results.
   explicit ResultSizeEstimator(double initial_bytes) : initial_bytes_(initial_bytes) {}
-  // Learns the size of a complete result, as stored.
+  // Adds the stored size of a complete result to the statistics.
   void add_result(const std::string& profile, int64_t table_group, double bytes);
-  // The size that nine in ten results stay within: of the table group, or else of the profile, or else the
-  // initial estimate.
+  // Returns the 0.9 quantile of the table group's results. If they are too few, that of the profile's
+  // results; if these are too few as well, the initial estimate.
   double estimate_bytes(const std::string& profile, int64_t table_group) const;
   size_t group_count() const { return groups_.size(); }
 
  private:
-  // Counts of results by size class, each class the root of two times the one before. Old counts fade, so
-  // that changes are followed.
+  // Counts of results by size class. The upper bound of each class is sqrt(2) times the previous one. Counts
+  // decay with each result, so that the estimate follows changes.
   struct Histogram {
     std::array<float, 64> counts{};
     float total = 0;
@@ -34,12 +35,12 @@
   using Key = std::pair<std::string, int64_t>;  // profile and table group
   struct Group {
     Histogram histogram;
-    std::list<Key>::iterator by_use;
+    std::list<Key>::iterator lru_position;
   };
   double initial_bytes_;
-  std::map<std::string, Histogram> profiles_;  // as many as the deployment has
-  std::map<Key, Group> groups_;                // the most recently used, at most kMaxGroups
-  std::list<Key> by_use_;                      // the least recently used first
+  std::map<std::string, Histogram> profiles_;  // bounded by the profiles of the deployment
+  std::map<Key, Group> groups_;                // LRU cache of at most kMaxGroups
+  std::list<Key> lru_keys_;                    // keys of groups_, the least recently used first
 };
 
 }  // namespace firvalve::results
--- a/src/results/result_token.cpp
+++ b/src/results/result_token.cpp
@@ -40,9 +40,10 @@
   return token;
 }
 
-bool equal_in_constant_time(const ResultToken& one, const ResultToken& other) {
+bool equal_in_constant_time(const ResultToken& left, const ResultToken& right) {
   uint8_t difference = 0;
-  for (size_t i = 0; i < one.size(); ++i) difference = static_cast<uint8_t>(difference | (one[i] ^ other[i]));
+  for (size_t i = 0; i < left.size(); ++i)
+    difference = static_cast<uint8_t>(difference | (left[i] ^ right[i]));
   return difference == 0;
 }
 
--- a/src/results/result_token.h
+++ b/src/results/result_token.h
@@ -1,4 +1,5 @@
-// The token that a client reads a stored result by: whoever knows it may read the result.
+// The token with which a client reads a stored result. Whoever knows the token can read the result, but a
+// result that was stored with a client's key also requires that key.
 #pragma once
 
 #include <array>
@@ -11,13 +12,13 @@
 
 using ResultToken = std::array<uint8_t, 16>;
 
-// 128 bits from the system's random source. Throws std::runtime_error if the system gives none.
+// Returns 128 bits from the system's random source. Throws std::runtime_error if that fails.
 ResultToken generate_token();
-// 32 lower-case hex digits, as on the wire.
+// Returns 32 lower-case hex digits, as on the wire.
 std::string to_hex(const ResultToken& token);
-// Nothing if the text is not 32 lower-case hex digits.
+// Returns nothing if the text is not 32 lower-case hex digits.
 std::optional<ResultToken> parse_token(std::string_view hex);
-// Its running time does not depend on the contents, so that it tells nothing about a token.
-bool equal_in_constant_time(const ResultToken& one, const ResultToken& other);
+// Compares in constant time, to prevent timing attacks on a token.
+bool equal_in_constant_time(const ResultToken& left, const ResultToken& right);
 
 }  // namespace firvalve::results
--- a/src/results/retention.cpp
+++ b/src/results/retention.cpp
@@ -9,17 +9,17 @@
          static_cast<double>(std::max<size_t>(owners_.size(), 1));
 }
 
-double Retention::held_bytes(const std::string& owner) const {
-  const auto at = owners_.find(owner);
-  return at == owners_.end() ? 0 : at->second->held_bytes;
+double Retention::used_bytes(const std::string& owner) const {
+  const auto entry = owners_.find(owner);
+  return entry == owners_.end() ? 0 : entry->second->used_bytes;
 }
 
 Retention::Result* Retention::find(ResultId id) {
-  const auto at = results_.find(id);
-  return at == results_.end() ? nullptr : at->second.get();
+  const auto entry = results_.find(id);
+  return entry == results_.end() ? nullptr : entry->second.get();
 }
 
-void Retention::charge(Result& result, const Change& change) {
+void Retention::update_usage(Result& result, const UsageChange& change) {
   result.memory_bytes += change.memory;
   result.disk_bytes += change.disk;
   result.reserved_bytes += change.reserved;
@@ -27,9 +27,9 @@
   disk_bytes_ += change.disk;
   reserved_bytes_ += change.reserved;
   Owner& owner = *result.owner;
-  owners_by_held_bytes_.erase({owner.held_bytes, &owner});
-  owner.held_bytes = owner.held_bytes + change.memory + change.disk + change.reserved;
-  owners_by_held_bytes_.insert({owner.held_bytes, &owner});
+  owners_by_used_bytes_.erase({owner.used_bytes, &owner});
+  owner.used_bytes = owner.used_bytes + change.memory + change.disk + change.reserved;
+  owners_by_used_bytes_.insert({owner.used_bytes, &owner});
 }
 
 Retention::Result& Retention::add(const std::string& owner_name) {
@@ -37,7 +37,7 @@
   if (!owner) {
     owner = std::make_unique<Owner>();
     owner->name = owner_name;
-    owners_by_held_bytes_.insert({0, owner.get()});
+    owners_by_used_bytes_.insert({0, owner.get()});
   }
   owner->result_count += 1;
   auto added = std::make_unique<Result>();
@@ -49,17 +49,18 @@
 }
 
 bool Retention::erase(ResultId id) {
-  const auto at = results_.find(id);
-  if (at == results_.end()) return false;
-  const std::unique_ptr<Result> result = std::move(at->second);
-  results_.erase(at);
-  charge(*result,
-         {.memory = -result->memory_bytes, .disk = -result->disk_bytes, .reserved = -result->reserved_bytes});
+  const auto entry = results_.find(id);
+  if (entry == results_.end()) return false;
+  const std::unique_ptr<Result> result = std::move(entry->second);
+  results_.erase(entry);
+  update_usage(
+      *result,
+      {.memory = -result->memory_bytes, .disk = -result->disk_bytes, .reserved = -result->reserved_bytes});
   cached_.erase(id);
-  result->by_read.unlink();
+  result->lru_hook.unlink();
   Owner& owner = *result->owner;
   if (--owner.result_count == 0) {
-    owners_by_held_bytes_.erase({owner.held_bytes, &owner});
+    owners_by_used_bytes_.erase({owner.used_bytes, &owner});
     owners_.erase(owners_.find(owner.name));
   }
   return true;
@@ -70,18 +71,18 @@
 }
 
 void Retention::start_lease(Result& result, TimePoint expiry) {
-  result.by_read.unlink();
+  result.lru_hook.unlink();
   result.owner->complete.push_back(result);
   leases_.put(result, tick_after(expiry));
 }
 
-// Bytes that are on disk, too, cost nothing to take out of memory: they are read from there.
+// Drops pages from memory that are also on disk. Tried before evicting a result, since no data is lost.
 bool Retention::evict_from_memory() {
   if (cached_.empty()) return false;
   const ResultId id = *cached_.begin();
   cached_.erase(cached_.begin());
   Result& result = *results_.at(id);
-  charge(result, {.memory = -std::exchange(result.cached_bytes, 0)});
+  update_usage(result, {.memory = -std::exchange(result.cached_bytes, 0)});
   if (on_memory_evicted) on_memory_evicted(id);
   return true;
 }
@@ -93,19 +94,19 @@
   return nullptr;
 }
 
-// Evicts one complete result of the owner that holds most, if that is more than its fair share. The requester
-// comes first where it would hold more than that owner with the bytes it asks for.
-// Guards against one owner that leaves results behind and so fills the store for all. It may cost an owner
-// that reads many results at once the one it was about to read.
+// Evicts one complete result of the owner that uses the most space, if that is more than its fair share.
+// Evicts a result of the requester instead if the requester, with the bytes requested, would use at least as
+// much. This prevents an owner that abandons its results from filling the store for all owners. Limit: an
+// owner that reads many results at once may lose one that it was about to read.
 bool Retention::evict_result(Tier tier, double bytes, const Result* excluded, Owner& requester) {
   const double share = fair_share_bytes();
-  for (auto at = owners_by_held_bytes_.rbegin(); at != owners_by_held_bytes_.rend(); ++at) {
-    Owner& owner = *at->second;
+  for (auto entry = owners_by_used_bytes_.rbegin(); entry != owners_by_used_bytes_.rend(); ++entry) {
+    Owner& owner = *entry->second;
     Result* victim = nullptr;
-    if (requester.held_bytes + bytes >= owner.held_bytes)
+    if (requester.used_bytes + bytes >= owner.used_bytes)
       victim = least_recently_read(requester, tier, excluded);
     if (!victim) {
-      if (owner.held_bytes <= share) return false;
+      if (owner.used_bytes <= share) return false;
       if (&owner == &requester) continue;
       victim = least_recently_read(owner, tier, excluded);
     }
@@ -128,17 +129,17 @@
 }
 
 std::optional<ResultId> Retention::reserve(const std::string& owner, double expected_bytes) {
-  // No reservation is larger than the whole budget: a result that turns out larger moves to disk as it grows.
+  // A reservation never exceeds the whole budget; a larger result moves to disk as it grows.
   const double bytes = std::min({expected_bytes, options_.max_result_bytes, options_.memory_bytes});
   Result& result = add(owner);
   const ResultId id = result.id;
   const bool is_full =
       results_.size() > options_.max_results && !evict_result(Tier::kMemory, bytes, &result, *result.owner);
   if (is_full || !make_space(Tier::kMemory, bytes, &result, *result.owner)) {
-    erase(id);  // silently: the caller has not seen its id
+    erase(id);  // without on_removed, since the caller does not know the id
     return std::nullopt;
   }
-  charge(result, {.reserved = bytes});
+  update_usage(result, {.reserved = bytes});
   return id;
 }
 
@@ -151,7 +152,7 @@
     remove(id, RemovalReason::kTooLarge);
     return false;
   }
-  charge(*result, {.memory = bytes, .reserved = -from_reservation});
+  update_usage(*result, {.memory = bytes, .reserved = -from_reservation});
   result->total_bytes += bytes;
   return true;
 }
@@ -160,14 +161,14 @@
   Result* const result = find(id);
   if (!result || options_.disk_bytes <= 0) return false;
   if (!make_space(Tier::kDisk, bytes, result, *result->owner)) return false;
-  charge(*result, {.disk = bytes});
+  update_usage(*result, {.disk = bytes});
   return true;
 }
 
 void Retention::finish_disk_write(ResultId id, double bytes, bool written) {
   Result* const result = find(id);
   if (!result) return;
-  if (!written) return charge(*result, {.disk = -bytes});
+  if (!written) return update_usage(*result, {.disk = -bytes});
   result->cached_bytes += bytes;
   cached_.insert(id);
 }
@@ -175,7 +176,7 @@
 void Retention::complete(TimePoint now, ResultId id) {
   Result* const result = find(id);
   if (!result) return;
-  charge(*result, {.reserved = -result->reserved_bytes});
+  update_usage(*result, {.reserved = -result->reserved_bytes});
   result->is_complete = true;
   start_lease(*result, now + options_.lease);
 }
@@ -185,20 +186,21 @@
   if (!result) return;
   cached_.erase(id);
   result->cached_bytes = result->total_bytes = 0;
-  charge(*result,
-         {.memory = -result->memory_bytes, .disk = -result->disk_bytes, .reserved = result->memory_bytes});
+  update_usage(
+      *result,
+      {.memory = -result->memory_bytes, .disk = -result->disk_bytes, .reserved = result->memory_bytes});
 }
 
 std::optional<ResultId> Retention::restore(TimePoint now, const std::string& owner, double bytes,
-                                           Duration lease_left) {
+                                           Duration remaining_lease) {
   Result& result = add(owner);
   if (!make_space(Tier::kDisk, bytes, &result, *result.owner)) {
     erase(result.id);
     return std::nullopt;
   }
-  charge(result, {.disk = bytes});
+  update_usage(result, {.disk = bytes});
   result.is_complete = true;
-  start_lease(result, now + std::min(lease_left, options_.lease));
+  start_lease(result, now + std::min(remaining_lease, options_.lease));
   return result.id;
 }
 
--- a/src/results/retention.h
+++ b/src/results/retention.h
@@ -1,17 +1,18 @@
-// Decides which results keep their space, which of their pages stay in memory, what is evicted, and when.
-// No I/O, no clock, none of the results' bytes: only sizes and times.
+// Retention policy of the result store: accounts for the space of results, and decides which results are
+// evicted, and whose pages leave memory. No I/O and no clock; it knows sizes and times of results, not their
+// contents.
 //
 //   reserve -> add_bytes ... add_bytes -> complete -> renew_lease ... renew_lease -> removed
 //                  |                                                  (released, lease expired, evicted)
-//                  +-> removed as too large: neither memory nor disk has space for it
+//                  +-> removed as too large: it exceeds its limit, or memory has no space for it
 //
-// Invariants, checked against a plain model by tests/results/retention_test.cpp:
-//   - memory used and reserved stays within its budget;
-//   - a result that is still being filled is never evicted;
-//   - an owner within its fair share loses nothing to another owner: one that holds more than its share loses
-//     its own results first, the least recently read before the others.
+// Invariants, checked against a simple model by tests/results/retention_test.cpp:
+//   - used and reserved memory stays within the budget;
+//   - an incomplete result is never evicted;
+//   - an owner within its fair share loses no result to another owner. An owner above its share loses its own
+//     results first, the least recently read one first.
 //
-// One thread.
+// Not thread-safe.
 #pragma once
 
 #include <boost/intrusive/list.hpp>
@@ -29,63 +30,68 @@
 
 namespace firvalve::results {
 
-using ResultId = uint64_t;  // from 1, unique within one incarnation of the program
+using ResultId = uint64_t;  // from 1, unique within one incarnation of the process
 
 struct RetentionOptions {
-  double memory_bytes = 8e6;         // budget of pages in memory, reservations included
-  double disk_bytes = 0;             // budget of pages on disk; 0: there is no disk
-  double max_result_bytes = 1e9;     // of one result: of its rows, and of its pages as stored
-  Duration lease = Duration(60000);  // how long a complete result is kept since it was last read
-  size_t max_results = 100000;       // kept at once, whatever their size
+  double memory_bytes = 8e6;         // budget for pages in memory, reservations included
+  double disk_bytes = 0;             // budget for pages on disk; 0: there is no disk
+  double max_result_bytes = 1e9;     // limit for one result: for its rows, and for its stored pages
+  Duration lease = Duration(60000);  // how long a complete result is retained after it was last read
+  size_t max_results = 100000;       // limit for the number of results, whatever their size
 };
 
 enum class RemovalReason {
   kReleased,      // by its client
-  kLeaseExpired,  // nobody read it in time
-  kEvicted,       // its space was needed, or a page of it is corrupt
-  kTooLarge,      // past max_result_bytes, or past what memory and disk have space for
-  kAbandoned,     // by the command that was to fill it
+  kLeaseExpired,  // not read before its lease expired
+  kEvicted,       // its space was needed, or one of its pages is corrupt
+  kTooLarge,      // above max_result_bytes, or above the space available
+  kAbandoned,     // by the command that produced it
 };
 
 class Retention {
  public:
-  // Called after a result was removed, whatever the reason: all its pages are to be forgotten.
+  // Called after a result was removed, for any reason. The callee must drop all its pages.
   std::function<void(ResultId, RemovalReason)> on_removed;
-  // Called when those pages of a result that are on disk must leave memory.
+  // Called when the pages of a result that are on disk must be dropped from memory.
   std::function<void(ResultId)> on_memory_evicted;
 
   explicit Retention(const RetentionOptions& options) : options_(options) {}
 
-  // Reserves memory for a new result, evicting others within the rules above. Nothing: there is no space now.
-  // An expectation past max_result_bytes, or past the whole memory budget, reserves just that.
+  // Reserves memory for a new result, evicting other results if the invariants above allow it. Returns
+  // nothing if there is no space. At most max_result_bytes and at most the memory budget are reserved.
   std::optional<ResultId> reserve(const std::string& owner, double expected_bytes);
-  // Accounts for bytes that were appended in memory. False: the result was too large and has been removed.
+  // Accounts for bytes that were appended in memory. Returns false if the result has become too large; it has
+  // then been removed.
   bool add_bytes(ResultId id, double bytes);
-  // The result has all its pages: the rest of its reservation is freed, and its lease begins.
+  // Marks the result as complete: frees the rest of its reservation and starts its lease.
   void complete(TimePoint now, ResultId id);
-  // The result starts over: what it holds is given up, and as much memory stays reserved for it.
+  // Drops the pages of a result that starts over, and reserves the memory that they used for its new pages.
   void clear(ResultId id);
 
-  // Accounts for bytes that are about to be written to disk. False: no space there; they stay in memory only.
+  // Accounts for bytes that will be written to disk. Returns false if the disk budget has no space for them;
+  // they then stay in memory only.
   bool reserve_disk(ResultId id, double bytes);
-  // The outcome of such a write. What was written may leave memory; the space of a failed write is freed.
+  // Handles the outcome of such a write. Written bytes may be evicted from memory; the disk space of a failed
+  // write is freed.
   void finish_disk_write(ResultId id, double bytes, bool written);
-  // Takes over a complete result of an earlier incarnation, on disk only. Nothing: no space for it any more.
-  std::optional<ResultId> restore(TimePoint now, const std::string& owner, double bytes, Duration lease_left);
+  // Adds a complete result of an earlier incarnation, whose pages are on disk only. Returns nothing if there
+  // is no space for it.
+  std::optional<ResultId> restore(TimePoint now, const std::string& owner, double bytes,
+                                  Duration remaining_lease);
 
-  // A read was asked for. False: the result is not there, or not complete yet.
+  // Renews the lease when the result is read. Returns false if the result does not exist or is incomplete.
   bool renew_lease(TimePoint now, ResultId id);
-  void remove(ResultId id, RemovalReason reason);  // calls on_removed; nothing happens if it is not there
+  void remove(ResultId id, RemovalReason reason);  // calls on_removed; no effect if there is no such result
 
   void expire_leases(TimePoint now);
-  std::optional<TimePoint> next_expiry() const;  // when expire_leases() is to be called, if at all
+  std::optional<TimePoint> next_expiry() const;  // when to call expire_leases() next
 
   bool contains(ResultId id) const { return results_.count(id) > 0; }
   double memory_bytes() const { return memory_bytes_ + reserved_bytes_; }  // reservations included
   double disk_bytes() const { return disk_bytes_; }
   size_t result_count() const { return results_.size(); }
   size_t owner_count() const { return owners_.size(); }
-  double held_bytes(const std::string& owner) const;  // in memory, reserved and on disk
+  double used_bytes(const std::string& owner) const;  // in memory, reserved and on disk
 
  private:
   enum class Tier { kMemory, kDisk };
@@ -94,41 +100,41 @@
     ResultId id = 0;
     Owner* owner = nullptr;
     double memory_bytes = 0, disk_bytes = 0, reserved_bytes = 0;
-    double cached_bytes = 0;  // the part of memory_bytes that is on disk, too
-    double total_bytes = 0;   // of all pages appended, wherever they are
+    double cached_bytes = 0;  // the part of memory_bytes that is also on disk
+    double total_bytes = 0;   // of all pages appended, in memory or on disk
     bool is_complete = false;
-    boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> by_read;
+    boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> lru_hook;
   };
-  using ByRead = boost::intrusive::list<
+  using LruList = boost::intrusive::list<
       Result,
       boost::intrusive::member_hook<
           Result,
           boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>,
-          &Result::by_read>,
+          &Result::lru_hook>,
       boost::intrusive::constant_time_size<false>>;
   struct Owner {
     std::string name;
-    double held_bytes = 0;  // in memory, reserved and on disk
+    double used_bytes = 0;  // in memory, reserved and on disk
     size_t result_count = 0;
-    ByRead complete;  // the least recently read first
+    LruList complete;  // complete results, the least recently read first
   };
-  // A change of what a result holds, in bytes.
-  struct Change {
+  // A change of the space that a result uses, in bytes.
+  struct UsageChange {
     double memory = 0, disk = 0, reserved = 0;
   };
 
-  static constexpr Duration kTick{16};  // of the timing wheel: coarse, since leases last seconds
+  static constexpr Duration kTick{16};  // of the timing wheel; coarse, since leases last seconds
   static uint64_t tick_after(TimePoint time) {
     return static_cast<uint64_t>(time.time_since_epoch() / kTick) + 1;
   }
 
   Result* find(ResultId id);
   Result& add(const std::string& owner);
-  bool erase(ResultId id);  // without a call of on_removed; false: it is not there
+  bool erase(ResultId id);  // does not call on_removed; returns false if there is no such result
   void start_lease(Result& result, TimePoint expiry);
-  void charge(Result& result, const Change& change);
-  // Makes space for so many bytes by evicting others; false: that is not possible. `excluded` is never
-  // evicted.
+  void update_usage(Result& result, const UsageChange& change);
+  // Makes space for the given number of bytes by evicting other results, but never `excluded`. Returns false
+  // if that is not possible.
   bool make_space(Tier tier, double bytes, const Result* excluded, Owner& requester);
   bool evict_from_memory();
   bool evict_result(Tier tier, double bytes, const Result* excluded, Owner& requester);
@@ -139,8 +145,8 @@
   std::unordered_map<ResultId, std::unique_ptr<Result>> results_;
   std::unordered_map<std::string, std::unique_ptr<Owner>> owners_;
   base::TimingWheel leases_;
-  std::set<std::pair<double, Owner*>> owners_by_held_bytes_;
-  std::set<ResultId> cached_;  // results with bytes that may leave memory; the oldest first
+  std::set<std::pair<double, Owner*>> owners_by_used_bytes_;
+  std::set<ResultId> cached_;  // results with bytes that may be evicted from memory, the oldest first
   double memory_bytes_ = 0, disk_bytes_ = 0, reserved_bytes_ = 0;
   ResultId last_id_ = 0;
 };
--- a/src/results/segment_files.cpp
+++ b/src/results/segment_files.cpp
@@ -29,17 +29,18 @@
   return true;
 }
 
-// Reads from `offset` until the buffer is full or the file ends. Gives how many bytes were read.
+// Reads from `offset` until the buffer is full, the file ends or a read fails. Returns the number of bytes
+// read.
 size_t read_at(int file, size_t offset, std::span<char> buffer) {
-  size_t done = 0;
-  while (done < buffer.size()) {
-    const ssize_t got =
-        ::pread(file, buffer.data() + done, buffer.size() - done, static_cast<off_t>(offset + done));
-    if (got < 0 && errno == EINTR) continue;
-    if (got <= 0) break;
-    done += static_cast<size_t>(got);
+  size_t bytes_read = 0;
+  while (bytes_read < buffer.size()) {
+    const ssize_t count = ::pread(file, buffer.data() + bytes_read, buffer.size() - bytes_read,
+                                  static_cast<off_t>(offset + bytes_read));
+    if (count < 0 && errno == EINTR) continue;
+    if (count <= 0) break;
+    bytes_read += static_cast<size_t>(count);
   }
-  return done;
+  return bytes_read;
 }
 
 std::string read_file(int file) {
@@ -83,7 +84,7 @@
 SegmentFiles::~SegmentFiles() {
   {
     const std::lock_guard lock(mutex_);
-    is_ending_ = true;
+    is_stopping_ = true;
   }
   task_posted_.notify_all();
   thread_.join();
@@ -181,15 +182,15 @@
   return current_segment_;
 }
 
-Storage::Completion SegmentFiles::write(const Task& task) {
+Storage::Completion SegmentFiles::write_record(const Task& task) {
   Completion completion;
   std::string bytes;
   append_record(bytes, task.record);
   const bool is_full =
       segment_size_ + bytes.size() > options_.segment_bytes && segment_size_ > kSegmentHeader.size();
   if (is_full) open_next_segment();
-  // Guards against a disk that fills up in the middle of a record: whatever followed a torn record would be
-  // lost with it. So the segment is cut back to its last intact record, or a new one is begun.
+  // If the disk becomes full in the middle of a record, recovery would discard everything after the torn
+  // record. So the segment is truncated to its last intact record; if that fails, a new segment is started.
   if (!write_all(segment_file_.get(), bytes)) {
     if (::ftruncate(segment_file_.get(), static_cast<off_t>(segment_size_)) != 0 ||
         ::lseek(segment_file_.get(), static_cast<off_t>(segment_size_), SEEK_SET) < 0)
@@ -204,7 +205,7 @@
   return completion;
 }
 
-Storage::Completion SegmentFiles::fetch(const Task& task) const {
+Storage::Completion SegmentFiles::read_body(const Task& task) const {
   Completion completion;
   const FileDescriptor file(::open(path_of(task.location.segment).c_str(), O_RDONLY | O_CLOEXEC));
   if (!file) return completion;
@@ -223,7 +224,7 @@
     Task task;
     {
       std::unique_lock lock(mutex_);
-      task_posted_.wait(lock, [this] { return is_ending_ || !tasks_.empty(); });
+      task_posted_.wait(lock, [this] { return is_stopping_ || !tasks_.empty(); });
       if (tasks_.empty()) return;
       task = std::move(tasks_.front());
       tasks_.pop_front();
@@ -232,7 +233,7 @@
       delete_segments(task.location.segment);
       continue;
     }
-    Completion completion = task.kind == Task::Kind::kAppend ? write(task) : fetch(task);
+    Completion completion = task.kind == Task::Kind::kAppend ? write_record(task) : read_body(task);
     bool is_first = false;
     {
       const std::lock_guard lock(mutex_);
--- a/src/results/segment_files.h
+++ b/src/results/segment_files.h
@@ -1,12 +1,13 @@
-// Storage in segment files of one folder (`segment-0000000001` and so on), worked on by a thread of its own.
+// Storage in segment files of one folder (`segment-0000000001` and so on), with a thread of its own for I/O.
 //
-// A segment is appended to until it is full, and deleted once no segment up to it holds anything that is
-// still needed. Writes are not forced to the disk: what a killed process had written is there after a
-// restart; what a machine that loses power had written shows as a torn tail or a wrong checksum, and is not
-// served.
+// Records are appended to a segment until it is full. A segment is deleted when neither it nor an older
+// segment has records that are still needed. Writes are not synced to disk (no fsync): data written before
+// the process is killed survives. Data lost in a power failure shows as a torn tail or a checksum mismatch,
+// and is not served.
 //
-// Threads: the constructor, the destructor and all functions belong to one thread, the event loop; they hand
-// requests over a mutex to the storage thread, which alone touches the files after the constructor.
+// Threads: the constructor, the destructor and all public functions must be called by one thread, the event
+// loop. They queue tasks for the storage thread under a mutex. After construction, only the storage thread
+// accesses the files.
 #pragma once
 
 #include <condition_variable>
@@ -27,7 +28,7 @@
 
 namespace firvalve::results {
 
-// The folder cannot be used: it cannot be created or written, or another gateway uses it.
+// The folder cannot be created or written, or another gateway uses it.
 class StorageError : public std::runtime_error {
  public:
   StorageError(const std::string& folder, const std::string& reason);
@@ -38,11 +39,10 @@
   struct Options {
     std::string folder;
     size_t segment_bytes = size_t{16} * 1024 * 1024;
-    std::optional<BootTime> boot = std::nullopt;  // nothing: lease times are the caller's own times
+    std::optional<BootTime> boot = std::nullopt;  // nothing: the lease clock is the caller's clock
   };
-  // Locks the folder, reads back what earlier incarnations stored and truncates torn tails. `wake` is called
-  // on the storage thread when take_completions() has something after having had nothing. Throws
-  // StorageError.
+  // Locks the folder, recovers the results of earlier incarnations and truncates torn tails. Calls `wake` on
+  // the storage thread when the queue of completions becomes non-empty. Throws StorageError.
   SegmentFiles(const Options& options, TimePoint now, std::function<void()> wake);
   ~SegmentFiles() override;  // writes the backlog first
 
@@ -53,9 +53,9 @@
   size_t backlog_bytes() const override;
   size_t current_segment() const override;
 
-  // By how much the clock of stored leases is ahead of the caller's.
+  // Difference between the lease clock and the caller's clock; see to_lease_time().
   Duration lease_offset() const { return lease_offset_; }
-  // What was read back at the start; the results once only.
+  // Returns the results recovered at the start; empty from the second call on.
   std::vector<RecoveredResult> take_recovered_results() { return std::exchange(recovered_.results, {}); }
   size_t corrupt_results() const { return recovered_.corrupt_results; }
   size_t truncated_segments() const { return truncated_segments_; }
@@ -65,7 +65,7 @@
     enum class Kind { kAppend, kRead, kDelete } kind = Kind::kAppend;
     std::optional<RequestId> request_id;
     SegmentRecord record;     // kAppend
-    RecordLocation location;  // kRead; kDelete: its segment is the first to stay
+    RecordLocation location;  // kRead; kDelete: its segment is the first to be retained
     size_t backlog_bytes = 0;
   };
 
@@ -74,10 +74,10 @@
   void recover(const std::vector<size_t>& segments, TimePoint now);
   void post(Task task);
 
-  // The storage thread's, and the constructor's.
+  // Called by the storage thread; open_next_segment() and path_of() also by the constructor.
   void run();
-  Completion write(const Task& task);
-  Completion fetch(const Task& task) const;
+  Completion write_record(const Task& task);
+  Completion read_body(const Task& task) const;
   void delete_segments(size_t end);
   bool open_next_segment();
   std::string path_of(size_t segment) const;
@@ -89,17 +89,17 @@
   size_t truncated_segments_ = 0;
   FileDescriptor lock_;
 
-  // The storage thread's.
+  // Accessed by the storage thread only, after construction.
   FileDescriptor segment_file_;
-  size_t segment_size_ = 0;   // bytes of the current segment
-  size_t first_segment_ = 1;  // the oldest that exists
+  size_t segment_size_ = 0;   // size of the current segment in bytes
+  size_t first_segment_ = 1;  // number of the oldest existing segment
 
-  mutable std::mutex mutex_;  // guards what follows
+  mutable std::mutex mutex_;  // guards the members below
   std::condition_variable task_posted_;
   std::deque<Task> tasks_;
   std::vector<Completion> completions_;
   size_t backlog_bytes_ = 0, current_segment_ = 0;
-  bool is_ending_ = false;
+  bool is_stopping_ = false;
 
   std::thread thread_;
 };
--- a/src/results/segment_record.cpp
+++ b/src/results/segment_record.cpp
@@ -10,7 +10,7 @@
 constexpr uint32_t kMagic = 0x46565350;
 constexpr uint32_t kMaxBodyBytes = kMaxPageBytes;
 constexpr size_t kMaxOwnerBytes = 1024;
-constexpr size_t kManifestBytes = 16 + 8 + 8 + 8 + 4 + 8;  // ahead of the owner
+constexpr size_t kManifestBytes = 16 + 8 + 8 + 8 + 4 + 8;  // of the fields before the owner
 
 template <class T>
 void append_value(std::string& out, T value) {
@@ -18,9 +18,9 @@
 }
 
 template <class T>
-T value_at(std::string_view text, size_t at) {
+T value_at(std::string_view text, size_t offset) {
   T value;
-  std::memcpy(&value, text.data() + at, sizeof value);
+  std::memcpy(&value, text.data() + offset, sizeof value);
   return value;
 }
 
@@ -77,9 +77,9 @@
   segment += body;
 }
 
-RecordStatus read_record(std::string_view segment, size_t at, SegmentRecord& record, size_t& next) {
-  if (at >= segment.size()) return RecordStatus::kEndOfSegment;
-  const std::string_view rest = segment.substr(at);
+RecordStatus read_record(std::string_view segment, size_t offset, SegmentRecord& record, size_t& next) {
+  if (offset >= segment.size()) return RecordStatus::kEndOfSegment;
+  const std::string_view rest = segment.substr(offset);
   if (rest.size() < kRecordHeadBytes || value_at<uint32_t>(rest, 0) != kMagic ||
       XXH3_64bits(rest.data(), kRecordHeadBytes - 8) != value_at<uint64_t>(rest, kRecordHeadBytes - 8))
     return RecordStatus::kTorn;
@@ -94,7 +94,7 @@
   record.page_index = value_at<uint32_t>(rest, 24);
   record.page.uncompressed_bytes = value_at<uint32_t>(rest, 28);
   record.page.checksum = value_at<uint64_t>(rest, 40);
-  next = at + kRecordHeadBytes + length;
+  next = offset + kRecordHeadBytes + length;
   if (XXH3_64bits(body.data(), body.size()) != record.page.checksum) return RecordStatus::kCorrupt;
   if (record.kind == SegmentRecord::Kind::kPage) record.page.bytes = body;
   if (record.kind == SegmentRecord::Kind::kManifest && !parse_manifest(body, record.manifest))
--- a/tests/results/page_test.cpp
+++ b/tests/results/page_test.cpp
@@ -1,3 +1,4 @@
+// Tests the compression of a page and the detection of corrupt pages.
 #include "results/page.h"
 
 #include <gtest/gtest.h>
@@ -5,7 +6,7 @@
 namespace firvalve::results {
 namespace {
 
-TEST(Page, CompressedAndDecompressedAreTheSameAndAFlippedBitShows) {
+TEST(Page, DecompressionRestoresTheRowsAndDetectsAFlippedBit) {
   const std::string rows = std::string(5000, 'a') + "\tb\tc\n";
   StoredPage page = compress(rows);
   EXPECT_LT(page.bytes.size(), 200u);
--- a/tests/results/recovery_test.cpp
+++ b/tests/results/recovery_test.cpp
@@ -1,4 +1,4 @@
-// Segment records read back: complete, torn and corrupt ones.
+// Tests the recovery of results from intact, torn and corrupt segments.
 #include "results/recovery.h"
 
 #include <gtest/gtest.h>
@@ -25,12 +25,12 @@
 constexpr LeaseTime kNow{Duration(100)};
 
 std::string segment_of(const std::vector<SegmentRecord>& records) {
-  std::string all(kSegmentHeader);
-  for (const SegmentRecord& record : records) append_record(all, record);
-  return all;
+  std::string segment(kSegmentHeader);
+  for (const SegmentRecord& record : records) append_record(segment, record);
+  return segment;
 }
 
-TEST(Recovery, CompleteResultsAreRecoveredOthersAreNot) {
+TEST(Recovery, OnlyCompleteUnreleasedUnexpiredResultsAreRecovered) {
   SegmentRecord tombstone = manifest_record(3, 1);
   tombstone.kind = SegmentRecord::Kind::kTombstone;
   Recovery recovery;
@@ -42,37 +42,39 @@
       recovery.add_segment(2, segment_of({tombstone, page_record(4, 0, "e"), manifest_record(4, 1, 50)})),
       std::nullopt);
   const Recovery::Outcome outcome = recovery.outcome(kNow);
-  // 2 has no manifest, 3 was released, the lease of 4 has expired.
+  // Result 2 has no manifest, result 3 was released, and the lease of result 4 has expired.
   ASSERT_EQ(outcome.results.size(), 1u);
   EXPECT_EQ(outcome.results[0].key.result, 1u);
   EXPECT_EQ(outcome.results[0].pages.size(), 2u);
   EXPECT_EQ(outcome.corrupt_results, 0u);
 }
 
-TEST(Recovery, TornAnywhereThePartBeforeIsRecoveredAndTheTailIsTruncated) {
-  const std::string first = segment_of({page_record(1, 0, "first"), manifest_record(1, 1)});
-  std::string all = first;
-  append_record(all, page_record(2, 0, "second"));
-  append_record(all, manifest_record(2, 1));
-  for (size_t at = 0; at < all.size(); ++at) {
+// Cuts a segment at every offset.
+TEST(Recovery, RecordsBeforeATornTailAreRecovered) {
+  const std::string first_result = segment_of({page_record(1, 0, "first"), manifest_record(1, 1)});
+  std::string segment = first_result;
+  append_record(segment, page_record(2, 0, "second"));
+  append_record(segment, manifest_record(2, 1));
+  for (size_t offset = 0; offset < segment.size(); ++offset) {
     Recovery recovery;
-    const auto torn_at = recovery.add_segment(1, std::string_view(all).substr(0, at));
-    EXPECT_EQ(recovery.outcome(kNow).results.size(), at >= first.size() ? 1u : 0u) << at;
+    const auto torn_at = recovery.add_segment(1, std::string_view(segment).substr(0, offset));
+    EXPECT_EQ(recovery.outcome(kNow).results.size(), offset >= first_result.size() ? 1u : 0u) << offset;
     if (torn_at) {
-      EXPECT_LE(*torn_at, at);
+      EXPECT_LE(*torn_at, offset);
     }
   }
 }
 
-TEST(Recovery, WithAFlippedBitNothingCorruptIsRecovered) {
-  const std::string all = segment_of({page_record(1, 0, "first"), manifest_record(1, 1),
-                                      page_record(2, 0, "second"), manifest_record(2, 1)});
-  for (size_t at = 0; at < all.size(); ++at) {
-    std::string flipped = all;
-    flipped[at] = static_cast<char>(flipped[at] ^ 4);
+// Flips a bit at every offset.
+TEST(Recovery, CorruptResultsAreNotRecovered) {
+  const std::string segment = segment_of({page_record(1, 0, "first"), manifest_record(1, 1),
+                                          page_record(2, 0, "second"), manifest_record(2, 1)});
+  for (size_t offset = 0; offset < segment.size(); ++offset) {
+    std::string flipped = segment;
+    flipped[offset] = static_cast<char>(flipped[offset] ^ 4);
     Recovery recovery;
     recovery.add_segment(1, flipped);
-    EXPECT_LE(recovery.outcome(kNow).results.size(), 1u) << at;
+    EXPECT_LE(recovery.outcome(kNow).results.size(), 1u) << offset;
   }
 }
 
--- a/tests/results/result_token_test.cpp
+++ b/tests/results/result_token_test.cpp
@@ -1,3 +1,4 @@
+// Tests result tokens.
 #include "results/result_token.h"
 
 #include <gtest/gtest.h>
@@ -5,7 +6,7 @@
 namespace firvalve::results {
 namespace {
 
-TEST(ResultToken, SurvivesHexAndNothingElseIsParsed) {
+TEST(ResultToken, HexRoundTripsAndInvalidTextIsRejected) {
   const ResultToken token = generate_token();
   EXPECT_TRUE(equal_in_constant_time(*parse_token(to_hex(token)), token));
   EXPECT_FALSE(equal_in_constant_time(generate_token(), token));
--- a/tests/results/segment_files_test.cpp
+++ b/tests/results/segment_files_test.cpp
@@ -1,4 +1,4 @@
-// The result store over segment files: restarts, torn tails, flipped bits, a stepped wall clock.
+// Tests the result store with segment files: restarts, torn tails, flipped bits, and steps of the wall clock.
 #include "results/segment_files.h"
 
 #include <gtest/gtest.h>
@@ -23,13 +23,14 @@
   }();
   ~SegmentFilesTest() override { std::filesystem::remove_all(folder); }
   PagedResultStoreOptions options = [] {
-    PagedResultStoreOptions t;
-    t.retention.memory_bytes = 50000;
-    t.initial_expected_bytes = 100;
-    t.retention.disk_bytes = 10e6;
-    return t;
+    PagedResultStoreOptions store_options;
+    store_options.retention.memory_bytes = 50000;
+    store_options.initial_expected_bytes = 100;
+    store_options.retention.disk_bytes = 10e6;
+    return store_options;
   }();
-  // One incarnation of a gateway: reads the given tokens into `answers`, and gives those of what it stores.
+  // Runs one incarnation of a gateway: reads the results of the given tokens into `answers`, then stores new
+  // results and returns their tokens.
   std::vector<std::string> run_gateway(int results, Ms now_ms,
                                        const std::vector<std::string>& read_back = {}) {
     const TimePoint now = time_point_of(now_ms);
@@ -38,17 +39,17 @@
     PagedResultStore store(options, static_cast<uint64_t>(now_ms), [](std::string_view) {});
     store.attach_storage(now, files, files.take_recovered_results());
     for (const std::string& token : read_back) {
-      std::string got = "never";
+      std::string received = "never";
       store.read_page(now, token, "", 1,
-                      [&](TimePoint, ResultStore::ReadStatus what, std::string_view rows, uint64_t) {
-                        got = what == ResultStore::ReadStatus::kRows ? rows : "gone";
+                      [&](TimePoint, ResultStore::ReadStatus status, std::string_view rows, uint64_t) {
+                        received = status == ResultStore::ReadStatus::kRows ? rows : "gone";
                       });
-      for (int i = 0; i < 10000 && got == "never"; ++i) store.handle_due(now), std::this_thread::yield();
-      for (int i = 0; i < 2000 && got == "never"; ++i) {
+      for (int i = 0; i < 10000 && received == "never"; ++i) store.handle_due(now), std::this_thread::yield();
+      for (int i = 0; i < 2000 && received == "never"; ++i) {
         store.handle_due(now);
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
       }
-      answers.push_back(got);
+      answers.push_back(received);
     }
     for (int i = 0; i < results; ++i) {
       const ResultHandle id = *store.reserve(now, kReservation);
@@ -61,7 +62,7 @@
   std::vector<std::string> answers;
 };
 
-TEST_F(SegmentFilesTest, ResultsOutliveTheProcess) {
+TEST_F(SegmentFilesTest, ResultsSurviveARestart) {
   const auto tokens = run_gateway(50, 1000);
   run_gateway(0, 2000, tokens);
   ASSERT_EQ(answers.size(), 50u);
@@ -69,15 +70,16 @@
     EXPECT_EQ(answers[static_cast<size_t>(i)], "page\t" + std::to_string(i) + "\tc\n");
   answers.clear();
   run_gateway(0, 1000 + 200000, tokens);  // their leases have expired
-  for (const std::string& a : answers) EXPECT_EQ(a, "gone");
+  for (const std::string& answer : answers) EXPECT_EQ(answer, "gone");
 }
 
-// A lease is a span of real time over a restart, too: the wall clock was stepped by an hour in between.
-TEST_F(SegmentFilesTest, AStepOfTheWallClockBetweenTwoIncarnationsMovesNoLease) {
+// Steps the wall clock by an hour between two incarnations. Leases must expire by elapsed time, not by the
+// wall clock.
+TEST_F(SegmentFilesTest, WallClockStepBetweenIncarnationsDoesNotMoveLeases) {
   constexpr Ms kHour = 3.6e6, kWall = 1e12;
   for (const Ms step : {-kHour, kHour}) {
     const std::string of_step = folder + (step > 0 ? "/ahead" : "/back");
-    // Gives how many results it recovered.
+    // Runs one incarnation that stores a result. Returns the number of results that it recovered.
     const auto run_once = [&](Ms wall_ms, const std::string& boot_id, Ms since_boot) {
       const TimePoint wall = time_point_of(wall_ms);
       SegmentFiles files({of_step, 4000, BootTime{boot_id, time_point_of<BootClock>(since_boot)}}, wall,
@@ -94,28 +96,30 @@
     EXPECT_EQ(run_once(kWall, "boot-1", 5000), 0u);
     EXPECT_EQ(run_once(kWall + step + lease / 2, "boot-1", 5000 + lease / 2), 1u) << step;
     EXPECT_EQ(run_once(kWall + step + 2 * lease, "boot-1", 5000 + 2 * lease), 0u) << step;
-    // After a boot the wall clock is all there is.
+    // After a reboot only the wall clock is available.
     EXPECT_EQ(run_once(kWall + 2.5 * lease, "boot-2", 100), 1u) << step;
   }
 }
 
-TEST_F(SegmentFilesTest, ATornTailIsTruncatedAndTheRestServed) {
+TEST_F(SegmentFilesTest, TornTailIsTruncatedAndTheRestIsServed) {
   const auto tokens = run_gateway(5, 1000);
   std::string last;
-  for (const auto& e : std::filesystem::directory_iterator(folder))
-    if (e.path().string() > last && e.path().filename().string().starts_with("segment")) last = e.path();
+  for (const auto& entry : std::filesystem::directory_iterator(folder))
+    if (entry.path().string() > last && entry.path().filename().string().starts_with("segment"))
+      last = entry.path();
   std::filesystem::resize_file(last, std::filesystem::file_size(last) - 3);
   run_gateway(0, 2000, tokens);
   EXPECT_EQ(answers[0], "page\t0\tc\n");
   EXPECT_EQ(answers[4], "gone");
 }
 
-TEST_F(SegmentFilesTest, AFlippedBitInAFileCostsItsResultAloneAndIsNeverServed) {
+TEST_F(SegmentFilesTest, CorruptPageLosesOnlyItsOwnResult) {
   const auto tokens = run_gateway(5, 1000);
-  for (const auto& e : std::filesystem::directory_iterator(folder)) {
-    if (!e.path().filename().string().starts_with("segment") || std::filesystem::file_size(e.path()) < 100)
+  for (const auto& entry : std::filesystem::directory_iterator(folder)) {
+    if (!entry.path().filename().string().starts_with("segment") ||
+        std::filesystem::file_size(entry.path()) < 100)
       continue;
-    std::fstream file(e.path(), std::ios::in | std::ios::out | std::ios::binary);
+    std::fstream file(entry.path(), std::ios::in | std::ios::out | std::ios::binary);
     file.seekp(static_cast<long>(kSegmentHeader.size() + kRecordHeadBytes + 2));  // in the first page
     file.put('!');
     break;
@@ -131,23 +135,23 @@
   EXPECT_EQ(gone, 1);
 }
 
-TEST_F(SegmentFilesTest, ASecondGatewayIsRefusedInOneSentence) {
+TEST_F(SegmentFilesTest, SecondGatewayOnTheSameFolderIsRejected) {
   SegmentFiles files({folder}, time_point_of(1000), [] {});
   try {
     SegmentFiles other({folder}, time_point_of(1000), [] {});
     FAIL();
-  } catch (const StorageError& e) {
-    EXPECT_NE(std::string(e.what()).find("another gateway uses it"), std::string::npos);
+  } catch (const StorageError& error) {
+    EXPECT_NE(std::string(error.what()).find("another gateway uses it"), std::string::npos);
   }
 }
 
-TEST_F(SegmentFilesTest, AFolderThatCannotBeCreatedIsAnError) {
+TEST_F(SegmentFilesTest, FolderThatCannotBeCreatedIsAnError) {
   std::ofstream(folder + "/file") << "x";
   EXPECT_THROW(SegmentFiles({folder + "/file/folder"}, time_point_of(1000), [] {}), StorageError);
   EXPECT_THROW(SegmentFiles({"/proc/firvalve"}, time_point_of(1000), [] {}), StorageError);
 }
 
-TEST_F(SegmentFilesTest, SegmentsThatHoldNothingAreDeleted) {
+TEST_F(SegmentFilesTest, UnusedSegmentsAreDeleted) {
   const TimePoint start = time_point_of(1000), after_leases = time_point_of(2000);
   SegmentFiles files({folder, 4000}, start, [] {});
   options.retention.lease = Duration(100);
--- a/tests/schema/compatibility_checker_test.cpp
+++ b/tests/schema/compatibility_checker_test.cpp
@@ -1,3 +1,4 @@
+// Tests the verdicts of the compatibility checker, by example and against a reference model.
 #include "schema/compatibility_checker.h"
 
 #include <gtest/gtest.h>
--- a/tests/schema/declaration_expiry_test.cpp
+++ b/tests/schema/declaration_expiry_test.cpp
@@ -1,3 +1,4 @@
+// Tests when declarations are withdrawn that their subscribers no longer renew.
 #include "schema/declaration_expiry.h"
 
 #include <gtest/gtest.h>
--- a/tests/schema/message_projection_test.cpp
+++ b/tests/schema/message_projection_test.cpp
@@ -1,3 +1,4 @@
+// Tests the validation of messages and their conversion between versions.
 #include "schema/message_projection.h"
 
 #include <gtest/gtest.h>
--- a/tests/schema/registry_test.cpp
+++ b/tests/schema/registry_test.cpp
@@ -1,3 +1,4 @@
+// Tests the registry: changes are committed by consensus and checked again after a conflict.
 #include "schema/registry.h"
 
 #include <gtest/gtest.h>
--- a/tests/schema/schema_validation_test.cpp
+++ b/tests/schema/schema_validation_test.cpp
@@ -1,3 +1,4 @@
+// Tests that invalid schemas are rejected.
 #include <gtest/gtest.h>
 
 #include "schema/schema_fixture.h"
--- a/tests/schema/topic_codec_test.cpp
+++ b/tests/schema/topic_codec_test.cpp
@@ -1,3 +1,4 @@
+// Tests the JSON encoding of topics and the errors of the decoders.
 #include "schema/topic_codec.h"
 
 #include <gtest/gtest.h>
