--- a/src/results/retention.cpp
+++ b/src/results/retention.cpp
@@ -73,7 +73,7 @@
 void Retention::start_lease(Result& result, TimePoint expiry) {
   result.lru_hook.unlink();
   result.owner->complete.push_back(result);
-  leases_.put(result, tick_after(expiry));
+  leases_.schedule(result, tick_after(expiry));
 }
 
 // Drops pages from memory that are also on disk. Tried before evicting a result, since no data is lost.
