--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,11 +1,11 @@
-// Time as a type: durations, and time points of the two clocks that the program measures spans by.
+// Types for durations and for time points of the two clocks that measure time spans.
 //
-// Every duration is in milliseconds with fractions, so that arithmetic on it is that of a double. A time
-// point belongs to a clock: one of MonotonicClock cannot be compared with, or subtracted from, one of
-// BootClock. "No such time" is std::optional<TimePoint>, never a value that stands for it.
+// A duration is a double in milliseconds. A time point belongs to a clock: a MonotonicClock time point cannot
+// be compared with, or subtracted from, a BootClock one. An absent time is an empty std::optional<TimePoint>,
+// never a special value.
 //
-// Code that does not use these types yet passes times as plain `Ms` (units.h); to_ms(), duration_of() and
-// time_point_of() are the only ways between the two.
+// Code that does not use these types yet passes times as plain `Ms` (units.h). Only to_ms(), duration_of()
+// and time_point_of() convert between the two.
 #pragma once
 
 #include <chrono>
@@ -18,8 +18,8 @@
 
 using Duration = std::chrono::duration<double, std::milli>;
 
-// The clock of deadlines, windows, waits and ages within one process. Steady, counted from the Unix time at
-// which the process first asked for it (monotonic_ms()). Safe to call from any thread.
+// The clock for deadlines, windows, delays and ages within one process. Steady; starts at the Unix time of
+// the process's first reading (monotonic_ms()). Safe to call from any thread.
 struct MonotonicClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -29,8 +29,8 @@
   static time_point now() { return time_point(duration(monotonic_ms())); }
 };
 
-// The clock of leases and agreement: time since the machine was started, sleep included, so that a lease runs
-// out while a machine is suspended. Safe to call from any thread.
+// The clock for leases and consensus: time since the machine booted, including time suspended, so that a
+// lease expires while the machine is suspended. Safe to call from any thread.
 struct BootClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -54,7 +54,7 @@
   return std::chrono::time_point<Clock, Duration>(Duration(ms));
 }
 
-// The earlier of two times, where either may be missing: the missing one never wins.
+// The earlier of two optional times; nothing only if both are missing.
 template <class Time>
 constexpr std::optional<Time> earlier_of(std::optional<Time> one, std::optional<Time> other) {
   if (!one) return other;
--- a/src/base/timing_wheel.h
+++ b/src/base/timing_wheel.h
@@ -1,10 +1,10 @@
-// A hierarchical timer wheel: nodes that are due at a time, put in, moved and taken out in constant time,
-// without allocation. Times are in ticks from 1; a node in the past is due at once. A node belongs to at most
-// one wheel and takes itself out when it ends.
+// A hierarchical timing wheel: schedules, moves and cancels timer nodes in constant time, without allocation.
+// Times are in ticks, from 1. A node whose time has passed is due at once. A node belongs to at most one
+// wheel and removes itself from it on destruction.
 //
-// Four levels of 256 slots: a node lies in the level whose slots are just fine enough to tell it from the
-// present, and moves down as its time comes near. What lies further off than 2^32 ticks waits in the last
-// slot of all and is looked at again there.
+// There are four levels of 256 slots each, and a slot of a level spans 256 slots of the level below. A node
+// is stored in the lowest level that reaches as far as its due time, and moves down as that time approaches.
+// A node more than 2^32 ticks ahead waits in the last slot of the top level and is placed again from there.
 #pragma once
 
 #include <array>
@@ -30,8 +30,9 @@
   }
   static void cancel(TimingWheelNode& node) { node.unlink(); }
 
-  // Goes on to `now` and hands out each node that is due by then, in the order of their ticks. `fire` may put
-  // nodes in and take them out, the handed one too, which is out of the wheel by then.
+  // Advances the wheel to `now` and calls fire(node) for each node that is due by then, in the order of their
+  // ticks. A node is removed from the wheel before it fires. `fire` may schedule and cancel any node,
+  // including the one that fires.
   template <class Fire>
   void advance(uint64_t now, Fire&& fire) {
     for (;;) {
@@ -45,13 +46,13 @@
     }
   }
 
-  // No node is due before it; 0: there is no node. May be sooner than the first: then advance() finds nothing
-  // and the next answer is nearer.
+  // A lower bound for the earliest due tick; 0 if the wheel is empty. If no node is due at the returned tick,
+  // advance() to it fires nothing, and the next bound is closer.
   uint64_t next() const {
     if (!due_.empty()) return now_;
     uint64_t best = 0;
     for (int level = 0; level < kLevels; ++level) {
-      const uint64_t at = first_in(level);
+      const uint64_t at = next_occupied(level);
       if (at != 0 && (best == 0 || at < best)) best = at;
     }
     return best;
@@ -59,47 +60,49 @@
 
  private:
   using List = boost::intrusive::list<TimingWheelNode, boost::intrusive::constant_time_size<false>>;
-  static constexpr int kLevels = 4, kBits = 8;
-  static constexpr uint64_t kSlots = 1 << kBits;
+  static constexpr int kLevels = 4, kBitsPerLevel = 8;
+  static constexpr uint64_t kSlots = 1 << kBitsPerLevel;
 
-  static uint64_t span(int level) { return uint64_t{1} << (kBits * level); }
+  // The ticks that one slot of the level spans.
+  static uint64_t span(int level) { return uint64_t{1} << (kBitsPerLevel * level); }
 
   void place(TimingWheelNode& node) {
     if (node.due <= now_) return due_.push_back(node);
-    const uint64_t far = node.due - now_;
+    const uint64_t distance = node.due - now_;
     int level = 0;
-    while (level + 1 < kLevels && far >= span(level + 1)) ++level;
-    // Past the end of all levels: the slot that comes last.
-    const uint64_t at = far < span(kLevels) ? node.due : now_ + span(kLevels) - 1;
-    const uint64_t slot = (at >> (kBits * level)) & (kSlots - 1);
+    while (level + 1 < kLevels && distance >= span(level + 1)) ++level;
+    // Beyond the range of all levels: use the last slot of the top level.
+    const uint64_t at = distance < span(kLevels) ? node.due : now_ + span(kLevels) - 1;
+    const uint64_t slot = (at >> (kBitsPerLevel * level)) & (kSlots - 1);
     slots_[static_cast<size_t>(level)][slot].push_back(node);
-    marks_[static_cast<size_t>(level)][slot / 64] |= uint64_t{1} << (slot % 64);
+    occupied_[static_cast<size_t>(level)][slot / 64] |= uint64_t{1} << (slot % 64);
   }
 
-  // Where the first slot of the level that holds anything begins, after now; 0: all are empty. Looks at the
-  // slots that may hold something alone: nodes leave without a word, so a mark may be left over, never
-  // missing.
-  uint64_t first_in(int level) const {
-    auto& marks = marks_[static_cast<size_t>(level)];
-    const uint64_t here = now_ >> (kBits * level);
-    for (uint64_t n = 1; n <= kSlots;) {
-      const uint64_t slot = (here + n) & (kSlots - 1);
-      const uint64_t word = marks[slot / 64] >> (slot % 64);
+  // The tick at which the first non-empty slot of the level after now begins; 0 if all are empty. Checks only
+  // slots whose occupied bit is set. A node unlinks without clearing the bit, so a set bit may be stale, but
+  // none is missing; stale bits are cleared here.
+  uint64_t next_occupied(int level) const {
+    auto& occupied = occupied_[static_cast<size_t>(level)];
+    const uint64_t current_slot = now_ >> (kBitsPerLevel * level);
+    for (uint64_t offset = 1; offset <= kSlots;) {
+      const uint64_t slot = (current_slot + offset) & (kSlots - 1);
+      const uint64_t word = occupied[slot / 64] >> (slot % 64);
       if (word == 0) {
-        n += 64 - slot % 64;
+        offset += 64 - slot % 64;
         continue;
       }
       const auto ahead = static_cast<uint64_t>(std::countr_zero(word));
-      n += ahead;
-      if (n > kSlots) return 0;
-      if (!slots_[static_cast<size_t>(level)][(here + n) & (kSlots - 1)].empty())
-        return (here + n) << (kBits * level);
-      marks[(slot + ahead) / 64] &= ~(uint64_t{1} << ((slot + ahead) % 64));
+      offset += ahead;
+      if (offset > kSlots) return 0;
+      if (!slots_[static_cast<size_t>(level)][(current_slot + offset) & (kSlots - 1)].empty())
+        return (current_slot + offset) << (kBitsPerLevel * level);
+      occupied[(slot + ahead) / 64] &= ~(uint64_t{1} << ((slot + ahead) % 64));
     }
     return 0;
   }
 
-  // To the next moment at which a slot begins that holds anything, or to `until`.
+  // Advances to the start of the next non-empty slot, at most to `until`, and redistributes the nodes of the
+  // slots that begin there.
   void step(uint64_t until) {
     const uint64_t first = next();
     if (first == 0 || first > until) {
@@ -109,11 +112,11 @@
     now_ = first;
     for (int level = kLevels - 1; level >= 0; --level) {
       if ((now_ & (span(level) - 1)) != 0) continue;  // no slot of this level begins here
-      List& slot = slots_[static_cast<size_t>(level)][(now_ >> (kBits * level)) & (kSlots - 1)];
-      List here;
-      here.swap(slot);
-      while (!here.empty()) {
-        TimingWheelNode& node = here.front();
+      List& slot = slots_[static_cast<size_t>(level)][(now_ >> (kBitsPerLevel * level)) & (kSlots - 1)];
+      List moved;
+      moved.swap(slot);
+      while (!moved.empty()) {
+        TimingWheelNode& node = moved.front();
         node.unlink();
         place(node);
       }
@@ -122,7 +125,8 @@
 
   uint64_t now_;
   std::array<std::array<List, kSlots>, kLevels> slots_;
-  mutable std::array<std::array<uint64_t, kSlots / 64>, kLevels> marks_{};  // slots that may hold something
+  mutable std::array<std::array<uint64_t, kSlots / 64>, kLevels>
+      occupied_{};  // one bit per slot that may hold nodes
   List due_;
 };
 
--- a/src/base/units.h
+++ b/src/base/units.h
@@ -1,8 +1,8 @@
-// The one unit that every package shares.
+// The unit of time shared by all packages.
 #pragma once
 
 namespace firvalve {
 
-using Ms = double;  // all times and all work: milliseconds with fractions
+using Ms = double;  // milliseconds with fractions, for all times and amounts of work
 
 }  // namespace firvalve
--- a/src/config/cluster_checks.cpp
+++ b/src/config/cluster_checks.cpp
@@ -1,3 +1,4 @@
+// Checks addresses, acceptors and leases of the cluster section.
 #include "config/cluster_checks.h"
 
 #include <fmt/format.h>
@@ -17,10 +18,10 @@
          std::stoi(std::string(text)) >= 1 && std::stoi(std::string(text)) <= 65535;
 }
 
-// Four numbers of 0 to 255 with dots between them.
+// Four numbers from 0 to 255 separated by dots.
 bool is_ipv4_address(std::string_view text) {
   int parts = 0;
-  int digits = 0;  // of the part that is read
+  int digits = 0;  // of the current part
   int value = 0;
   for (const char c : std::string(text) + ".") {
     if (c == '.') {
@@ -37,7 +38,8 @@
   return parts == 4;
 }
 
-// HOST:PORT with a number for the host: name look-ups are not available everywhere.
+// HOST:PORT with an IPv4 address as host. Host names are not allowed, as name lookups are not available
+// everywhere.
 bool is_address(std::string_view text) {
   const size_t colon = text.rfind(':');
   return colon != std::string_view::npos && is_ipv4_address(text.substr(0, colon)) &&
--- a/src/config/cluster_checks.h
+++ b/src/config/cluster_checks.h
@@ -1,11 +1,12 @@
-// What no field of the section `fleet` shows by itself: whether the section makes a working cluster.
+// Checks of the section `fleet` that involve more than one field, or the format of a value: whether the
+// section describes a working cluster.
 #pragma once
 
 #include "config/operator_config.h"
 
 namespace firvalve::config {
 
-// Adds a diagnostic for each thing that is wrong. A section that is switched off is not looked at.
+// Adds a diagnostic for each error. Does not check a section that is switched off.
 void check_cluster_section(ParsedConfig& config);
 
 }  // namespace firvalve::config
--- a/src/config/fields.cpp
+++ b/src/config/fields.cpp
@@ -1,3 +1,4 @@
+// The table of configuration fields, the lookup of fields by path, and their description.
 #include "config/fields.h"
 
 #include <fmt/format.h>
@@ -88,7 +89,8 @@
   };
 }
 
-// The Levenshtein distance: how many letters must change for one word to become the other.
+// The Levenshtein distance: the number of letters to insert, delete or replace to turn one word into the
+// other.
 size_t edit_distance(std::string_view one, std::string_view other) {
   std::vector<size_t> row(other.size() + 1);
   std::iota(row.begin(), row.end(), size_t{0});
@@ -131,14 +133,14 @@
 
 const Field* closest_field(std::string_view path) {
   const Field* closest = nullptr;
-  size_t least = SIZE_MAX;
+  size_t min_distance = SIZE_MAX;
   for (const Field& field : all_fields()) {
     const size_t distance = edit_distance(path, field.path);
-    if (distance >= least) continue;
+    if (distance >= min_distance) continue;
     closest = &field;
-    least = distance;
+    min_distance = distance;
   }
-  return least <= std::max<size_t>(3, path.size() / 3) ? closest : nullptr;
+  return min_distance <= std::max<size_t>(3, path.size() / 3) ? closest : nullptr;
 }
 
 std::string describe(const OperatorConfig& values) {
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -1,3 +1,4 @@
+// Parses and checks the operator's configuration file.
 #include "config/operator_config.h"
 
 #include <fmt/format.h>
@@ -22,9 +23,9 @@
   return "no such field";
 }
 
-// Handles the events of the JSON parser: stores the values of fields, and notes everything that is wrong. It
-// goes on after an error, so that one reading finds them all; its functions therefore always return true.
-// Knows the present line by the stream that the parser reads.
+// Handles the events of the JSON parser: stores the values of fields and collects diagnostics. It continues
+// after an error, so that one pass finds all errors; its functions therefore always return true. It derives
+// the current line from the position of the stream that the parser reads.
 class ConfigHandler : public rapidjson::BaseReaderHandler<rapidjson::UTF8<>, ConfigHandler> {
  public:
   ConfigHandler(std::string_view text, const rapidjson::MemoryStream& stream, ParsedConfig& config)
@@ -122,7 +123,7 @@
     return path;
   }
 
-  // The field that the present value is for. Null, with a diagnostic, if there is none.
+  // Returns the field that the current value is for. If there is none, adds a diagnostic and returns null.
   const Field* field_for_value() {
     if (object_depth_ == 0) {
       add(DiagnosticCode::kNotAnObject, "the file is not one object in braces");
@@ -138,7 +139,7 @@
     return field;
   }
 
-  // Where to store a value of this type; null if the field has another type.
+  // Returns the variable for a value of this type, or null if the field has another type.
   template <class T>
   T* target_of(const Field& field) {
     const FieldTarget target = field.target(config_.values);
@@ -172,7 +173,7 @@
     add(code, std::move(message));
     return true;
   }
-  // A list holds only strings. One diagnostic a list.
+  // A list may contain only strings. Adds at most one diagnostic per list.
   bool reject_list_entry() {
     if (list_ && !std::exchange(is_list_entry_rejected_, true))
       add(DiagnosticCode::kWrongType, "wants " + find_field(path())->expectation() + ", of strings");
@@ -186,10 +187,10 @@
   std::string_view text_;
   const rapidjson::MemoryStream& stream_;
   ParsedConfig& config_;
-  std::vector<std::string> keys_;  // of the objects around the present value
+  std::vector<std::string> keys_;  // of the objects that enclose the current value
   std::set<std::string> seen_;     // paths
   int object_depth_ = 0, list_depth_ = 0;
-  std::vector<std::string>* list_ = nullptr;  // that the strings of the present list are stored in
+  std::vector<std::string>* list_ = nullptr;  // stores the strings of the current list
   bool is_list_entry_rejected_ = false;
 };
 
@@ -215,7 +216,7 @@
 }
 
 ParsedConfig load_operator_config(const std::string& file) {
-  constexpr size_t kMaxFileBytes = size_t{16} * 1024 * 1024;  // larger than any file written by hand
+  constexpr size_t kMaxFileBytes = size_t{16} * 1024 * 1024;  // larger than any hand-written file
   const auto unusable = [](DiagnosticCode code, const char* message) {
     ParsedConfig config;
     config.diagnostics.push_back({code, std::nullopt, {}, message});
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -1,8 +1,8 @@
-// The operator's configuration file: JSON with comments and trailing commas. Every field is optional. Nothing
-// is used of a file in which anything is wrong.
+// The operator's configuration file: JSON with comments and trailing commas. Every field is optional. A file
+// with any error is rejected as a whole.
 //
-// The members of OperatorConfig have the names and units of the file's keys (`spool.memory_mb`), which are
-// the operators' and do not change; their ranges are in fields.cpp.
+// The members of OperatorConfig have the names and units of the file's keys (`spool.memory_mb`). These belong
+// to the operators and do not change. fields.cpp defines the allowed ranges.
 #pragma once
 
 #include <map>
@@ -15,41 +15,42 @@
 
 struct OperatorConfig {
   struct Clients {
-    bool marks = false;  // read retry markers, and answer a retry together with the command it retries
+    bool marks = false;  // read retry markers; a retry joins the command it retries
   } clients;
 
   // The result store: results of paged commands.
   struct Spool {
-    bool on = false;                // clients that ask for them get paged results
+    bool on = false;                // return paged results to clients that ask for them
     double memory_mb = 8;           // budget of pages in memory
-    std::string folder;             // of segment files; empty: pages are in memory only
-    double disk_mb = 256;           // budget of pages on disk, where there is a folder
-    double lease_s = 60;            // how long a result is kept since it was last read
+    std::string folder;             // for segment files; empty: pages are stored in memory only
+    double disk_mb = 256;           // budget of pages on disk, if `folder` is set
+    double lease_s = 60;            // how long a result is kept after its last read
     double result_mb = 64;          // limit of one result
-    double page_kb = 6;             // size of the pages that engines are asked for
-    double first_expected_kb = 64;  // expected size of a result, before any of its profile is known
-    double results = 10000;         // limit of results kept at once
+    double page_kb = 6;             // size of the pages requested from engines
+    double first_expected_kb = 64;  // expected size of a result while none of its profile is known
+    double results = 10000;         // limit of the number of stored results
   } spool;
 
-  // The cluster of gateways: replicated registers and the leases kept in them.
+  // The cluster of gateways: replicated registers and the leases stored in them.
   struct Fleet {
     bool on = false;         // take part in the cluster
-    std::string site;        // where this gateway stands: a lodge, an office
+    std::string site;        // name of the site this gateway runs at
     std::string listen;      // HOST:PORT for connections from peers
     std::string reached_at;  // the address that peers connect to; empty: the same as `listen`
     std::vector<std::string>
         keepers;             // addresses of the acceptors: three, five or seven, the same in every file
-    std::string folder;      // of an acceptor's durable state; empty: it is in memory only
+    std::string folder;      // for an acceptor's durable state; empty: memory only
     double lease_ms = 3000;  // how long a lease lasts without renewal
     std::vector<std::string> duties;  // the leases this gateway may hold: KIND:NAME, or KIND:* for any name
-    bool trusted_network = false;  // peers may have addresses off the loopback: connections are not encrypted
+    bool trusted_network =
+        false;  // allow peer addresses off the loopback, although connections are not encrypted
 
-    // The address that names this gateway among its peers.
+    // The address by which peers identify this gateway.
     const std::string& advertised_address() const { return reached_at.empty() ? listen : reached_at; }
   } fleet;
 
   struct Log {
-    std::string level = "info";   // debug, info, warning or error: the least that is written
+    std::string level = "info";   // lowest level written: debug, info, warning or error
     std::string form = "logfmt";  // logfmt or json
   } log;
 };
@@ -62,35 +63,35 @@
   kUnknownField,
   kDuplicateField,
   kWrongType,
-  kOutOfRange,    // a number; also one with a fraction where none is allowed
-  kNotAllowed,    // a string or list entry that is none of those allowed, or not of the form that is wanted
-  kMissingField,  // that another field makes necessary
-  kInconsistent,  // with another field
+  kOutOfRange,    // a number out of range, or a fraction where an integer is required
+  kNotAllowed,    // a string or list entry that is not an allowed value or not in the expected form
+  kMissingField,  // a field that another field requires
+  kInconsistent,  // the value contradicts another field
 };
 
-// One thing that is wrong with a configuration file.
+// One error in a configuration file.
 struct Diagnostic {
   DiagnosticCode code = DiagnosticCode::kSyntaxError;
-  std::optional<int> line;  // from 1; nothing: it concerns the whole file
-  std::string path;         // of the field, as in "spool.memory_mb"; empty: it concerns no field
-  std::string message;      // what is wrong, and what would be right
+  std::optional<int> line;  // from 1; nothing: the whole file
+  std::string path;         // of the field, such as "spool.memory_mb"; empty: no field
+  std::string message;      // the error, and what was expected
 };
 
-// A file as it was read. `values` may be used only if is_valid().
+// The result of parsing a file. `values` may be used only if is_valid().
 struct ParsedConfig {
   OperatorConfig values;
-  std::vector<Diagnostic> diagnostics;  // everything that is wrong, in the order of the file
-  std::map<std::string, int> lines;     // where each field that is in the file stands
+  std::vector<Diagnostic> diagnostics;  // all errors, in file order
+  std::map<std::string, int> lines;     // line of each field in the file
   bool is_valid() const { return diagnostics.empty(); }
 };
 
 ParsedConfig parse_operator_config(std::string_view text);
-// A file that cannot be read gives a diagnostic, too.
+// An unreadable file gives a diagnostic, too.
 ParsedConfig load_operator_config(const std::string& file);
 
 // "FILE:LINE: FIELD: MESSAGE".
 std::string format_diagnostic(const std::string& file, const Diagnostic& diagnostic);
-// All fields with their values, and what each may be, one a line.
+// All fields with their values and allowed values, one per line.
 std::string describe(const OperatorConfig& values);
 
 }  // namespace firvalve::config
--- a/src/core/admission_limits.cpp
+++ b/src/core/admission_limits.cpp
@@ -1,3 +1,4 @@
+// Derives the admission limits from the settings and checks requests against them.
 #include "core/admission_limits.h"
 
 #include <fmt/format.h>
--- a/src/core/admission_limits.h
+++ b/src/core/admission_limits.h
@@ -1,5 +1,6 @@
-// What a client's figures may be. Guards the policy's running means against figures that no client of this
-// deployment can have; a client may be rejected whose settings are long out of date.
+// Plausibility limits for the timeout and the estimates in a client's request. They protect the policy's
+// running means from values that no client of this deployment can send. A client whose settings are long out
+// of date may be rejected.
 #pragma once
 
 #include <optional>
@@ -12,14 +13,14 @@
 
 class AdmissionLimits {
  public:
-  // From the client timeouts and the machines of the settings. Where they do not say what there is, any
-  // figure may be a client's.
+  // Derives the limits from the client timeouts and machine types in the settings. A value that the settings
+  // do not bound is unlimited.
   explicit AdmissionLimits(const Settings& settings);
   bool allow(const CommandRequest& request) const;
 
  private:
-  // Estimates are rough. One above this many times what the largest engine can do within the longest client
-  // timeout is out of range.
+  // Estimates are rough, so a limit is this many times what the largest engine can do within the longest
+  // client timeout.
   static constexpr double kEstimateTolerance = 10;
   static constexpr Duration kUnboundedTime{1e12};
   static constexpr double kUnboundedMemoryMb = 1e12;
@@ -28,7 +29,7 @@
   double max_memory_mb_ = kUnboundedMemoryMb;
 };
 
-// The longest client timeout of any profile. Nothing: the settings name none.
+// The longest client timeout of any profile; nothing if the settings define none.
 std::optional<Duration> longest_client_timeout(const Settings& settings);
 
 }  // namespace firvalve
--- a/src/core/command_event.cpp
+++ b/src/core/command_event.cpp
@@ -1,3 +1,4 @@
+// Names of command events and attempt outcomes, as the log and the metrics write them.
 #include "core/command_event.h"
 
 namespace firvalve {
--- a/src/core/command_event.h
+++ b/src/core/command_event.h
@@ -1,5 +1,5 @@
-// What happens to commands and their attempts, in the order in which it happens: for the log of single
-// commands. No decision depends on it.
+// Lifecycle events of commands and attempts, in order of occurrence, for the per-command log. No decision
+// depends on them.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 
 namespace firvalve {
 
-// The views are good for the call alone.
+// The views are valid only during the observer call.
 struct CommandEvent {
   enum class Kind {
     kAdmitted,
@@ -25,11 +25,11 @@
   };
   Kind kind = Kind::kAdmitted;
   std::string_view command = {}, profile = {};
-  std::string_view engine = {};           // of an attempt, by its listed name
-  int attempts = 0;                       // started so far; the last of them is the one meant
-  Reason reason = Reason::kNone;          // of kAttemptCancelled, kShed, kFailed
-  Outcome outcome = Outcome::kOk;         // of kAttemptFinished
-  std::optional<Duration> duration = {};  // of kAttemptFinished: since its start
+  std::string_view engine = {};           // listed name of the attempt's engine
+  int attempts = 0;                       // started so far; the event refers to the last one
+  Reason reason = Reason::kNone;          // for kAttemptCancelled, kShed, kFailed
+  Outcome outcome = Outcome::kOk;         // for kAttemptFinished
+  std::optional<Duration> duration = {};  // for kAttemptFinished: time since its start
 };
 using CommandObserver = std::function<void(TimePoint now, const CommandEvent& event)>;
 
--- a/src/core/command_id.h
+++ b/src/core/command_id.h
@@ -1,4 +1,4 @@
-// Ids of commands, as texts and as the policy's type.
+// Conversion between a command id as text and CommandId, the policy's fixed-size type.
 #pragma once
 
 #include <algorithm>
@@ -8,14 +8,14 @@
 
 namespace firvalve {
 
-// Texts longer than an id are cut, shorter ones filled up with zero bytes.
+// Truncates a longer text and pads a shorter one with zero bytes.
 inline CommandId command_id_of(std::string_view text) {
   CommandId id;
   std::copy_n(text.begin(), std::min(text.size(), id.text.size()), id.text.begin());
   return id;
 }
 
-// Good for as long as the id lives.
+// The view is valid for the lifetime of `id`.
 inline std::string_view view_of(const CommandId& id) { return {id.text.data(), id.text.size()}; }
 
 struct CommandIdLess {
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -1,3 +1,4 @@
+// Implements the core: admission, engine events, the end of commands, and the execution of decisions.
 #include "core/core.h"
 
 #include <algorithm>
@@ -63,13 +64,14 @@
   if (shutdown_ends_at_) command->deadline = std::min(command->deadline, *shutdown_ends_at_);
   metrics_.add("commands admitted", *profile);
   notify_observer(now, *command, {.kind = CommandEvent::Kind::kAdmitted});
-  tell_policy_admitted(now, *command, request);
+  notify_policy_admitted(now, *command, request);
   if (paged && !results_.reserve(now, *command, *profile, request))
     handle_event(now, ResultReservation{id, false});
   return AdmissionResult::kAdmitted;
 }
 
-void Core::tell_policy_admitted(TimePoint now, const PendingCommand& command, const CommandRequest& request) {
+void Core::notify_policy_admitted(TimePoint now, const PendingCommand& command,
+                                  const CommandRequest& request) {
   Admitted admitted;
   admitted.id = command.id;
   admitted.profile = command.profile;
@@ -80,9 +82,10 @@
   handle_event(now, admitted);
 }
 
-// Guards against a second run of what is still in hand, when a client lost sight of it and sends it again: it
-// runs once and each call gets the answer. Only the same statement of the same profile is the same command;
-// whoever can name both and the id could have read the answer anyway.
+// Joins a retry to its command if that is still pending, as when a client lost track of it and sends it
+// again. The command then runs once, and each call gets the answer. A retry matches only with the same
+// statement and profile. This discloses nothing: a client that knows both and the id could have requested the
+// answer itself.
 bool Core::join_pending(TimePoint now, CallId call, const CommandRequest& request, int profile) {
   PendingCommand* const command = commands_.find_in_chain(command_id_of(request.retry_of));
   if (!command) return false;
@@ -104,7 +107,7 @@
   PendingCommand* const command = commands_.find_by_call(call);
   if (!command) return;
   metrics_.add("given up by client", profile_name(*command));
-  if (!command->joined_retries.empty()) {  // the others still wait for it
+  if (!command->joined_retries.empty()) {  // other calls still wait for it
     commands_.remove_call(*command, call);
     return update_half_closed(now, *command);
   }
@@ -120,7 +123,8 @@
   update_half_closed(now, *command);
 }
 
-// The policy learns whether any client is sure to be there still.
+// Notifies the policy when the command's clients become all half-closed, or no longer are. A half-closed
+// client may have disconnected.
 void Core::update_half_closed(TimePoint now, PendingCommand& command) {
   bool all_half_closed = true;
   command.for_each_call([&](CallId call) { all_half_closed &= commands_.is_half_closed(call); });
@@ -195,19 +199,19 @@
     event.is_command_finished = true;
     answer(now, *command, rows);
   } else {
-    results_.clear_pages(now, *command);  // no page has been given out: another attempt may start over
+    results_.clear_pages(now, *command);  // no client has read a page yet, so another attempt can start over
   }
   handle_event(now, event);
 }
 
-// ---- The end of a command -------------------------------------------------------------------------
+// ---- End of a command -----------------------------------------------------------------------------
 
 void Core::answer(TimePoint now, PendingCommand& command, std::string_view rows) {
   metrics_.add("answered", profile_name(command));
   if (command.paged) {
     const ResultHandle result = results_.complete(now, command);
     command.for_each_call([&](CallId call) { responses_.answer_paged(call, result); });
-    command.result.reset();  // the store's own from here on
+    command.result.reset();  // the store owns it from here on
   } else {
     command.for_each_call([&](CallId call) { responses_.answer(call, rows); });
   }
@@ -215,8 +219,8 @@
   finish(command);
 }
 
-// As the policy has decided, so it gets no event of it.
-void Core::end_unserved(TimePoint now, PendingCommand& command, const Action& action) {
+// The policy itself decided this, so it gets no event.
+void Core::shed_or_fail(TimePoint now, PendingCommand& command, const Action& action) {
   const bool is_shed = action.kind == Action::Kind::kShedCommand;
   metrics_.add(is_shed ? "shed" : "failed", profile_name(command));
   metrics_.add("commands ended unserved:", name_of(action.reason));
@@ -229,7 +233,8 @@
   if (!command.is_finished()) finish(command);
 }
 
-// The policy learns that no client waits any more, and cancels the attempt that is out.
+// Fails the command and notifies the policy that no client waits any more, so that it cancels the attempt in
+// flight.
 void Core::fail_out_of_space(TimePoint now, PendingCommand& command) {
   metrics_.add("failed", profile_name(command));
   command.for_each_call([&](CallId call) { responses_.fail(call, "the result has outgrown the spool"); });
@@ -239,11 +244,11 @@
 }
 
 void Core::finish(PendingCommand& command) {
-  results_.forget(last_event_at_, command);
+  results_.discard(last_event_at_, command);
   commands_.finish(command);
 }
 
-// ---- The result store and the process -------------------------------------------------------------
+// ---- Result store and process ---------------------------------------------------------------------
 
 void Core::result_space_available(TimePoint now) {
   results_.retry_waiting(
@@ -282,7 +287,7 @@
   return due;
 }
 
-// An attempt ends at its client's deadline at the latest, whatever its engine says.
+// Ends each attempt at its client's deadline at the latest, independent of its engine.
 void Core::cancel_past_deadline(TimePoint now) {
   if (!deadline_check_at_ || now < *deadline_check_at_) return;
   deadline_check_at_.reset();
@@ -323,10 +328,10 @@
       return set_priority(now, *command, action.priority);
     case Kind::kShedCommand:
     case Kind::kFailCommand:
-      return end_unserved(now, *command, action);
+      return shed_or_fail(now, *command, action);
     case Kind::kSetTimer:
     case Kind::kLogEngineHealth:
-      return;  // of no command
+      return;  // handled above
   }
 }
 
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,6 +1,7 @@
-// The core: owns the policy's state, ties commands to clients' calls and attempts to engines. It does no I/O
-// and reads no clock: clients stand behind ResponseSink, engines behind EngineTransport, and the time comes
-// in with every call. One thread: the reactor's.
+// The core connects clients' calls, the admission policy, and attempts on engines. It owns the policy's state
+// and executes the policy's decisions. It does no I/O and reads no clock: it reaches clients through
+// ResponseSink and engines through EngineTransport, and the caller passes in the time. Not thread-safe: used
+// only on the reactor's thread.
 #pragma once
 
 #include <cstdint>
@@ -29,17 +30,17 @@
 
 namespace firvalve {
 
-// What became of a request. Only after kAdmitted does the call get a response through the ResponseSink.
+// The result of an admission request. Only after kAdmitted does the ResponseSink get a response to the call.
 enum class AdmissionResult {
   kAdmitted,
   kUnknownProfile,
-  kDuplicateId,  // a command with this id is in hand
-  kOutOfRange,   // a timeout or an estimate that no client of this deployment can have
-  kNoCapacity,   // the statements in hand have reached their bytes
-  kResultFound,  // a retry whose result is stored: Core::found_result(), nothing runs
+  kDuplicateId,  // a command with this id is pending
+  kOutOfRange,   // the timeout or an estimate exceeds the admission limits
+  kNoCapacity,   // the statements of pending commands would exceed their byte limit
+  kResultFound,  // a retry whose result is stored: see Core::found_result(); nothing runs
 };
 
-// An engine of the endpoint list. The core fills in its number.
+// An engine of the endpoint list. The core sets `info.engine`, its number.
 struct NamedEngineInfo {
   std::string name, address;  // as listed; address: host:port
   EngineInfo info;
@@ -47,64 +48,66 @@
 
 class Core {
  public:
-  // All references must outlive the core. `seed`: of the policy's random draws. `on_engine_health` must be
-  // callable.
+  // All references must outlive the core. `seed` initialises the policy's random numbers. `on_engine_health`
+  // must not be empty.
   Core(const Settings& settings, uint64_t seed, ResponseSink& responses, EngineTransport& engines,
        Metrics& metrics, EngineHealthObserver on_engine_health);
 
-  // Bytes of the statements of all commands in hand; commands beyond them are not admitted.
+  // Limits the total size of the statements of pending commands; a command that would exceed it is rejected.
   void set_max_statement_bytes(size_t bytes) { commands_.set_max_statement_bytes(bytes); }
-  // Gets each event of each command and attempt; without one nobody does.
+  // Optional. The observer receives each event of each command and attempt.
   void set_observer(CommandObserver observer) { observer_ = std::move(observer); }
-  // Without a store no result is paged. It must outlive the core.
+  // Without a store no result is paged. The store must outlive the core.
   void set_result_store(ResultStore& store) { results_.set_store(store); }
 
   // ---- Clients
-  // `call` is new with each request.
+  // `call` must differ for each request.
   AdmissionResult admit(TimePoint now, CallId call, CommandRequest&& request);
-  // After kResultFound: the result to answer with.
+  // The result to answer with after kResultFound.
   std::optional<ResultHandle> found_result() const { return found_result_; }
-  // Revoked, or its connection has ended: the call gets no response. Unknown calls are ignored.
+  // The client has revoked the call or disconnected, so the call gets no response. Ignores unknown calls.
   void client_gone(TimePoint now, CallId call);
-  // The client has ended its stream: it may still read. Unknown calls are ignored.
+  // The client has closed its sending side but may still read. Ignores unknown calls.
   void client_half_closed(TimePoint now, CallId call);
-  // The call that waits for this command.
+  // The first call that waits for this command, if any.
   std::optional<CallId> find_call(std::string_view command) const;
 
   // ---- Engines
-  // `current_at`: when the list was last known to be current, before this change. Nothing: it never was.
+  // `full`: `engines` is the complete list, not a change. `current_at`: when the list before this update was
+  // last known to be current; nothing if it never was.
   void update_engine_list(TimePoint now, bool full, std::vector<NamedEngineInfo> engines,
                           std::optional<TimePoint> current_at = std::nullopt);
-  // Asked right before the start of an attempt is written to its engine.
+  // Checked again right before the transport writes the start of an attempt to the engine.
   bool may_start_attempt(TimePoint now, AttemptId attempt) const;
-  // What an engine reports of an attempt that is out. Unknown attempts are ignored.
+  // An engine has reported the status of an attempt in flight. Ignores unknown attempts.
   void attempt_status_received(TimePoint now, AttemptId attempt, AttemptStatusKind kind, double value);
-  // One more page of a paged attempt's rows. kOutOfSpace also for an attempt that has finished.
+  // Stores the next page of a paged attempt. Returns kOutOfSpace also if the attempt has finished.
   ResultStore::AppendResult append_page(TimePoint now, AttemptId attempt, std::string_view rows);
-  // Unknown attempts are ignored. `rows`: of an attempt that is not paged.
+  // Ignores unknown attempts. `rows` is the result of an attempt that is not paged.
   void attempt_finished(TimePoint now, AttemptId attempt, Outcome outcome, std::string_view rows = {});
 
   // ---- The result store
-  void result_space_available(TimePoint now);  // a reservation may succeed again
+  void result_space_available(TimePoint now);  // retries the reservations of waiting commands
 
   // ---- The process
-  // The gateway ends at that time: every call admitted gets its response before.
+  // The gateway shuts down at `ends_at`: every admitted call gets its response before then.
   void begin_shutdown(TimePoint now, TimePoint ends_at);
-  // Once after the events of one iteration of the reactor: decides what they call for and carries it out.
-  // Iterations that follow within a tick of the settings are decided together at its end.
+  // To be called once after the events of each reactor iteration. Asks the policy for decisions and executes
+  // them, at most once per tick (a setting): the events of a tick are decided together at its end. Attempts
+  // past their deadline are cancelled and timers fire without waiting for the tick.
   void decide(TimePoint now);
-  std::optional<TimePoint> next_due() const;  // decide() must be called then at the latest
-  // Commands in hand, with those answered that still have an attempt out.
+  std::optional<TimePoint> next_due() const;  // when decide() must be called at the latest
+  // Pending commands, including answered ones that still have an attempt in flight.
   size_t active_command_count() const { return commands_.command_count(); }
   size_t unanswered_call_count() const { return commands_.call_count(); }
 
  private:
   // ---- Admission
   bool join_pending(TimePoint now, CallId call, const CommandRequest& request, int profile);
-  void tell_policy_admitted(TimePoint now, const PendingCommand& command, const CommandRequest& request);
-  // ---- The end of a command
+  void notify_policy_admitted(TimePoint now, const PendingCommand& command, const CommandRequest& request);
+  // ---- End of a command
   void answer(TimePoint now, PendingCommand& command, std::string_view rows);
-  void end_unserved(TimePoint now, PendingCommand& command, const Action& action);
+  void shed_or_fail(TimePoint now, PendingCommand& command, const Action& action);
   void fail_out_of_space(TimePoint now, PendingCommand& command);
   void finish(PendingCommand& command);
   void update_half_closed(TimePoint now, PendingCommand& command);
@@ -118,29 +121,31 @@
   void set_priority(TimePoint now, PendingCommand& command, int priority);
 
   const std::string& profile_name(const PendingCommand& command) const;
-  // What happened to a command. The other fields of the event are the command's.
+  // Passes an event to the observer, after filling in the fields that describe the command.
   void notify_observer(TimePoint now, const PendingCommand& command, CommandEvent event) const;
 
-  // The policy.
+  // Policy.
   State state_;
   Actions actions_;
-  std::set<TimePoint> timers_;  // that the policy has set
-  bool has_new_events_ = true;  // since the last decisions; the policy is asked once at start
-  TimePoint decided_at_{};      // the last decisions; the clock's start: there were none yet
+  std::set<TimePoint> timers_;  // set by the policy
+  bool has_new_events_ =
+      true;  // since the last decision; true at first, so that the policy decides once at start
+  TimePoint decided_at_{};  // the last decision; the clock's epoch before the first one
   TimePoint last_event_at_{};
   const Duration tick_;
-  // What the settings say.
+  // Settings.
   const std::vector<std::string> profiles_;
   const AdmissionLimits limits_;
   const bool may_cancel_;
-  // What is in hand.
+  // Commands, results and engines.
   PendingCommands commands_;
   PagedResults results_;
   EngineDirectory directory_;
   std::optional<ResultHandle> found_result_;
   std::optional<TimePoint> shutdown_ends_at_;
-  std::optional<TimePoint> deadline_check_at_;  // no attempt out reaches its deadline before; none is out
-  // What surrounds it.
+  std::optional<TimePoint>
+      deadline_check_at_;  // no attempt in flight has an earlier deadline; nothing: none is in flight
+  // Dependencies.
   ResponseSink& responses_;
   EngineTransport& engines_;
   Metrics& metrics_;
--- a/src/core/engine_directory.cpp
+++ b/src/core/engine_directory.cpp
@@ -3,15 +3,15 @@
 namespace firvalve {
 namespace {
 
-// FNV-1a, 32 bits.
-constexpr uint32_t kHashStart = 2166136261u, kHashFactor = 16777619u;
+// Parameters of the 32-bit FNV-1a hash.
+constexpr uint32_t kFnvOffsetBasis = 2166136261u, kFnvPrime = 16777619u;
 
 uint32_t preferred_number(const std::string& name) {
   const std::string digits = name.substr(name.rfind('-') + 1);
   if (digits.size() == 8 && digits.find_first_not_of("0123456789abcdef") == std::string::npos)
     return static_cast<uint32_t>(std::stoul(digits, nullptr, 16));
-  uint32_t hash = kHashStart;
-  for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * kHashFactor;
+  uint32_t hash = kFnvOffsetBasis;
+  for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * kFnvPrime;
   return hash;
 }
 
@@ -27,10 +27,10 @@
 
 void EngineDirectory::remove(EngineId engine, const std::string& name) {
   names_.erase(engine);
-  forget_number(name);
+  release_number(name);
 }
 
-void EngineDirectory::forget_number(const std::string& name) {
+void EngineDirectory::release_number(const std::string& name) {
   const auto known = numbers_.find(name);
   if (known == numbers_.end()) return;
   numbers_in_use_.erase(known->second);
--- a/src/core/engine_directory.h
+++ b/src/core/engine_directory.h
@@ -1,4 +1,4 @@
-// The numbers that engines have in the policy and on the way to their connections, by their listed names.
+// Maps the listed names of engines to the numbers by which the policy and the transport identify them.
 #pragma once
 
 #include <map>
@@ -12,30 +12,32 @@
 
 class EngineDirectory {
  public:
-  // The number of the engine of that name; a new name gets one. Gateways must agree on the order of engines,
-  // so it comes from the name alone: its last eight hex digits, or else a hash of it.
+  // Returns the engine's number, assigning one to a new name. Gateways must agree on the order of engines, so
+  // the number is derived from the name alone: its last eight hex digits, or else a hash of the name. If
+  // another engine has that number, the next free one is used.
   EngineId number_of(const std::string& name);
   void add(const std::map<EngineId, std::string>& engines) { names_.insert(engines.begin(), engines.end()); }
-  // The engine has gone: its name may come again with another number.
+  // Removes the engine and frees its number. The name may later get another number.
   void remove(EngineId engine, const std::string& name);
-  // All engines listed are forgotten but those of `present`. Each forgotten one is passed to `on_gone`.
-  template <class OnGone>
-  void replace_all(std::map<EngineId, std::string> present, OnGone&& on_gone) {
+  // Replaces all listed engines by `present`. Calls on_removed(engine) for each listed engine that `present`
+  // does not contain.
+  template <class OnRemoved>
+  void replace_all(std::map<EngineId, std::string> present, OnRemoved&& on_removed) {
     for (const auto& [engine, name] : names_) {
       if (present.count(engine)) continue;
-      on_gone(engine);
-      forget_number(name);
+      on_removed(engine);
+      release_number(name);
     }
     names_ = std::move(present);
   }
-  std::string_view name_of(EngineId engine) const;  // empty: it is not listed
+  std::string_view name_of(EngineId engine) const;  // empty: not listed
 
  private:
-  void forget_number(const std::string& name);
+  void release_number(const std::string& name);
 
   std::map<std::string, EngineId> numbers_;
-  std::set<EngineId> numbers_in_use_;      // of numbers_
-  std::map<EngineId, std::string> names_;  // of engines listed
+  std::set<EngineId> numbers_in_use_;      // the values of numbers_
+  std::map<EngineId, std::string> names_;  // of the listed engines
 };
 
 }  // namespace firvalve
--- a/src/core/engine_health.cpp
+++ b/src/core/engine_health.cpp
@@ -1,3 +1,4 @@
+// Texts of health changes, as the log writes them.
 #include "core/engine_health.h"
 
 namespace firvalve {
--- a/src/core/engine_health.h
+++ b/src/core/engine_health.h
@@ -1,5 +1,5 @@
-// Changes of engines' health, as the policy's outlier detection sees it: for the log. No decision depends on
-// it.
+// Health changes of engines as reported by the policy's outlier detection, for the log. No decision depends
+// on them.
 #pragma once
 
 #include <functional>
@@ -9,9 +9,9 @@
 
 namespace firvalve {
 
-// The policy has ejected an engine, or reinstated it. The views are good for the call alone.
+// The policy has ejected or reinstated an engine. The view is valid only during the observer call.
 struct EngineHealthChange {
-  std::string_view engine;  // its listed name; empty: it is no longer listed
+  std::string_view engine;  // listed name; empty: no longer listed
   EngineHealth health = EngineHealth::kReinstated;
 };
 using EngineHealthObserver = std::function<void(const EngineHealthChange& change)>;
--- a/src/core/metrics.h
+++ b/src/core/metrics.h
@@ -1,4 +1,4 @@
-// Named counters of a gateway.
+// Named event counters of a gateway.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,12 @@
 
 namespace firvalve {
 
-// One thread: the reactor's.
+// Not thread-safe: used only on the reactor's thread.
 struct Metrics {
   std::map<std::string, uint64_t, std::less<>> counts;
-  // Adds one to the counter `name`, or `name` and `kind` with a space between them.
+  // Increments the counter `name`, or "`name` `kind`" if a kind is given.
   void add(std::string_view name, std::string_view kind = {});
-  std::string text() const;  // all counters, in the order of their names
+  std::string text() const;  // all counters, sorted by name
 };
 
 }  // namespace firvalve
--- a/src/core/paged_results.cpp
+++ b/src/core/paged_results.cpp
@@ -44,7 +44,7 @@
   return result;
 }
 
-void PagedResults::forget(TimePoint now, PendingCommand& command) {
+void PagedResults::discard(TimePoint now, PendingCommand& command) {
   if (command.result)
     store_->discard(now, *std::exchange(command.result, std::nullopt));
   else if (command.paged)
--- a/src/core/paged_results.h
+++ b/src/core/paged_results.h
@@ -1,5 +1,5 @@
-// Results of paged commands: their space in the result store, from the reservation to the complete result.
-// A paged command without a reservation waits for one and is not sent to an engine.
+// Manages the result store space of paged commands, from the reservation to the complete result. A paged
+// command without a reservation waits for one and is not sent to an engine.
 #pragma once
 
 #include <optional>
@@ -16,17 +16,19 @@
  public:
   void set_store(ResultStore& store) { store_ = &store; }
   bool has_store() const { return store_ != nullptr; }
-  // Whether a request's result will be paged: it was asked for so, and there is a store.
+  // Whether a request's result will be paged: the client requested it, and there is a store.
   bool applies_to(const CommandRequest& request) const { return request.paged && store_; }
 
-  // The complete result that a retry asks for again.
+  // Returns the stored, complete result that a retry requests again.
   std::optional<ResultHandle> find(TimePoint now, const CommandRequest& request) const;
 
-  // Takes over what the reservation is made with, and tries to make it. False: the command waits for it.
+  // Copies the reservation's parameters into the command and tries to reserve space. If that fails, queues
+  // the command for retry_waiting() and returns false.
   bool reserve(TimePoint now, PendingCommand& command, std::string_view profile,
                const CommandRequest& request);
-  // Tries again for those that wait, in the order admitted. One whose owner has no space does not block those
-  // behind it. Calls profile_of(command) for each, and on_reserved(command) for each that succeeds.
+  // Retries the reservations of waiting commands in order of admission. A command whose owner has no space
+  // left does not block the commands behind it. Calls profile_of(command) for each command, and
+  // on_reserved(command) for each reservation that succeeds.
   template <class ProfileOf, class OnReserved>
   void retry_waiting(TimePoint now, ProfileOf&& profile_of, OnReserved&& on_reserved) {
     std::erase_if(waiting_, [&](PendingCommand* command) {
@@ -35,18 +37,19 @@
       return true;
     });
   }
-  // kOutOfSpace: the result is gone, the command has none any more.
+  // kOutOfSpace: the store has discarded the result, and the command has lost its reservation.
   ResultStore::AppendResult append_page(TimePoint now, PendingCommand& command, std::string_view rows);
-  void clear_pages(TimePoint now, const PendingCommand& command);  // for another attempt to start over
+  void clear_pages(TimePoint now, const PendingCommand& command);  // so that another attempt can start over
   ResultHandle complete(TimePoint now, const PendingCommand& command);
-  // Nobody wants its result, or the result belongs to the store alone (then `command.result` is empty).
-  void forget(TimePoint now, PendingCommand& command);
+  // Discards the command's result, or removes the command from the waiting ones. A completed result was
+  // handed over to the store (then `command.result` is empty) and stays.
+  void discard(TimePoint now, PendingCommand& command);
 
  private:
   bool try_reserve(TimePoint now, PendingCommand& command, std::string_view profile);
 
   ResultStore* store_ = nullptr;
-  std::vector<PendingCommand*> waiting_;  // not finished, in the order admitted
+  std::vector<PendingCommand*> waiting_;  // for a reservation; unfinished commands in order of admission
 };
 
 }  // namespace firvalve
--- a/src/core/pending_commands.h
+++ b/src/core/pending_commands.h
@@ -1,10 +1,11 @@
-// The commands in hand, with the calls that wait for them and the attempts that are out: bookkeeping alone,
-// no decision and no I/O.
+// Bookkeeping of the pending commands, the calls that wait for them, and the attempts in flight. Makes no
+// decisions and does no I/O.
 //
-// A command's life: add() -> any number of attempts, one at a time -> finish() once its clients have their
-// response or have gone -> released when no attempt of it is out -> erased by erase_released(), after the
-// policy has decided again. Until then its id counts as a duplicate: a client that sends the same id again at
-// once would make the policy take the one command for the other and count an attempt as out for good.
+// Lifecycle of a command: add() -> any number of attempts, one at a time -> finish() once its clients have
+// their response or have disconnected -> released when it has no attempt in flight -> erased by
+// erase_released() after the policy's next decision. Until it is erased, its id counts as a duplicate. If the
+// id were free earlier, a client that reuses it at once would make the policy confuse the two commands and
+// count an attempt as in flight forever.
 #pragma once
 
 #include <array>
@@ -24,21 +25,22 @@
 
 struct PendingCommand {
   CommandId id;
-  std::optional<CallId> call;          // none: it is finished, no client waits for it any more
-  std::vector<CallId> joined_retries;  // further calls that wait for it: retries of the same command
-  CommandId retry_chain;  // the id of the first command of its retry chain; its own if it is that
+  std::optional<CallId> call;          // none: finished, no client waits any more
+  std::vector<CallId> joined_retries;  // further calls that wait: retries of the same command
+  CommandId retry_chain;  // id of the first command of its retry chain; its own id if it is the first
   std::string statement;
-  int profile = 0;              // its place in the settings
-  TimePoint deadline{};         // its client's, or this gateway's own end if that is sooner
-  std::optional<int> priority;  // as the policy last set it
-  bool half_closed = false;     // all clients that wait for it are
-  // Attempts: one at a time.
+  int profile = 0;              // index in the settings
+  TimePoint deadline{};         // its client's deadline, or the gateway's shutdown if that is sooner
+  std::optional<int> priority;  // last set by the policy
+  bool half_closed = false;     // all waiting clients are half-closed
+  // Attempts, one at a time.
   int attempt_count = 0;
-  std::optional<AttemptId> attempt;  // the one that is out
-  EngineId engine{};                 // of the last attempt
-  TimePoint attempt_started_at{};    // the last one
-  bool past_deadline = false;        // the attempt that is out was cancelled for its deadline
-  // Of a paged command: its reserved result (none: it waits for a reservation), and what to reserve it with.
+  std::optional<AttemptId> attempt;  // the attempt in flight
+  EngineId engine{};                 // the last attempt's
+  TimePoint attempt_started_at{};    // the last attempt's
+  bool past_deadline = false;        // the attempt in flight was cancelled at the deadline
+  // Paged commands only: the reserved result (none: waiting for a reservation) and the reservation's
+  // parameters.
   bool paged = false;
   std::optional<ResultHandle> result;
   std::string result_owner, result_key;
@@ -52,7 +54,7 @@
   }
 };
 
-// References to commands stay good until erase_released().
+// References to commands stay valid until erase_released().
 class PendingCommands {
  public:
   void set_max_statement_bytes(size_t bytes) { max_statement_bytes_ = bytes; }
@@ -60,17 +62,17 @@
     return statement_bytes_ + statement.size() <= max_statement_bytes_;
   }
 
-  // Null: a command with that id is in hand.
+  // Returns null if a command with that id is pending.
   PendingCommand* add(const CommandId& id, CallId call, const CommandId& retry_chain, std::string statement);
   PendingCommand* find(const CommandId& id);
   const PendingCommand* find(const CommandId& id) const;
-  // The command in hand of a retry chain that clients wait for. Null: there is none.
+  // Returns the unfinished command of the retry chain that starts with `first`, or null.
   PendingCommand* find_in_chain(const CommandId& first);
 
   // ---- Calls
   void add_call(PendingCommand& command, CallId call);
   PendingCommand* find_by_call(CallId call);
-  // One of several calls waits no longer.
+  // Removes one of several calls that wait for the command.
   void remove_call(PendingCommand& command, CallId call);
   void half_close(CallId call) { calls_.at(call).half_closed = true; }
   bool is_half_closed(CallId call) const { return calls_.at(call).half_closed; }
@@ -79,13 +81,15 @@
   AttemptId start_attempt(TimePoint now, PendingCommand& command, EngineId engine);
   PendingCommand* find_by_attempt(AttemptId attempt);
   const PendingCommand* find_by_attempt(AttemptId attempt) const;
-  // The attempt is over. Gives its command; null: there is no such attempt.
+  // Ends the attempt and returns its command, or null if there is no such attempt.
   PendingCommand* end_attempt(AttemptId attempt);
 
-  // ---- The end
-  // No call waits for it any more. It is released at once, or with the attempt that is out.
+  // ---- End of a command
+  // Removes all calls of the command. Releases it at once if it has no attempt in flight; otherwise the
+  // caller does once the attempt has ended.
   void finish(PendingCommand& command);
-  void release(PendingCommand& command);  // its memory is freed at once
+  // Frees the statement and marks the command for erase_released().
+  void release(PendingCommand& command);
   void erase_released();
 
   template <class Visit>
@@ -102,7 +106,7 @@
   };
   std::map<CommandId, PendingCommand, CommandIdLess> commands_;
   std::map<CallId, Call> calls_;
-  // Of retries that are not finished: the latest by the id of its chain's first command.
+  // The latest unfinished retry of each chain, by the id of the chain's first command.
   std::map<CommandId, PendingCommand*, CommandIdLess> retry_chains_;
   std::map<AttemptId, PendingCommand*> attempts_;
   std::vector<CommandId> released_;
--- a/src/core/response_sink.h
+++ b/src/core/response_sink.h
@@ -1,5 +1,5 @@
-// Where the final responses to clients' calls go. Implemented by the client server, and by the cluster
-// service where a gateway belongs to a cluster.
+// Receiver of the final responses to clients' calls. Implemented by the client server, and by the cluster
+// service if the gateway belongs to a cluster.
 #pragma once
 
 #include <optional>
@@ -11,8 +11,8 @@
 
 namespace firvalve {
 
-// Each admitted call gets exactly one response, unless its client has gone first. The views last for the call
-// alone.
+// Each admitted call gets exactly one response, unless its client disconnects or revokes the call first. The
+// views are valid only during the function call.
 class ResponseSink {
  public:
   virtual ~ResponseSink() = default;
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -1,3 +1,4 @@
+// The table that maps the operators' JSON paths to internal setting keys, and the parser that applies it.
 #include "core/settings.h"
 
 #include <algorithm>
@@ -17,8 +18,8 @@
 enum class Unit { kNone, kNanoseconds };
 
 struct SettingName {
-  const char* key;   // ours
-  const char* path;  // the operators', members with dots between them
+  const char* key;   // internal
+  const char* path;  // in the operators' JSON: member names joined by dots
   Unit unit = Unit::kNone;
 };
 
@@ -87,24 +88,26 @@
     {setting::tenant::kShare, "share"},
 };
 
-// Lists of the settings whose entries belong to the profiles, in their order.
+// Lists with one entry per profile, in the order of the profiles.
 constexpr SettingName kSettingsByProfile[] = {
     {setting::profile::kThreads, "specifics.class_threads"},
     {setting::profile::kIsLoad, "specifics.holds_tables"},
     {setting::profile::kWaitsForLoads, "specifics.class_waits"},
 };
 
-// The same for the kinds of machines.
+// Lists with one entry per machine type.
 constexpr SettingName kSettingsByMachine[] = {
     {setting::kCoresPrefix, "specifics.cores_by_kind"},
     {setting::kMemoryPrefix, "specifics.memory_by_kind_mb"},
 };
 
-constexpr std::string_view kOtherEffect = "non-replayable";
+// The effect of a profile whose semantics is not in kEffects.
+constexpr std::string_view kDefaultEffect = "non-replayable";
+// The operators' names of a profile's semantics, and the internal names of the effects.
 constexpr std::pair<std::string_view, std::string_view> kEffects[] = {{"idempotent", "replayable"},
                                                                       {"deduplicated", "uniqued"}};
 
-// Null: there is no such member, or something on the way to it is no object.
+// Returns null if there is no such member, or if a value along the path is not an object.
 const Value* find_path(const Value& root, const std::string& path) {
   const Value* at = &root;
   for (size_t begin = 0; begin <= path.size();) {
@@ -118,10 +121,11 @@
   return at;
 }
 
-// The entries of a list; none where there is no list.
+// The number of entries; 0 if `list` is null or not a list.
 rapidjson::SizeType list_size(const Value* list) { return list && list->IsArray() ? list->Size() : 0; }
 
-// Numbers and flags become numbers, lists are numbered from 0. Values of other types are passed over.
+// Stores a Boolean as 0 or 1, and each entry of a list under `key`.0, `key`.1, ... Ignores values of other
+// types.
 void store(Settings& settings, const std::string& key, const Value& value, Unit unit) {
   if (value.IsBool()) {
     settings[key] = value.GetBool() ? 1.0 : 0.0;
@@ -160,9 +164,9 @@
 void store_effect(Settings& settings, const std::string& prefix, const Value& profile) {
   const Value* semantics = find_path(profile, "semantics");
   if (!semantics || !semantics->IsString()) return;
-  std::string_view effect = kOtherEffect;
-  for (const auto& [theirs, ours] : kEffects)
-    if (theirs == semantics->GetString()) effect = ours;
+  std::string_view effect = kDefaultEffect;
+  for (const auto& [semantics_name, effect_name] : kEffects)
+    if (semantics_name == semantics->GetString()) effect = effect_name;
   settings[prefix + setting::profile::kEffect] = std::string(effect);
 }
 
@@ -181,7 +185,7 @@
   }
 }
 
-void store_customers(Settings& settings, const Value& json) {
+void store_tenants(Settings& settings, const Value& json) {
   const Value* tenants = find_path(json, "tenants");
   for (rapidjson::SizeType i = 0; i < list_size(tenants); ++i)
     store_members(settings, prefix_of(setting::kTenants, i), (*tenants)[i], kTenantSettings);
@@ -194,7 +198,7 @@
   store_members(settings, "", json, kGatewaySettings);
   store_machines(settings, json);
   store_profiles(settings, json);
-  store_customers(settings, json);
+  store_tenants(settings, json);
   return settings;
 }
 
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -1,5 +1,6 @@
-// The settings of a gateway at start, as the deploy file and the simulator's START event hold them: nested
-// JSON under the operators' names, read into a flat map under ours (policy/setting_keys.h) and in our units.
+// Parses the start-up settings of a gateway. The deploy file and the simulator's START event hold them as
+// nested JSON with the operators' names; here they become a flat map with the internal keys
+// (policy/setting_keys.h) and units.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -11,11 +12,10 @@
 
 namespace firvalve {
 
-// Nothing is required of the settings here: members that are unknown, absent or of another type than any
-// setting has are passed over.
+// No setting is required: members that are unknown, absent or of a type that no setting has are ignored.
 Settings parse_settings(const rapidjson::Value& json);
 
-// The names of the profiles (setting::kProfiles) or tenants (setting::kTenants), in their order.
+// The names of the profiles (`list` = setting::kProfiles) or tenants (setting::kTenants), in settings order.
 std::vector<std::string> names_of(const Settings& settings, const std::string& list);
 
 }  // namespace firvalve
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -1,3 +1,4 @@
+// Formats log lines, suppresses repetitions and writes lines through spdlog.
 #include "log/log.h"
 
 #include <fmt/chrono.h>
@@ -32,7 +33,7 @@
   return buffer.GetString();
 }
 
-// A value is quoted unless nothing in it could be taken for a sign of the format.
+// Quotes a value that is empty or contains a character with a meaning in logfmt.
 std::string logfmt_value(const std::string& value) {
   const bool needs_no_quotes = !value.empty() && std::all_of(value.begin(), value.end(), [](char c) {
     return c > ' ' && c != '"' && c != '=' && c != '\\' && c != 127;
@@ -99,7 +100,7 @@
     : form_(form), level_(level), repeats_(kRepeatWindow), sink_(std::make_unique<Sink>()) {}
 Log::~Log() = default;
 
-void Log::put(Level level, std::string_view event, const std::vector<Field>& fields) {
+void Log::write_line(Level level, std::string_view event, const std::vector<Field>& fields) {
   static constexpr spdlog::level::level_enum kSpdlogLevels[] = {spdlog::level::debug, spdlog::level::info,
                                                                 spdlog::level::warn, spdlog::level::err};
   sink_->logger.log(kSpdlogLevels[static_cast<size_t>(level)],
@@ -114,14 +115,14 @@
     suppressed_levels_[line] = level;
     return;
   }
-  put(level, event, fields);
+  write_line(level, event, fields);
 }
 
 void Log::write_suppressed(TimePoint now) {
   for (const auto& [line, times] : repeats_.expire(now)) {
     const auto level = suppressed_levels_.find(line);
-    put(level == suppressed_levels_.end() ? Level::kInfo : level->second, "repeated",
-        {{"line", line}, {"times", std::to_string(times)}});
+    write_line(level == suppressed_levels_.end() ? Level::kInfo : level->second, "repeated",
+               {{"line", line}, {"times", std::to_string(times)}});
     if (level != suppressed_levels_.end()) suppressed_levels_.erase(level);
   }
 }
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,7 +1,7 @@
-// Structured logs on standard error: one event a line, as logfmt or JSON. A line that repeats within a second
-// is written once and then counted.
+// Structured logging to standard error: one event per line, as logfmt or JSON. A line that repeats within a
+// second is written once; the repetitions are counted and reported.
 //
-// One thread: the event loop's.
+// Not thread-safe: used only on the event loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -26,18 +26,18 @@
 };
 using Fields = std::initializer_list<Field>;
 
-// `time=2026-12-01T18:10:29.123Z level=info event="serving" ...`, or the same as a JSON object, without a
-// line feed. `unix_ms`: milliseconds since the Unix epoch; the time is written in UTC.
+// Formats `time=2026-12-01T18:10:29.123Z level=info event="serving" ...`, or the same as a JSON object,
+// without a line feed. `unix_ms`: milliseconds since the Unix epoch; the time is written in UTC.
 std::string format_line(Form form, Ms unix_ms, Level level, std::string_view event,
                         const std::vector<Field>& fields);
 
-// Decides which of the lines that repeat within a window are written. No clock. Memory is bounded: a line
-// beyond those it remembers is written each time.
+// Suppresses lines that repeat within a time window. Reads no clock. Memory is bounded: it remembers at most
+// kMaxLines lines, and any further line is written each time.
 class RepeatSuppressor {
  public:
   explicit RepeatSuppressor(Duration window) : window_(window) {}
 
-  // Whether the line is to be written. If not, the same was written within the window, and it is counted.
+  // Whether to write the line. False if the same line was written within the window; it is then counted.
   bool admit(TimePoint now, const std::string& line);
 
   struct Suppressed {
@@ -45,7 +45,7 @@
     uint64_t times = 0;
     auto operator<=>(const Suppressed&) const = default;
   };
-  // Forgets lines whose window has passed. Gives those that were suppressed meanwhile, with how often.
+  // Removes lines whose window has passed. Returns those that were suppressed, with the number of times.
   std::vector<Suppressed> expire(TimePoint now);
   std::optional<TimePoint> next_expiry() const;
 
@@ -68,19 +68,19 @@
     form_ = form;
     level_ = level;
   }
-  Level level() const { return level_; }  // the least that is written
+  Level level() const { return level_; }  // the lowest level that is written
 
-  // `now` only measures how long a line has been repeating; the line has the wall clock's time.
+  // `now` is used only for the repeat window; the line shows the wall clock's time.
   void write(TimePoint now, Level level, std::string_view event, Fields fields = {});
-  // Writes an event `repeated`, with the line and how often, for each line that was suppressed and whose
-  // window has passed.
+  // Writes one event `repeated` for each suppressed line whose window has passed, with the line and the
+  // number of times.
   void write_suppressed(TimePoint now);
-  // When write_suppressed() is to be called. Nothing: no line is waiting.
+  // When write_suppressed() must be called. Nothing if no window is open.
   std::optional<TimePoint> next_due() const { return repeats_.next_expiry(); }
 
  private:
   struct Sink;
-  void put(Level level, std::string_view event, const std::vector<Field>& fields);
+  void write_line(Level level, std::string_view event, const std::vector<Field>& fields);
 
   Form form_;
   Level level_;
--- a/src/simulator_adapter/decision_writer.cpp
+++ b/src/simulator_adapter/decision_writer.cpp
@@ -1,3 +1,4 @@
+// Serializes the policy's actions under the names of the simulator's protocol.
 #include "simulator_adapter/decision_writer.h"
 
 #include <rapidjson/stringbuffer.h>
@@ -12,7 +13,7 @@
 
 int64_t nanoseconds_of(Duration duration) { return std::llround(duration.count() * kNanosecondsPerMs); }
 
-constexpr int64_t kTimerReference = 0;  // a gateway has one timer at a time
+constexpr int64_t kTimerReference = 0;  // constant, as a gateway has only one timer at a time
 
 }  // namespace
 
--- a/src/simulator_adapter/decision_writer.h
+++ b/src/simulator_adapter/decision_writer.h
@@ -1,4 +1,4 @@
-// The reply to a batch: the decisions of its gateways as one line of JSON.
+// Writes the reply to a batch: the decisions of its gateways as one line of JSON.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 
 class DecisionWriter {
  public:
-  void begin();  // a new reply
+  void begin();  // starts a new reply
   void write(int64_t gateway_id, const Action& action);
-  void write_panic(int64_t gateway_id, const std::string& reason);  // the gateway's policy has thrown
-  const std::string& end();  // the whole reply, without a line's end; good until begin()
+  void write_panic(int64_t gateway_id, const std::string& reason);  // for a gateway whose policy has thrown
+  const std::string& end();  // the complete reply without a line feed; valid until begin()
 
  private:
   void begin_decision(const char* name, int64_t gateway_id);
--- a/src/simulator_adapter/event_fields.cpp
+++ b/src/simulator_adapter/event_fields.cpp
@@ -1,3 +1,4 @@
+// Typed access to the fields of a simulator event.
 #include "simulator_adapter/event_fields.h"
 
 #include <algorithm>
@@ -10,15 +11,15 @@
   if (!value.IsObject()) throw MalformedInput("event " + event + ": not an object");
 }
 
-int64_t EventFields::integer(const char* name, int64_t otherwise) const {
+int64_t EventFields::integer(const char* name, int64_t default_value) const {
   const Value* value = find(name);
-  return value ? integer_in(*value, name) : otherwise;
+  return value ? integer_in(*value, name) : default_value;
 }
 
-double EventFields::number(const char* name, double otherwise) const {
+double EventFields::number(const char* name, double default_value) const {
   const Value* value = find(name);
   if (value && !value->IsNumber()) throw_not(name, "a number");
-  return value ? value->GetDouble() : otherwise;
+  return value ? value->GetDouble() : default_value;
 }
 
 bool EventFields::flag(const char* name) const {
--- a/src/simulator_adapter/event_fields.h
+++ b/src/simulator_adapter/event_fields.h
@@ -1,4 +1,4 @@
-// The fields of one event of the simulator, read by name and checked by type.
+// Reads the fields of one simulator event by name and checks their types.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -11,26 +11,27 @@
 
 namespace firvalve::simulator {
 
-// Input that cannot be read: the text names the event and the field.
+// Thrown for malformed input. The message names the event and the field.
 struct MalformedInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// All readers throw MalformedInput where the field is of another type, and where it is absent, unless they
-// have a default. Null counts as absent. Refers to both arguments of its constructor.
+// All readers throw MalformedInput if the field has another type, or if it is absent and there is no default.
+// Null counts as absent. Keeps references to both constructor arguments.
 class EventFields {
  public:
   EventFields(const std::string& event, const rapidjson::Value& value);
 
   int64_t integer(const char* name) const { return integer_in(required(name), name); }
-  int64_t integer(const char* name, int64_t otherwise) const;
-  double number(const char* name, double otherwise) const;
-  bool flag(const char* name) const;  // false where absent
+  int64_t integer(const char* name, int64_t default_value) const;
+  double number(const char* name, double default_value) const;
+  bool flag(const char* name) const;  // false if absent
   std::string text(const char* name) const;
   CommandId command_id() const;
   const rapidjson::Value& required(const char* name) const;
-  const rapidjson::Value* find(const char* name) const;  // null where absent
+  const rapidjson::Value* find(const char* name) const;  // null if absent
 
+  // Throws MalformedInput: "... is not `expected`".
   [[noreturn]] void throw_not(const char* name, const std::string& expected) const;
 
  private:
--- a/src/simulator_adapter/event_reader.cpp
+++ b/src/simulator_adapter/event_reader.cpp
@@ -1,3 +1,4 @@
+// Decodes the fields and codes of the simulator's protocol into the policy's events.
 #include "simulator_adapter/event_reader.h"
 
 #include <string_view>
@@ -9,12 +10,12 @@
 
 namespace {
 
-// Codes of the wire.
+// Codes of the simulator's protocol: `lifecycle` of an engine, and `how` of a list update.
 constexpr int64_t kLifecycleReady = 1, kLifecycleDraining = 2;
 constexpr int64_t kUpdateFailed = 2, kUpdateWholeList = 3, kUpdateFirstList = 4;
-// The bill of an answer: milliseconds x 4096 + memory in steps of 4 MB.
-constexpr int64_t kBillSteps = 4096;
-constexpr double kMbPerBillStep = 4;
+// The field `bill` of an answer packs two costs: work in milliseconds x 4096 + memory in steps of 4 MB.
+constexpr int64_t kBillWorkFactor = 4096;
+constexpr double kMbPerBillMemoryStep = 4;
 
 Outcome read_outcome(const EventFields& fields) {
   static constexpr std::pair<std::string_view, Outcome> kOutcomes[] = {
@@ -28,8 +29,8 @@
       {"Ignored", Outcome::kCancelledBeforeStart},
   };
   const std::string disposition = fields.text("disposition");
-  for (const auto& [theirs, ours] : kOutcomes)
-    if (disposition == theirs) return ours;
+  for (const auto& [wire_name, outcome] : kOutcomes)
+    if (disposition == wire_name) return outcome;
   fields.throw_not("disposition", "a known outcome");
 }
 
@@ -85,7 +86,7 @@
   admitted.estimated_memory_mb = fields.number("est_memory_mb", 0);
   if (fields.find("table_group"))
     admitted.table_group = static_cast<int64_t>(fields.number("table_group", 0));
-  fields.flag("resent");  // nothing is decided from it, but a malformed one is an error
+  fields.flag("resent");  // not used for decisions, but checked for its type
   return command;
 }
 
@@ -108,10 +109,10 @@
   finished.elapsed = duration_of_nanoseconds(fields.integer("time_taken"));
   finished.is_command_finished = fields.flag("last");
   const int64_t bill = fields.integer("bill", 0);
-  if (const int64_t work_ms = bill / kBillSteps; work_ms > 0)
+  if (const int64_t work_ms = bill / kBillWorkFactor; work_ms > 0)
     finished.work = Duration(static_cast<double>(work_ms));
-  if (const int64_t memory_steps = bill % kBillSteps; memory_steps > 0)
-    finished.memory_mb = static_cast<double>(memory_steps) * kMbPerBillStep;
+  if (const int64_t memory_steps = bill % kBillWorkFactor; memory_steps > 0)
+    finished.memory_mb = static_cast<double>(memory_steps) * kMbPerBillMemoryStep;
   return finished;
 }
 
@@ -125,7 +126,7 @@
 ClientGone read_client_gone(const EventFields& fields) { return {fields.command_id()}; }
 
 TimerFired read_timer_fired(const EventFields& fields) {
-  fields.integer("ref");  // of the one timer that is set at a time
+  fields.integer("ref");  // required, but not used: only one timer is set at a time
   return {};
 }
 
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
-// Reads batches of events from standard input, one a line, and writes a line of decisions for each. Ends with
-// 1 at a line that cannot be read.
+// Reads batches of events from standard input, one per line, and writes one line of decisions for each. Exits
+// with status 1 at a malformed line.
 #include <cstdint>
 #include <iostream>
 
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -1,3 +1,4 @@
+// Dispatches the events of a batch to the gateways' policies and collects the decisions.
 #include "simulator_adapter/simulator_adapter.h"
 
 #include <rapidjson/document.h>
@@ -21,7 +22,7 @@
 
 int64_t gateway_id_of(const EventFields& fields) { return fields.integer("gateway_id"); }
 
-std::optional<int> place_of(const std::vector<std::string>& names, const std::string& name) {
+std::optional<int> index_of(const std::vector<std::string>& names, const std::string& name) {
   const auto at = std::find(names.begin(), names.end(), name);
   if (at == names.end()) return std::nullopt;
   return static_cast<int>(at - names.begin());
@@ -94,7 +95,7 @@
   return nullptr;
 }
 
-SimulatorAdapter::Gateway* SimulatorAdapter::find_gateway(int64_t gateway_id) {
+SimulatorAdapter::Gateway* SimulatorAdapter::find_and_queue_gateway(int64_t gateway_id) {
   const auto at = gateways_.find(gateway_id);
   if (at == gateways_.end()) return nullptr;
   if (!at->second.has_new_events) {
@@ -105,7 +106,7 @@
 }
 
 void SimulatorAdapter::deliver(TimePoint now, int64_t gateway_id, const Event& event) {
-  if (Gateway* const gateway = find_gateway(gateway_id)) handle(gateway->state, now, event);
+  if (Gateway* const gateway = find_and_queue_gateway(gateway_id)) handle(gateway->state, now, event);
 }
 
 void SimulatorAdapter::handle_manifest(TimePoint, const EventFields& fields) {
@@ -123,7 +124,7 @@
   gateway.state = open(settings, static_cast<uint64_t>(salt));
   gateway.profiles = names_of(settings, setting::kProfiles);
   std::erase(decision_order_, id);
-  find_gateway(id);
+  find_and_queue_gateway(id);
 }
 
 void SimulatorAdapter::handle_killed(TimePoint, const EventFields& fields) {
@@ -145,9 +146,9 @@
 void SimulatorAdapter::handle_accept(TimePoint now, const EventFields& fields) {
   const int64_t id = gateway_id_of(fields);
   AcceptedCommand command = read_accepted_command(fields);
-  Gateway* const gateway = find_gateway(id);
+  Gateway* const gateway = find_and_queue_gateway(id);
   if (!gateway) return;
-  command.admitted.profile = place_of(gateway->profiles, command.profile);
+  command.admitted.profile = index_of(gateway->profiles, command.profile);
   if (!command.admitted.profile)
     std::cerr << "firvalve-simulator-adapter: event ACCEPT: no profile is named " << command.profile << '\n';
   handle(gateway->state, now, command.admitted);
--- a/src/simulator_adapter/simulator_adapter.h
+++ b/src/simulator_adapter/simulator_adapter.h
@@ -1,5 +1,6 @@
-// The policy behind the operators' simulator: batches of events in, decisions out, one line of JSON each, for
-// any number of gateways that share nothing. The words of the wire are the operators' own.
+// Runs the policy under the operators' simulator. Each batch of events and each reply is one line of JSON.
+// One adapter serves any number of gateways, which share no state. The protocol's names are the operators'
+// own.
 #pragma once
 
 #include <cstdint>
@@ -16,22 +17,22 @@
 
 class SimulatorAdapter {
  public:
-  // Handles the events of one line in their order, then asks each gateway that had any for its decisions, in
-  // the order of their first events. Events and fields that are unknown and events of gateways that are not
-  // running are passed over. Returns the reply without a line's end. Throws MalformedInput.
+  // Handles the events of one line in order, then collects the decisions of each gateway that had an event,
+  // in the order of the gateways' first events. Ignores unknown events and fields, and events of gateways
+  // that are not running. Returns the reply without a line feed. Throws MalformedInput.
   const std::string& handle_batch(std::string line);
 
  private:
   struct Gateway {
     State state;
-    std::vector<std::string> profiles;  // names, in the order of the settings
+    std::vector<std::string> profiles;  // names, in settings order
     bool has_new_events = false;        // in this batch
   };
   using Handler = void (SimulatorAdapter::*)(TimePoint now, const EventFields& fields);
 
   static Handler handler_of(const std::string& event);
-  // One for each event of the wire. Fields are read before the gateway is looked up, so that a malformed
-  // event is reported also where its gateway is not running.
+  // One handler per event. A handler reads the fields before it looks up the gateway, so that a malformed
+  // event is reported even if its gateway is not running.
   void handle_manifest(TimePoint now, const EventFields& fields);
   void handle_start(TimePoint now, const EventFields& fields);
   void handle_killed(TimePoint now, const EventFields& fields);
@@ -43,8 +44,8 @@
   void handle_probe_result(TimePoint now, const EventFields& fields);
   void handle_bell(TimePoint now, const EventFields& fields);
 
-  // Null: it is not running. It will be asked for its decisions.
-  Gateway* find_gateway(int64_t gateway_id);
+  // Finds a running gateway and queues it for its decisions. Returns null if it is not running.
+  Gateway* find_and_queue_gateway(int64_t gateway_id);
   void deliver(TimePoint now, int64_t gateway_id, const Event& event);
   void write_decisions(TimePoint now, int64_t gateway_id, Gateway& gateway);
 
--- a/tests/core/admission_test.cpp
+++ b/tests/core/admission_test.cpp
@@ -1,14 +1,15 @@
+// Admission of commands: rejections and their reasons, plausibility limits, duplicate ids, statement memory.
 #include "core/core_fixture.h"
 
 namespace firvalve {
 namespace {
 
-// Settings that say less limit nothing: any figure may be a client's.
-TEST(CoreSettings, WithoutMachinesOrTimesOrMemoryCommandsAreAdmitted) {
-  RecordingEnds ends;
+// Settings without machine types, client timeouts or memory sizes impose no plausibility limits.
+TEST(CoreSettings, MissingMachinesTimeoutsAndMemoryDoNotLimitAdmission) {
+  RecordingSinkAndTransport recorder;
   Metrics metrics;
   Core core({{"profile.0.name", std::string("quick")}, {"profile.0.effect", std::string("replayable")}}, 1,
-            ends, ends, metrics, [](const EngineHealthChange&) {});
+            recorder, recorder, metrics, [](const EngineHealthChange&) {});
   CommandRequest request;
   request.command = "9b1f03aa5c7e2d41";
   request.profile = "quick";
@@ -18,27 +19,27 @@
   EXPECT_EQ(core.admit(time_point_of(1000), CallId{1}, std::move(request)), AdmissionResult::kAdmitted);
 }
 
-TEST_F(CoreTest, WhatCannotBeAdmittedIsRejectedWithItsReason) {
+TEST_F(CoreTest, UnknownProfileAndDuplicateIdAreRejectedWithAReason) {
   EXPECT_EQ(admit(1, "9b1f03aa5c7e2d41", "odd"), AdmissionResult::kUnknownProfile);
   EXPECT_EQ(admit(2), AdmissionResult::kAdmitted);
   EXPECT_EQ(admit(3), AdmissionResult::kDuplicateId);
   EXPECT_EQ(core.find_call("9b1f03aa5c7e2d41"), CallId{2});
 }
 
-TEST_F(CoreTest, FiguresThatNoClientCanHaveAreOutOfRange) {
-  const auto figures = [&](Ms timeout, Ms estimate, double memory_mb) {
+TEST_F(CoreTest, ImplausibleTimeoutsAndEstimatesAreOutOfRange) {
+  const auto admit_with = [&](Ms timeout, Ms estimate, double memory_mb) {
     return core.admit(time_point_of(1000), CallId{1},
                       {"9b1f03aa5c7e2d41", "quick", "select 1", -1, duration_of(timeout),
                        duration_of(estimate), memory_mb});
   };
-  EXPECT_EQ(figures(1e23, 100, 10), AdmissionResult::kOutOfRange);
-  EXPECT_EQ(figures(4000, 1e9, 10), AdmissionResult::kOutOfRange);
-  EXPECT_EQ(figures(4000, 100, 1e12), AdmissionResult::kOutOfRange);
+  EXPECT_EQ(admit_with(1e23, 100, 10), AdmissionResult::kOutOfRange);
+  EXPECT_EQ(admit_with(4000, 1e9, 10), AdmissionResult::kOutOfRange);
+  EXPECT_EQ(admit_with(4000, 100, 1e12), AdmissionResult::kOutOfRange);
   EXPECT_EQ(core.active_command_count(), 0u);
-  EXPECT_EQ(figures(4000, 100, 10), AdmissionResult::kAdmitted);
+  EXPECT_EQ(admit_with(4000, 100, 10), AdmissionResult::kAdmitted);
 }
 
-TEST_F(CoreTest, AnIdIsFreeAgainOnlyOnceThePolicyHasDecided) {
+TEST_F(CoreTest, IdCanBeReusedOnlyAfterThePolicysNextDecision) {
   list_engine("s-00000001");
   core.decide(time_point_of(1000));
   admit(1);
@@ -48,11 +49,11 @@
   EXPECT_EQ(admit(3), AdmissionResult::kAdmitted);
   core.client_gone(time_point_of(1005), CallId{3});
   core.decide(time_point_of(1010));
-  EXPECT_TRUE(ends.started.empty());
+  EXPECT_TRUE(recorder.started.empty());
   EXPECT_EQ(core.active_command_count(), 0u);
 }
 
-TEST_F(CoreTest, StatementsInHandStayWithinTheirBytes) {
+TEST_F(CoreTest, StatementsOfPendingCommandsStayWithinTheByteLimit) {
   core.set_max_statement_bytes(10);
   EXPECT_EQ(admit(1), AdmissionResult::kAdmitted);
   EXPECT_EQ(admit(2, "0000000000000002"), AdmissionResult::kNoCapacity);
--- a/tests/core/core_fixture.h
+++ b/tests/core/core_fixture.h
@@ -1,4 +1,4 @@
-// The core between a recording response sink and engine transport, with one profile and one kind of machine.
+// Test fixture: a core with a recording response sink and engine transport, one profile and one machine type.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,19 +13,19 @@
 
 namespace firvalve {
 
-// Both ends of the core: keeps what it is told, carries out nothing.
-struct RecordingEnds : ResponseSink, EngineTransport {
-  std::vector<std::string> finals;
+// Response sink and engine transport in one. Records the calls and has no other effect.
+struct RecordingSinkAndTransport : ResponseSink, EngineTransport {
+  std::vector<std::string> responses;
   std::vector<AttemptRequest> started;
   std::vector<std::pair<AttemptId, Outcome>> cancelled;
   std::map<uint32_t, std::string> addresses;
   void answer(CallId call, std::string_view rows) override {
-    finals.push_back("answer " + text_of(call) + " " + std::string(rows));
+    responses.push_back("answer " + text_of(call) + " " + std::string(rows));
   }
-  void shed(CallId call, std::optional<Duration>) override { finals.push_back("shed " + text_of(call)); }
-  void fail(CallId call, std::string_view) override { finals.push_back("fail " + text_of(call)); }
+  void shed(CallId call, std::optional<Duration>) override { responses.push_back("shed " + text_of(call)); }
+  void fail(CallId call, std::string_view) override { responses.push_back("fail " + text_of(call)); }
   void answer_paged(CallId call, ResultHandle result) override {
-    finals.push_back("paged " + text_of(call) + " " + std::to_string(result));
+    responses.push_back("paged " + text_of(call) + " " + std::to_string(result));
   }
   void start_attempt(TimePoint, const AttemptRequest& request) override { started.push_back(request); }
   void cancel_attempt(TimePoint, AttemptId attempt, Outcome outcome) override {
@@ -49,9 +49,9 @@
                           {"tick", 5.0},
                           {"memory.std", 1000.0},
                           {"profile.0.client timeout", 4000.0}};
-  RecordingEnds ends;
+  RecordingSinkAndTransport recorder;
   Metrics metrics;
-  Core core{settings, 1, ends, ends, metrics, [](const EngineHealthChange&) {}};
+  Core core{settings, 1, recorder, recorder, metrics, [](const EngineHealthChange&) {}};
 
   void list_engine(const std::string& name, EngineState state = EngineState::kReady) {
     NamedEngineInfo engine{name, "127.0.0.1:1", {}};
--- a/tests/core/engine_directory_test.cpp
+++ b/tests/core/engine_directory_test.cpp
@@ -1,3 +1,4 @@
+// Assignment of engine numbers to listed names.
 #include "core/engine_directory.h"
 
 #include <gtest/gtest.h>
@@ -7,22 +8,22 @@
 namespace firvalve {
 namespace {
 
-TEST(EngineDirectory, ANumberComesFromTheLastEightHexDigits) {
+TEST(EngineDirectory, NumberIsTheNamesLastEightHexDigits) {
   EngineDirectory directory;
   EXPECT_EQ(directory.number_of("s-00c41f7a"), EngineId{0x00c41f7a});
   EXPECT_EQ(directory.number_of("another-zone-00c41f7b"), EngineId{0x00c41f7b});
 }
 
-TEST(EngineDirectory, OtherNamesAreHashedTheSameInEachGateway) {
+TEST(EngineDirectory, NamesWithoutHexDigitsGetTheSameHashInEachGateway) {
   EngineDirectory one, other;
-  other.number_of("t");  // whatever came before
+  other.number_of("t");  // independent of earlier names
   const EngineId number = one.number_of("s-1");
   EXPECT_EQ(number, other.number_of("s-1"));
   EXPECT_NE(number, one.number_of("s-2"));
   EXPECT_EQ(number, one.number_of("s-1"));
 }
 
-TEST(EngineDirectory, TwoNamesNeverShareANumber) {
+TEST(EngineDirectory, NamesNeverShareANumber) {
   EngineDirectory directory;
   EXPECT_EQ(directory.number_of("a-00000007"), EngineId{7});
   EXPECT_EQ(directory.number_of("b-00000007"), EngineId{8});
@@ -30,13 +31,13 @@
   EXPECT_EQ(directory.number_of("c-00000007"), EngineId{7});
 }
 
-TEST(EngineDirectory, ACompleteListRemovesTheOthers) {
+TEST(EngineDirectory, CompleteListRemovesTheOtherEngines) {
   EngineDirectory directory;
   const EngineId stays = directory.number_of("s-00000001"), goes = directory.number_of("s-00000002");
   directory.add({{stays, "s-00000001"}, {goes, "s-00000002"}});
-  std::vector<EngineId> gone;
-  directory.replace_all({{stays, "s-00000001"}}, [&](EngineId engine) { gone.push_back(engine); });
-  EXPECT_EQ(gone, std::vector<EngineId>{goes});
+  std::vector<EngineId> removed;
+  directory.replace_all({{stays, "s-00000001"}}, [&](EngineId engine) { removed.push_back(engine); });
+  EXPECT_EQ(removed, std::vector<EngineId>{goes});
   EXPECT_EQ(directory.name_of(stays), "s-00000001");
   EXPECT_EQ(directory.name_of(goes), "");
 }
--- a/tests/core/pending_commands_test.cpp
+++ b/tests/core/pending_commands_test.cpp
@@ -1,3 +1,4 @@
+// Bookkeeping of pending commands: ids, calls, attempts, retry chains and statement memory.
 #include "core/pending_commands.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +9,7 @@
 const CommandId kOne = command_id_of("00000000000000a1"), kTwo = command_id_of("00000000000000a2"),
                 kThree = command_id_of("00000000000000a3");
 
-TEST(PendingCommands, AnIdIsADuplicateUntilItsCommandIsErased) {
+TEST(PendingCommands, IdIsADuplicateUntilItsCommandIsErased) {
   PendingCommands commands;
   PendingCommand* const command = commands.add(kOne, CallId{1}, kOne, "select 1");
   ASSERT_TRUE(command);
@@ -21,7 +22,7 @@
   EXPECT_TRUE(commands.add(kOne, CallId{2}, kOne, "select 1"));
 }
 
-TEST(PendingCommands, ACommandOutlivesItsClientsWhileAnAttemptIsOut) {
+TEST(PendingCommands, CommandIsKeptWhileAnAttemptIsInFlight) {
   PendingCommands commands;
   PendingCommand& command = *commands.add(kOne, CallId{1}, kOne, "select 1");
   const AttemptId attempt = commands.start_attempt(time_point_of(1000), command, EngineId{7});
@@ -35,7 +36,7 @@
   EXPECT_EQ(commands.command_count(), 0u);
 }
 
-TEST(PendingCommands, StatementsCountUntilTheyAreReleased) {
+TEST(PendingCommands, StatementsCountAgainstTheLimitUntilReleased) {
   PendingCommands commands;
   commands.set_max_statement_bytes(10);
   EXPECT_TRUE(commands.has_capacity_for("0123456789"));
@@ -46,7 +47,7 @@
   EXPECT_TRUE(commands.has_capacity_for("0123456789"));
 }
 
-TEST(PendingCommands, AChainLeadsToItsLatestCommandThatIsNotFinished) {
+TEST(PendingCommands, RetryChainLeadsToItsLatestUnfinishedCommand) {
   PendingCommands commands;
   PendingCommand& first = *commands.add(kOne, CallId{1}, kOne, "select 1");
   EXPECT_EQ(commands.find_in_chain(kOne), &first);
@@ -59,7 +60,7 @@
   EXPECT_FALSE(commands.find_in_chain(kThree));
 }
 
-TEST(PendingCommands, OneOfSeveralCallsLeavesAndAnotherTakesItsPlace) {
+TEST(PendingCommands, RemovingOneOfSeveralCallsKeepsTheOthersWaiting) {
   PendingCommands commands;
   PendingCommand& command = *commands.add(kOne, CallId{1}, kOne, "select 1");
   commands.add_call(command, CallId{2});
@@ -73,7 +74,7 @@
   EXPECT_EQ(commands.call_count(), 1u);
 }
 
-TEST(PendingCommands, AttemptsAreNumberedOverAllCommands) {
+TEST(PendingCommands, AttemptsOfAllCommandsShareOneNumbering) {
   PendingCommands commands;
   PendingCommand& one = *commands.add(kOne, CallId{1}, kOne, "select 1");
   PendingCommand& two = *commands.add(kTwo, CallId{2}, kTwo, "select 2");
--- a/tests/core/settings_test.cpp
+++ b/tests/core/settings_test.cpp
@@ -1,3 +1,4 @@
+// Parsing of the start-up settings.
 #include "core/settings.h"
 
 #include <gtest/gtest.h>
@@ -14,19 +15,19 @@
   return parse_settings(document);
 }
 
-TEST(Settings, TimesComeInNanosecondsFlagsAsNumbers) {
+TEST(Settings, NanosecondsBecomeMillisecondsAndFlagsBecomeNumbers) {
   const Settings settings = parsed(R"({"tick":5000000,"ceilings":{"cancel":true,"try_limit":3}})");
   EXPECT_EQ(number(settings, setting::kTick), 5);
   EXPECT_EQ(number(settings, setting::kMayCancel), 1);
   EXPECT_EQ(number(settings, setting::kMaxAttempts), 3);
 }
 
-TEST(Settings, UnknownAbsentAndMistypedMembersArePassedOver) {
+TEST(Settings, UnknownAbsentAndMistypedMembersAreIgnored) {
   EXPECT_TRUE(parsed(R"({"new":{"tick":1},"ceilings":7,"profiles":{},"tenants":[],"shapes":[3]})").empty());
   EXPECT_TRUE(parsed("[1,2]").empty());
 }
 
-TEST(Settings, AProfileHasItsEntriesOfTheLists) {
+TEST(Settings, ProfileGetsItsEntriesOfTheLists) {
   const Settings settings =
       parsed(R"({"profiles":[{"name":"a","semantics":"idempotent","azs_allowed":["x","y"]},
     {"name":"b","semantics":"once"}],"specifics":{"class_threads":[1,8],"holds_tables":[false,true]}})");
@@ -38,7 +39,7 @@
   EXPECT_EQ(number(settings, "profile.1.load"), 1);
 }
 
-TEST(Settings, TheLongestClientTimeoutIsThatOfAnyProfile) {
+TEST(Settings, LongestClientTimeoutIsTheMaximumOverAllProfiles) {
   EXPECT_EQ(longest_client_timeout(parsed(R"({"profiles":[{"name":"a"}]})")), std::nullopt);
   EXPECT_EQ(longest_client_timeout(
                 parsed(R"({"profiles":[{"name":"a","deadline":4000000},{"name":"b","deadline":9000000}]})")),
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -1,3 +1,4 @@
+// Line formats and the suppression of repeated lines.
 #include "log/log.h"
 
 #include <gtest/gtest.h>
@@ -5,7 +6,7 @@
 namespace firvalve::log {
 namespace {
 
-TEST(Line, LogfmtQuotesWhatNeedsIt) {
+TEST(Line, LogfmtQuotesValuesWithSpecialCharacters) {
   EXPECT_EQ(format_line(Form::kLogfmt, 1764612629123, Level::kWarning, "engine ejected",
                         {{"engine", "s-0a"}, {"why", "failing or slow"}, {"odd", "a=\"b\"\n"}, {"none", ""}}),
             "time=2025-12-01T18:10:29.123Z level=warning event=\"engine ejected\" engine=s-0a "
@@ -19,7 +20,7 @@
 
 constexpr TimePoint at(Ms ms) { return time_point_of(ms); }
 
-TEST(RepeatSuppressor, TheSameLineIsWrittenOnceAndCounted) {
+TEST(RepeatSuppressor, RepeatedLineIsWrittenOnceAndCounted) {
   RepeatSuppressor repeats(Duration(1000));
   EXPECT_TRUE(repeats.admit(at(0), "a"));
   for (int i = 0; i < 5; ++i) EXPECT_FALSE(repeats.admit(at(10), "a"));
@@ -32,7 +33,7 @@
   EXPECT_TRUE(repeats.admit(at(1001), "a"));
 }
 
-TEST(RepeatSuppressor, ManyKindsOfLinesAreBounded) {
+TEST(RepeatSuppressor, MemoryIsBoundedForManyDistinctLines) {
   RepeatSuppressor repeats(Duration(1000));
   for (int i = 0; i < 10000; ++i) EXPECT_TRUE(repeats.admit(at(0), std::to_string(i)));
   repeats.expire(at(1000));
--- a/tests/simulator_adapter/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter/simulator_adapter_test.cpp
@@ -1,3 +1,4 @@
+// Batches of simulator events in, decisions out.
 #include "simulator_adapter/simulator_adapter.h"
 
 #include "core/settings.h"
@@ -17,7 +18,7 @@
 
 std::string batch(const std::string& events) { return R"({"wall":1000000000,"happened":[)" + events + "]}"; }
 
-TEST(Wire, EmptyBatch) {
+TEST(Wire, EmptyBatchGivesNoDecisions) {
   SimulatorAdapter adapter;
   EXPECT_EQ(adapter.handle_batch(batch("")), R"({"decisions":[]})");
 }
@@ -30,7 +31,7 @@
             std::string::npos);
 }
 
-TEST(Wire, ListNumbersAreResolvedInOrder) {
+TEST(Wire, UpdateUsesTheListAsItWasWhenTheUpdateArrived) {
   SimulatorAdapter adapter;
   const std::string update = R"({"UPDATE":{"gateway_id":1,"ref":0,"generation":1,"how":4}})";
   const std::string later = R"({"MANIFEST":{"ref":0,"members":[{"engine":8,"lifecycle":1}]}})";
@@ -39,19 +40,19 @@
   EXPECT_NE(reply.find(R"("engine":9)"), std::string::npos);
 }
 
-TEST(Wire, KilledForgetsAll) {
+TEST(Wire, KilledGatewayMakesNoDecisions) {
   SimulatorAdapter adapter;
   const std::string killed = R"({"KILLED":{"gateway_id":1}})";
   EXPECT_EQ(adapter.handle_batch(batch(kStart + "," + kAccept + "," + killed)), R"({"decisions":[]})");
 }
 
-TEST(Wire, UnknownEventsAndFieldsAndUnstartedGatewaysArePassedOver) {
+TEST(Wire, UnknownEventsAndFieldsAndGatewaysThatAreNotRunningAreIgnored) {
   SimulatorAdapter adapter;
   EXPECT_EQ(adapter.handle_batch(batch(R"({"NEWS":{"x":1}},{"BELL":{"gateway_id":4,"ref":1,"y":2}})")),
             R"({"decisions":[]})");
 }
 
-TEST(Wire, CommandOfAnUnknownProfileIsFailedAtOnce) {
+TEST(Wire, CommandOfAnUnknownProfileFailsImmediately) {
   SimulatorAdapter adapter;
   std::string accept = kAccept;
   accept.replace(accept.find("quick"), 5, "other");
@@ -59,26 +60,26 @@
             std::string::npos);
 }
 
-TEST(Wire, MalformedNamesEventAndField) {
+TEST(Wire, ErrorForMalformedInputNamesEventAndField) {
   SimulatorAdapter adapter;
   EXPECT_THROW(adapter.handle_batch(R"({"wall":1,"happ)"), MalformedInput);
   try {
     adapter.handle_batch(batch(R"({"BELL":{"gateway_id":"1","ref":1}})"));
     FAIL();
-  } catch (const MalformedInput& e) {
-    EXPECT_STREQ(e.what(), "event BELL: field gateway_id is not a whole number");
+  } catch (const MalformedInput& error) {
+    EXPECT_STREQ(error.what(), "event BELL: field gateway_id is not a whole number");
   }
 }
 
-TEST(Wire, SettingsTakeOurWordsAndUnits) {
+TEST(Wire, SettingsAreConvertedToInternalNamesAndUnits) {
   rapidjson::Document settings;
   settings.Parse(R"({"rules":{"warm_up":13000000000},"shapes":["k"],
     "specifics":{"cores_by_kind":[12]},"profiles":[{"semantics":"deduplicated","allowed_on":["k"]}]})");
-  const Settings a = parse_settings(settings);
-  EXPECT_EQ(std::get<double>(a.at("warm-up")), 13000);
-  EXPECT_EQ(std::get<double>(a.at("cores.k")), 12);
-  EXPECT_EQ(std::get<std::string>(a.at("profile.0.effect")), "uniqued");
-  EXPECT_EQ(std::get<std::string>(a.at("profile.0.machine.0")), "k");
+  const Settings parsed = parse_settings(settings);
+  EXPECT_EQ(std::get<double>(parsed.at("warm-up")), 13000);
+  EXPECT_EQ(std::get<double>(parsed.at("cores.k")), 12);
+  EXPECT_EQ(std::get<std::string>(parsed.at("profile.0.effect")), "uniqued");
+  EXPECT_EQ(std::get<std::string>(parsed.at("profile.0.machine.0")), "k");
 }
 
 }  // namespace
