--- a/src/base/timing_wheel.h
+++ b/src/base/timing_wheel.h
@@ -125,8 +125,8 @@
 
   uint64_t now_;
   std::array<std::array<List, kSlots>, kLevels> slots_;
-  mutable std::array<std::array<uint64_t, kSlots / 64>, kLevels>
-      occupied_{};  // one bit per slot that may hold nodes
+  // One bit per slot, set if the slot may hold nodes.
+  mutable std::array<std::array<uint64_t, kSlots / 64>, kLevels> occupied_{};
   List due_;
 };
 
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -42,8 +42,7 @@
     std::string folder;      // for an acceptor's durable state; empty: memory only
     double lease_ms = 3000;  // how long a lease lasts without renewal
     std::vector<std::string> duties;  // the leases this gateway may hold: KIND:NAME, or KIND:* for any name
-    bool trusted_network =
-        false;  // allow peer addresses off the loopback, although connections are not encrypted
+    bool trusted_network = false;     // allow peers off the loopback, although connections are not encrypted
 
     // The address by which peers identify this gateway.
     const std::string& advertised_address() const { return reached_at.empty() ? listen : reached_at; }
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -84,8 +84,8 @@
 
 // Joins a retry to its command if that is still pending, as when a client lost track of it and sends it
 // again. The command then runs once, and each call gets the answer. A retry matches only with the same
-// statement and profile. This discloses nothing: a client that knows both and the id could have requested the
-// answer itself.
+// statement and profile. This discloses nothing: a client that knows both and the id could have read the
+// answer anyway.
 bool Core::join_pending(TimePoint now, CallId call, const CommandRequest& request, int profile) {
   PendingCommand* const command = commands_.find_in_chain(command_id_of(request.retry_of));
   if (!command) return false;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -128,8 +128,8 @@
   State state_;
   Actions actions_;
   std::set<TimePoint> timers_;  // set by the policy
-  bool has_new_events_ =
-      true;  // since the last decision; true at first, so that the policy decides once at start
+  // Since the last decision; initially true, so that the policy decides once at start.
+  bool has_new_events_ = true;
   TimePoint decided_at_{};  // the last decision; the clock's epoch before the first one
   TimePoint last_event_at_{};
   const Duration tick_;
@@ -143,8 +143,8 @@
   EngineDirectory directory_;
   std::optional<ResultHandle> found_result_;
   std::optional<TimePoint> shutdown_ends_at_;
-  std::optional<TimePoint>
-      deadline_check_at_;  // no attempt in flight has an earlier deadline; nothing: none is in flight
+  // No attempt in flight has an earlier deadline. Nothing if none is in flight.
+  std::optional<TimePoint> deadline_check_at_;
   // Dependencies.
   ResponseSink& responses_;
   EngineTransport& engines_;
--- a/src/core/result_store.h
+++ b/src/core/result_store.h
@@ -44,11 +44,11 @@
     kOutOfSpace,      // neither memory nor disk has space; the whole result was discarded
   };
   virtual AppendResult append_page(TimePoint now, ResultHandle result, std::string_view rows) = 0;
-  virtual void clear_pages(TimePoint now,
-                           ResultHandle result) = 0;  // the attempt failed: the next one starts over
+  // Drops the pages of a failed attempt, so that the next one starts over.
+  virtual void clear_pages(TimePoint now, ResultHandle result) = 0;
   virtual void discard(TimePoint now, ResultHandle result) = 0;  // frees its reservation, too
-  virtual void complete(TimePoint now,
-                        ResultHandle result) = 0;  // all pages are stored: the result can be read
+  // All pages are stored: the result can be read.
+  virtual void complete(TimePoint now, ResultHandle result) = 0;
   virtual PagedAnswer answer_of(ResultHandle result) const = 0;
 
   // kGone: the result was evicted, released, has expired, or does not belong to this client.
