--- a/src/config/cluster_checks.cpp
+++ b/src/config/cluster_checks.cpp
@@ -59,7 +59,8 @@
 
   void run() {
     if (section_.site.empty())
-      add(DiagnosticCode::kMissingField, "fleet.site", "is missing: a name for where this gateway stands");
+      add(DiagnosticCode::kMissingField, "fleet.site",
+          "is missing: expected the name of the site this gateway runs at");
     check_address("fleet.listen", section_.listen);
     if (!section_.reached_at.empty()) check_address("fleet.reached_at", section_.reached_at);
     check_acceptors();
@@ -75,24 +76,27 @@
 
   void check_address(const std::string& path, const std::string& address) {
     if (address.empty())
-      return add(DiagnosticCode::kMissingField, path, "is missing: HOST:PORT, the host as a number");
+      return add(DiagnosticCode::kMissingField, path,
+                 "is missing: expected HOST:PORT with an IPv4 address as host");
     if (!is_address(address))
       return add(DiagnosticCode::kNotAllowed, path,
-                 fmt::format("\"{}\" is not HOST:PORT with the host as a number", address));
+                 fmt::format("\"{}\" is not HOST:PORT with an IPv4 address as host", address));
     if (!address.starts_with("127.") && !section_.trusted_network)
       add(DiagnosticCode::kInconsistent, path,
-          fmt::format("{} is off the loopback, and connections between gateways are neither encrypted nor "
-                      "authenticated: set fleet.trusted_network where nobody else can read or write there",
-                      address));
+          fmt::format(
+              "{} is off the loopback, and connections between gateways are neither encrypted nor "
+              "authenticated: set fleet.trusted_network if no one else can read or write on that network",
+              address));
   }
 
   void check_acceptors() {
     const std::vector<std::string>& acceptors = section_.keepers;
     if (acceptors.size() != 3 && acceptors.size() != 5 && acceptors.size() != 7)
       add(DiagnosticCode::kNotAllowed, "fleet.keepers",
-          fmt::format("{} {}: three, five or seven; an even number tolerates no more failures than one less, "
-                      "and of one its loss is the loss of the registers",
-                      acceptors.size(), acceptors.size() == 1 ? "is listed" : "are listed"));
+          fmt::format(
+              "{} {}: expected three, five or seven; an even number tolerates only as many failures as "
+              "one acceptor fewer, and a single acceptor loses the registers when it fails",
+              acceptors.size(), acceptors.size() == 1 ? "is listed" : "are listed"));
     std::set<std::string> seen;
     for (const std::string& acceptor : acceptors) {
       check_address("fleet.keepers", acceptor);
@@ -102,14 +106,17 @@
     const std::string& self = section_.advertised_address();
     if (!section_.folder.empty() && is_address(self) && seen.count(self) == 0)
       add(DiagnosticCode::kInconsistent, "fleet.folder",
-          fmt::format("{} is not one of fleet.keepers and stores nothing: leave it empty, or list it", self));
+          fmt::format(
+              "{} is not one of fleet.keepers and stores nothing: leave fleet.folder empty, or add the "
+              "address to fleet.keepers",
+              self));
   }
 
   void check_leases() {
     for (const std::string& lease : section_.duties)
       if (!is_lease_name(lease))
         add(DiagnosticCode::kNotAllowed, "fleet.duties",
-            fmt::format("\"{}\" is not KIND:NAME, or KIND:* for all of a kind", lease));
+            fmt::format("\"{}\" is neither KIND:NAME nor KIND:* (all names of a kind)", lease));
   }
 
   ParsedConfig& config_;
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -19,8 +19,8 @@
 
 std::string unknown_field(const std::string& path) {
   if (const Field* closest = closest_field(path))
-    return fmt::format("no such field; the nearest is {}", closest->path);
-  return "no such field";
+    return fmt::format("unknown field; did you mean {}?", closest->path);
+  return "unknown field";
 }
 
 // Handles the events of the JSON parser: stores the values of fields and collects diagnostics. It continues
@@ -40,7 +40,7 @@
     if (list_depth_ > 0) return reject_list_entry();
     if (object_depth_ > 0 && !is_section(path())) {
       if (const Field* field = find_field(path()))
-        add(DiagnosticCode::kWrongType, "wants a value: " + field->expectation());
+        add(DiagnosticCode::kWrongType, "expected a value, not an object: " + field->expectation());
       else
         add(DiagnosticCode::kUnknownField, unknown_field(path()));
     }
@@ -57,7 +57,7 @@
   bool Key(const char* text, rapidjson::SizeType length, bool) {
     if (list_depth_ > 0) return true;
     keys_.back().assign(text, length);
-    if (!seen_.insert(path()).second) add(DiagnosticCode::kDuplicateField, "is given twice");
+    if (!seen_.insert(path()).second) add(DiagnosticCode::kDuplicateField, "is set twice");
     config_.lines.emplace(path(), line_at(stream_.Tell()));
     is_list_entry_rejected_ = false;
     return true;
@@ -72,9 +72,9 @@
     if (list_) {
       list_->clear();
     } else if (object_depth_ == 0) {
-      add(DiagnosticCode::kNotAnObject, "the file is not one object in braces");
+      add(DiagnosticCode::kNotAnObject, "expected one object in braces for the whole file");
     } else {
-      add(DiagnosticCode::kWrongType, "wants no list");
+      add(DiagnosticCode::kWrongType, "expected a single value, not a list");
     }
     return true;
   }
@@ -82,7 +82,7 @@
     if (--list_depth_ == 0) list_ = nullptr;
     return true;
   }
-  bool Null() { return reject_value(DiagnosticCode::kWrongType, "wants a value, not null"); }
+  bool Null() { return reject_value(DiagnosticCode::kWrongType, "expected a value, not null"); }
   bool Bool(bool value) {
     if (list_depth_ > 0) return reject_list_entry();
     const Field* const field = field_for_value();
@@ -110,7 +110,7 @@
     const std::string value(text, length);
     const auto& words = field->allowed_words;
     if (!words.empty() && std::find(words.begin(), words.end(), value) == words.end())
-      return reject_value(DiagnosticCode::kNotAllowed, "wants " + field->expectation());
+      return reject_value(DiagnosticCode::kNotAllowed, "expected " + field->expectation());
     *target = value;
     return true;
   }
@@ -126,13 +126,13 @@
   // Returns the field that the current value is for. If there is none, adds a diagnostic and returns null.
   const Field* field_for_value() {
     if (object_depth_ == 0) {
-      add(DiagnosticCode::kNotAnObject, "the file is not one object in braces");
+      add(DiagnosticCode::kNotAnObject, "expected one object in braces for the whole file");
       return nullptr;
     }
     const Field* const field = find_field(path());
     if (!field) {
       if (is_section(path()))
-        add(DiagnosticCode::kNotAnObject, "wants an object in braces");
+        add(DiagnosticCode::kNotAnObject, "expected an object in braces");
       else
         add(DiagnosticCode::kUnknownField, unknown_field(path()));
     }
@@ -166,7 +166,7 @@
   }
 
   bool reject_type(const Field& field) {
-    return reject_value(DiagnosticCode::kWrongType, "wants " + field.expectation());
+    return reject_value(DiagnosticCode::kWrongType, "expected " + field.expectation());
   }
   bool reject_value(DiagnosticCode code, std::string message) {
     if (list_depth_ > 0) return reject_list_entry();
@@ -176,7 +176,8 @@
   // A list may contain only strings. Adds at most one diagnostic per list.
   bool reject_list_entry() {
     if (list_ && !std::exchange(is_list_entry_rejected_, true))
-      add(DiagnosticCode::kWrongType, "wants " + find_field(path())->expectation() + ", of strings");
+      add(DiagnosticCode::kWrongType,
+          "each entry must be a string; expected " + find_field(path())->expectation());
     return true;
   }
 
--- a/tests/config/operator_config_test.cpp
+++ b/tests/config/operator_config_test.cpp
@@ -27,9 +27,9 @@
 
 TEST(OperatorConfig, MisspeltFieldIsReportedWithItsLineAndASuggestion) {
   EXPECT_EQ(diagnostics("{\n\"clients\": {\n\"mark\": true}}"),
-            std::vector<std::string>{"f:3: clients.mark: no such field; the nearest is clients.marks"});
+            std::vector<std::string>{"f:3: clients.mark: unknown field; did you mean clients.marks?"});
   EXPECT_EQ(diagnostics("{\"zzzzzzzzzzzzzz\": 1}"),
-            std::vector<std::string>{"f:1: zzzzzzzzzzzzzz: no such field"});
+            std::vector<std::string>{"f:1: zzzzzzzzzzzzzz: unknown field"});
 }
 
 constexpr const char* kClusterFile =
@@ -59,7 +59,7 @@
     EXPECT_NE(only_diagnostic(text).find(part), std::string::npos) << only_diagnostic(text);
   };
   expect_error(cluster_file_with(R"(, "127.0.0.1:7003")", ""),
-               "f:2: fleet.keepers: 2 are listed: three, five or seven");
+               "f:2: fleet.keepers: 2 are listed: expected three, five or seven");
   expect_error(cluster_file_with("127.0.0.1:7003", "127.0.0.1:7002"), "127.0.0.1:7002 is listed twice");
   expect_error(cluster_file_with(R"("listen": "127.0.0.1:7001",)", ""), "f:1: fleet.listen: is missing");
   expect_error(
@@ -69,12 +69,14 @@
   expect_error(cluster_file_with("127.0.0.1:7003", "somewhere:7003"), "is not HOST:PORT");
   expect_error(cluster_file_with(R"("site": "here")", R"("site": "")"), "fleet.site: is missing");
   expect_error(cluster_file_with(R"("trial:*")", R"("trial")"),
-               "is not KIND:NAME, or KIND:* for all of a kind");
-  expect_error(cluster_file_with(R"("trial:*")", R"(7)"),
-               "wants a list of KIND:NAME or KIND:*: leases that it may hold, of strings");
+               "is neither KIND:NAME nor KIND:* (all names of a kind)");
+  expect_error(
+      cluster_file_with(R"("trial:*")", R"(7)"),
+      "each entry must be a string; expected a list of KIND:NAME or KIND:*: leases this gateway may hold");
   expect_error(cluster_file_with(R"("site": "here")", R"("site": "here", "lease_ms": 20)"),
                "20 is not within 500 to 60000");
-  expect_error(cluster_file_with(R"("site": "here")", R"("site": ["here"])"), "fleet.site: wants no list");
+  expect_error(cluster_file_with(R"("site": "here")", R"("site": ["here"])"),
+               "fleet.site: expected a single value, not a list");
   EXPECT_TRUE(parse_operator_config(
                   cluster_file_with("127.0.0.1:7003\"]", "10.0.0.3:7003\"], \"trusted_network\": true"))
                   .is_valid());
