--- a/src/config/cluster_checks.cpp
+++ b/src/config/cluster_checks.cpp
@@ -59,8 +59,8 @@
 
   void run() {
     if (section_.site.empty())
-      add(DiagnosticCode::kMissingField, "fleet.site",
-          "is missing: expected the name of the site this gateway runs at");
+      add_diagnostic(DiagnosticCode::kMissingField, "fleet.site",
+                     "is missing: expected the name of the site this gateway runs at");
     check_address("fleet.listen", section_.listen);
     if (!section_.reached_at.empty()) check_address("fleet.reached_at", section_.reached_at);
     check_acceptors();
@@ -68,7 +68,7 @@
   }
 
  private:
-  void add(DiagnosticCode code, const std::string& path, std::string message) {
+  void add_diagnostic(DiagnosticCode code, const std::string& path, std::string message) {
     const auto at = config_.lines.find(path);
     const int line = at == config_.lines.end() ? config_.lines["fleet.on"] : at->second;
     config_.diagnostics.push_back({code, line, path, std::move(message)});
@@ -76,13 +76,14 @@
 
   void check_address(const std::string& path, const std::string& address) {
     if (address.empty())
-      return add(DiagnosticCode::kMissingField, path,
-                 "is missing: expected HOST:PORT with an IPv4 address as host");
+      return add_diagnostic(DiagnosticCode::kMissingField, path,
+                            "is missing: expected HOST:PORT with an IPv4 address as host");
     if (!is_address(address))
-      return add(DiagnosticCode::kNotAllowed, path,
-                 fmt::format("\"{}\" is not HOST:PORT with an IPv4 address as host", address));
+      return add_diagnostic(DiagnosticCode::kNotAllowed, path,
+                            fmt::format("\"{}\" is not HOST:PORT with an IPv4 address as host", address));
     if (!address.starts_with("127.") && !section_.trusted_network)
-      add(DiagnosticCode::kInconsistent, path,
+      add_diagnostic(
+          DiagnosticCode::kInconsistent, path,
           fmt::format(
               "{} is off the loopback, and connections between gateways are neither encrypted nor "
               "authenticated: set fleet.trusted_network if no one else can read or write on that network",
@@ -92,7 +93,8 @@
   void check_acceptors() {
     const std::vector<std::string>& acceptors = section_.keepers;
     if (acceptors.size() != 3 && acceptors.size() != 5 && acceptors.size() != 7)
-      add(DiagnosticCode::kNotAllowed, "fleet.keepers",
+      add_diagnostic(
+          DiagnosticCode::kNotAllowed, "fleet.keepers",
           fmt::format(
               "{} {}: expected three, five or seven; an even number tolerates only as many failures as "
               "one acceptor fewer, and a single acceptor loses the registers when it fails",
@@ -101,11 +103,13 @@
     for (const std::string& acceptor : acceptors) {
       check_address("fleet.keepers", acceptor);
       if (!seen.insert(acceptor).second)
-        add(DiagnosticCode::kDuplicateField, "fleet.keepers", fmt::format("{} is listed twice", acceptor));
+        add_diagnostic(DiagnosticCode::kDuplicateField, "fleet.keepers",
+                       fmt::format("{} is listed twice", acceptor));
     }
     const std::string& self = section_.advertised_address();
     if (!section_.folder.empty() && is_address(self) && seen.count(self) == 0)
-      add(DiagnosticCode::kInconsistent, "fleet.folder",
+      add_diagnostic(
+          DiagnosticCode::kInconsistent, "fleet.folder",
           fmt::format(
               "{} is not one of fleet.keepers and stores nothing: leave fleet.folder empty, or add the "
               "address to fleet.keepers",
@@ -115,8 +119,8 @@
   void check_leases() {
     for (const std::string& lease : section_.duties)
       if (!is_lease_name(lease))
-        add(DiagnosticCode::kNotAllowed, "fleet.duties",
-            fmt::format("\"{}\" is neither KIND:NAME nor KIND:* (all names of a kind)", lease));
+        add_diagnostic(DiagnosticCode::kNotAllowed, "fleet.duties",
+                       fmt::format("\"{}\" is neither KIND:NAME nor KIND:* (all names of a kind)", lease));
   }
 
   ParsedConfig& config_;
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -40,9 +40,10 @@
     if (list_depth_ > 0) return reject_list_entry();
     if (object_depth_ > 0 && !is_section(path())) {
       if (const Field* field = find_field(path()))
-        add(DiagnosticCode::kWrongType, "expected a value, not an object: " + field->expectation());
+        add_diagnostic(DiagnosticCode::kWrongType,
+                       "expected a value, not an object: " + field->expectation());
       else
-        add(DiagnosticCode::kUnknownField, unknown_field(path()));
+        add_diagnostic(DiagnosticCode::kUnknownField, unknown_field(path()));
     }
     ++object_depth_;
     keys_.emplace_back();
@@ -57,7 +58,7 @@
   bool Key(const char* text, rapidjson::SizeType length, bool) {
     if (list_depth_ > 0) return true;
     keys_.back().assign(text, length);
-    if (!seen_.insert(path()).second) add(DiagnosticCode::kDuplicateField, "is set twice");
+    if (!seen_.insert(path()).second) add_diagnostic(DiagnosticCode::kDuplicateField, "is set twice");
     config_.lines.emplace(path(), line_at(stream_.Tell()));
     is_list_entry_rejected_ = false;
     return true;
@@ -72,9 +73,9 @@
     if (list_) {
       list_->clear();
     } else if (object_depth_ == 0) {
-      add(DiagnosticCode::kNotAnObject, "expected one object in braces for the whole file");
+      add_diagnostic(DiagnosticCode::kNotAnObject, "expected one object in braces for the whole file");
     } else {
-      add(DiagnosticCode::kWrongType, "expected a single value, not a list");
+      add_diagnostic(DiagnosticCode::kWrongType, "expected a single value, not a list");
     }
     return true;
   }
@@ -92,11 +93,11 @@
     *target = value;
     return true;
   }
-  bool Int(int value) { return number(value); }
-  bool Uint(unsigned value) { return number(value); }
-  bool Int64(int64_t value) { return number(static_cast<double>(value)); }
-  bool Uint64(uint64_t value) { return number(static_cast<double>(value)); }
-  bool Double(double value) { return number(value); }
+  bool Int(int value) { return store_number(value); }
+  bool Uint(unsigned value) { return store_number(value); }
+  bool Int64(int64_t value) { return store_number(static_cast<double>(value)); }
+  bool Uint64(uint64_t value) { return store_number(static_cast<double>(value)); }
+  bool Double(double value) { return store_number(value); }
   bool String(const char* text, rapidjson::SizeType length, bool) {
     if (list_ && list_depth_ == 1) {
       list_->emplace_back(text, length);
@@ -126,15 +127,15 @@
   // Returns the field that the current value is for. If there is none, adds a diagnostic and returns null.
   const Field* field_for_value() {
     if (object_depth_ == 0) {
-      add(DiagnosticCode::kNotAnObject, "expected one object in braces for the whole file");
+      add_diagnostic(DiagnosticCode::kNotAnObject, "expected one object in braces for the whole file");
       return nullptr;
     }
     const Field* const field = find_field(path());
     if (!field) {
       if (is_section(path()))
-        add(DiagnosticCode::kNotAnObject, "expected an object in braces");
+        add_diagnostic(DiagnosticCode::kNotAnObject, "expected an object in braces");
       else
-        add(DiagnosticCode::kUnknownField, unknown_field(path()));
+        add_diagnostic(DiagnosticCode::kUnknownField, unknown_field(path()));
     }
     return field;
   }
@@ -147,7 +148,7 @@
     return typed ? *typed : nullptr;
   }
 
-  bool number(double value) {
+  bool store_number(double value) {
     if (list_depth_ > 0) return reject_list_entry();
     const Field* const field = field_for_value();
     if (!field) return true;
@@ -170,18 +171,18 @@
   }
   bool reject_value(DiagnosticCode code, std::string message) {
     if (list_depth_ > 0) return reject_list_entry();
-    add(code, std::move(message));
+    add_diagnostic(code, std::move(message));
     return true;
   }
   // A list may contain only strings. Adds at most one diagnostic per list.
   bool reject_list_entry() {
     if (list_ && !std::exchange(is_list_entry_rejected_, true))
-      add(DiagnosticCode::kWrongType,
-          "each entry must be a string; expected " + find_field(path())->expectation());
+      add_diagnostic(DiagnosticCode::kWrongType,
+                     "each entry must be a string; expected " + find_field(path())->expectation());
     return true;
   }
 
-  void add(DiagnosticCode code, std::string message) {
+  void add_diagnostic(DiagnosticCode code, std::string message) {
     config_.diagnostics.push_back({code, line_at(stream_.Tell()), path(), std::move(message)});
   }
 
@@ -189,7 +190,7 @@
   const rapidjson::MemoryStream& stream_;
   ParsedConfig& config_;
   std::vector<std::string> keys_;  // of the objects that enclose the current value
-  std::set<std::string> seen_;     // paths
+  std::set<std::string> seen_;     // paths of the keys read so far
   int object_depth_ = 0, list_depth_ = 0;
   std::vector<std::string>* list_ = nullptr;  // stores the strings of the current list
   bool is_list_entry_rejected_ = false;
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -34,13 +34,13 @@
   // The cluster of gateways: replicated registers and the leases stored in them.
   struct Fleet {
     bool on = false;         // take part in the cluster
-    std::string site;        // name of the site this gateway runs at
+    std::string site;        // name of the site this gateway runs at, such as an office
     std::string listen;      // HOST:PORT for connections from peers
     std::string reached_at;  // the address that peers connect to; empty: the same as `listen`
-    std::vector<std::string>
-        keepers;             // addresses of the acceptors: three, five or seven, the same in every file
-    std::string folder;      // for an acceptor's durable state; empty: memory only
-    double lease_ms = 3000;  // how long a lease lasts without renewal
+    // Addresses of the acceptors: three, five or seven, the same in every file.
+    std::vector<std::string> keepers;
+    std::string folder;               // for an acceptor's durable state; empty: memory only
+    double lease_ms = 3000;           // how long a lease lasts without renewal
     std::vector<std::string> duties;  // the leases this gateway may hold: KIND:NAME, or KIND:* for any name
     bool trusted_network = false;     // allow peers off the loopback, although connections are not encrypted
 
@@ -58,7 +58,7 @@
   kUnreadableFile,
   kFileTooLarge,
   kSyntaxError,  // not JSON
-  kNotAnObject,  // the file, or a section, is something else
+  kNotAnObject,  // the file or a section is not an object
   kUnknownField,
   kDuplicateField,
   kWrongType,
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -135,10 +135,10 @@
 
 // ---- Engines --------------------------------------------------------------------------------------
 
-void Core::update_engine_list(TimePoint now, bool full, std::vector<NamedEngineInfo> engines,
+void Core::update_engine_list(TimePoint now, bool is_complete, std::vector<NamedEngineInfo> engines,
                               std::optional<TimePoint> current_at) {
   EngineListUpdate update;
-  update.is_complete = full;
+  update.is_complete = is_complete;
   update.current_at = current_at;
   std::map<EngineId, std::string> present;
   for (NamedEngineInfo& engine : engines) {
@@ -150,7 +150,7 @@
     else
       present[engine.info.engine] = engine.name;
   }
-  if (full)
+  if (is_complete)
     directory_.replace_all(std::move(present), [&](EngineId engine) {
       engines_.update_engine(now, to_number(engine), {}, EngineState::kRemoved);
     });
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -73,9 +73,9 @@
   std::optional<CallId> find_call(std::string_view command) const;
 
   // ---- Engines
-  // `full`: `engines` is the complete list, not a change. `current_at`: when the list before this update was
-  // last known to be current; nothing if it never was.
-  void update_engine_list(TimePoint now, bool full, std::vector<NamedEngineInfo> engines,
+  // `is_complete`: `engines` is the whole list, not a change. `current_at`: when the list before this update
+  // was last known to be current; nothing if it never was.
+  void update_engine_list(TimePoint now, bool is_complete, std::vector<NamedEngineInfo> engines,
                           std::optional<TimePoint> current_at = std::nullopt);
   // Checked again right before the transport writes the start of an attempt to the engine.
   bool may_start_attempt(TimePoint now, AttemptId attempt) const;
