--- a/src/config/cluster_checks.cpp
+++ b/src/config/cluster_checks.cpp
@@ -1,3 +1,4 @@
+// Checks addresses, acceptors and leases of the cluster section.
 #include "config/cluster_checks.h"
 
 #include <fmt/format.h>
@@ -17,10 +18,10 @@
          std::stoi(std::string(text)) >= 1 && std::stoi(std::string(text)) <= 65535;
 }
 
-// Four numbers of 0 to 255 with dots between them.
+// Four numbers from 0 to 255 separated by dots.
 bool is_ipv4_address(std::string_view text) {
   int parts = 0;
-  int digits = 0;  // of the part that is read
+  int digits = 0;  // of the current part
   int value = 0;
   for (const char c : std::string(text) + ".") {
     if (c == '.') {
@@ -37,7 +38,8 @@
   return parts == 4;
 }
 
-// HOST:PORT with a number for the host: name look-ups are not available everywhere.
+// HOST:PORT with an IPv4 address as host. Host names are not allowed, as name lookups are not available
+// everywhere.
 bool is_address(std::string_view text) {
   const size_t colon = text.rfind(':');
   return colon != std::string_view::npos && is_ipv4_address(text.substr(0, colon)) &&
@@ -57,7 +59,8 @@
 
   void run() {
     if (section_.site.empty())
-      add(DiagnosticCode::kMissingField, "fleet.site", "is missing: a name for where this gateway stands");
+      add_diagnostic(DiagnosticCode::kMissingField, "fleet.site",
+                     "is missing: expected the name of the site this gateway runs at");
     check_address("fleet.listen", section_.listen);
     if (!section_.reached_at.empty()) check_address("fleet.reached_at", section_.reached_at);
     check_acceptors();
@@ -65,7 +68,7 @@
   }
 
  private:
-  void add(DiagnosticCode code, const std::string& path, std::string message) {
+  void add_diagnostic(DiagnosticCode code, const std::string& path, std::string message) {
     const auto at = config_.lines.find(path);
     const int line = at == config_.lines.end() ? config_.lines["fleet.on"] : at->second;
     config_.diagnostics.push_back({code, line, path, std::move(message)});
@@ -73,41 +76,51 @@
 
   void check_address(const std::string& path, const std::string& address) {
     if (address.empty())
-      return add(DiagnosticCode::kMissingField, path, "is missing: HOST:PORT, the host as a number");
+      return add_diagnostic(DiagnosticCode::kMissingField, path,
+                            "is missing: expected HOST:PORT with an IPv4 address as host");
     if (!is_address(address))
-      return add(DiagnosticCode::kNotAllowed, path,
-                 fmt::format("\"{}\" is not HOST:PORT with the host as a number", address));
+      return add_diagnostic(DiagnosticCode::kNotAllowed, path,
+                            fmt::format("\"{}\" is not HOST:PORT with an IPv4 address as host", address));
     if (!address.starts_with("127.") && !section_.trusted_network)
-      add(DiagnosticCode::kInconsistent, path,
-          fmt::format("{} is off the loopback, and connections between gateways are neither encrypted nor "
-                      "authenticated: set fleet.trusted_network where nobody else can read or write there",
-                      address));
+      add_diagnostic(
+          DiagnosticCode::kInconsistent, path,
+          fmt::format(
+              "{} is off the loopback, and connections between gateways are neither encrypted nor "
+              "authenticated: set fleet.trusted_network if no one else can read or write on that network",
+              address));
   }
 
   void check_acceptors() {
     const std::vector<std::string>& acceptors = section_.keepers;
     if (acceptors.size() != 3 && acceptors.size() != 5 && acceptors.size() != 7)
-      add(DiagnosticCode::kNotAllowed, "fleet.keepers",
-          fmt::format("{} {}: three, five or seven; an even number tolerates no more failures than one less, "
-                      "and of one its loss is the loss of the registers",
-                      acceptors.size(), acceptors.size() == 1 ? "is listed" : "are listed"));
+      add_diagnostic(
+          DiagnosticCode::kNotAllowed, "fleet.keepers",
+          fmt::format(
+              "{} {}: expected three, five or seven; an even number tolerates only as many failures as "
+              "one acceptor fewer, and a single acceptor loses the registers when it fails",
+              acceptors.size(), acceptors.size() == 1 ? "is listed" : "are listed"));
     std::set<std::string> seen;
     for (const std::string& acceptor : acceptors) {
       check_address("fleet.keepers", acceptor);
       if (!seen.insert(acceptor).second)
-        add(DiagnosticCode::kDuplicateField, "fleet.keepers", fmt::format("{} is listed twice", acceptor));
+        add_diagnostic(DiagnosticCode::kDuplicateField, "fleet.keepers",
+                       fmt::format("{} is listed twice", acceptor));
     }
     const std::string& self = section_.advertised_address();
     if (!section_.folder.empty() && is_address(self) && seen.count(self) == 0)
-      add(DiagnosticCode::kInconsistent, "fleet.folder",
-          fmt::format("{} is not one of fleet.keepers and stores nothing: leave it empty, or list it", self));
+      add_diagnostic(
+          DiagnosticCode::kInconsistent, "fleet.folder",
+          fmt::format(
+              "{} is not one of fleet.keepers and stores nothing: leave fleet.folder empty, or add the "
+              "address to fleet.keepers",
+              self));
   }
 
   void check_leases() {
     for (const std::string& lease : section_.duties)
       if (!is_lease_name(lease))
-        add(DiagnosticCode::kNotAllowed, "fleet.duties",
-            fmt::format("\"{}\" is not KIND:NAME, or KIND:* for all of a kind", lease));
+        add_diagnostic(DiagnosticCode::kNotAllowed, "fleet.duties",
+                       fmt::format("\"{}\" is neither KIND:NAME nor KIND:* (all names of a kind)", lease));
   }
 
   ParsedConfig& config_;
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -1,3 +1,4 @@
+// Parses and checks the operator's configuration file.
 #include "config/operator_config.h"
 
 #include <fmt/format.h>
@@ -18,13 +19,13 @@
 
 std::string unknown_field(const std::string& path) {
   if (const Field* closest = closest_field(path))
-    return fmt::format("no such field; the nearest is {}", closest->path);
-  return "no such field";
+    return fmt::format("unknown field; did you mean {}?", closest->path);
+  return "unknown field";
 }
 
-// Handles the events of the JSON parser: stores the values of fields, and notes everything that is wrong. It
-// goes on after an error, so that one reading finds them all; its functions therefore always return true.
-// Knows the present line by the stream that the parser reads.
+// Handles the events of the JSON parser: stores the values of fields and collects diagnostics. It continues
+// after an error, so that one pass finds all errors; its functions therefore always return true. It derives
+// the current line from the position of the stream that the parser reads.
 class ConfigHandler : public rapidjson::BaseReaderHandler<rapidjson::UTF8<>, ConfigHandler> {
  public:
   ConfigHandler(std::string_view text, const rapidjson::MemoryStream& stream, ParsedConfig& config)
@@ -39,9 +40,10 @@
     if (list_depth_ > 0) return reject_list_entry();
     if (object_depth_ > 0 && !is_section(path())) {
       if (const Field* field = find_field(path()))
-        add(DiagnosticCode::kWrongType, "wants a value: " + field->expectation());
+        add_diagnostic(DiagnosticCode::kWrongType,
+                       "expected a value, not an object: " + field->expectation());
       else
-        add(DiagnosticCode::kUnknownField, unknown_field(path()));
+        add_diagnostic(DiagnosticCode::kUnknownField, unknown_field(path()));
     }
     ++object_depth_;
     keys_.emplace_back();
@@ -56,7 +58,7 @@
   bool Key(const char* text, rapidjson::SizeType length, bool) {
     if (list_depth_ > 0) return true;
     keys_.back().assign(text, length);
-    if (!seen_.insert(path()).second) add(DiagnosticCode::kDuplicateField, "is given twice");
+    if (!seen_.insert(path()).second) add_diagnostic(DiagnosticCode::kDuplicateField, "is set twice");
     config_.lines.emplace(path(), line_at(stream_.Tell()));
     is_list_entry_rejected_ = false;
     return true;
@@ -71,9 +73,9 @@
     if (list_) {
       list_->clear();
     } else if (object_depth_ == 0) {
-      add(DiagnosticCode::kNotAnObject, "the file is not one object in braces");
+      add_diagnostic(DiagnosticCode::kNotAnObject, "expected one object in braces for the whole file");
     } else {
-      add(DiagnosticCode::kWrongType, "wants no list");
+      add_diagnostic(DiagnosticCode::kWrongType, "expected a single value, not a list");
     }
     return true;
   }
@@ -81,7 +83,7 @@
     if (--list_depth_ == 0) list_ = nullptr;
     return true;
   }
-  bool Null() { return reject_value(DiagnosticCode::kWrongType, "wants a value, not null"); }
+  bool Null() { return reject_value(DiagnosticCode::kWrongType, "expected a value, not null"); }
   bool Bool(bool value) {
     if (list_depth_ > 0) return reject_list_entry();
     const Field* const field = field_for_value();
@@ -91,11 +93,11 @@
     *target = value;
     return true;
   }
-  bool Int(int value) { return number(value); }
-  bool Uint(unsigned value) { return number(value); }
-  bool Int64(int64_t value) { return number(static_cast<double>(value)); }
-  bool Uint64(uint64_t value) { return number(static_cast<double>(value)); }
-  bool Double(double value) { return number(value); }
+  bool Int(int value) { return store_number(value); }
+  bool Uint(unsigned value) { return store_number(value); }
+  bool Int64(int64_t value) { return store_number(static_cast<double>(value)); }
+  bool Uint64(uint64_t value) { return store_number(static_cast<double>(value)); }
+  bool Double(double value) { return store_number(value); }
   bool String(const char* text, rapidjson::SizeType length, bool) {
     if (list_ && list_depth_ == 1) {
       list_->emplace_back(text, length);
@@ -109,7 +111,7 @@
     const std::string value(text, length);
     const auto& words = field->allowed_words;
     if (!words.empty() && std::find(words.begin(), words.end(), value) == words.end())
-      return reject_value(DiagnosticCode::kNotAllowed, "wants " + field->expectation());
+      return reject_value(DiagnosticCode::kNotAllowed, "expected " + field->expectation());
     *target = value;
     return true;
   }
@@ -122,23 +124,23 @@
     return path;
   }
 
-  // The field that the present value is for. Null, with a diagnostic, if there is none.
+  // Returns the field that the current value is for. If there is none, adds a diagnostic and returns null.
   const Field* field_for_value() {
     if (object_depth_ == 0) {
-      add(DiagnosticCode::kNotAnObject, "the file is not one object in braces");
+      add_diagnostic(DiagnosticCode::kNotAnObject, "expected one object in braces for the whole file");
       return nullptr;
     }
     const Field* const field = find_field(path());
     if (!field) {
       if (is_section(path()))
-        add(DiagnosticCode::kNotAnObject, "wants an object in braces");
+        add_diagnostic(DiagnosticCode::kNotAnObject, "expected an object in braces");
       else
-        add(DiagnosticCode::kUnknownField, unknown_field(path()));
+        add_diagnostic(DiagnosticCode::kUnknownField, unknown_field(path()));
     }
     return field;
   }
 
-  // Where to store a value of this type; null if the field has another type.
+  // Returns the variable for a value of this type, or null if the field has another type.
   template <class T>
   T* target_of(const Field& field) {
     const FieldTarget target = field.target(config_.values);
@@ -146,7 +148,7 @@
     return typed ? *typed : nullptr;
   }
 
-  bool number(double value) {
+  bool store_number(double value) {
     if (list_depth_ > 0) return reject_list_entry();
     const Field* const field = field_for_value();
     if (!field) return true;
@@ -165,31 +167,32 @@
   }
 
   bool reject_type(const Field& field) {
-    return reject_value(DiagnosticCode::kWrongType, "wants " + field.expectation());
+    return reject_value(DiagnosticCode::kWrongType, "expected " + field.expectation());
   }
   bool reject_value(DiagnosticCode code, std::string message) {
     if (list_depth_ > 0) return reject_list_entry();
-    add(code, std::move(message));
+    add_diagnostic(code, std::move(message));
     return true;
   }
-  // A list holds only strings. One diagnostic a list.
+  // A list may contain only strings. Adds at most one diagnostic per list.
   bool reject_list_entry() {
     if (list_ && !std::exchange(is_list_entry_rejected_, true))
-      add(DiagnosticCode::kWrongType, "wants " + find_field(path())->expectation() + ", of strings");
+      add_diagnostic(DiagnosticCode::kWrongType,
+                     "each entry must be a string; expected " + find_field(path())->expectation());
     return true;
   }
 
-  void add(DiagnosticCode code, std::string message) {
+  void add_diagnostic(DiagnosticCode code, std::string message) {
     config_.diagnostics.push_back({code, line_at(stream_.Tell()), path(), std::move(message)});
   }
 
   std::string_view text_;
   const rapidjson::MemoryStream& stream_;
   ParsedConfig& config_;
-  std::vector<std::string> keys_;  // of the objects around the present value
-  std::set<std::string> seen_;     // paths
+  std::vector<std::string> keys_;  // of the objects that enclose the current value
+  std::set<std::string> seen_;     // paths of the keys read so far
   int object_depth_ = 0, list_depth_ = 0;
-  std::vector<std::string>* list_ = nullptr;  // that the strings of the present list are stored in
+  std::vector<std::string>* list_ = nullptr;  // stores the strings of the current list
   bool is_list_entry_rejected_ = false;
 };
 
@@ -215,7 +218,7 @@
 }
 
 ParsedConfig load_operator_config(const std::string& file) {
-  constexpr size_t kMaxFileBytes = size_t{16} * 1024 * 1024;  // larger than any file written by hand
+  constexpr size_t kMaxFileBytes = size_t{16} * 1024 * 1024;  // larger than any hand-written file
   const auto unusable = [](DiagnosticCode code, const char* message) {
     ParsedConfig config;
     config.diagnostics.push_back({code, std::nullopt, {}, message});
