--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -30,8 +30,8 @@
   options.gateway_number = number_setting(settings, setting::kGatewayNumber);
   options.max_attempts = std::max(1, static_cast<int>(number_setting(settings, setting::kMaxAttempts, 1)));
   options.may_cancel = flag(setting::kMayCancel);
-  options.are_priorities_heeded = flag(setting::kHonoursPriorities);
-  options.are_memory_grants_heeded = flag(setting::kHonoursMemoryGrants);
+  options.are_priorities_honoured = flag(setting::kHonoursPriorities);
+  options.are_memory_grants_honoured = flag(setting::kHonoursMemoryGrants);
   if (flag(setting::kMayAdviseRetry))
     options.retry_after = positive_time(number_setting(settings, setting::kMaxRetryAfter));
   options.status_period = positive_time(number_setting(settings, setting::kStatusPeriod));
--- a/src/policy/reconciliation.cpp
+++ b/src/policy/reconciliation.cpp
@@ -24,9 +24,9 @@
 void append_hints(const State& state, Command& command, Actions& actions) {
   const PolicyOptions& options = state.options;
   const SchedulingHints& desired = command.desired_hints;
-  const bool is_priority_new = options.are_priorities_heeded && desired.priority != command.hints.priority;
+  const bool is_priority_new = options.are_priorities_honoured && desired.priority != command.hints.priority;
   const bool is_grant_new =
-      options.are_memory_grants_heeded && desired.memory_grant_mb != command.hints.memory_grant_mb;
+      options.are_memory_grants_honoured && desired.memory_grant_mb != command.hints.memory_grant_mb;
   if (!is_priority_new && !is_grant_new) return;
   command.hints = desired;
   Action& action = append(actions, Action::Kind::kSetSchedulingHints, command.request.id);
--- a/src/policy/scheduling_hints.cpp
+++ b/src/policy/scheduling_hints.cpp
@@ -17,7 +17,7 @@
 SchedulingHints scheduling_hints_for(const State& state, const Command& command) {
   SchedulingHints hints;
   hints.priority = is_short(state, command) ? kPriorityShort : kPriorityOther;
-  if (state.options.are_memory_grants_heeded)
+  if (state.options.are_memory_grants_honoured)
     hints.memory_grant_mb = command.request.estimated_memory_mb * profile_of(state, command).memory_factor;
   return hints;
 }
--- a/src/policy/state.h
+++ b/src/policy/state.h
@@ -29,7 +29,7 @@
   double gateway_number = 0;  // number of this gateway, from 0
   int max_attempts = 0;       // per command
   bool may_cancel = false;    // whether attempts in flight may be cancelled
-  bool are_priorities_heeded = false, are_memory_grants_heeded = false;
+  bool are_priorities_honoured = false, are_memory_grants_honoured = false;  // by the engines
   std::optional<Duration> retry_after;    // advised to clients whose command is shed
   std::optional<Duration> status_period;  // interval between an engine's status reports on an attempt
   Duration key_cooldown{};  // how long an ordering key stays blocked after an attempt that may still run
