--- a/src/cluster/cluster_log.cpp
+++ b/src/cluster/cluster_log.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::string written_ms(BootClock::time_point time) { return fmt::format("{:.3f}", to_ms(time)); }
+std::string format_ms(BootClock::time_point time) { return fmt::format("{:.3f}", to_ms(time)); }
 const char* yes_or_no(bool value) { return value ? "yes" : "no"; }
 
 }  // namespace
@@ -46,16 +46,16 @@
 
 void ClusterLog::record_lease_event(BootClock::time_point now, const lease::Event& event) const {
   using Kind = lease::Event::Kind;
-  const std::string epoch = std::to_string(event.epoch), at = written_ms(now);
-  const auto record_held = [&](Level level, const char* name) {
+  const std::string epoch = std::to_string(event.epoch), at = format_ms(now);
+  const auto log_validity = [&](Level level, const char* name) {
     sink_(level, name,
           {{"component", "lease"},
            {"lease", event.lease},
            {"epoch", epoch},
            {"at_ms", at},
-           {"until_ms", written_ms(*event.valid_until)}});
+           {"until_ms", format_ms(*event.valid_until)}});
   };
-  const auto record_end = [&](Level level, const char* name) {
+  const auto log_end = [&](Level level, const char* name) {
     sink_(level, name,
           {{"component", "lease"},
            {"lease", event.lease},
@@ -66,15 +66,15 @@
   switch (event.kind) {
     case Kind::kAcquired:
       metrics_.add("leases acquired");
-      return record_held(Level::kInfo, "lease.acquired");
+      return log_validity(Level::kInfo, "lease.acquired");
     case Kind::kRenewed:
-      return record_held(Level::kDebug, "lease.renewed");
+      return log_validity(Level::kDebug, "lease.renewed");
     case Kind::kReleased:
       metrics_.add("leases released");
-      return record_end(Level::kInfo, "lease.released");
+      return log_end(Level::kInfo, "lease.released");
     case Kind::kLost:
       metrics_.add("leases lost");
-      return record_end(Level::kWarning, "lease.lost");
+      return log_end(Level::kWarning, "lease.lost");
     case Kind::kUnreadable:
       return sink_(Level::kWarning, "lease.unreadable", {{"component", "lease"}, {"lease", event.lease}});
     case Kind::kStateWritten:
--- a/src/cluster/cluster_log.h
+++ b/src/cluster/cluster_log.h
@@ -1,4 +1,4 @@
-// Every log event and metric of the cluster, one function each, so that names and fields stand in one place.
+// Log events and metrics of the cluster, one function each: all their names and fields are defined here.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 using LogSink = std::function<void(log::Level, std::string_view event, log::Fields fields)>;
 
-// Used on the loop's thread alone.
+// Must be used on the event loop's thread only.
 class ClusterLog {
  public:
   ClusterLog(LogSink sink, Metrics& metrics) : sink_(std::move(sink)), metrics_(metrics) {}
@@ -29,7 +29,7 @@
   void record_rejected_frame(const std::string& peer, const char* reason) const;
   void count_sent_frame() const;
 
-  // consensus.write_failed, at the first failure in a row; each is counted.
+  // Counts each failed write. Logs consensus.write_failed only for the first of consecutive failures.
   void record_failed_write(const std::string& directory, const std::string& reason, bool is_first) const;
   // consensus.replica_ready
   void record_replica_ready(size_t registers) const;
@@ -40,14 +40,14 @@
   void record_started_job(const std::string& job) const;
   void count_requested_job() const;
 
-  // schema.change_agreed, schema.change_rejected; other results and readings are not logged.
+  // schema.change_agreed, schema.change_rejected. Reads and other results are not logged.
   void record_topic_change(const schema::Registry::Result& result) const;
   void count_topic_request(std::string_view method) const;
 
-  // The present state, for SIGUSR1: consensus.replica_status, cluster.peer_status, lease.status.
+  // The current state, logged on SIGUSR1: consensus.replica_status, cluster.peer_status, lease.status.
   void record_replica_status(const consensus::Acceptor& acceptor) const;
   void record_peer_status(const std::string& peer, bool is_connected) const;
-  // `record`: the newest one seen, or null.
+  // `record`: the latest record observed, or null.
   void record_lease_status(const std::string& lease, const lease::LeaseRecord* record,
                            bool is_held_here) const;
 
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -9,17 +9,18 @@
 
 namespace {
 
-constexpr Duration kExpiryTimeout(5000);  // for a withdrawal to be agreed; it is proposed again otherwise
+// Timeout of the withdrawal of an expired declaration. A withdrawal that fails is proposed again.
+constexpr Duration kWithdrawalTimeout(5000);
 
-// Independent numbers from one seed (the finalizer of MurmurHash3), never 0.
-uint64_t mixed(uint64_t number) {
+// Derives independent nonzero numbers from consecutive seeds (the finalizer of MurmurHash3).
+uint64_t mix_bits(uint64_t number) {
   number = (number ^ (number >> 33)) * 0xff51afd7ed558ccdull;
   number = (number ^ (number >> 33)) * 0xc4ceb9fe1a85ec53ull;
   return (number ^ (number >> 33)) | 1;
 }
 
-// From 0 to 1.
-double fraction_of(uint64_t number) {
+// Maps a random number to [0, 1).
+double to_unit_interval(uint64_t number) {
   return static_cast<double>(number >> 11) / static_cast<double>(uint64_t{1} << 53);
 }
 
@@ -34,17 +35,17 @@
 consensus::ProposerOptions proposer_options(const ClusterNodeOptions& options) {
   consensus::ProposerOptions out;
   out.replica_count = options.replica_count;
-  out.proposer_id = mixed(options.random_seed + 1);
-  out.seed = mixed(options.random_seed + 2);
+  out.proposer_id = mix_bits(options.random_seed + 1);
+  out.seed = mix_bits(options.random_seed + 2);
   return out;
 }
 
 lease::LeaseOptions lease_options(const ClusterNodeOptions& options) {
-  return {options.name, mixed(options.random_seed + 3), options.lease_duration};
+  return {options.name, mix_bits(options.random_seed + 3), options.lease_duration};
 }
 
-consensus::PeerId first_watched(const ClusterNodeOptions& options) {
-  return static_cast<consensus::PeerId>(mixed(options.random_seed) % options.replica_count);
+consensus::PeerId first_watched_replica(const ClusterNodeOptions& options) {
+  return static_cast<consensus::PeerId>(mix_bits(options.random_seed) % options.replica_count);
 }
 
 }  // namespace
@@ -52,13 +53,13 @@
 ClusterNode::ClusterNode(BootTime now, const ClusterNodeOptions& options)
     : options_(options),
       proposer_(proposer_options(options)),
-      watcher_(options.replica_count, first_watched(options)),
+      watcher_(options.replica_count, first_watched_replica(options)),
       leases_(now, lease_options(options)),
-      run_once_jobs_(leases_, mixed(options.random_seed + 4)),
-      registry_(mixed(options.random_seed + 6)),
-      declaration_expiry_(fraction_of(mixed(options.random_seed + 7))) {
+      run_once_jobs_(leases_, mix_bits(options.random_seed + 4)),
+      registry_(mix_bits(options.random_seed + 6)),
+      declaration_expiry_(to_unit_interval(mix_bits(options.random_seed + 7))) {
   if (options.self < options.replica_count)
-    acceptor_.emplace(acceptor_options(options), mixed(options.random_seed + 5));
+    acceptor_.emplace(acceptor_options(options), mix_bits(options.random_seed + 5));
 }
 
 ClusterNode::ClusterNode(BootTime now, const ClusterNodeOptions& options, consensus::ReplicaMetadata metadata,
@@ -83,7 +84,7 @@
   exchange_events(now);
 }
 
-// What one state machine has for another, until none has anything.
+// Passes results, updates and proposals between the state machines until none has any left.
 void ClusterNode::exchange_events(BootTime now) {
   for (bool has_more = true; has_more;) {
     has_more = dispatch_results(now);
@@ -119,7 +120,7 @@
 
 void ClusterNode::handle_register(BootTime now, const std::string& key, const consensus::Register& value) {
   leases_.observe(now, key, value);
-  // Only replicas watch declarations, so that the others need not decode every topic.
+  // Only replicas track the expiry of declarations; other gateways need not decode every topic.
   constexpr std::string_view kPrefix = schema::Registry::kKeyPrefix;
   if (!acceptor_ || !key.starts_with(kPrefix)) return;
   std::string why;
@@ -129,7 +130,7 @@
 
 void ClusterNode::on_tick(BootTime now) {
   for (schema::Change& withdrawal : declaration_expiry_.take_due_withdrawals(now))
-    registry_.submit(std::move(withdrawal), now + kExpiryTimeout);
+    registry_.submit(std::move(withdrawal), now + kWithdrawalTimeout);
   if (acceptor_) acceptor_->on_tick(now);
   proposer_.on_tick(now);
   watcher_.on_tick(now);
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -1,6 +1,6 @@
-// One gateway's part in the cluster: its state machines together, without I/O or clock. An acceptor (where
-// the gateway is a replica), a proposer, a watcher, the leases, the run-once jobs and the registry of
-// schemas. The program (cluster_service.h) and the simulation in virtual time (simulation/fleet_world.h) run
+// Combines the cluster state machines of one gateway: an acceptor (if the gateway is a replica), a proposer,
+// a register watcher, the leases, the run-once jobs and the schema registry. It does no I/O and reads no
+// clock, so the program (cluster_service.h) and the simulation in virtual time (simulation/fleet_world.h) run
 // the same code.
 #pragma once
 
@@ -21,19 +21,20 @@
 namespace firvalve::cluster {
 
 struct ClusterNodeOptions {
-  consensus::PeerId self = 0;  // below `replica_count`: it is that replica
+  consensus::PeerId self = 0;  // the gateway is a replica if this is below `replica_count`
   uint32_t replica_count = 3;
-  std::string name;          // HOST:PORT by which peers know it
-  uint64_t random_seed = 1;  // drawn anew at each start: incarnations, ids and waits come from it
+  std::string name;  // advertised HOST:PORT
+  // Seeds the incarnation, ids and random delays; needs a new value at each start of the gateway.
+  uint64_t random_seed = 1;
   Duration lease_duration = Duration(3000);
-  size_t max_register_bytes = size_t{32} * 1024 * 1024;  // of values that a replica stores
+  size_t max_register_bytes = size_t{32} * 1024 * 1024;  // limit on the total size of the values of a replica
 };
 
 class ClusterNode {
  public:
-  // A replica that has nothing stored, or no replica.
+  // A gateway without stored replica state: a new replica, or not a replica.
   ClusterNode(consensus::BootTime now, const ClusterNodeOptions& options);
-  // A replica with all that it had made durable.
+  // A replica that restarts with its stored state.
   ClusterNode(consensus::BootTime now, const ClusterNodeOptions& options, consensus::ReplicaMetadata metadata,
               std::map<std::string, consensus::AcceptorSlot> slots);
 
@@ -41,14 +42,15 @@
   void on_tick(consensus::BootTime now);
   std::optional<consensus::BootTime> next_deadline() const;
 
-  // What the driver does next. The acceptor's writes are made durable before its messages go out; `envelopes`
-  // wait for nothing. A message to this gateway itself comes back by handle().
+  // Work for the driver. The acceptor's messages must not be sent before its writes are durable; `envelopes`
+  // can be sent at once. Messages addressed to this gateway itself must be passed back to handle().
   struct Output {
     consensus::AcceptorOutput acceptor;
     std::vector<consensus::Envelope> envelopes;
   };
   Output take_output();
-  // The output could not be written: its writes come again with a later one, its messages are dropped.
+  // Reports that an output could not be written. A later output contains its writes again; the driver must
+  // drop its messages.
   void on_write_failed(const consensus::AcceptorOutput& output) { acceptor_->on_write_failed(output); }
   std::vector<lease::Event> take_events() { return std::exchange(events_, {}); }
 
@@ -60,12 +62,12 @@
   schema::Registry& registry() { return registry_; }
   std::vector<schema::Registry::Result> take_topic_results() { return registry_.take_results(); }
   consensus::Proposer& proposer() { return proposer_; }
-  // Results of proposals that are neither the leases' nor the registry's.
+  // Results of proposals made directly through proposer(), not by the leases or the registry.
   std::vector<consensus::ProposalResult> take_results() { return std::exchange(results_, {}); }
 
  private:
   void exchange_events(consensus::BootTime now);
-  bool dispatch_results(consensus::BootTime now);  // whether there were any
+  bool dispatch_results(consensus::BootTime now);  // returns whether there were any
   bool propose_all(consensus::BootTime now, std::vector<consensus::Proposal> proposals);
   void handle_register(consensus::BootTime now, const std::string& key, const consensus::Register& value);
 
--- a/src/cluster/cluster_options.h
+++ b/src/cluster/cluster_options.h
@@ -1,4 +1,4 @@
-// What a gateway has to know to take part in the cluster.
+// Configuration of a gateway's membership in the cluster.
 #pragma once
 
 #include <cstddef>
@@ -12,19 +12,20 @@
 namespace firvalve::cluster {
 
 struct ClusterOptions {
-  std::string listen;                 // HOST:PORT that peers connect to
-  std::string name;                   // HOST:PORT by which peers know this gateway
-  std::string site;                   // where it stands
-  std::vector<std::string> replicas;  // names of all replicas, sorted: a replica's PeerId is its index
-  std::string storage_directory;      // of a replica; empty: it keeps its registers in memory alone
-  std::vector<std::string> leases;    // names, or a kind as "trial:*", that this gateway is willing to hold
+  std::string listen;                 // HOST:PORT to listen on for peer connections
+  std::string name;                   // advertised HOST:PORT; identifies this gateway to its peers
+  std::string site;                   // location of this gateway
+  std::vector<std::string> replicas;  // names of all replicas, sorted; the index of a replica is its PeerId
+  std::string storage_directory;      // replicas only; empty: registers are kept in memory only
+  // Leases that this gateway may hold: names, or all of a kind, such as "trial:*".
+  std::vector<std::string> leases;
   Duration lease_duration = Duration(3000);
-  size_t max_register_bytes = size_t{32} * 1024 * 1024;  // of values that a replica stores
-  uint64_t random_seed = 1;                              // drawn anew at each start
+  size_t max_register_bytes = size_t{32} * 1024 * 1024;  // limit on the total size of a replica's values
+  uint64_t random_seed = 1;                              // needs a new value at each start
 };
 
-// Options as the operator's section `fleet` has them. The share of memory and the seed are the caller's to
-// set.
+// Converts the section `fleet` of the operator's file. The caller sets `max_register_bytes` and
+// `random_seed`.
 ClusterOptions options_from(const config::OperatorConfig::Fleet& section);
 
 }  // namespace firvalve::cluster
--- a/src/cluster/cluster_service.cpp
+++ b/src/cluster/cluster_service.cpp
@@ -12,7 +12,8 @@
 namespace {
 
 constexpr Duration kMaxTurnInterval(1000);
-constexpr Duration kMaxHandOver(1500);  // for hand-overs to be agreed, once all requests are answered
+// Limits how long a shutdown waits for lease handovers after all requests have ended.
+constexpr Duration kHandoverTimeout(1500);
 
 PeerId own_id(const ClusterOptions& options) {
   const auto self = std::find(options.replicas.begin(), options.replicas.end(), options.name);
@@ -38,7 +39,8 @@
   const BootTime now = BootClock::now();
   const bool is_replica = self_ < options.replicas.size();
   if (is_replica && !options.storage_directory.empty()) {
-    waker_ = std::make_unique<net::Waker>(loop);  // the turn that follows looks at what was written
+    // A finished write starts a turn of the loop, which processes its result.
+    waker_ = std::make_unique<net::Waker>(loop);
     storage_ = std::make_unique<ReplicaStorage>(options.storage_directory, options.name,
                                                 hash_of_replicas(options.replicas),
                                                 [waker = waker_.get()] { waker->wake(); });
@@ -63,45 +65,47 @@
   node_->handle(now, from, message);
 }
 
-void ClusterService::handle_peer_gone(PeerId peer) {
+void ClusterService::handle_peer_disconnected(PeerId peer) {
   if (node_->acceptor()) node_->acceptor()->remove_watcher(peer);
 }
 
-// Whether one of them was for this gateway's own node, which may have more output now.
+// Returns whether one of them was addressed to this gateway's own node, which may then have more output.
 bool ClusterService::deliver(BootTime now, const std::vector<Envelope>& envelopes, FrameBatch& batch) {
-  bool to_itself = false;
+  bool has_own_message = false;
   for (const Envelope& envelope : envelopes) {
     if (node_->is_replica() && envelope.to == self_) {
       node_->handle(now, envelope.to, envelope.message);
-      to_itself = true;
+      has_own_message = true;
     } else {
       connections_->add_to(batch, envelope);
     }
   }
-  return to_itself;
+  return has_own_message;
 }
 
-// Delivers all output of the state machines: to itself at once, to each peer in as few frames as possible.
+// Delivers all output of the state machines: messages to the own node directly, those to each peer in as few
+// frames as possible.
 void ClusterService::exchange_messages(BootTime now) {
   FrameBatch batch;
   const OutputWriter::Deliver deliver_now = [&](const std::vector<Envelope>& envelopes) {
     return deliver(now, envelopes, batch);
   };
-  if (output_writer_) output_writer_->complete_outputs(now, *node_, deliver_now);
+  if (output_writer_) output_writer_->process_write_results(now, *node_, deliver_now);
   for (bool has_more = true; has_more;) {
     ClusterNode::Output output = node_->take_output();
     has_more = deliver_now(output.envelopes);
-    has_more |= output_writer_ ? output_writer_->begin_output(std::move(output.acceptor), *node_, deliver_now)
-                               : deliver_now(output.acceptor.messages);
+    has_more |= output_writer_
+                    ? output_writer_->submit_output(std::move(output.acceptor), *node_, deliver_now)
+                    : deliver_now(output.acceptor.messages);
   }
   connections_->send(batch, now);
 }
 
 void ClusterService::due(TimePoint now) {
   const BootTime boot_now = BootClock::now();
-  // The process stood still: it was to be here by then, and came so much later.
-  if (expected_turn_ && boot_now > *expected_turn_)
-    node_->leases().on_pause(boot_now, boot_now - *expected_turn_);
+  // This turn is late, so the process may have been suspended for that time.
+  if (next_turn_expected_at_ && boot_now > *next_turn_expected_at_)
+    node_->leases().on_pause(boot_now, boot_now - *next_turn_expected_at_);
   connections_->due(boot_now);
   node_->on_tick(boot_now);
   exchange_messages(boot_now);
@@ -110,7 +114,7 @@
   log_events();
   if (is_shutting_down_) continue_shutdown(boot_now);
   log_readiness();
-  expected_turn_ = boot_now + std::max(next_due(now) - now, Duration(0));
+  next_turn_expected_at_ = boot_now + std::max(next_due(now) - now, Duration(0));
 }
 
 TimePoint ClusterService::next_due(TimePoint now) const {
@@ -141,7 +145,7 @@
 bool ClusterService::is_shut_down() const {
   if (!is_shutting_down_) return true;
   if (!run_once_requests_->is_idle()) return false;
-  return !node_->leases().holds_any() || (idle_since_ && BootClock::now() >= *idle_since_ + kMaxHandOver);
+  return !node_->leases().holds_any() || (idle_since_ && BootClock::now() >= *idle_since_ + kHandoverTimeout);
 }
 
 void ClusterService::log_events() {
@@ -166,22 +170,23 @@
 }
 
 void ClusterService::answer(CallId call, std::string_view rows) {
-  if (!run_once_requests_->finish(call, lease::RunOnceJobs::RunOutcome::kCompleted, rows))
+  if (!run_once_requests_->finish_command(call, lease::RunOnceJobs::RunOutcome::kCompleted, rows))
     clients_.answer(call, rows);
 }
 
 void ClusterService::shed(CallId call, std::optional<Duration> retry_after) {
-  if (!run_once_requests_->finish(call, lease::RunOnceJobs::RunOutcome::kNeverRan, {}, retry_after))
+  if (!run_once_requests_->finish_command(call, lease::RunOnceJobs::RunOutcome::kNeverRan, {}, retry_after))
     clients_.shed(call, retry_after);
 }
 
 void ClusterService::fail(CallId call, std::string_view reason) {
-  if (!run_once_requests_->finish(call, lease::RunOnceJobs::RunOutcome::kFailed)) clients_.fail(call, reason);
+  if (!run_once_requests_->finish_command(call, lease::RunOnceJobs::RunOutcome::kFailed))
+    clients_.fail(call, reason);
 }
 
 void ClusterService::run_once_job(TimePoint now, CallId call, std::string_view job_name,
                                   CommandRequest&& request) {
-  run_once_requests_->request(now, call, job_name, std::move(request));
+  run_once_requests_->submit(now, call, job_name, std::move(request));
 }
 
 void ClusterService::client_gone(TimePoint, CallId call) { run_once_requests_->cancel(call); }
@@ -189,7 +194,7 @@
 void ClusterService::handle_topic_request(TimePoint, std::string_view method, std::string_view topic,
                                           const std::string& params, Duration timeout,
                                           ReplyCallback callback) {
-  topic_requests_->request(method, topic, params, timeout, std::move(callback));
+  topic_requests_->submit(method, topic, params, timeout, std::move(callback));
 }
 
 }  // namespace firvalve::cluster
--- a/src/cluster/cluster_service.h
+++ b/src/cluster/cluster_service.h
@@ -1,8 +1,8 @@
-// A gateway's part in the cluster, in the program: it joins the state machines (cluster_node.h) with their
-// connections, storage and clock, and with the clients' requests.
+// The cluster component of the gateway program. It connects the state machines (cluster_node.h) to the peer
+// connections, the storage, the clock and the requests of clients.
 //
-// One thread, the loop's; writes to storage go on beside it. Times within are the BootClock's; the loop's
-// times, by which clients' deadlines count, are the MonotonicClock's.
+// Everything runs on the event loop's thread, except writes to storage, which have their own thread. The
+// cluster uses BootClock times; the loop and the deadlines of clients use MonotonicClock times.
 #pragma once
 
 #include <memory>
@@ -24,26 +24,27 @@
 
 namespace firvalve::cluster {
 
-// As a response sink it stands between the core and the clients: answers to commands that run a run-once job
-// are that job's end, all others pass through.
+// Also the core's response sink: the response to a command that executes a run-once job completes that job;
+// all other responses are forwarded to the clients.
 class ClusterService : public ResponseSink, public ClusterRequests, private PeerConnections::Receiver {
  public:
-  // `clients` get the answers to their requests. Throws a std::exception that says why in one sentence: the
-  // storage directory cannot be used, or the address is taken.
+  // `clients` receives the responses. Throws a std::exception with a one-sentence reason if the storage
+  // directory cannot be used or the listen address cannot be bound.
   ClusterService(net::Loop& loop, Metrics& metrics, const ClusterOptions& options, ResponseSink& clients,
                  LogSink log_sink);
-  void set_core(Core& core);  // which runs the commands of run-once jobs
+  void set_core(Core& core);  // the core executes the commands of run-once jobs
 
-  void due(TimePoint now);  // once a turn of the loop
+  void due(TimePoint now);  // to be called once per turn of the event loop
   TimePoint next_due(TimePoint now) const;
 
-  // Graceful shutdown: leases are handed over once what was begun has ended. Run-once jobs that have not
-  // begun by the deadline fail.
+  // Starts a graceful shutdown. Leases are handed over once the running run-once jobs have ended. Requests
+  // for jobs that have not started fail.
   void begin_shutdown(TimePoint now, TimePoint deadline);
-  // Nothing is open here, or the hand-over was waited for long enough. True before a shutdown, too.
+  // Whether no request is open and all leases are handed over, or the time limit for the handover has passed.
+  // Always true unless a shutdown has begun.
   bool is_shut_down() const;
 
-  void log_status() const;  // leases and replicas, as events: for SIGUSR1
+  void log_status() const;  // logs the state of the replica, peers and leases, on SIGUSR1
   const ConnectionCounts& connection_counts() const { return connections_->counts(); }
 
   // ResponseSink, called by the core.
@@ -61,7 +62,7 @@
  private:
   void handle_message(consensus::BootTime now, consensus::PeerId from,
                       const consensus::Message& message) override;
-  void handle_peer_gone(consensus::PeerId peer) override;
+  void handle_peer_disconnected(consensus::PeerId peer) override;
 
   void exchange_messages(consensus::BootTime now);
   bool deliver(consensus::BootTime now, const std::vector<consensus::Envelope>& envelopes, FrameBatch& batch);
@@ -70,20 +71,22 @@
   void log_readiness();
 
   const ClusterOptions options_;
-  const consensus::PeerId self_;  // the count of replicas where it is none
+  const consensus::PeerId self_;  // the number of replicas if this gateway is not a replica
   ResponseSink& clients_;
   const ClusterLog log_;
-  std::unique_ptr<net::Waker> waker_;            // outlives the storage, whose thread rings it
-  std::unique_ptr<ReplicaStorage> storage_;      // null: no replica, or one in memory alone
-  std::unique_ptr<OutputWriter> output_writer_;  // where there is storage
+  std::unique_ptr<net::Waker> waker_;            // must outlive the storage, whose thread uses it
+  std::unique_ptr<ReplicaStorage> storage_;      // null: not a replica, or a replica in memory only
+  std::unique_ptr<OutputWriter> output_writer_;  // null: no storage
   std::unique_ptr<ClusterNode> node_;
   std::unique_ptr<PeerConnections> connections_;
   std::unique_ptr<RunOnceRequests> run_once_requests_;
   std::unique_ptr<TopicRequests> topic_requests_;
-  std::optional<consensus::BootTime> expected_turn_;  // the next one is to come by then
+  // The latest time at which the next turn should start. A later start means that the process was suspended.
+  std::optional<consensus::BootTime> next_turn_expected_at_;
   bool is_shutting_down_ = false;
-  std::optional<consensus::BootTime> idle_since_;  // in a shutdown: no run-once job is open
-  bool was_ready_ = false;                         // as a replica
+  // During a shutdown: the time since which no run-once request has been open.
+  std::optional<consensus::BootTime> idle_since_;
+  bool was_ready_ = false;  // whether the replica was ready at the last turn
 };
 
 }  // namespace firvalve::cluster
--- a/src/cluster/frame_batch.h
+++ b/src/cluster/frame_batch.h
@@ -1,4 +1,4 @@
-// The messages of one turn, collected by the connection that they leave on and packed into few frames.
+// Collects the outgoing messages of one event loop turn per connection and packs them into few frames.
 #pragma once
 
 #include <map>
@@ -11,15 +11,16 @@
 
 namespace firvalve::cluster {
 
-// Lives within one turn: the connections must outlive it.
+// Holds pointers to connections, which must outlive it; so it must not be kept beyond the turn.
 class FrameBatch {
  public:
   void add(net::Connection& connection, const consensus::Message& message) {
     messages_[&connection].push_back(message);
   }
-  // visit(connection, its messages in the order added), for each connection once; the batch is empty after.
+  // Calls visit(connection, messages) once per connection, messages in the order added, and empties the
+  // batch.
   template <class Visit>
-  void take_each(Visit&& visit) {
+  void drain(Visit&& visit) {
     for (auto& [connection, messages] : messages_) visit(*connection, std::move(messages));
     messages_.clear();
   }
@@ -28,7 +29,8 @@
   std::map<net::Connection*, std::vector<consensus::Message>> messages_;
 };
 
-// The messages in as few frames as kTargetFrameBytes allows, in their order.
+// Packs the messages, in order, into frames. A frame that has reached kTargetFrameBytes gets no more
+// messages.
 std::vector<Frame> pack_frames(const std::string& sender, uint64_t replicas_hash,
                                std::vector<consensus::Message> messages);
 
--- a/src/cluster/inbound_peer.h
+++ b/src/cluster/inbound_peer.h
@@ -1,4 +1,4 @@
-// A connection that a peer has made: its requests come in, their answers go back.
+// A connection accepted from a peer. It carries the peer's requests and this gateway's responses.
 #pragma once
 
 #include <optional>
@@ -13,27 +13,27 @@
 
 class InboundPeer : public net::Connection {
  public:
-  // Who owns the connections. The calls come on the loop's thread.
+  // Owner of the connections, called on the event loop's thread.
   class Observer {
    public:
     virtual ~Observer() = default;
     virtual void handle_frame(InboundPeer& peer, std::span<char> body) = 0;
     virtual void handle_broken_framing(InboundPeer& peer) = 0;
-    // The connection is closed. The observer may hand the object to the loop to be freed.
-    virtual void handle_end(InboundPeer& peer) = 0;
+    // The connection is closed. The observer may pass the object to the loop for destruction.
+    virtual void handle_closed(InboundPeer& peer) = 0;
   };
 
   InboundPeer(net::Loop& loop, Observer& observer, const Poco::Net::StreamSocket& socket)
       : Connection(loop, socket), observer_(observer) {}
 
-  std::optional<consensus::PeerId> id;  // none: its first frame has not come
+  std::optional<consensus::PeerId> id;  // empty until the first frame has identified the peer
 
-  // A connection that has not said whose it is gives way when descriptors run out.
+  // A connection whose peer is not identified yet may be closed if file descriptors run out.
   bool is_evictable() const override { return !id; }
-  void evict() override { end(); }
-  void end() {
+  void evict() override { disconnect(); }
+  void disconnect() {
     close();
-    observer_.handle_end(*this);
+    observer_.handle_closed(*this);
   }
 
  protected:
@@ -44,13 +44,13 @@
       if (read == proto::ReadResult::kIncomplete) return;
       if (read == proto::ReadResult::kMalformed) {
         observer_.handle_broken_framing(*this);
-        return end();
+        return disconnect();
       }
       observer_.handle_frame(*this, body);
       if (!is_open()) return;
     }
   }
-  void on_end(End) override { observer_.handle_end(*this); }
+  void on_end(End) override { observer_.handle_closed(*this); }
 
  private:
   Observer& observer_;
--- a/src/cluster/outbound_peer.cpp
+++ b/src/cluster/outbound_peer.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr Duration kConnectTimeout(1000);
-// A replica that was asked something and stays silent for this long is not at the other end any more,
-// whatever the connection looks like: it answers a watcher's request within a second.
+// A replica that sends nothing for this long after a request is considered unreachable even if the connection
+// looks open: a replica responds to a watch request within a second.
 constexpr Duration kSilenceTimeout(2500);
 constexpr Ms kFirstReconnectDelay = 50, kMaxReconnectDelay = 2000;
 
@@ -34,12 +34,14 @@
     for (;;) {
       const proto::ReadResult read = frames_.next(read_buffer_, body);
       if (read == proto::ReadResult::kIncomplete) return;
-      if (read == proto::ReadResult::kMalformed) return owner_.end(BootClock::now(), "broken framing");
+      if (read == proto::ReadResult::kMalformed) return owner_.disconnect(BootClock::now(), "broken framing");
       owner_.observer_.handle_frame(owner_, body);
       if (!is_open()) return;
     }
   }
-  void on_end(End end) override { owner_.end(BootClock::now(), end == End::kRefused ? "refused" : "closed"); }
+  void on_end(End end) override {
+    owner_.disconnect(BootClock::now(), end == End::kRefused ? "refused" : "closed");
+  }
 
  private:
   OutboundPeer& owner_;
@@ -66,20 +68,20 @@
 
 void OutboundPeer::due(BootClock::time_point now) {
   if (connection_ && !connection_->is_connected() && now >= connecting_since_ + kConnectTimeout)
-    end(now, "did not come up");
+    disconnect(now, "did not come up");
   if (connection_ && unanswered_since_ && now >= *unanswered_since_ + kSilenceTimeout)
-    end(now, "says nothing");
-  if (connection_ || now < connect_at_) return;
+    disconnect(now, "says nothing");
+  if (connection_ || now < next_connect_at_) return;
   connecting_since_ = now;
   unanswered_since_.reset();
-  if (!loop_.reserve_descriptor(false)) return end(now, "no descriptor left");
+  if (!loop_.reserve_descriptor(false)) return disconnect(now, "no descriptor left");
   observer_.handle_connecting(*this);
   connection_ = std::make_unique<Connection>(*this, SocketAddress(address_));
-  if (connection_->was_refused()) end(now, "refused");
+  if (connection_->was_refused()) disconnect(now, "refused");
 }
 
 std::optional<BootClock::time_point> OutboundPeer::next_due() const {
-  if (!connection_) return connect_at_ + Duration(1);
+  if (!connection_) return next_connect_at_ + Duration(1);
   if (!connection_->is_connected()) return connecting_since_ + kConnectTimeout;
   if (!unanswered_since_) return {};
   return *unanswered_since_ + kSilenceTimeout;
@@ -87,7 +89,7 @@
 
 bool OutboundPeer::is_connected() const { return connection_ && connection_->is_connected(); }
 
-void OutboundPeer::end(BootClock::time_point now, const char* reason) {
+void OutboundPeer::disconnect(BootClock::time_point now, const char* reason) {
   if (connection_) {
     connection_->abort();
     loop_.destroy_after_turn(std::move(connection_));
@@ -95,7 +97,7 @@
   if (was_connected_) observer_.handle_disconnected(*this, reason);
   was_connected_ = false;
   unanswered_since_.reset();
-  connect_at_ = now + duration_of(backoff_.next_delay());
+  next_connect_at_ = now + duration_of(backoff_.next_delay());
 }
 
 }  // namespace firvalve::cluster
--- a/src/cluster/outbound_peer.h
+++ b/src/cluster/outbound_peer.h
@@ -1,4 +1,5 @@
-// The connection that this gateway keeps up to one replica: requests go out, their answers come back.
+// The connection from this gateway to one replica, reconnected when it ends. It carries this gateway's
+// requests and the replica's responses.
 #pragma once
 
 #include <memory>
@@ -15,25 +16,26 @@
 
 class OutboundPeer {
  public:
-  // Who owns the connections. The calls come on the loop's thread.
+  // Owner of the connections, called on the event loop's thread.
   class Observer {
    public:
     virtual ~Observer() = default;
     virtual void handle_connecting(OutboundPeer& peer) = 0;
     virtual void handle_connected(OutboundPeer& peer) = 0;
-    // Of a connection that was up, or of the first failure after one.
+    // An established connection has ended. Failed connection attempts after that are not reported.
     virtual void handle_disconnected(OutboundPeer& peer, const char* reason) = 0;
     virtual void handle_frame(OutboundPeer& peer, std::span<char> body) = 0;
   };
 
-  // Connects with the first due(), and again after a backoff whenever the connection ends.
+  // Connects in the first due(), and reconnects after a backoff whenever the connection ends.
   OutboundPeer(net::Loop& loop, Observer& observer, consensus::PeerId id, std::string address,
                uint64_t random_seed);
   ~OutboundPeer();
 
-  // Writes a frame. Without a connection, or where too much waits unsent, it is dropped: the sender retries.
+  // Sends a frame. It is dropped if there is no connection or more than kMaxUnsentBytes would be queued; the
+  // state machines retry.
   void write(const std::string& frame, BootClock::time_point now);
-  net::Connection* connection() const;  // null: none
+  net::Connection* connection() const;  // null if there is none
 
   void due(BootClock::time_point now);
   std::optional<BootClock::time_point> next_due() const;
@@ -44,7 +46,7 @@
 
  private:
   class Connection;
-  void end(BootClock::time_point now, const char* reason);
+  void disconnect(BootClock::time_point now, const char* reason);
 
   net::Loop& loop_;
   Observer& observer_;
@@ -52,10 +54,11 @@
   const std::string address_;
   std::unique_ptr<Connection> connection_;
   Backoff backoff_;
-  bool was_connected_ = false;          // since the last end that was reported
-  BootClock::time_point connect_at_{};  // the next attempt; at first as soon as can be
+  bool was_connected_ = false;               // since the last reported disconnect
+  BootClock::time_point next_connect_at_{};  // time of the next attempt; initially at once
   BootClock::time_point connecting_since_{};
-  std::optional<BootClock::time_point> unanswered_since_;  // the first write that nothing has followed
+  // Time of the first write since the last data received.
+  std::optional<BootClock::time_point> unanswered_since_;
 };
 
 }  // namespace firvalve::cluster
--- a/src/cluster/peer_codec.cpp
+++ b/src/cluster/peer_codec.cpp
@@ -16,8 +16,8 @@
 using flatbuffers::FlatBufferBuilder;
 using flatbuffers::Offset;
 
-// Absent vectors and default registers and ballots are left out of the buffer. The order in which parts are
-// created is that of their bytes, and stays.
+// Empty vectors and default registers and ballots are omitted from the buffer. The order in which the parts
+// are created determines the encoded bytes and must not change.
 
 wire::Ballot encode(const consensus::Ballot& ballot) { return {ballot.number, ballot.proposer_id}; }
 consensus::Ballot decode(const wire::Ballot* ballot) {
@@ -106,15 +106,15 @@
   return out;
 }
 
-// A newer program may send types that this one does not know.
+// A newer version may send types that this one does not know.
 bool is_known_type(uint8_t type) { return type >= 1 && type <= static_cast<uint8_t>(MessageType::kState); }
 
 std::string bytes_of(const FlatBufferBuilder& builder) {
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
-// Verifies the bytes as a Table and reads it. Numbers in it must be aligned for the machine, so it is read in
-// a copy.
+// Verifies that the bytes hold a Table and reads it. It reads from an aligned copy, because the numbers in a
+// buffer must be aligned in memory.
 template <class Table, class Read>
 auto read(std::string_view bytes, Read&& read_table) -> decltype(read_table(std::declval<const Table&>())) {
   constexpr size_t kMinBytes = 8;
@@ -127,7 +127,7 @@
   return read_table(*flatbuffers::GetRoot<Table>(data));
 }
 
-constexpr auto kHead = FMT_STRING("Content-Length: {}\r\n\r\n");
+constexpr auto kFrameHeader = FMT_STRING("Content-Length: {}\r\n\r\n");
 
 }  // namespace
 
@@ -136,13 +136,13 @@
   std::vector<Offset<wire::Message>> messages;
   for (const Message& message : frame.messages) messages.push_back(encode(builder, message));
   const auto sender = builder.CreateString(frame.sender);
-  const auto all = builder.CreateVector(messages);
-  builder.Finish(wire::CreateFrame(builder, kFrameVersion, sender, frame.replicas_hash, all));
-  fmt::format_to(std::back_inserter(out), kHead, builder.GetSize());
+  const auto encoded_messages = builder.CreateVector(messages);
+  builder.Finish(wire::CreateFrame(builder, kFrameVersion, sender, frame.replicas_hash, encoded_messages));
+  fmt::format_to(std::back_inserter(out), kFrameHeader, builder.GetSize());
   out.append(reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize());
 }
 
-size_t framed_size(size_t body) { return fmt::formatted_size(kHead, body) + body; }
+size_t framed_size(size_t body_bytes) { return fmt::formatted_size(kFrameHeader, body_bytes) + body_bytes; }
 
 std::optional<Frame> read_frame(std::span<const char> body, const char*& why) {
   why = "not a frame";
@@ -164,7 +164,7 @@
 }
 
 size_t estimated_size(const Message& message) {
-  constexpr size_t kMessageBytes = 64, kEntryBytes = 96;  // without what grows
+  constexpr size_t kMessageBytes = 64, kEntryBytes = 96;  // without the parts of variable size
   const auto size_of_state = [](const consensus::Register& state) {
     return state.value.size() + sizeof(uint64_t) * state.earlier_changes.size();
   };
@@ -186,23 +186,23 @@
                                   [](const wire::AcceptorSlot& slot) { return std::optional(decode(slot)); });
 }
 
-std::string encode(const OwnedMetadata& owned) {
+std::string encode(const StoredMetadata& stored) {
   FlatBufferBuilder builder(256);
-  const auto owner = builder.CreateString(owned.owner);
-  const consensus::ReplicaMetadata& metadata = owned.metadata;
+  const auto owner = builder.CreateString(stored.owner);
+  const consensus::ReplicaMetadata& metadata = stored.metadata;
   const auto known_incarnations = encode(builder, metadata.known_incarnations),
              bootstrap_incarnations = encode(builder, metadata.bootstrap_incarnations);
-  builder.Finish(wire::CreateReplicaMetadata(builder, kFrameVersion, owner, owned.replicas_hash,
+  builder.Finish(wire::CreateReplicaMetadata(builder, kFrameVersion, owner, stored.replicas_hash,
                                              metadata.incarnation, metadata.is_voting, known_incarnations,
                                              bootstrap_incarnations));
   return bytes_of(builder);
 }
 
-std::optional<OwnedMetadata> decode_metadata(std::string_view bytes) {
+std::optional<StoredMetadata> decode_metadata(std::string_view bytes) {
   return read<wire::ReplicaMetadata>(
-      bytes, [](const wire::ReplicaMetadata& metadata) -> std::optional<OwnedMetadata> {
+      bytes, [](const wire::ReplicaMetadata& metadata) -> std::optional<StoredMetadata> {
         if (metadata.version() != kFrameVersion || !metadata.owner()) return {};
-        return OwnedMetadata{
+        return StoredMetadata{
             {metadata.incarnation(), metadata.is_voting(), decode(metadata.known_incarnations()),
              decode(metadata.bootstrap_incarnations())},
             metadata.owner()->str(),
@@ -210,7 +210,7 @@
       });
 }
 
-// FNV-1a over the names, each ended by a byte that no name has.
+// FNV-1a over the names, each terminated by a byte that does not occur in names.
 uint64_t hash_of_replicas(const std::vector<std::string>& replicas) {
   constexpr uint64_t kOffset = 0xcbf29ce484222325ull, kPrime = 0x100000001b3ull;
   uint64_t hash = kOffset;
--- a/src/cluster/peer_codec.h
+++ b/src/cluster/peer_codec.h
@@ -1,5 +1,6 @@
-// Messages between gateways as bytes, and a replica's slots and metadata as stored (peers.fbs). Reading never
-// fails in another way than by giving none: bytes may come from anywhere.
+// Encodes and decodes the messages between gateways and the stored slots and metadata of a replica
+// (peers.fbs). Input is untrusted: every decoding function returns nullopt for invalid bytes and never
+// throws.
 #pragma once
 
 #include <optional>
@@ -15,31 +16,32 @@
 constexpr uint16_t kFrameVersion = 1;
 
 struct Frame {
-  std::string sender;          // the address by which peers know it
-  uint64_t replicas_hash = 0;  // of the list of replicas that it goes by
+  std::string sender;          // advertised address of the sending gateway
+  uint64_t replicas_hash = 0;  // hash of the sender's configured replica list
   std::vector<consensus::Message> messages;
 };
 
-// Appends head and body, framed as on connections of clients.
+// Appends header and body, with the same framing as on client connections.
 void append_frame(std::string& out, const Frame& frame);
-size_t framed_size(size_t body);  // bytes of a frame with its head
-// None: `why` says so, a literal. Messages of types that a newer program added are left out.
+size_t framed_size(size_t body_bytes);  // in bytes, of a frame including its header
+// Returns nullopt and sets `why` to a string literal if the frame is invalid. Skips messages of unknown
+// types, which a newer version may send.
 std::optional<Frame> read_frame(std::span<const char> body, const char*& why);
-// Bytes that a message adds to a frame, roughly.
-size_t estimated_size(const consensus::Message& m);
+// Approximate number of bytes that a message adds to a frame.
+size_t estimated_size(const consensus::Message& message);
 
 std::string encode(const consensus::AcceptorSlot& slot);
 std::optional<consensus::AcceptorSlot> decode_slot(std::string_view bytes);
 
-struct OwnedMetadata {  // with whose it is
+struct StoredMetadata {  // metadata with the replica and the replica list that it belongs to
   consensus::ReplicaMetadata metadata;
   std::string owner;           // the replica's name
-  uint64_t replicas_hash = 0;  // of the list that it was written under
+  uint64_t replicas_hash = 0;  // hash of the replica list at the time of writing
 };
-std::string encode(const OwnedMetadata& owned);
-std::optional<OwnedMetadata> decode_metadata(std::string_view bytes);
+std::string encode(const StoredMetadata& stored);
+std::optional<StoredMetadata> decode_metadata(std::string_view bytes);
 
-// Order matters: of the sorted list of names.
+// `replicas` must be sorted: the hash depends on the order.
 uint64_t hash_of_replicas(const std::vector<std::string>& replicas);
 
 }  // namespace firvalve::cluster
--- a/src/cluster/peer_connections.cpp
+++ b/src/cluster/peer_connections.cpp
@@ -20,12 +20,12 @@
 
 namespace {
 
-constexpr Duration kAcceptRetryDelay(250);  // after descriptors ran out
-constexpr int kMaxAcceptsAtOnce = 64;       // so that other sockets have their turn
+constexpr Duration kAcceptRetryDelay(250);  // after file descriptors ran out
+constexpr int kMaxAcceptsPerTurn = 64;      // bounds the time that other sockets wait
 constexpr int kListenBacklog = 1024;
 
-// Whether a replica says it to whoever asked; all other messages are requests to a replica.
-bool is_answer(MessageType type) {
+// Whether it is a response of a replica; all other messages are requests to a replica.
+bool is_response(MessageType type) {
   return type == MessageType::kPromise || type == MessageType::kAccepted || type == MessageType::kRejected ||
          type == MessageType::kChanges || type == MessageType::kMetadata || type == MessageType::kState;
 }
@@ -61,12 +61,13 @@
 }
 
 void PeerConnections::accept_all(const Poco::AutoPtr<ReadableNotification>&) {
-  for (int i = 0; i < kMaxAcceptsAtOnce; ++i) {
-    const bool has_room = loop_.reserve_descriptor(false);
+  for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
+    const bool has_descriptor = loop_.reserve_descriptor(false);
     const int descriptor =
-        has_room ? ::accept4(listener_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC) : -1;
-    if (!has_room || (descriptor < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)) {
-      accept_again_at_ = BootClock::now() + kAcceptRetryDelay;
+        has_descriptor ? ::accept4(listener_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)
+                       : -1;
+    if (!has_descriptor || (descriptor < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)) {
+      resume_accepting_at_ = BootClock::now() + kAcceptRetryDelay;
       return set_accepting(false);
     }
     if (descriptor < 0) return;
@@ -79,8 +80,8 @@
 }
 
 void PeerConnections::due(BootClock::time_point now) {
-  if (!is_accepting_ && now >= accept_again_at_) {
-    accept_again_at_.reset();
+  if (!is_accepting_ && now >= resume_accepting_at_) {
+    resume_accepting_at_.reset();
     set_accepting(true);
   }
   for (const auto& peer : outbound_)
@@ -88,7 +89,7 @@
 }
 
 std::optional<BootClock::time_point> PeerConnections::next_due() const {
-  std::optional<BootClock::time_point> next = accept_again_at_;
+  std::optional<BootClock::time_point> next = resume_accepting_at_;
   for (const auto& peer : outbound_)
     if (peer) next = earlier_of(next, peer->next_due());
   return next;
@@ -97,21 +98,21 @@
 void PeerConnections::handle_connecting(OutboundPeer&) { ++counts_.connects; }
 void PeerConnections::handle_connected(OutboundPeer& peer) { log_.record_connected(peer.address()); }
 void PeerConnections::handle_disconnected(OutboundPeer& peer, const char* reason) {
-  record_loss(peer.address(), reason);
+  record_disconnect(peer.address(), reason);
 }
-void PeerConnections::handle_broken_framing(InboundPeer&) { record_loss("somebody", "broken framing"); }
+void PeerConnections::handle_broken_framing(InboundPeer&) { record_disconnect("somebody", "broken framing"); }
 
-void PeerConnections::record_loss(std::string_view peer, std::string_view reason) {
+void PeerConnections::record_disconnect(std::string_view peer, std::string_view reason) {
   ++counts_.lost;
   log_.record_disconnected(peer, reason);
 }
 
-void PeerConnections::handle_end(InboundPeer& peer) {
+void PeerConnections::handle_closed(InboundPeer& peer) {
   if (peer.id) {
-    const auto answers = answers_to_.find(*peer.id);
-    if (answers != answers_to_.end() && answers->second == &peer) {
-      answers_to_.erase(answers);
-      receiver_.handle_peer_gone(*peer.id);
+    const auto connection = response_connections_.find(*peer.id);
+    if (connection != response_connections_.end() && connection->second == &peer) {
+      response_connections_.erase(connection);
+      receiver_.handle_peer_disconnected(*peer.id);
     }
   }
   const auto owned = inbound_.find(&peer);
@@ -132,19 +133,19 @@
 }
 
 void PeerConnections::handle_frame(OutboundPeer& peer, std::span<char> body) {
-  // Where it was rejected, the replica is asked again, and may have a better answer then.
+  // A rejected frame does not end the connection: the request is retried, and its next response may be valid.
   if (const std::optional<Frame> frame = read_valid_frame(peer.address(), body))
     receive(peer.id(), *frame, body.size(), true);
 }
 
 void PeerConnections::handle_frame(InboundPeer& peer, std::span<char> body) {
   const std::optional<Frame> frame = read_valid_frame("unknown", body);
-  if (!frame) return peer.end();
+  if (!frame) return peer.disconnect();
   if (!peer.id) {
     const std::vector<std::string>& replicas = options_.replicas;
     const auto replica = std::find(replicas.begin(), replicas.end(), frame->sender);
     peer.id = replica != replicas.end() ? static_cast<PeerId>(replica - replicas.begin()) : next_peer_id_++;
-    answers_to_[*peer.id] = &peer;
+    response_connections_[*peer.id] = &peer;
   }
   receive(*peer.id, *frame, body.size(), false);
 }
@@ -155,13 +156,14 @@
   counts_.bytes_in += framed_size(body_bytes);
   const BootClock::time_point now = BootClock::now();
   for (const Message& message : frame.messages)
-    if (is_answer(message.type) == from_replica) receiver_.handle_message(now, from, message);
+    if (is_response(message.type) == from_replica) receiver_.handle_message(now, from, message);
 }
 
 void PeerConnections::add_to(FrameBatch& batch, const Envelope& envelope) const {
   net::Connection* connection = nullptr;
-  if (is_answer(envelope.message.type)) {
-    if (const auto peer = answers_to_.find(envelope.to); peer != answers_to_.end()) connection = peer->second;
+  if (is_response(envelope.message.type)) {
+    if (const auto peer = response_connections_.find(envelope.to); peer != response_connections_.end())
+      connection = peer->second;
   } else if (envelope.to < outbound_.size() && outbound_[envelope.to]) {
     connection = outbound_[envelope.to]->connection();
   }
@@ -169,7 +171,7 @@
 }
 
 void PeerConnections::send(FrameBatch& batch, BootClock::time_point now) {
-  batch.take_each([&](net::Connection& connection, std::vector<Message> messages) {
+  batch.drain([&](net::Connection& connection, std::vector<Message> messages) {
     for (const Frame& frame : pack_frames(options_.name, replicas_hash_, std::move(messages))) {
       std::string bytes;
       append_frame(bytes, frame);
--- a/src/cluster/replica_storage.cpp
+++ b/src/cluster/replica_storage.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr size_t kMapBytes = size_t{1}
-                             << 30;  // address space, not memory: room for 65,536 registers of 4 kB, thrice
+// Reserves address space, not memory. Holds three times 65,536 registers of 4 kB.
+constexpr size_t kMapBytes = size_t{1} << 30;
 constexpr const char* kMetadataKey = "standing";
 
 [[noreturn]] void fail(const std::string& path, const std::string& why) {
@@ -28,7 +28,7 @@
 MDB_val value_of(const std::string& text) { return {text.size(), const_cast<char*>(text.data())}; }
 std::string_view text_of(const MDB_val& v) { return {static_cast<const char*>(v.mv_data), v.mv_size}; }
 
-// One transaction: it ends with the object, and counts only where it was committed.
+// An LMDB transaction. The destructor aborts it unless it was committed.
 class Transaction {
  public:
   Transaction(MDB_env* env, unsigned flags) { error = mdb_txn_begin(env, nullptr, flags, &txn); }
@@ -38,8 +38,8 @@
   Transaction(const Transaction&) = delete;
   Transaction& operator=(const Transaction&) = delete;
   void put(unsigned db, const std::string& key, const std::string& value) {
-    MDB_val k = value_of(key), v = value_of(value);
-    if (!error) error = mdb_put(txn, db, &k, &v, 0);
+    MDB_val db_key = value_of(key), db_value = value_of(value);
+    if (!error) error = mdb_put(txn, db, &db_key, &db_value, 0);
   }
   void commit() {
     if (!error) error = mdb_txn_commit(std::exchange(txn, nullptr));
@@ -56,13 +56,13 @@
   try {
     lock();
     open_environment();
-    read();
+    load();
   } catch (const std::exception& e) {
     close_environment();
     if (lock_file_ >= 0) ::close(lock_file_);
     fail(path, e.what());
   }
-  thread_ = std::thread([this] { run(); });
+  thread_ = std::thread([this] { run_writer(); });
 }
 
 ReplicaStorage::~ReplicaStorage() {
@@ -80,7 +80,8 @@
   std::error_code error;
   std::filesystem::create_directories(path_, error);
   if (error) throw std::runtime_error("cannot be made: " + error.message());
-  // A write past the system's limit of file sizes is an error to be reported, not the end of the process.
+  // Without this, a write beyond the file size limit of the system would terminate the process instead of
+  // returning an error.
   ::signal(SIGXFSZ, SIG_IGN);
   lock_file_ = ::open((path_ + "/used").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
   if (lock_file_ < 0) throw std::runtime_error("cannot be written");
@@ -94,14 +95,15 @@
   check(mdb_env_create(&env_));
   check(mdb_env_set_maxdbs(env_, 2));
   check(mdb_env_set_mapsize(env_, kMapBytes));
-  // The loop's thread and the writing one never hold a transaction at once; the lock above keeps others out.
+  // MDB_NOLOCK is safe: the event loop's thread and the writer thread never hold transactions at the same
+  // time, and lock() excludes other processes.
   check(mdb_env_open(env_, path_.c_str(), MDB_NOLOCK | MDB_NOTLS, 0644));
-  Transaction t(env_, 0);
-  check(t.error);
-  check(mdb_dbi_open(t.txn, "slots", MDB_CREATE, &slots_db_));
-  check(mdb_dbi_open(t.txn, "standing", MDB_CREATE, &metadata_db_));
-  t.commit();
-  check(t.error);
+  Transaction transaction(env_, 0);
+  check(transaction.error);
+  check(mdb_dbi_open(transaction.txn, "slots", MDB_CREATE, &slots_db_));
+  check(mdb_dbi_open(transaction.txn, "standing", MDB_CREATE, &metadata_db_));
+  transaction.commit();
+  check(transaction.error);
 }
 
 void ReplicaStorage::close_environment() {
@@ -109,32 +111,33 @@
   env_ = nullptr;
 }
 
-void ReplicaStorage::read() {
-  Transaction t(env_, MDB_RDONLY);
-  if (t.error) throw std::runtime_error(mdb_strerror(t.error));
+void ReplicaStorage::load() {
+  Transaction transaction(env_, MDB_RDONLY);
+  if (transaction.error) throw std::runtime_error(mdb_strerror(transaction.error));
   const std::string name = kMetadataKey;
   MDB_val key = value_of(name), value{};
-  if (mdb_get(t.txn, metadata_db_, &key, &value) != 0) return;
-  const auto owned = decode_metadata(text_of(value));
-  if (!owned) throw std::runtime_error("what lies there cannot be read");
-  if (owned->owner != owner_)
-    throw std::runtime_error(fmt::format("it is {}'s; this gateway is {}", owned->owner, owner_));
-  if (owned->replicas_hash != replicas_hash_)
+  if (mdb_get(transaction.txn, metadata_db_, &key, &value) != 0) return;
+  const auto stored = decode_metadata(text_of(value));
+  if (!stored) throw std::runtime_error("what lies there cannot be read");
+  if (stored->owner != owner_)
+    throw std::runtime_error(fmt::format("it is {}'s; this gateway is {}", stored->owner, owner_));
+  if (stored->replicas_hash != replicas_hash_)
     throw std::runtime_error("it was written under another list of keepers");
-  metadata = owned->metadata;
+  metadata = stored->metadata;
   MDB_cursor* cursor = nullptr;
-  if (const int error = mdb_cursor_open(t.txn, slots_db_, &cursor))
+  if (const int error = mdb_cursor_open(transaction.txn, slots_db_, &cursor))
     throw std::runtime_error(mdb_strerror(error));
-  std::string broken;
+  std::string invalid_key;
   while (mdb_cursor_get(cursor, &key, &value, MDB_NEXT) == 0) {
     auto slot = decode_slot(text_of(value));
-    if (!slot) broken = text_of(key);
+    if (!slot) invalid_key = text_of(key);
     if (slot) slots.emplace(text_of(key), std::move(*slot));
   }
   mdb_cursor_close(cursor);
-  // A promise that cannot be read may be broken: the operator empties the directory, and the replica learns
-  // everything again from the others.
-  if (!broken.empty()) throw std::runtime_error(fmt::format("the slot of {} cannot be read", broken));
+  // Starting without a slot could break the promise in it. The operator has to empty the directory; the
+  // replica then recovers its state from the other replicas.
+  if (!invalid_key.empty())
+    throw std::runtime_error(fmt::format("the slot of {} cannot be read", invalid_key));
 }
 
 void ReplicaStorage::write(consensus::AcceptorOutput output) {
@@ -146,10 +149,10 @@
   work_available_.notify_one();
 }
 
-std::vector<ReplicaStorage::Written> ReplicaStorage::take_written() {
+std::vector<ReplicaStorage::WriteResult> ReplicaStorage::take_write_results() {
   const std::lock_guard lock(mutex_);
-  pending_ -= written_.size();
-  return std::exchange(written_, {});
+  pending_ -= write_results_.size();
+  return std::exchange(write_results_, {});
 }
 
 size_t ReplicaStorage::pending() const {
@@ -157,9 +160,9 @@
   return pending_;
 }
 
-// A disk that fills up while a commit writes its meta page leaves the environment unusable (MDB_PANIC) until
-// it is opened anew, also once the disk takes writes again.
-std::string ReplicaStorage::write_all(const std::vector<consensus::AcceptorOutput>& outputs) {
+// If the disk becomes full while a commit writes its meta page, the environment stays unusable (MDB_PANIC)
+// until it is reopened, even after space is available again.
+std::string ReplicaStorage::write_outputs(const std::vector<consensus::AcceptorOutput>& outputs) {
   try {
     if (!env_) open_environment();
     const int error = commit(outputs);
@@ -172,17 +175,18 @@
 }
 
 int ReplicaStorage::commit(const std::vector<consensus::AcceptorOutput>& outputs) {
-  Transaction t(env_, 0);
+  Transaction transaction(env_, 0);
   for (const consensus::AcceptorOutput& output : outputs) {
-    for (const auto& [key, slot] : output.writes) t.put(slots_db_, key, encode(slot));
+    for (const auto& [key, slot] : output.writes) transaction.put(slots_db_, key, encode(slot));
     if (output.metadata)
-      t.put(metadata_db_, kMetadataKey, encode(OwnedMetadata{*output.metadata, owner_, replicas_hash_}));
+      transaction.put(metadata_db_, kMetadataKey,
+                      encode(StoredMetadata{*output.metadata, owner_, replicas_hash_}));
   }
-  t.commit();
-  return t.error;
+  transaction.commit();
+  return transaction.error;
 }
 
-void ReplicaStorage::run() {
+void ReplicaStorage::run_writer() {
   for (;;) {
     std::vector<consensus::AcceptorOutput> outputs;
     {
@@ -191,10 +195,10 @@
       if (queued_.empty()) return;
       outputs.swap(queued_);
     }
-    const std::string error = write_all(outputs);
+    const std::string error = write_outputs(outputs);
     {
       const std::lock_guard lock(mutex_);
-      for (consensus::AcceptorOutput& output : outputs) written_.push_back({std::move(output), error});
+      for (consensus::AcceptorOutput& output : outputs) write_results_.push_back({std::move(output), error});
     }
     wake_();
   }
--- a/src/cluster/replica_storage.h
+++ b/src/cluster/replica_storage.h
@@ -1,8 +1,8 @@
-// A replica's slots on a disk: LMDB in a directory of its own, written on a thread of its own. An output of
-// the acceptor is durable, past a power cut, once take_written() returns it. Those that wait are written in
-// one transaction.
+// Durable storage of a replica's slots and metadata: an LMDB environment in its own directory, written by a
+// writer thread. An acceptor output survives a power failure once take_write_results() has returned it
+// without an error. Queued outputs are written in one transaction.
 //
-// All calls come from one thread, the loop's.
+// All public functions must be called on the event loop's thread.
 #pragma once
 
 #include <condition_variable>
@@ -22,36 +22,37 @@
 
 class ReplicaStorage {
  public:
-  // Creates the directory where it is missing and locks it. Throws std::runtime_error in one sentence: it
-  // cannot be created, read or written; another process uses it; it is another gateway's, or of another list
-  // of replicas. `wake` is called on the writing thread when take_written() has something.
+  // Creates the directory if it is missing, locks it and reads the stored state. Throws std::runtime_error
+  // with a one-sentence reason if the directory cannot be created, read or written, is in use by another
+  // process, or belongs to another gateway or another replica list. `wake` is called on the writer thread
+  // when take_write_results() has new results.
   ReplicaStorage(const std::string& path, const std::string& owner, uint64_t replicas_hash,
                  std::function<void()> wake);
-  ~ReplicaStorage();  // what is queued is written first
+  ~ReplicaStorage();  // writes all queued outputs first
   ReplicaStorage(const ReplicaStorage&) = delete;
   ReplicaStorage& operator=(const ReplicaStorage&) = delete;
 
-  // What was stored at the start; no metadata: nothing was.
+  // The state stored at the start. No metadata: nothing was stored.
   std::optional<consensus::ReplicaMetadata> metadata;
   std::map<std::string, consensus::AcceptorSlot> slots;
 
   void write(consensus::AcceptorOutput output);
-  struct Written {
+  struct WriteResult {
     consensus::AcceptorOutput output;
-    std::string error;  // why it could not be written; empty: it is on the disk
+    std::string error;  // reason of the failure; empty: the output is durable
   };
-  std::vector<Written> take_written();  // in the order of write()
-  size_t pending() const;               // outputs that take_written() has not returned yet
+  std::vector<WriteResult> take_write_results();  // in the order of write()
+  size_t pending() const;  // number of outputs not yet returned by take_write_results()
 
  private:
   void lock();
   void open_environment();  // throws std::runtime_error
   void close_environment();
-  void read();
-  void run();
-  std::string write_all(
-      const std::vector<consensus::AcceptorOutput>& outputs);         // why not; empty: they are durable
-  int commit(const std::vector<consensus::AcceptorOutput>& outputs);  // LMDB's code
+  void load();
+  void run_writer();
+  // Returns the reason of a failure; empty: the outputs are durable.
+  std::string write_outputs(const std::vector<consensus::AcceptorOutput>& outputs);
+  int commit(const std::vector<consensus::AcceptorOutput>& outputs);  // returns an LMDB error code
 
   const std::string path_, owner_;
   const uint64_t replicas_hash_;
@@ -62,7 +63,7 @@
   mutable std::mutex mutex_;
   std::condition_variable work_available_;
   std::vector<consensus::AcceptorOutput> queued_;
-  std::vector<Written> written_;
+  std::vector<WriteResult> write_results_;
   size_t pending_ = 0;
   bool is_closing_ = false;
   std::thread thread_;
--- a/src/cluster/run_once_requests.cpp
+++ b/src/cluster/run_once_requests.cpp
@@ -7,7 +7,7 @@
 namespace firvalve::cluster {
 
 using Action = lease::RunOnceJobs::Action;
-using End = lease::RunOnceJobs::RunOutcome;
+using RunOutcome = lease::RunOnceJobs::RunOutcome;
 
 namespace {
 
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void RunOnceRequests::request(TimePoint now, CallId call, std::string_view job, CommandRequest&& command) {
+void RunOnceRequests::submit(TimePoint now, CallId call, std::string_view job, CommandRequest&& command) {
   const BootClock::time_point boot_now = BootClock::now();
   Request& request = requests_[call];
   request.command = command.command;
@@ -26,7 +26,7 @@
   if (shutdown_deadline_) request.deadline = std::min(request.deadline, *shutdown_deadline_);
   request.estimated_work = command.estimated_work;
   request.memory_mb = command.memory_mb;
-  // Never 0, which stands for no statement.
+  // The low bit is set because 0 means no statement.
   const uint64_t hash = XXH3_64bits(request.statement.data(), request.statement.size()) | 1;
   log_.count_requested_job();
   jobs_.submit(boot_now, std::string(job), to_number(call), hash, boot_now + (request.deadline - now));
@@ -37,19 +37,19 @@
 }
 
 void RunOnceRequests::execute_actions(TimePoint now) {
-  // A job that could not be started has an answer at once.
+  // A job that could not be started adds a response action at once.
   for (std::vector<Action> actions = jobs_.take_actions(); !actions.empty(); actions = jobs_.take_actions())
     for (const Action& action : actions)
       if (action.kind == Action::Kind::kStart)
-        start(now, action);
+        start_job(now, action);
       else
         respond(action);
 }
 
-void RunOnceRequests::start(TimePoint now, const Action& action) {
+void RunOnceRequests::start_job(TimePoint now, const Action& action) {
   const auto requested = requests_.find(CallId{action.call});
   if (requested == requests_.end() || !core_)
-    return jobs_.on_run_finished(BootClock::now(), action.key, End::kNeverRan, {});
+    return jobs_.on_run_finished(BootClock::now(), action.key, RunOutcome::kNeverRan, {});
   const Request& request = requested->second;
   CommandRequest command;
   command.command = request.command;
@@ -64,13 +64,13 @@
   log_.record_started_job(action.key);
   if (core_->admit(now, call, std::move(command)) != AdmissionResult::kAdmitted) {
     started_.erase(call);
-    jobs_.on_run_finished(BootClock::now(), action.key, End::kNeverRan, {});
+    jobs_.on_run_finished(BootClock::now(), action.key, RunOutcome::kNeverRan, {});
   }
 }
 
 void RunOnceRequests::respond(const Action& action) {
   const CallId call{action.call};
-  if (requests_.erase(call) == 0) return;  // its client waits no longer
+  if (requests_.erase(call) == 0) return;  // the client has disconnected
   if (action.kind == Action::Kind::kComplete)
     clients_.answer(call, action.rows);
   else if (action.kind == Action::Kind::kShed)
@@ -79,13 +79,13 @@
     clients_.fail(call, action.error);
 }
 
-bool RunOnceRequests::finish(CallId call, End end, std::string_view rows,
-                             std::optional<Duration> retry_after) {
+bool RunOnceRequests::finish_command(CallId call, RunOutcome outcome, std::string_view rows,
+                                     std::optional<Duration> retry_after) {
   const auto started = started_.find(call);
   if (started == started_.end()) return false;
   const std::string job = std::move(started->second);
   started_.erase(started);
-  jobs_.on_run_finished(BootClock::now(), job, end, std::string(rows), retry_after.value_or(Duration{}));
+  jobs_.on_run_finished(BootClock::now(), job, outcome, std::string(rows), retry_after.value_or(Duration{}));
   return true;
 }
 
--- a/src/cluster/topic_requests.cpp
+++ b/src/cluster/topic_requests.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Duration kMinTimeout(1), kMaxTimeout(30000);  // of a change, whatever its client says
+constexpr Duration kMinTimeout(1), kMaxTimeout(30000);  // bounds on the timeout that a client requests
 
 Change::Kind kind_of(std::string_view method) {
   using Kind = Change::Kind;
@@ -48,8 +48,8 @@
 
 }  // namespace
 
-void TopicRequests::request(std::string_view method, std::string_view topic, const std::string& params,
-                            Duration timeout, ReplyCallback callback) {
+void TopicRequests::submit(std::string_view method, std::string_view topic, const std::string& params,
+                           Duration timeout, ReplyCallback callback) {
   std::string reason;
   std::optional<Change> change = schema::decode_change(params, reason);
   if (!change) return rejected_.push_back({std::move(callback), std::move(reason)});
@@ -59,9 +59,9 @@
   change->topic = topic;
   const BootClock::time_point now = BootClock::now();
   log_.count_topic_request(method);
-  const uint64_t number =
+  const uint64_t change_number =
       registry_.submit(std::move(*change), now + std::clamp(timeout, kMinTimeout, kMaxTimeout));
-  pending_[number] = std::move(callback);
+  pending_[change_number] = std::move(callback);
 }
 
 void TopicRequests::deliver_replies() {
--- a/src/cluster/topic_requests.h
+++ b/src/cluster/topic_requests.h
@@ -1,5 +1,5 @@
-// Clients' requests about topics: read, handed to the registry of schemas, and answered once their end is
-// known.
+// Handles clients' requests about topics: decodes them, submits them to the schema registry and replies once
+// the outcome is known.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
 
 namespace firvalve::cluster {
 
-// Used on the loop's thread alone.
+// Must be used on the event loop's thread only.
 class TopicRequests {
  public:
   using Reply = ClusterRequests::Reply;
@@ -22,13 +22,14 @@
 
   TopicRequests(schema::Registry& registry, const ClusterLog& log) : registry_(registry), log_(log) {}
 
-  // `method` is the client's, `params` its JSON. `callback` is called by a later deliver_replies().
-  void request(std::string_view method, std::string_view topic, const std::string& params, Duration timeout,
-               ReplyCallback callback);
+  // `method` and `params` (JSON) are those of the client's request. A later deliver_replies() calls
+  // `callback`.
+  void submit(std::string_view method, std::string_view topic, const std::string& params, Duration timeout,
+              ReplyCallback callback);
   void deliver_replies();
 
  private:
-  struct Rejected {  // before the registry saw it
+  struct Rejected {  // a request that was invalid and not submitted to the registry
     ReplyCallback callback;
     std::string reason;
   };
@@ -36,7 +37,7 @@
   schema::Registry& registry_;
   const ClusterLog& log_;
   std::vector<Rejected> rejected_;
-  std::map<uint64_t, ReplyCallback> pending_;  // by the registry's number of the change
+  std::map<uint64_t, ReplyCallback> pending_;  // by the change number that the registry assigned
 };
 
 }  // namespace firvalve::cluster
--- a/tests/cluster/frame_batch_test.cpp
+++ b/tests/cluster/frame_batch_test.cpp
@@ -1,3 +1,4 @@
+// Tests of packing outgoing messages into frames.
 #include "cluster/frame_batch.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +8,7 @@
 namespace firvalve::cluster {
 namespace {
 
-std::vector<consensus::Message> messages_of(size_t count, size_t value_bytes) {
+std::vector<consensus::Message> make_messages(size_t count, size_t value_bytes) {
   std::vector<consensus::Message> messages(count);
   for (size_t i = 0; i < count; ++i) {
     messages[i].request_id = i + 1;
@@ -16,8 +17,8 @@
   return messages;
 }
 
-TEST(FrameBatch, FewMessagesShareAFrame) {
-  const std::vector<consensus::Message> messages = messages_of(10, 100);
+TEST(FrameBatch, PacksFewMessagesIntoOneFrame) {
+  const std::vector<consensus::Message> messages = make_messages(10, 100);
   const std::vector<Frame> frames = pack_frames("127.0.0.1:7000", 99, messages);
   ASSERT_EQ(frames.size(), 1u);
   EXPECT_EQ(frames[0].sender, "127.0.0.1:7000");
@@ -26,8 +27,8 @@
   EXPECT_TRUE(pack_frames("127.0.0.1:7000", 99, {}).empty());
 }
 
-TEST(FrameBatch, AFrameThatHasReachedItsTargetTakesNoMoreAndTheOrderIsKept) {
-  const std::vector<consensus::Message> messages = messages_of(7, kTargetFrameBytes / 2);
+TEST(FrameBatch, StartsANewFrameAtTheTargetSizeAndPreservesOrder) {
+  const std::vector<consensus::Message> messages = make_messages(7, kTargetFrameBytes / 2);
   const std::vector<Frame> frames = pack_frames("a", 1, messages);
   ASSERT_EQ(frames.size(), 4u);
   std::vector<consensus::Message> unpacked;
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -1,6 +1,6 @@
-// Several processes of the program, with faults between them and in them. Each test is named after its
-// failure, and each ends before the invariant checker, which knows nothing of the program's code: never two
-// that may act for one duty, epochs that only grow, a named load begun once at most.
+// Runs clusters of several gateway processes and injects network, process and disk faults. After each test,
+// an invariant checker that shares no code with the program verifies the logs: a lease never has two holders,
+// its epochs only increase, and a run-once job is started at most once.
 #include <Poco/Net/StreamSocket.h>
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -27,338 +27,344 @@
 
 class Processes : public testing::Test {
  protected:
-  LoadClients& begin(const LoadClientsOptions& options = {}) {
-    crowd_ = std::make_unique<LoadClients>(FIRVALVE_PROGRAM, options);
-    EXPECT_TRUE(soon([&] { return crowd_->ready(); }));
-    return *crowd_;
+  LoadClients& start_deployment(const LoadClientsOptions& options = {}) {
+    deployment_ = std::make_unique<LoadClients>(FIRVALVE_PROGRAM, options);
+    EXPECT_TRUE(soon([&] { return deployment_->ready(); }));
+    return *deployment_;
   }
   void TearDown() override {
-    if (!crowd_) return;
+    if (!deployment_) return;
     simulation::FleetHistory history;
-    for (size_t i = 0; i < crowd_->size(); ++i)
-      simulation::read_spans(fmt::format("g{}", i), crowd_->log(i), history);
-    for (const simulation::FleetViolation& b : simulation::check_invariants(history))
-      ADD_FAILURE() << b.rule << ": " << b.text;
+    for (size_t i = 0; i < deployment_->size(); ++i)
+      simulation::read_spans(fmt::format("g{}", i), deployment_->log(i), history);
+    for (const simulation::FleetViolation& violation : simulation::check_invariants(history))
+      ADD_FAILURE() << violation.rule << ": " << violation.text;
     EXPECT_GT(history.held.size(), 0u);
-    for (const auto& [statement, most] : once_)
-      EXPECT_LE(crowd_->engines().runs(statement), most) << statement;
+    for (const auto& [statement, max_runs] : max_runs_)
+      EXPECT_LE(deployment_->engines().runs(statement), max_runs) << statement;
     if (HasFailure())
-      for (size_t i = 0; i < crowd_->size(); ++i) std::printf("--- %zu\n%s", i, crowd_->log(i).c_str());
+      for (size_t i = 0; i < deployment_->size(); ++i)
+        std::printf("--- %zu\n%s", i, deployment_->log(i).c_str());
   }
-  std::optional<size_t> holder() { return crowd_->holder("trial:a"); }
-  // Who may act, waited for.
-  size_t held_by() {
-    std::optional<size_t> one;
-    EXPECT_TRUE(soon([&] { return (one = holder()).has_value(); }));
-    return one.value_or(0);
+  std::optional<size_t> holder() { return deployment_->holder("trial:a"); }
+  // Waits until the lease trial:a has a holder and returns it.
+  size_t wait_for_holder() {
+    std::optional<size_t> current;
+    EXPECT_TRUE(soon([&] { return (current = holder()).has_value(); }));
+    return current.value_or(0);
   }
-  // Another than that one may act.
-  bool handed_on(size_t from) {
+  // Waits until the lease trial:a has a holder other than `from`.
+  bool wait_for_handover_from(size_t from) {
     return soon([&] {
       const auto now = holder();
       return now && *now != from;
     });
   }
-  // Asks that gateway, or those, for a load under a name.
-  client::Result merge(std::vector<size_t> gateways, const std::string& name, const std::string& statement,
-                       double timeout = 8000) {
-    once_[statement] = 1;
-    client::Options o;
-    for (const size_t g : gateways) o.gateways.push_back(crowd_->clients(g));
-    client::Client client(o);
-    client::Command c;
-    c.profile = "load";
-    c.statement = statement;
-    c.timeout_ms = timeout;
-    c.run_once_key = name;
-    return client.call(c);
+  // Requests a run-once job from one of the gateways and waits for the result.
+  client::Result request_job(std::vector<size_t> gateways, const std::string& name,
+                             const std::string& statement, double timeout = 8000) {
+    max_runs_[statement] = 1;
+    client::Options client_options;
+    for (const size_t g : gateways) client_options.gateways.push_back(deployment_->clients(g));
+    client::Client client(client_options);
+    client::Command command;
+    command.profile = "load";
+    command.statement = statement;
+    command.timeout_ms = timeout;
+    command.run_once_key = name;
+    return client.call(command);
   }
-  std::future<client::Result> merge_soon(size_t gateway, const std::string& name,
-                                         const std::string& statement) {
-    return std::async(std::launch::async, [=, this] { return merge({gateway}, name, statement); });
+  std::future<client::Result> request_job_async(size_t gateway, const std::string& name,
+                                                const std::string& statement) {
+    return std::async(std::launch::async, [=, this] { return request_job({gateway}, name, statement); });
   }
-  int runs(const std::string& statement) { return crowd_->engines().runs(statement); }
+  int runs(const std::string& statement) { return deployment_->engines().runs(statement); }
 
-  std::unique_ptr<LoadClients> crowd_;
-  std::map<std::string, int> once_;
+  std::unique_ptr<LoadClients> deployment_;
+  std::map<std::string, int> max_runs_;
 };
 
 TEST_F(Processes, HolderStoppedPastItsLeaseAndContinued) {
-  LoadClients& c = begin();
-  const size_t first = held_by();
-  c.pause(first);
-  EXPECT_TRUE(handed_on(first));
-  c.go_on(first);
-  EXPECT_TRUE(soon([&] { return c.count(first, "lease.lost") > 0; }));
+  LoadClients& deployment = start_deployment();
+  const size_t first = wait_for_holder();
+  deployment.pause(first);
+  EXPECT_TRUE(wait_for_handover_from(first));
+  deployment.go_on(first);
+  EXPECT_TRUE(soon([&] { return deployment.count(first, "lease.lost") > 0; }));
   EXPECT_NE(holder(), first);
 }
 
 TEST_F(Processes, HolderKilled) {
-  LoadClients& c = begin();
-  const size_t first = held_by();
+  LoadClients& deployment = start_deployment();
+  const size_t first = wait_for_holder();
   const Ms at = LoadClients::clock();
-  c.kill(first);
-  EXPECT_TRUE(handed_on(first));
-  EXPECT_LT(LoadClients::clock() - at, 1000 + 1000 + 500);  // lease, a second, and what the watching takes
+  deployment.kill(first);
+  EXPECT_TRUE(wait_for_handover_from(first));
+  EXPECT_LT(LoadClients::clock() - at, 1000 + 1000 + 500);  // lease duration, 1 s, and detection delay
 }
 
-TEST_F(Processes, HolderThatEndsHandsOnWithoutAGapOfALease) {
-  LoadClientsOptions t;
-  t.lease = 5000;
-  LoadClients& c = begin(t);
-  const size_t first = held_by();
-  EXPECT_EQ(c.end(first), 0);
-  EXPECT_TRUE(handed_on(first));
-  simulation::FleetHistory h;
-  for (size_t i = 0; i < c.size(); ++i) simulation::read_spans("g", c.log(i), h);
-  std::sort(h.held.begin(), h.held.end(), [](const auto& a, const auto& b) { return a.epoch < b.epoch; });
-  ASSERT_GE(h.held.size(), 2u);
-  EXPECT_LT(h.held[1].from - h.held[0].until, 1000);  // far from the lease, however loaded the machine
+TEST_F(Processes, HolderThatShutsDownHandsOverBeforeItsLeaseExpires) {
+  LoadClientsOptions options;
+  options.lease = 5000;
+  LoadClients& deployment = start_deployment(options);
+  const size_t first = wait_for_holder();
+  EXPECT_EQ(deployment.end(first), 0);
+  EXPECT_TRUE(wait_for_handover_from(first));
+  simulation::FleetHistory history;
+  for (size_t i = 0; i < deployment.size(); ++i) simulation::read_spans("g", deployment.log(i), history);
+  std::sort(history.held.begin(), history.held.end(),
+            [](const auto& a, const auto& b) { return a.epoch < b.epoch; });
+  ASSERT_GE(history.held.size(), 2u);
+  // Well below the lease duration, even on a loaded machine.
+  EXPECT_LT(history.held[1].from - history.held[0].until, 1000);
 }
 
 TEST_F(Processes, HolderCutOffFromTheReplicasAlone) {
-  LoadClientsOptions t;
-  t.duties = {"trial:a", "trial:b", "trial:c", "trial:d", "trial:e", "trial:f"};
-  LoadClients& c = begin(t);
-  std::optional<size_t> cut;  // a holder that is no keeper
-  for (const std::string& duty : t.duties)
-    if (const auto h = c.holder(duty); h && *h >= 3) cut = *h;
-  if (!cut) GTEST_SKIP() << "all duties went to keepers";
-  for (size_t k = 0; k < 3; ++k) c.between().set_both(*cut, k, {.silent = true});
-  EXPECT_TRUE(soon([&] { return c.count(*cut, "lease.lost") > 0; }));
+  LoadClientsOptions options;
+  options.duties = {"trial:a", "trial:b", "trial:c", "trial:d", "trial:e", "trial:f"};
+  LoadClients& deployment = start_deployment(options);
+  std::optional<size_t> isolated;  // a holder that is not a replica
+  for (const std::string& lease : options.duties)
+    if (const auto lease_holder = deployment.holder(lease); lease_holder && *lease_holder >= 3)
+      isolated = *lease_holder;
+  if (!isolated) GTEST_SKIP() << "all duties went to keepers";
+  for (size_t k = 0; k < 3; ++k) deployment.between().set_both(*isolated, k, {.silent = true});
+  EXPECT_TRUE(soon([&] { return deployment.count(*isolated, "lease.lost") > 0; }));
   EXPECT_TRUE(soon([&] {
-    return std::all_of(t.duties.begin(), t.duties.end(), [&](const std::string& d) {
-      const auto h = c.holder(d);
-      return h && *h != *cut;
+    return std::all_of(options.duties.begin(), options.duties.end(), [&](const std::string& lease) {
+      const auto lease_holder = deployment.holder(lease);
+      return lease_holder && *lease_holder != *isolated;
     });
   }));
 }
 
-TEST_F(Processes, HolderThatIsHeardAndHearsNothing) {
-  LoadClients& c = begin();
-  const size_t first = held_by();
-  for (size_t k = 0; k < c.size(); ++k)
-    if (k != first) c.between().set(k, first, {.silent = true});
-  EXPECT_TRUE(handed_on(first));
-  c.between().set_all({});
-  EXPECT_TRUE(soon([&] { return c.count(first, "lease.lost") > 0; }));
+TEST_F(Processes, HolderThatCanSendButNotReceive) {
+  LoadClients& deployment = start_deployment();
+  const size_t first = wait_for_holder();
+  for (size_t k = 0; k < deployment.size(); ++k)
+    if (k != first) deployment.between().set(k, first, {.silent = true});
+  EXPECT_TRUE(wait_for_handover_from(first));
+  deployment.between().set_all({});
+  EXPECT_TRUE(soon([&] { return deployment.count(first, "lease.lost") > 0; }));
 }
 
 TEST_F(Processes, LinksResetInTheMiddleOfFrames) {
-  LoadClients& c = begin();
+  LoadClients& deployment = start_deployment();
   for (int i = 0; i < 10; ++i) {
-    c.between().set_all({.torn = true});
+    deployment.between().set_all({.torn = true});
     ::usleep(50000);
   }
-  EXPECT_TRUE(soon([&] { return c.ready(); }));
-  EXPECT_EQ(c.count("lease.unreadable"), 0u);
+  EXPECT_TRUE(soon([&] { return deployment.ready(); }));
+  EXPECT_EQ(deployment.count("lease.unreadable"), 0u);
 }
 
 TEST_F(Processes, ReplicaKilledAndRestartedWithAndWithoutItsStorage) {
-  LoadClients& c = begin();
-  EXPECT_EQ(merge({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
-  for (const size_t keeper : {size_t{0}, size_t{1}, size_t{2}}) {
-    const size_t before = c.count(keeper, "consensus.replica_ready");
-    c.kill(keeper);
-    if (keeper != 1) c.forget(keeper);
-    c.start(keeper);
-    EXPECT_TRUE(soon([&] { return c.count(keeper, "consensus.replica_ready") > before; })) << keeper;
+  LoadClients& deployment = start_deployment();
+  EXPECT_EQ(request_job({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
+  for (const size_t replica : {size_t{0}, size_t{1}, size_t{2}}) {
+    const size_t before = deployment.count(replica, "consensus.replica_ready");
+    deployment.kill(replica);
+    if (replica != 1) deployment.forget(replica);
+    deployment.start(replica);
+    EXPECT_TRUE(soon([&] { return deployment.count(replica, "consensus.replica_ready") > before; }))
+        << replica;
   }
-  // Every keeper has been away: what was agreed stands all the same.
-  EXPECT_EQ(merge({3, 4}, "one", "insert one").outcome, client::Outcome::kAnswered);
+  // Every replica has been restarted, two without their storage; the agreed outcome must still be known.
+  EXPECT_EQ(request_job({3, 4}, "one", "insert one").outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert one"), 1);
 }
 
-TEST_F(Processes, ReplicasWithoutStorageComeBackOneAfterTheOther) {
-  LoadClientsOptions t;
-  t.folders = false;
-  LoadClients& c = begin(t);
-  EXPECT_EQ(merge({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
-  for (const size_t keeper : {size_t{0}, size_t{1}, size_t{2}}) {
-    c.kill(keeper);
-    c.start(keeper);
-    EXPECT_TRUE(soon([&] { return c.count(keeper, "consensus.replica_ready") > 1; })) << keeper;
+TEST_F(Processes, ReplicasWithoutStorageRestartedOneAfterTheOther) {
+  LoadClientsOptions options;
+  options.folders = false;
+  LoadClients& deployment = start_deployment(options);
+  EXPECT_EQ(request_job({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
+  for (const size_t replica : {size_t{0}, size_t{1}, size_t{2}}) {
+    deployment.kill(replica);
+    deployment.start(replica);
+    EXPECT_TRUE(soon([&] { return deployment.count(replica, "consensus.replica_ready") > 1; })) << replica;
   }
-  EXPECT_EQ(merge({4}, "one", "insert one").outcome, client::Outcome::kAnswered);
+  EXPECT_EQ(request_job({4}, "one", "insert one").outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert one"), 1);
 }
 
-TEST_F(Processes, TwoOfFiveReplicasGoneAndThenThree) {
-  LoadClientsOptions t;
-  t.gateways = 7;
-  t.keepers = 5;
-  LoadClients& c = begin(t);
-  for (const size_t k : {size_t{0}, size_t{1}}) c.kill(k);
-  EXPECT_TRUE(soon([&] { return c.ready(); }));
-  EXPECT_EQ(merge({5}, "two", "insert two").outcome, client::Outcome::kAnswered);
-  c.kill(2);
-  // Without a majority nobody holds anything past its lease, and clients are told so.
+TEST_F(Processes, TwoAndThenThreeOfFiveReplicasKilled) {
+  LoadClientsOptions options;
+  options.gateways = 7;
+  options.keepers = 5;
+  LoadClients& deployment = start_deployment(options);
+  for (const size_t k : {size_t{0}, size_t{1}}) deployment.kill(k);
+  EXPECT_TRUE(soon([&] { return deployment.ready(); }));
+  EXPECT_EQ(request_job({5}, "two", "insert two").outcome, client::Outcome::kAnswered);
+  deployment.kill(2);
+  // Without a quorum every lease expires, and requests for run-once jobs fail.
   EXPECT_TRUE(soon([&] { return !holder(); }));
-  const client::Result none = merge({6}, "three", "insert three", 1500);
-  EXPECT_NE(none.outcome, client::Outcome::kAnswered);
+  const client::Result result = request_job({6}, "three", "insert three", 1500);
+  EXPECT_NE(result.outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert three"), 0);
-  for (const size_t k : {size_t{0}, size_t{1}, size_t{2}}) c.start(k);
-  EXPECT_TRUE(soon([&] { return c.ready(); }));
-  EXPECT_EQ(merge({6}, "two", "insert two").outcome, client::Outcome::kAnswered);
+  for (const size_t k : {size_t{0}, size_t{1}, size_t{2}}) deployment.start(k);
+  EXPECT_TRUE(soon([&] { return deployment.ready(); }));
+  EXPECT_EQ(request_job({6}, "two", "insert two").outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert two"), 1);
 }
 
 TEST_F(Processes, AllReplicasRestartedAtOnce) {
-  LoadClients& c = begin();
-  EXPECT_EQ(merge({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
-  for (size_t k = 0; k < 3; ++k) c.kill(k);
-  for (size_t k = 0; k < 3; ++k) c.start(k);
-  EXPECT_TRUE(soon([&] { return c.ready(); }));
-  EXPECT_EQ(merge({4}, "one", "insert one").outcome, client::Outcome::kAnswered);
+  LoadClients& deployment = start_deployment();
+  EXPECT_EQ(request_job({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
+  for (size_t k = 0; k < 3; ++k) deployment.kill(k);
+  for (size_t k = 0; k < 3; ++k) deployment.start(k);
+  EXPECT_TRUE(soon([&] { return deployment.ready(); }));
+  EXPECT_EQ(request_job({4}, "one", "insert one").outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert one"), 1);
 }
 
 class Lossy : public Processes, public testing::WithParamInterface<double> {};
 
 TEST_P(Lossy, MessagesLostRepeatedLateAndOutOfOrder) {
-  LoadClientsOptions t;
-  t.duties = {"trial:a", "trial:b", "trial:c"};
-  LoadClients& c = begin(t);
-  c.between().set_all(
+  LoadClientsOptions options;
+  options.duties = {"trial:a", "trial:b", "trial:c"};
+  LoadClients& deployment = start_deployment(options);
+  deployment.between().set_all(
       {.lost = GetParam(), .repeated = 0.1, .delay_least = 0, .delay_most = 60, .reordered = true});
-  std::vector<std::future<client::Result>> asked;
-  for (size_t g = 0; g < c.size(); ++g)
-    asked.push_back(merge_soon(g, "lossy", "insert lossy /*! delay=200 */"));
+  std::vector<std::future<client::Result>> results;
+  for (size_t g = 0; g < deployment.size(); ++g)
+    results.push_back(request_job_async(g, "lossy", "insert lossy /*! delay=200 */"));
   size_t answered = 0;
-  for (auto& a : asked) answered += a.get().outcome == client::Outcome::kAnswered;
+  for (auto& result : results) answered += result.get().outcome == client::Outcome::kAnswered;
   EXPECT_EQ(runs("insert lossy /*! delay=200 */"), 1);
   EXPECT_GT(answered, 0u);
-  const size_t first = held_by();
-  c.kill(first);
-  EXPECT_TRUE(handed_on(first));
+  const size_t first = wait_for_holder();
+  deployment.kill(first);
+  EXPECT_TRUE(wait_for_handover_from(first));
 }
 
 INSTANTIATE_TEST_SUITE_P(InAHundred, Lossy, testing::Values(0.01, 0.1, 0.3),
                          [](const auto& p) { return std::to_string(static_cast<int>(p.param * 100)); });
 
-TEST_F(Processes, MessagesLaterThanALease) {
-  LoadClients& c = begin();
+TEST_F(Processes, MessagesDelayedPastALease) {
+  LoadClients& deployment = start_deployment();
   for (int i = 0; i < 3; ++i) {
-    c.between().set_all({.held = true});
+    deployment.between().set_all({.held = true});
     EXPECT_TRUE(soon([&] { return !holder(); }));
-    c.between().set_all({});  // and all of it comes now
+    deployment.between().set_all({});  // delivers the delayed messages
     EXPECT_TRUE(soon([&] { return holder().has_value(); }));
   }
 }
 
 TEST_F(Processes, RollingRestartOfAllUnderLoad) {
-  LoadClients& c = begin();
+  LoadClients& deployment = start_deployment();
   std::atomic<bool> over = false;
   std::atomic<int> answered = 0, lost = 0;
   std::thread load([&] {
-    client::Options o;
-    for (size_t g = 0; g < c.size(); ++g) o.gateways.push_back(c.clients(g));
-    client::Client client(o);
+    client::Options client_options;
+    for (size_t g = 0; g < deployment.size(); ++g) client_options.gateways.push_back(deployment.clients(g));
+    client::Client client(client_options);
     while (!over) {
-      client::Command look{"lookup", "select 1", 4000, 0, 0, client::Effect::kReplayable, false, {}, {}};
-      ++(client.call(look).outcome == client::Outcome::kAnswered ? answered : lost);
+      client::Command lookup{"lookup", "select 1", 4000, 0, 0, client::Effect::kReplayable, false, {}, {}};
+      ++(client.call(lookup).outcome == client::Outcome::kAnswered ? answered : lost);
     }
   });
-  for (size_t i = 0; i < c.size(); ++i) {
-    EXPECT_EQ(c.end(i), 0);
-    c.start(i);
-    EXPECT_TRUE(soon([&] { return c.ready() && (i >= 3 || c.count(i, "consensus.replica_ready") > 1); }))
-        << i;
+  for (size_t i = 0; i < deployment.size(); ++i) {
+    EXPECT_EQ(deployment.end(i), 0);
+    deployment.start(i);
+    EXPECT_TRUE(soon([&] {
+      return deployment.ready() && (i >= 3 || deployment.count(i, "consensus.replica_ready") > 1);
+    })) << i;
   }
   over = true;
   load.join();
   EXPECT_GT(answered, 50);
   EXPECT_EQ(lost, 0);
-  EXPECT_EQ(c.count("lease.lost"), 0u);  // each handed on what it held
+  EXPECT_EQ(deployment.count("lease.lost"), 0u);  // each gateway hands over its leases at shutdown
 }
 
-TEST_F(Processes, AJobRequestedOfAllStartsOnceAndAllGetItsEnd) {
-  LoadClients& c = begin();
+TEST_F(Processes, AJobRequestedFromAllGatewaysRunsOnceAndAllGetItsResult) {
+  LoadClients& deployment = start_deployment();
   const std::string load = "insert night /*! delay=300 rows=2 */";
-  std::vector<std::future<client::Result>> asked;
-  for (size_t g = 0; g < c.size(); ++g) asked.push_back(merge_soon(g, "night", load));
-  for (auto& a : asked) {
-    const client::Result r = a.get();
-    EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.why;
-    EXPECT_FALSE(r.rows.empty());
+  std::vector<std::future<client::Result>> results;
+  for (size_t g = 0; g < deployment.size(); ++g) results.push_back(request_job_async(g, "night", load));
+  for (auto& result : results) {
+    const client::Result response = result.get();
+    EXPECT_EQ(response.outcome, client::Outcome::kAnswered) << response.why;
+    EXPECT_FALSE(response.rows.empty());
   }
   EXPECT_EQ(runs(load), 1);
-  EXPECT_NE(merge({0}, "night", "insert another", 2000).outcome, client::Outcome::kAnswered);
+  EXPECT_NE(request_job({0}, "night", "insert another", 2000).outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert another"), 0);
 }
 
-TEST_F(Processes, AHolderKilledInTheMiddleOfAJobLeavesWhatMayHaveRun) {
-  LoadClients& c = begin();
+TEST_F(Processes, AHolderKilledDuringAJobLeavesItsOutcomeUnknown) {
+  LoadClients& deployment = start_deployment();
   const std::string load = "insert night /*! delay=3000 */";
-  auto first = merge_soon(3, "night", load);
+  auto first = request_job_async(3, "night", load);
   EXPECT_TRUE(soon([&] { return runs(load) == 1; }));
-  c.kill(3);
-  const client::Result r = merge({4}, "night", load);
-  EXPECT_EQ(r.outcome, client::Outcome::kFailed);
-  EXPECT_TRUE(r.may_have_run);
+  deployment.kill(3);
+  const client::Result result = request_job({4}, "night", load);
+  EXPECT_EQ(result.outcome, client::Outcome::kFailed);
+  EXPECT_TRUE(result.may_have_run);
   first.get();
   EXPECT_EQ(runs(load), 1);
 }
 
-TEST_F(Processes, AHolderStoppedInTheMiddleOfAJobDoesNotStartItAgain) {
-  LoadClients& c = begin();
+TEST_F(Processes, AJobIsNotRestartedAfterItsHolderIsPaused) {
+  LoadClients& deployment = start_deployment();
   const std::string load = "insert night /*! delay=500 */";
-  auto first = merge_soon(3, "night", load);
+  auto first = request_job_async(3, "night", load);
   EXPECT_TRUE(soon([&] { return runs(load) == 1; }));
-  c.pause(3);
-  EXPECT_EQ(merge({4}, "night", load).outcome, client::Outcome::kFailed);
-  c.go_on(3);
+  deployment.pause(3);
+  EXPECT_EQ(request_job({4}, "night", load).outcome, client::Outcome::kFailed);
+  deployment.go_on(3);
   first.get();
-  EXPECT_EQ(merge({0}, "night", load).outcome, client::Outcome::kFailed);
+  EXPECT_EQ(request_job({0}, "night", load).outcome, client::Outcome::kFailed);
   EXPECT_EQ(runs(load), 1);
 }
 
-TEST_F(Processes, AHolderTerminatedInTheMiddleOfAJobAnswersItFirst) {
-  LoadClients& c = begin();
+TEST_F(Processes, AHolderThatShutsDownDuringAJobCompletesItFirst) {
+  LoadClients& deployment = start_deployment();
   const std::string load = "insert night /*! delay=800 */";
-  auto first = merge_soon(3, "night", load);
+  auto first = request_job_async(3, "night", load);
   EXPECT_TRUE(soon([&] { return runs(load) == 1; }));
-  EXPECT_EQ(c.end(3), 0);
+  EXPECT_EQ(deployment.end(3), 0);
   EXPECT_EQ(first.get().outcome, client::Outcome::kAnswered);
-  EXPECT_EQ(merge({4}, "night", load).outcome, client::Outcome::kAnswered);
+  EXPECT_EQ(request_job({4}, "night", load).outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs(load), 1);
 }
 
-TEST_F(Processes, AReplicaWhoseDiskIsFullSendsNothingUntilItTakesWritesAgain) {
-  LoadClients& c = begin();
-  const rlimit none{0, RLIM_INFINITY}, any{RLIM_INFINITY, RLIM_INFINITY};
-  ASSERT_EQ(::prlimit(c.process(0).id(), RLIMIT_FSIZE, &none, nullptr), 0);
-  EXPECT_TRUE(soon([&] { return c.between().passed() > 0 && c.ready(); }));
-  EXPECT_EQ(merge({3, 4}, "one", "insert one").outcome, client::Outcome::kAnswered);
-  ASSERT_EQ(::prlimit(c.process(0).id(), RLIMIT_FSIZE, &any, nullptr), 0);
-  c.kill(1);
-  EXPECT_TRUE(soon([&] { return c.ready(); }));  // with it and the third
-  EXPECT_EQ(merge({4}, "one", "insert one").outcome, client::Outcome::kAnswered);
+TEST_F(Processes, AReplicaWithAFullDiskSendsNothingUntilWritesSucceed) {
+  LoadClients& deployment = start_deployment();
+  const rlimit full{0, RLIM_INFINITY}, unlimited{RLIM_INFINITY, RLIM_INFINITY};
+  ASSERT_EQ(::prlimit(deployment.process(0).id(), RLIMIT_FSIZE, &full, nullptr), 0);
+  EXPECT_TRUE(soon([&] { return deployment.between().passed() > 0 && deployment.ready(); }));
+  EXPECT_EQ(request_job({3, 4}, "one", "insert one").outcome, client::Outcome::kAnswered);
+  ASSERT_EQ(::prlimit(deployment.process(0).id(), RLIMIT_FSIZE, &unlimited, nullptr), 0);
+  deployment.kill(1);
+  EXPECT_TRUE(soon([&] { return deployment.ready(); }));  // the quorum is this replica and the third
+  EXPECT_EQ(request_job({4}, "one", "insert one").outcome, client::Outcome::kAnswered);
   EXPECT_EQ(runs("insert one"), 1);
-  EXPECT_EQ(c.end(0), 0);
-  EXPECT_EQ(c.count(0, "gateway.metrics", "consensus writes failed"),
-            1u);  // its log could not be written meanwhile, either
+  EXPECT_EQ(deployment.end(0), 0);
+  // Counted once only: the process could not write its log while the limit applied, either.
+  EXPECT_EQ(deployment.count(0, "gateway.metrics", "consensus writes failed"), 1u);
 }
 
-TEST_F(Processes, GarbageAndAFloodFromOnePeerCostNobodyElse) {
-  LoadClients& c = begin();
+TEST_F(Processes, InvalidFramesAndAFloodFromOnePeerDoNotAffectOthers) {
+  LoadClients& deployment = start_deployment();
   const auto send = [&](size_t to, const std::string& bytes) {
-    Poco::Net::StreamSocket s;
-    s.connect(Poco::Net::SocketAddress(c.peers(to)));
-    s.setSendTimeout(Poco::Timespan(2, 0));
+    Poco::Net::StreamSocket socket;
+    socket.connect(Poco::Net::SocketAddress(deployment.peers(to)));
+    socket.setSendTimeout(Poco::Timespan(2, 0));
     for (size_t at = 0; at < bytes.size();) {
       try {
-        at += static_cast<size_t>(s.sendBytes(bytes.data() + at, static_cast<int>(bytes.size() - at)));
+        at += static_cast<size_t>(socket.sendBytes(bytes.data() + at, static_cast<int>(bytes.size() - at)));
       } catch (const Poco::Exception&) {
-        return;  // it has ended us
+        return;  // the gateway has closed the connection
       }
     }
   };
-  cluster::Frame odd;
-  odd.sender = "127.0.0.1:1";
-  odd.replicas_hash = 1;  // of others
+  cluster::Frame invalid_frame;
+  invalid_frame.sender = "127.0.0.1:1";
+  invalid_frame.replicas_hash = 1;  // not the hash of this cluster's replica list
   std::string frame;
-  cluster::append_frame(frame, odd);
+  cluster::append_frame(frame, invalid_frame);
   for (size_t k = 0; k < 3; ++k) {
     send(k, std::string(100000, 'x'));
     send(k, "Content-Length: 99999999999\r\n\r\n");
@@ -368,169 +374,182 @@
     for (int i = 0; i < 20000; ++i) flood += frame;
     send(k, flood);
   }
-  EXPECT_TRUE(soon([&] { return c.count(0, "cluster.frame_rejected") >= 2; }));
-  EXPECT_TRUE(c.ready());
-  EXPECT_EQ(c.count("lease.lost"), 0u);
-  EXPECT_EQ(merge({0}, "one", "insert one").outcome, client::Outcome::kAnswered);
+  EXPECT_TRUE(soon([&] { return deployment.count(0, "cluster.frame_rejected") >= 2; }));
+  EXPECT_TRUE(deployment.ready());
+  EXPECT_EQ(deployment.count("lease.lost"), 0u);
+  EXPECT_EQ(request_job({0}, "one", "insert one").outcome, client::Outcome::kAnswered);
 }
 
-TEST_F(Processes, AFileThatNamesOtherReplicasThanTheRest) {
-  LoadClients& c = begin();
-  const size_t odd = 4;
-  EXPECT_EQ(c.end(odd), 0);
-  c.rewrite(odd, c.name(2), c.name(3));
-  c.start(odd);
-  EXPECT_TRUE(soon([&] { return c.count(0, "cluster.frame_rejected", "another list of keepers") > 0; }));
-  EXPECT_TRUE(soon([&] { return c.ready() && holder() != odd; }));
-  EXPECT_EQ(c.count(odd, "lease.acquired", "\"epoch\":\"9"), 0u);
-  // Its clients are still served: only what needs the record is not to be had there.
-  client::Options o;
-  o.gateways = {c.clients(odd)};
-  client::Client client(o);
-  client::Command look{"lookup", "select 1", 4000, 0, 0, client::Effect::kReplayable, false, {}, {}};
-  EXPECT_EQ(client.call(look).outcome, client::Outcome::kAnswered);
+TEST_F(Processes, AGatewayWithADifferentReplicaListIsRejected) {
+  LoadClients& deployment = start_deployment();
+  const size_t misconfigured = 4;
+  EXPECT_EQ(deployment.end(misconfigured), 0);
+  deployment.rewrite(misconfigured, deployment.name(2), deployment.name(3));
+  deployment.start(misconfigured);
+  EXPECT_TRUE(
+      soon([&] { return deployment.count(0, "cluster.frame_rejected", "another list of keepers") > 0; }));
+  EXPECT_TRUE(soon([&] { return deployment.ready() && holder() != misconfigured; }));
+  EXPECT_EQ(deployment.count(misconfigured, "lease.acquired", "\"epoch\":\"9"), 0u);
+  // It still serves commands that do not need the cluster.
+  client::Options client_options;
+  client_options.gateways = {deployment.clients(misconfigured)};
+  client::Client client(client_options);
+  client::Command lookup{"lookup", "select 1", 4000, 0, 0, client::Effect::kReplayable, false, {}, {}};
+  EXPECT_EQ(client.call(lookup).outcome, client::Outcome::kAnswered);
 }
 
 TEST_F(Processes, ADirectoryInUseOrOfAnotherGatewayPreventsTheStart) {
-  LoadClients& c = begin();
-  EXPECT_EQ(c.end(1), 0);
-  c.rewrite(1, c.folder(1), c.folder(0));
-  c.process(1).start();
-  EXPECT_EQ(c.process(1).wait(), 1);
-  EXPECT_NE(c.log(1).find("another process uses it"), std::string::npos);
-  EXPECT_EQ(c.end(0), 0);
-  c.process(1).start();
-  EXPECT_EQ(c.process(1).wait(), 1);
-  EXPECT_NE(c.log(1).find("it is " + c.name(0) + "'s"), std::string::npos);
-  c.rewrite(1, c.folder(0), c.folder(1));
-  c.start(0);
-  c.start(1);
-  EXPECT_TRUE(soon([&] { return c.ready(); }));
+  LoadClients& deployment = start_deployment();
+  EXPECT_EQ(deployment.end(1), 0);
+  deployment.rewrite(1, deployment.folder(1), deployment.folder(0));
+  deployment.process(1).start();
+  EXPECT_EQ(deployment.process(1).wait(), 1);
+  EXPECT_NE(deployment.log(1).find("another process uses it"), std::string::npos);
+  EXPECT_EQ(deployment.end(0), 0);
+  deployment.process(1).start();
+  EXPECT_EQ(deployment.process(1).wait(), 1);
+  EXPECT_NE(deployment.log(1).find("it is " + deployment.name(0) + "'s"), std::string::npos);
+  deployment.rewrite(1, deployment.folder(0), deployment.folder(1));
+  deployment.start(0);
+  deployment.start(1);
+  EXPECT_TRUE(soon([&] { return deployment.ready(); }));
 }
 
 class Topics : public Processes {
  protected:
-  static std::string schema(const std::vector<int>& fields) {
+  static std::string make_schema(const std::vector<int>& fields) {
     std::string all;
     for (const int f : fields)
       all += (all.empty() ? "" : ",") +
              ("{\"number\":" + std::to_string(f) + ",\"name\":\"f" + std::to_string(f)) + "\"}";
     return "{\"fields\":[" + all + "]}";
   }
-  static std::string reader(const std::string& who, const std::string& reads) {
-    return R"({"subscriber":")" + who + R"(","site":"here","versions":[1,2,3,4,5,6,7,8,9],"reads":[)" +
+  static std::string make_declaration(const std::string& subscriber, const std::string& reads) {
+    return R"({"subscriber":")" + subscriber + R"(","site":"here","versions":[1,2,3,4,5,6,7,8,9],"reads":[)" +
            reads + "]}";
   }
-  client::Client& at(size_t gateway) {
-    auto& c = clients_[gateway];
-    if (!c) {
-      client::Options o;
-      o.gateways = {crowd_->clients(gateway)};
-      c = std::make_unique<client::Client>(o);
+  client::Client& client_at(size_t gateway) {
+    auto& client = clients_[gateway];
+    if (!client) {
+      client::Options client_options;
+      client_options.gateways = {deployment_->clients(gateway)};
+      client = std::make_unique<client::Client>(client_options);
     }
-    return *c;
+    return *client;
   }
-  // What stands, as any gateway tells it, before the invariant checker.
-  std::string stands(size_t gateway) {
-    const client::Result r = at(gateway).ask_about_topic("bulletin", "cabins", "{}", 8000).wait();
-    EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.why;
-    simulation::FleetHistory h;
-    h.bulletins.push_back(simulation::read_agreed("cabins", 0, r.rows));
-    for (const simulation::FleetViolation& b : simulation::check_invariants(h))
-      ADD_FAILURE() << b.rule << ": " << b.text;
-    return r.rows;
+  // Reads the topic at a gateway, verifies it with the invariant checker and returns it.
+  std::string read_topic(size_t gateway) {
+    const client::Result result = client_at(gateway).ask_about_topic("bulletin", "cabins", "{}", 8000).wait();
+    EXPECT_EQ(result.outcome, client::Outcome::kAnswered) << result.why;
+    simulation::FleetHistory history;
+    history.bulletins.push_back(simulation::read_agreed("cabins", 0, result.rows));
+    for (const simulation::FleetViolation& violation : simulation::check_invariants(history))
+      ADD_FAILURE() << violation.rule << ": " << violation.text;
+    return result.rows;
   }
   std::map<size_t, std::unique_ptr<client::Client>> clients_;
 };
 
 TEST_F(Topics, AChangeThatBreaksASubscriberIsRejectedAtEveryGateway) {
-  LoadClients& c = begin();
-  EXPECT_EQ(at(0).propose("cabins", schema({1, 2}), 5000).wait().outcome, client::Outcome::kAnswered);
-  EXPECT_EQ(at(3).declare("cabins", reader("screen", "2"), 5000).wait().outcome, client::Outcome::kAnswered);
+  LoadClients& deployment = start_deployment();
+  EXPECT_EQ(client_at(0).propose("cabins", make_schema({1, 2}), 5000).wait().outcome,
+            client::Outcome::kAnswered);
+  EXPECT_EQ(client_at(3).declare("cabins", make_declaration("screen", "2"), 5000).wait().outcome,
+            client::Outcome::kAnswered);
   std::string first;
-  for (size_t g = 0; g < c.size(); ++g) {
-    const client::Result r = at(g).propose("cabins", schema({1}), 5000).wait();
-    EXPECT_EQ(r.outcome, client::Outcome::kFailed);
-    EXPECT_NE(r.rows.find("taken_away"), std::string::npos) << r.rows;
-    if (first.empty()) first = r.rows;
-    EXPECT_EQ(r.rows, first);
+  for (size_t g = 0; g < deployment.size(); ++g) {
+    const client::Result result = client_at(g).propose("cabins", make_schema({1}), 5000).wait();
+    EXPECT_EQ(result.outcome, client::Outcome::kFailed);
+    EXPECT_NE(result.rows.find("taken_away"), std::string::npos) << result.rows;
+    if (first.empty()) first = result.rows;
+    EXPECT_EQ(result.rows, first);
   }
-  EXPECT_THROW(at(0).ask_about_topic("propose", "cabins", "[1]", 5000), std::invalid_argument);
-  const client::Result bad =
-      at(0).ask_about_topic("propose", "cabins", R"({"schema":{"fields":[{"number":"x"}]}})", 5000).wait();
-  EXPECT_EQ(bad.outcome, client::Outcome::kFailed);
-  EXPECT_EQ(bad.why, "schema.fields[0].number is no number from 0 up");
-  EXPECT_GE(c.count("schema.change_rejected"), c.size());
+  EXPECT_THROW(client_at(0).ask_about_topic("propose", "cabins", "[1]", 5000), std::invalid_argument);
+  const client::Result invalid =
+      client_at(0)
+          .ask_about_topic("propose", "cabins", R"({"schema":{"fields":[{"number":"x"}]}})", 5000)
+          .wait();
+  EXPECT_EQ(invalid.outcome, client::Outcome::kFailed);
+  EXPECT_EQ(invalid.why, "schema.fields[0].number is no number from 0 up");
+  EXPECT_GE(deployment.count("schema.change_rejected"), deployment.size());
 }
 
 TEST_F(Topics, ProposalsAndDeclarationsAcrossAPartitionLossAndAKilledReplica) {
-  LoadClientsOptions t;
-  t.keepers = 5;
-  LoadClients& c = begin(t);
-  EXPECT_EQ(at(0).propose("cabins", schema({1, 2, 3, 4}), 5000).wait().outcome, client::Outcome::kAnswered);
-  c.between().set_all({.lost = 0.1, .repeated = 0.1, .delay_least = 0, .delay_most = 20, .reordered = true});
-  std::vector<std::future<std::pair<int, int>>> all;  // agreed, refused
+  LoadClientsOptions options;
+  options.keepers = 5;
+  LoadClients& deployment = start_deployment(options);
+  EXPECT_EQ(client_at(0).propose("cabins", make_schema({1, 2, 3, 4}), 5000).wait().outcome,
+            client::Outcome::kAnswered);
+  deployment.between().set_all(
+      {.lost = 0.1, .repeated = 0.1, .delay_least = 0, .delay_most = 20, .reordered = true});
+  std::vector<std::future<std::pair<int, int>>> all;  // numbers of agreed and rejected changes
   for (size_t g = 0; g < 4; ++g) {
-    at(g);
+    client_at(g);  // creates the client before the task uses it
     all.push_back(std::async(std::launch::async, [=, this] {
-      std::pair<int, int> told;
+      std::pair<int, int> counts;
       for (int i = 0; i < 12; ++i) {
-        const int left_out = 1 + static_cast<int>((g + static_cast<size_t>(i)) % 4);
+        const int omitted_field = 1 + static_cast<int>((g + static_cast<size_t>(i)) % 4);
         std::vector<int> fields;
         for (int f = 1; f <= 4; ++f)
-          if (f != left_out) fields.push_back(f);
+          if (f != omitted_field) fields.push_back(f);
         client::Client& client = *clients_.at(g);
-        const client::Result r =
-            g % 2 == 0 ? client.propose("cabins", schema(fields), 4000).wait()
-                       : client
-                             .declare("cabins",
-                                      reader("screen " + std::to_string(g), std::to_string(left_out)), 4000)
-                             .wait();
-        told.first += r.outcome == client::Outcome::kAnswered;
-        told.second += r.outcome == client::Outcome::kFailed && !r.rows.empty();
+        const client::Result result =
+            g % 2 == 0
+                ? client.propose("cabins", make_schema(fields), 4000).wait()
+                : client
+                      .declare("cabins",
+                               make_declaration("screen " + std::to_string(g), std::to_string(omitted_field)),
+                               4000)
+                      .wait();
+        counts.first += result.outcome == client::Outcome::kAnswered;
+        counts.second += result.outcome == client::Outcome::kFailed && !result.rows.empty();
       }
-      return told;
+      return counts;
     }));
   }
-  c.kill(4);  // in the middle of it
-  c.between().set_apart(1, {.silent = true});
+  deployment.kill(4);  // while changes are in progress
+  deployment.between().set_apart(1, {.silent = true});
   ::usleep(700000);
-  c.between().set_apart(1, {});
-  c.start(4);
-  int agreed = 0, refused = 0;
-  for (auto& one : all) {
-    const auto told = one.get();
-    agreed += told.first;
-    refused += told.second;
+  deployment.between().set_apart(1, {});
+  deployment.start(4);
+  int agreed = 0, rejected = 0;
+  for (auto& changes : all) {
+    const auto counts = changes.get();
+    agreed += counts.first;
+    rejected += counts.second;
   }
   EXPECT_GT(agreed, 0);
-  EXPECT_GT(refused, 0);
-  c.between().set_all({});
-  const std::string one = stands(0);
-  for (size_t g = 1; g < 4; ++g) EXPECT_EQ(stands(g), one);
+  EXPECT_GT(rejected, 0);
+  deployment.between().set_all({});
+  const std::string topic = read_topic(0);
+  for (size_t g = 1; g < 4; ++g) EXPECT_EQ(read_topic(g), topic);
 }
 
-TEST_F(Topics, ASubscriberThatDoesNotRenewIsForgottenAfterItsLifetime) {
-  begin();
-  EXPECT_EQ(at(0).propose("cabins", schema({1, 2}), 5000).wait().outcome, client::Outcome::kAnswered);
-  std::string declaration = reader("screen", "2");
+TEST_F(Topics, ADeclarationThatIsNotRenewedExpires) {
+  start_deployment();
+  EXPECT_EQ(client_at(0).propose("cabins", make_schema({1, 2}), 5000).wait().outcome,
+            client::Outcome::kAnswered);
+  std::string declaration = make_declaration("screen", "2");
   declaration.insert(1, R"("holds_ms":1500,)");
-  EXPECT_EQ(at(1).declare("cabins", declaration, 5000).wait().outcome, client::Outcome::kAnswered);
-  EXPECT_EQ(at(2).propose("cabins", schema({1}), 5000).wait().outcome, client::Outcome::kFailed);
+  EXPECT_EQ(client_at(1).declare("cabins", declaration, 5000).wait().outcome, client::Outcome::kAnswered);
+  EXPECT_EQ(client_at(2).propose("cabins", make_schema({1}), 5000).wait().outcome, client::Outcome::kFailed);
   EXPECT_TRUE(soon([&] {
-    return at(2).propose("cabins", schema({1}), 5000).wait().outcome == client::Outcome::kAnswered;
+    return client_at(2).propose("cabins", make_schema({1}), 5000).wait().outcome ==
+           client::Outcome::kAnswered;
   }));
 }
 
-TEST_F(Topics, WithoutAQuorumNothingIsChangedAndTheClientLearnsIt) {
-  LoadClients& c = begin();
-  c.kill(0);
-  c.kill(1);
-  const client::Result r = at(3).propose("cabins", schema({1}), 1500).wait();
-  EXPECT_NE(r.outcome, client::Outcome::kAnswered);
-  c.start(0);
-  EXPECT_EQ(at(4).propose("cabins", schema({1, 2}), 8000).wait().outcome, client::Outcome::kAnswered);
-  EXPECT_EQ(stands(3).find("\"number\":2,\"state\""), std::string::npos);  // the first was never made
+TEST_F(Topics, WithoutAQuorumAChangeFailsAndIsNotMade) {
+  LoadClients& deployment = start_deployment();
+  deployment.kill(0);
+  deployment.kill(1);
+  const client::Result result = client_at(3).propose("cabins", make_schema({1}), 1500).wait();
+  EXPECT_NE(result.outcome, client::Outcome::kAnswered);
+  deployment.start(0);
+  EXPECT_EQ(client_at(4).propose("cabins", make_schema({1, 2}), 8000).wait().outcome,
+            client::Outcome::kAnswered);
+  // Version 2 does not exist: the failed proposal has not created one.
+  EXPECT_EQ(read_topic(3).find("\"number\":2,\"state\""), std::string::npos);
 }
 
 TEST_F(Processes, AGatewayOutsideAnyClusterRejectsRunOnceJobs) {
@@ -538,11 +557,11 @@
   fakes::FakeDeployment engines(1);
   fakes::Process process(FIRVALVE_PROGRAM, engines.config(listen));
   ASSERT_TRUE(fakes::Process::listens(listen));
-  client::Options o;
-  o.gateways = {listen};
-  client::Client client(o);
-  client::Command c{"load", "insert 1", 2000, 0, 0, client::Effect::kReplayable, false, {}, "name"};
-  EXPECT_EQ(client.call(c).outcome, client::Outcome::kFailed);
+  client::Options client_options;
+  client_options.gateways = {listen};
+  client::Client client(client_options);
+  client::Command command{"load", "insert 1", 2000, 0, 0, client::Effect::kReplayable, false, {}, "name"};
+  EXPECT_EQ(client.call(command).outcome, client::Outcome::kFailed);
   EXPECT_EQ(engines.runs("insert 1"), 0);
 }
 
--- a/tests/cluster/replica_storage_test.cpp
+++ b/tests/cluster/replica_storage_test.cpp
@@ -1,4 +1,4 @@
-// A keeper's folder on a disk that fills up and has room again.
+// Tests of the durable storage of a replica: reopening, exclusive use, and recovery after a full disk.
 #include "cluster/replica_storage.h"
 
 #include <fmt/format.h>
@@ -25,26 +25,27 @@
   }
   void TearDown() override { std::filesystem::remove_all(path_); }
 
-  // As on a full disk: no file of this process grows or is written past its first byte.
+  // Simulates a full disk: with a limit of 0, writes of this process to any file fail.
   static void limit_files(rlim_t bytes) {
     const rlimit limit{bytes, RLIM_INFINITY};
     ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &limit), 0);
   }
-  static void put(ReplicaStorage& folder, int number) {
-    consensus::AcceptorOutput step;
-    step.writes.emplace_back(fmt::format("key {}", number % 8), consensus::AcceptorSlot{});
-    folder.write(std::move(step));
+  static void write_slot(ReplicaStorage& storage, int number) {
+    consensus::AcceptorOutput output;
+    output.writes.emplace_back(fmt::format("key {}", number % 8), consensus::AcceptorSlot{});
+    storage.write(std::move(output));
   }
   std::string path_;
 };
 
-// The disk fills up and has room again so often that some commit meets it between its pages.
-TEST_F(ReplicaStorageOnAFullDisk, WritesAgainOnceThereIsRoomWhereverACommitWasCutOff) {
+// Toggles the simulated full disk so often that some commit fails partway through its pages. That leaves the
+// LMDB environment unusable until it is reopened.
+TEST_F(ReplicaStorageOnAFullDisk, WritesSucceedAfterSpaceReturnsWhereverACommitFailed) {
   constexpr int kWrites = 3000;
-  ReplicaStorage folder(path_, "127.0.0.1:1", 1, [] {});
-  std::atomic<bool> ending = false;
-  std::thread disk([&] {
-    while (!ending) {
+  ReplicaStorage storage(path_, "127.0.0.1:1", 1, [] {});
+  std::atomic<bool> is_done = false;
+  std::thread limiter([&] {
+    while (!is_done) {
       limit_files(0);
       std::this_thread::sleep_for(std::chrono::microseconds(50));
       limit_files(RLIM_INFINITY);
@@ -52,27 +53,29 @@
     }
   });
   for (int i = 0; i < kWrites; ++i) {
-    put(folder, i);
-    while (folder.pending() > 0) folder.take_written();
+    write_slot(storage, i);
+    while (storage.pending() > 0) storage.take_write_results();
   }
-  ending = true;
-  disk.join();
-  put(folder, 0);  // may meet what the last one left behind
-  put(folder, 1);
-  std::vector<ReplicaStorage::Written> done;
+  is_done = true;
+  limiter.join();
+  write_slot(storage, 0);  // may fail because of the previous failed commit
+  write_slot(storage, 1);
+  std::vector<ReplicaStorage::WriteResult> results;
   EXPECT_TRUE(soon([&] {
-    for (ReplicaStorage::Written& one : folder.take_written()) done.push_back(std::move(one));
-    return done.size() >= 2;
+    for (ReplicaStorage::WriteResult& result : storage.take_write_results())
+      results.push_back(std::move(result));
+    return results.size() >= 2;
   }));
-  ASSERT_GE(done.size(), 2u);
-  put(folder, 2);
-  done.clear();
+  ASSERT_GE(results.size(), 2u);
+  write_slot(storage, 2);
+  results.clear();
   EXPECT_TRUE(soon([&] {
-    for (ReplicaStorage::Written& one : folder.take_written()) done.push_back(std::move(one));
-    return !done.empty();
+    for (ReplicaStorage::WriteResult& result : storage.take_write_results())
+      results.push_back(std::move(result));
+    return !results.empty();
   }));
-  ASSERT_FALSE(done.empty());
-  EXPECT_EQ(done.back().error, "");
+  ASSERT_FALSE(results.empty());
+  EXPECT_EQ(results.back().error, "");
 }
 
 class ReplicaStorageTest : public testing::Test {
@@ -85,7 +88,7 @@
   std::unique_ptr<ReplicaStorage> open(const std::string& owner = "me", uint64_t replicas_hash = 7) {
     return std::make_unique<ReplicaStorage>(path_, owner, replicas_hash, [] {});
   }
-  std::string rejection_of(const std::string& owner, uint64_t replicas_hash) {
+  std::string open_error(const std::string& owner, uint64_t replicas_hash) {
     try {
       open(owner, replicas_hash);
     } catch (const std::exception& e) {
@@ -93,57 +96,57 @@
     }
     return "";
   }
-  static consensus::AcceptorOutput step(const std::string& key, uint64_t change) {
-    consensus::AcceptorOutput s;
-    s.metadata = consensus::ReplicaMetadata{5, true, {5, 6, 7}, {1, 2, 3}};
+  static consensus::AcceptorOutput make_output(const std::string& key, uint64_t change_id) {
+    consensus::AcceptorOutput output;
+    output.metadata = consensus::ReplicaMetadata{5, true, {5, 6, 7}, {1, 2, 3}};
     consensus::AcceptorSlot slot{{9, 1}, {8, 1}, {}};
-    slot.accepted.version = slot.accepted.change_id = change;
+    slot.accepted.version = slot.accepted.change_id = change_id;
     slot.accepted.value = "value";
-    s.writes.emplace_back(key, slot);
-    return s;
+    output.writes.emplace_back(key, slot);
+    return output;
   }
   std::string path_;
 };
 
-TEST_F(ReplicaStorageTest, WhatWasWrittenIsThereAgain) {
+TEST_F(ReplicaStorageTest, WrittenStateIsRestoredOnReopen) {
   {
     const auto storage = open();
     EXPECT_FALSE(storage->metadata);
-    for (uint64_t i = 1; i <= 100; ++i) storage->write(step(fmt::format("k{}", i % 10), i));
+    for (uint64_t i = 1; i <= 100; ++i) storage->write(make_output(fmt::format("k{}", i % 10), i));
   }
   const auto storage = open();
   ASSERT_TRUE(storage->metadata);
-  EXPECT_EQ(*storage->metadata, *step("", 0).metadata);
+  EXPECT_EQ(*storage->metadata, *make_output("", 0).metadata);
   ASSERT_EQ(storage->slots.size(), 10u);
-  EXPECT_EQ(storage->slots["k0"], step("", 100).writes[0].second);
+  EXPECT_EQ(storage->slots["k0"], make_output("", 100).writes[0].second);
 }
 
-TEST_F(ReplicaStorageTest, ADirectoryInUseOrOfAnotherGatewayOrListIsRejected) {
+TEST_F(ReplicaStorageTest, RejectsADirectoryInUseOrOfAnotherGatewayOrReplicaList) {
   {
     const auto storage = open();
-    storage->write(step("k", 1));
-    EXPECT_NE(rejection_of("me", 7).find("another process uses it"), std::string::npos);
+    storage->write(make_output("k", 1));
+    EXPECT_NE(open_error("me", 7).find("another process uses it"), std::string::npos);
   }
-  EXPECT_NE(rejection_of("you", 7).find("it is me's"), std::string::npos);
-  EXPECT_NE(rejection_of("me", 8).find("another list of keepers"), std::string::npos);
-  EXPECT_EQ(rejection_of("me", 7), "");
+  EXPECT_NE(open_error("you", 7).find("it is me's"), std::string::npos);
+  EXPECT_NE(open_error("me", 8).find("another list of keepers"), std::string::npos);
+  EXPECT_EQ(open_error("me", 7), "");
 }
 
-TEST_F(ReplicaStorageTest, TenThousandRegistersAreReadBackInUnderASecond) {
+TEST_F(ReplicaStorageTest, Loads10000RegistersInUnderASecond) {
   {
     const auto storage = open();
-    consensus::AcceptorOutput all;
-    all.metadata = step("", 1).metadata;
+    consensus::AcceptorOutput output;
+    output.metadata = make_output("", 1).metadata;
     for (uint64_t i = 0; i < 10000; ++i)
-      all.writes.push_back(step("lease:" + std::to_string(i), i + 1).writes[0]);
-    storage->write(std::move(all));
+      output.writes.push_back(make_output("lease:" + std::to_string(i), i + 1).writes[0]);
+    storage->write(std::move(output));
   }
   const auto begin = std::chrono::steady_clock::now();
   const auto storage = open();
-  const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begin;
+  const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - begin;
   EXPECT_EQ(storage->slots.size(), 10000u);
-  std::printf("10,000 registers read back in %.0f ms\n", took.count() * 1000);
-  EXPECT_LT(took.count(), 1.0);
+  std::printf("10,000 registers read back in %.0f ms\n", elapsed.count() * 1000);
+  EXPECT_LT(elapsed.count(), 1.0);
 }
 
 }  // namespace
--- a/tests/cluster/world_test.cpp
+++ b/tests/cluster/world_test.cpp
@@ -1,5 +1,5 @@
-// The cluster in virtual time, with drawn faults, under the invariant checker; and the checker under injected
-// violations.
+// Runs the cluster in virtual time with random faults and verifies the history with the invariant checker.
+// Injected bugs and hand-made histories verify that the checker detects each violation.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,121 +11,123 @@
 namespace firvalve::simulation {
 namespace {
 
-FleetOptions rough(uint64_t seed) {
-  FleetOptions o;
-  o.seed = seed;
-  o.keepers = seed % 2 ? 3 : 5;
-  o.gateways = 7 + static_cast<uint32_t>(seed % 5);
-  o.folders = seed % 3 != 0;
-  o.lost = (seed % 4) * 0.1;
-  o.repeated = 0.05;
-  o.late = seed % 2 ? 0.02 : 0;
-  o.faults = 0.5;
-  if (seeds_most() < 20) o.span = 6000;
-  return o;
+FleetOptions faulty_options(uint64_t seed) {
+  FleetOptions options;
+  options.seed = seed;
+  options.keepers = seed % 2 ? 3 : 5;
+  options.gateways = 7 + static_cast<uint32_t>(seed % 5);
+  options.folders = seed % 3 != 0;
+  options.lost = (seed % 4) * 0.1;
+  options.repeated = 0.05;
+  options.late = seed % 2 ? 0.02 : 0;
+  options.faults = 0.5;
+  if (seeds_most() < 20) options.span = 6000;
+  return options;
 }
 
-std::string told(const FleetOutcome& out) {
-  std::string all;
-  for (const FleetViolation& b : out.violations) all += b.rule + ": " + b.text + "\n";
-  return all;
+std::string describe_violations(const FleetOutcome& outcome) {
+  std::string text;
+  for (const FleetViolation& violation : outcome.violations)
+    text += violation.rule + ": " + violation.text + "\n";
+  return text;
 }
 
-bool breaks(const FleetOutcome& out, const std::string& rule) {
-  return std::any_of(out.violations.begin(), out.violations.end(),
-                     [&](const FleetViolation& b) { return b.rule == rule; });
+bool violates(const FleetOutcome& outcome, const std::string& rule) {
+  return std::any_of(outcome.violations.begin(), outcome.violations.end(),
+                     [&](const FleetViolation& violation) { return violation.rule == rule; });
 }
 
-TEST(FleetWorld, ACalmFleetHoldsAllItsDutiesWithoutAGap) {
-  FleetOptions o;
-  const FleetOutcome out = play(o);
-  EXPECT_EQ(told(out), "");
-  EXPECT_EQ(out.taken, o.duties + o.merges);
-  EXPECT_EQ(out.unheld_at_end, 0u);
-  EXPECT_EQ(out.merges_ended, o.merges);
-  EXPECT_GT(out.acts, 1000u);
-  EXPECT_EQ(out.refused, 0u);
-  EXPECT_GT(out.history.ops.size(), 100u);
+TEST(FleetWorld, WithoutFaultsAllLeasesAreHeldWithoutGaps) {
+  FleetOptions options;
+  const FleetOutcome outcome = play(options);
+  EXPECT_EQ(describe_violations(outcome), "");
+  EXPECT_EQ(outcome.taken, options.duties + options.merges);
+  EXPECT_EQ(outcome.unheld_at_end, 0u);
+  EXPECT_EQ(outcome.merges_ended, options.merges);
+  EXPECT_GT(outcome.acts, 1000u);
+  EXPECT_EQ(outcome.refused, 0u);
+  EXPECT_GT(outcome.history.ops.size(), 100u);
 }
 
-TEST(FleetWorld, TheSameSeedIsTheSameHistory) {
-  FleetOptions o = rough(3), other = rough(7);
-  o.span = other.span = 6000;
-  EXPECT_EQ(play(o).hash, play(o).hash);
-  EXPECT_NE(play(o).hash, play(other).hash);
+TEST(FleetWorld, TheSameSeedReproducesTheSameHistory) {
+  FleetOptions options = faulty_options(3), other = faulty_options(7);
+  options.span = other.span = 6000;
+  EXPECT_EQ(play(options).hash, play(options).hash);
+  EXPECT_NE(play(options).hash, play(other).hash);
 }
 
-TEST(FleetWorld, TwentySeedsOfFaultsBreakNoRule) {
-  uint64_t taken = 0, refused = 0, agreed = 0, refused_changes = 0;
+TEST(FleetWorld, RandomFaultsViolateNoInvariant) {
+  uint64_t taken = 0, refused = 0, agreed_changes = 0, refused_changes = 0;
   const uint64_t seeds = seeds_most();
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
-    const FleetOutcome out = play(rough(seed));
-    EXPECT_EQ(told(out), "") << "seed " << seed;
-    EXPECT_GT(out.taken, 0u) << "seed " << seed;
-    taken += out.taken;
-    refused += out.refused;
-    agreed += out.history.bulletins.size();
-    refused_changes += out.refused_changes;
+    const FleetOutcome outcome = play(faulty_options(seed));
+    EXPECT_EQ(describe_violations(outcome), "") << "seed " << seed;
+    EXPECT_GT(outcome.taken, 0u) << "seed " << seed;
+    taken += outcome.taken;
+    refused += outcome.refused;
+    agreed_changes += outcome.history.bulletins.size();
+    refused_changes += outcome.refused_changes;
   }
-  if (seeds < 20) return;                 // shorter ones: what follows is of the whole
-  EXPECT_GT(agreed, 10 * seeds);          // versions and declarations that crossed
-  EXPECT_GT(refused_changes, 5 * seeds);  // of which not all could stand
-  EXPECT_GT(taken, 10 * seeds);           // faults did move duties
-  EXPECT_GT(refused, 0u);                 // and acts of older epochs did arrive
+  if (seeds < 20) return;                 // the minimum counts below hold for full-length runs only
+  EXPECT_GT(agreed_changes, 10 * seeds);  // concurrent versions and declarations were agreed
+  EXPECT_GT(refused_changes, 5 * seeds);  // and incompatible ones were rejected
+  EXPECT_GT(taken, 10 * seeds);           // faults moved leases between gateways
+  EXPECT_GT(refused, 0u);                 // requests with outdated epochs arrived and were rejected
 }
 
-TEST(FleetWorld, AKilledHolderIsFollowedWithinItsLeaseAndASecond) {
-  FleetOptions o;
-  o.gateways = 6;
-  o.duties = 12;
-  o.merges = o.readers = 0;
+TEST(FleetWorld, ASuccessorTakesOverWithinALeaseAndOneSecondAfterAHolderIsKilled) {
+  FleetOptions options;
+  options.gateways = 6;
+  options.duties = 12;
+  options.merges = options.readers = 0;
   for (int i = 0; i < 3; ++i)
-    o.given.push_back(
+    options.given.push_back(
         {FleetFault::Kind::kKill, 5000.0 + 6000 * i, -1, 3 + static_cast<uint32_t>(i), 0, false});
-  const FleetOutcome out = play(o);
-  EXPECT_EQ(told(out), "");
-  EXPECT_EQ(out.unheld_at_end, 0u);
-  ASSERT_GE(out.gaps.size(), 3u);  // they did hold some of the twelve
-  for (const Ms gap : out.gaps) EXPECT_LT(gap, o.lease + 1000);
+  const FleetOutcome outcome = play(options);
+  EXPECT_EQ(describe_violations(outcome), "");
+  EXPECT_EQ(outcome.unheld_at_end, 0u);
+  ASSERT_GE(outcome.gaps.size(), 3u);  // the killed gateways held some of the 12 leases
+  for (const Ms gap : outcome.gaps) EXPECT_LT(gap, options.lease + 1000);
 }
 
-TEST(FleetWorld, WithoutAMajorityDutiesEndWithTheirLeaseAndComeBackWithIt) {
-  FleetOptions o;
-  o.given.push_back({FleetFault::Kind::kKill, 8000, 6000, 0, 0, false});
-  o.given.push_back({FleetFault::Kind::kKill, 8000, 6000, 1, 0, false});
-  const FleetOutcome out = play(o);
-  EXPECT_EQ(told(out), "");
-  EXPECT_EQ(out.unheld_at_end, 0u);
-  for (const HeldSpan& s : out.history.held)
-    EXPECT_FALSE(s.from < 8000 && s.until > 8000 + o.lease && s.until <= 14000) << s.lease;
+TEST(FleetWorld, LeasesExpireWithoutAQuorumAndAreReacquiredWithIt) {
+  FleetOptions options;
+  options.given.push_back({FleetFault::Kind::kKill, 8000, 6000, 0, 0, false});
+  options.given.push_back({FleetFault::Kind::kKill, 8000, 6000, 1, 0, false});
+  const FleetOutcome outcome = play(options);
+  EXPECT_EQ(describe_violations(outcome), "");
+  EXPECT_EQ(outcome.unheld_at_end, 0u);
+  for (const HeldSpan& span : outcome.history.held)
+    EXPECT_FALSE(span.from < 8000 && span.until > 8000 + options.lease && span.until <= 14000) << span.lease;
 }
 
-TEST(FleetWorld, AThousandGatewaysAndAMajorityThatComesAndGoes) {
-  FleetOptions o;
-  o.gateways = seeds_most() < 20 ? 128 : 1024;
-  o.keepers = 5;
-  o.duties = 10;
-  o.merges = 4;
-  o.span = 4000;
-  o.faults = 2;
-  const FleetOutcome out = play(o);
-  EXPECT_EQ(told(out), "");
-  EXPECT_GE(out.taken, 10u);
+TEST(FleetWorld, AThousandGatewaysSurviveFrequentFaults) {
+  FleetOptions options;
+  options.gateways = seeds_most() < 20 ? 128 : 1024;
+  options.keepers = 5;
+  options.duties = 10;
+  options.merges = 4;
+  options.span = 4000;
+  options.faults = 2;
+  const FleetOutcome outcome = play(options);
+  EXPECT_EQ(describe_violations(outcome), "");
+  EXPECT_GE(outcome.taken, 10u);
 }
 
-// Each bug, injected into the real state machines, is found by the invariant checker on some of a few seeds.
+// The invariant checker detects each bug injected into the real state machines on at least one of a few
+// seeds.
 class InjectedBugs : public testing::TestWithParam<std::pair<InjectedBug, const char*>> {};
 
-TEST_P(InjectedBugs, AreFound) {
+TEST_P(InjectedBugs, AreDetected) {
   const auto [bug, rule] = GetParam();
-  bool found = false;
-  for (uint64_t seed = 1; seed <= 2 * seeds_most() && !found; ++seed) {
+  bool is_detected = false;
+  for (uint64_t seed = 1; seed <= 2 * seeds_most() && !is_detected; ++seed) {
     injected_bug = bug;
-    const FleetOutcome out = play(rough(seed));
-    found = breaks(out, rule);
+    const FleetOutcome outcome = play(faulty_options(seed));
+    is_detected = violates(outcome, rule);
     injected_bug = InjectedBug::kNone;
   }
-  EXPECT_TRUE(found);
+  EXPECT_TRUE(is_detected);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, InjectedBugs,
@@ -140,76 +142,82 @@
                                   std::to_string(static_cast<int>(p.param.first));
                          });
 
-// A majority that loses its memory at once is past what is promised: nothing is agreed any more, and nothing
-// wrong.
-TEST(FleetWorld, KeepersThatForgotTogetherSayNothingRatherThanSomethingElse) {
-  FleetOptions o;
-  o.folders = false;
-  o.span = 12000;
-  for (uint32_t k = 0; k < 2; ++k) o.given.push_back({FleetFault::Kind::kKill, 5000.0 + k, 0, k, 0, true});
-  bool found = false;
-  for (o.seed = 1; o.seed <= 5; ++o.seed) {
-    const FleetOutcome out = play(o);
-    EXPECT_EQ(told(out), "");
-    for (const RecordOp& op : out.history.ops) EXPECT_LT(op.ended, 6500);
+// The protocol does not tolerate a quorum of replicas that loses its state at once. From then on nothing may
+// be agreed: a replica that voted without its earlier promises could contradict earlier results
+// (kForgetfulAcceptor).
+TEST(FleetWorld, ReplicasThatLostTheirStateTogetherAgreeOnNothing) {
+  FleetOptions options;
+  options.folders = false;
+  options.span = 12000;
+  for (uint32_t k = 0; k < 2; ++k)
+    options.given.push_back({FleetFault::Kind::kKill, 5000.0 + k, 0, k, 0, true});
+  bool is_detected = false;
+  for (options.seed = 1; options.seed <= 5; ++options.seed) {
+    const FleetOutcome outcome = play(options);
+    EXPECT_EQ(describe_violations(outcome), "");
+    for (const RecordOp& operation : outcome.history.ops) EXPECT_LT(operation.ended, 6500);
     injected_bug = InjectedBug::kForgetfulAcceptor;
-    found |= breaks(play(o), "linearizable");
+    is_detected |= violates(play(options), "linearizable");
     injected_bug = InjectedBug::kNone;
   }
-  EXPECT_TRUE(found);
+  EXPECT_TRUE(is_detected);
 }
 
-TEST(FleetWorld, ABadHistoryIsCutDownToAShortOne) {
+TEST(FleetWorld, AFailingHistoryIsMinimized) {
   injected_bug = InjectedBug::kSkipTakeoverWait;
-  FleetOptions o = rough(1);
-  o.span = 6000;
-  const FleetOptions cut = cut_down(o, "one_holder");
-  const FleetOutcome out = play(cut);
+  FleetOptions options = faulty_options(1);
+  options.span = 6000;
+  const FleetOptions minimized = cut_down(options, "one_holder");
+  const FleetOutcome outcome = play(minimized);
   injected_bug = InjectedBug::kNone;
-  EXPECT_TRUE(breaks(out, "one_holder"));
-  EXPECT_LT(cut.given.size(), 3u);
-  EXPECT_LE(cut.span, o.span);
+  EXPECT_TRUE(violates(outcome, "one_holder"));
+  EXPECT_LT(minimized.given.size(), 3u);
+  EXPECT_LE(minimized.span, options.span);
 }
 
-TEST(InvariantChecker, FindsEachViolationAndNothingInAGoodHistory) {
-  FleetHistory h;
-  h.held = {{"d", "a", 1, 0, 100}, {"d", "b", 2, 101, 200}, {"e", "b", 1, 50, 150}};
-  h.acts = {{"d", "r", 1, 10}, {"d", "r", 2, 110}, {"e", "r", 1, 120}};
-  h.begun = {{"m", 1}, {"n", 2}};
-  h.bulletins = {read_agreed(
+TEST(InvariantChecker, DetectsEachViolationAndAcceptsAValidHistory) {
+  FleetHistory history;
+  history.held = {{"d", "a", 1, 0, 100}, {"d", "b", 2, 101, 200}, {"e", "b", 1, 50, 150}};
+  history.acts = {{"d", "r", 1, 10}, {"d", "r", 2, 110}, {"e", "r", 1, 120}};
+  history.begun = {{"m", 1}, {"n", 2}};
+  history.bulletins = {read_agreed(
       "b", 1, R"({"versions":[{"number":1,"state":"live","schema":{"fields":[{"number":1,"name":"x"}]}},
       {"number":2,"state":"gone","schema":{"fields":[]}}],"declarations":[{"subscriber":"s","reads":[1]}]})")};
   using Kind = RecordOp::Kind;
-  h.ops = {{Kind::kChange, "k", 0, 5, 1, 11, 0},
-           {Kind::kRead, "k", 3, 6, 0, 0, 0},
-           {Kind::kChange, "k", 6, 9, 2, 12, 11}};
-  EXPECT_TRUE(check_invariants(h).empty());
-  const auto rule = [&](auto change) {
-    FleetHistory bad = h;
+  history.ops = {{Kind::kChange, "k", 0, 5, 1, 11, 0},
+                 {Kind::kRead, "k", 3, 6, 0, 0, 0},
+                 {Kind::kChange, "k", 6, 9, 2, 12, 11}};
+  EXPECT_TRUE(check_invariants(history).empty());
+  const auto first_violated_rule = [&](auto change) {
+    FleetHistory bad = history;
     change(bad);
-    const auto all = check_invariants(bad);
-    return all.empty() ? std::string() : all.front().rule;
+    const auto violations = check_invariants(bad);
+    return violations.empty() ? std::string() : violations.front().rule;
   };
-  EXPECT_EQ(rule([](FleetHistory& b) { b.held[1].from = 99; }), "one_holder");
-  EXPECT_EQ(rule([](FleetHistory& b) { b.held[1].epoch = 1; }), "epochs_grow");
-  EXPECT_EQ(rule([](FleetHistory& b) { b.acts.push_back({"d", "r", 1, 130}); }), "acts_in_order");
-  EXPECT_EQ(rule([](FleetHistory& b) { b.begun.push_back({"m", 3}); }), "once");
-  EXPECT_EQ(rule([](FleetHistory& b) { b.bulletins[0].published[2] = {}; }), "compatible");
-  EXPECT_EQ(rule([](FleetHistory& b) { b.ops[2].id = 11, b.ops[2].version = 1, b.ops[2].on = 0; }),
+  EXPECT_EQ(first_violated_rule([](FleetHistory& bad) { bad.held[1].from = 99; }), "one_holder");
+  EXPECT_EQ(first_violated_rule([](FleetHistory& bad) { bad.held[1].epoch = 1; }), "epochs_grow");
+  EXPECT_EQ(first_violated_rule([](FleetHistory& bad) {
+              bad.acts.push_back({"d", "r", 1, 130});
+            }),
+            "acts_in_order");
+  EXPECT_EQ(first_violated_rule([](FleetHistory& bad) { bad.begun.push_back({"m", 3}); }), "once");
+  EXPECT_EQ(first_violated_rule([](FleetHistory& bad) { bad.bulletins[0].published[2] = {}; }), "compatible");
+  EXPECT_EQ(first_violated_rule(
+                [](FleetHistory& bad) { bad.ops[2].id = 11, bad.ops[2].version = 1, bad.ops[2].on = 0; }),
             "linearizable");
-  EXPECT_EQ(rule([](FleetHistory& b) {
-              b.ops.push_back({Kind::kRead, "k", 10, 11, 1, 11, 0});
+  EXPECT_EQ(first_violated_rule([](FleetHistory& bad) {
+              bad.ops.push_back({Kind::kRead, "k", 10, 11, 1, 11, 0});
             }),
             "linearizable");
-  EXPECT_EQ(rule([](FleetHistory& b) { b.ops[2].on = 77; }), "linearizable");
-  EXPECT_EQ(rule([](FleetHistory& b) {
-              b.ops.push_back({Kind::kRead, "k", 1, 2, 1, 99, 0});
+  EXPECT_EQ(first_violated_rule([](FleetHistory& bad) { bad.ops[2].on = 77; }), "linearizable");
+  EXPECT_EQ(first_violated_rule([](FleetHistory& bad) {
+              bad.ops.push_back({Kind::kRead, "k", 1, 2, 1, 99, 0});
             }),
             "linearizable");
 }
 
-TEST(InvariantChecker, ReadsSpansFromTheLogsOfProcesses) {
-  FleetHistory h;
+TEST(InvariantChecker, ReadsLeaseSpansFromProcessLogs) {
+  FleetHistory history;
   read_spans("a",
              "not json\n"
              R"({"event":"lease.acquired","lease":"d","epoch":"3","at_ms":"100.5","until_ms":"1000"})"
@@ -220,11 +228,11 @@
              "\n"
              R"({"event":"lease.acquired","lease":"d","epoch":"5","at_ms":"900","until_ms":"1800"})"
              "\n",
-             h);
-  ASSERT_EQ(h.held.size(), 2u);
-  EXPECT_EQ(h.held[0].until, 700);
-  EXPECT_EQ(h.held[1].until, 1800);
-  EXPECT_EQ(h.held[1].epoch, 5u);
+             history);
+  ASSERT_EQ(history.held.size(), 2u);
+  EXPECT_EQ(history.held[0].until, 700);
+  EXPECT_EQ(history.held[1].until, 1800);
+  EXPECT_EQ(history.held[1].epoch, 5u);
 }
 
 }  // namespace
--- a/tests/compatibility/stored_data_test.cpp
+++ b/tests/compatibility/stored_data_test.cpp
@@ -609,7 +609,7 @@
     {"record_whole", results::SegmentRecord::Kind::kManifest},
     {"record_gone", results::SegmentRecord::Kind::kTombstone}};
 
-const cluster::OwnedMetadata kStanding{{5, true, {5, 6, 7}, {1, 2, 3}}, kKeepers[0], 99};
+const cluster::StoredMetadata kStanding{{5, true, {5, 6, 7}, {1, 2, 3}}, kKeepers[0], 99};
 const lease::LeaseRecord kHeld{3, kKeepers[0], 9, duration_of(2000.5), false, "state"},
     kReleased{3, kKeepers[0], 9, duration_of(2000.5), true, ""};
 lease::RunOnceJob load_at(lease::RunOnceJob::Stage stage) { return {stage, 5, 6, "1\t2\n"}; }
