--- a/src/cluster/replica_storage.cpp
+++ b/src/cluster/replica_storage.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Reserves address space, not memory. Holds three times 65,536 registers of 4 kB.
+// Reserves address space, not memory. Large enough for three times 65,536 registers of 4 kB.
 constexpr size_t kMapBytes = size_t{1} << 30;
 constexpr const char* kMetadataKey = "standing";
 
@@ -79,12 +79,12 @@
 void ReplicaStorage::lock() {
   std::error_code error;
   std::filesystem::create_directories(path_, error);
-  if (error) throw std::runtime_error("cannot be made: " + error.message());
+  if (error) throw std::runtime_error("cannot create the directory: " + error.message());
   // Without this, a write beyond the file size limit of the system would terminate the process instead of
   // returning an error.
   ::signal(SIGXFSZ, SIG_IGN);
   lock_file_ = ::open((path_ + "/used").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
-  if (lock_file_ < 0) throw std::runtime_error("cannot be written");
+  if (lock_file_ < 0) throw std::runtime_error("cannot open the lock file \"used\" for writing");
   if (::flock(lock_file_, LOCK_EX | LOCK_NB) != 0) throw std::runtime_error("another process uses it");
 }
 
@@ -118,11 +118,11 @@
   MDB_val key = value_of(name), value{};
   if (mdb_get(transaction.txn, metadata_db_, &key, &value) != 0) return;
   const auto stored = decode_metadata(text_of(value));
-  if (!stored) throw std::runtime_error("what lies there cannot be read");
+  if (!stored) throw std::runtime_error("stored metadata is invalid or of an unsupported version");
   if (stored->owner != owner_)
-    throw std::runtime_error(fmt::format("it is {}'s; this gateway is {}", stored->owner, owner_));
+    throw std::runtime_error(fmt::format("belongs to gateway {}; this gateway is {}", stored->owner, owner_));
   if (stored->replicas_hash != replicas_hash_)
-    throw std::runtime_error("it was written under another list of keepers");
+    throw std::runtime_error("was written with a different list of keepers");
   metadata = stored->metadata;
   MDB_cursor* cursor = nullptr;
   if (const int error = mdb_cursor_open(transaction.txn, slots_db_, &cursor))
@@ -137,7 +137,7 @@
   // Starting without a slot could break the promise in it. The operator has to empty the directory; the
   // replica then recovers its state from the other replicas.
   if (!invalid_key.empty())
-    throw std::runtime_error(fmt::format("the slot of {} cannot be read", invalid_key));
+    throw std::runtime_error(fmt::format("stored slot of register {} is invalid", invalid_key));
 }
 
 void ReplicaStorage::write(consensus::AcceptorOutput output) {
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -127,7 +127,7 @@
   for (const std::string& lease : options.duties)
     if (const auto lease_holder = deployment.holder(lease); lease_holder && *lease_holder >= 3)
       isolated = *lease_holder;
-  if (!isolated) GTEST_SKIP() << "all duties went to keepers";
+  if (!isolated) GTEST_SKIP() << "all leases are held by replicas";
   for (size_t k = 0; k < 3; ++k) deployment.between().set_both(*isolated, k, {.silent = true});
   EXPECT_TRUE(soon([&] { return deployment.count(*isolated, "lease.lost") > 0; }));
   EXPECT_TRUE(soon([&] {
@@ -408,7 +408,7 @@
   EXPECT_EQ(deployment.end(0), 0);
   deployment.process(1).start();
   EXPECT_EQ(deployment.process(1).wait(), 1);
-  EXPECT_NE(deployment.log(1).find("it is " + deployment.name(0) + "'s"), std::string::npos);
+  EXPECT_NE(deployment.log(1).find("belongs to gateway " + deployment.name(0) + ";"), std::string::npos);
   deployment.rewrite(1, deployment.folder(0), deployment.folder(1));
   deployment.start(0);
   deployment.start(1);
--- a/tests/cluster/replica_storage_test.cpp
+++ b/tests/cluster/replica_storage_test.cpp
@@ -127,8 +127,8 @@
     storage->write(make_output("k", 1));
     EXPECT_NE(open_error("me", 7).find("another process uses it"), std::string::npos);
   }
-  EXPECT_NE(open_error("you", 7).find("it is me's"), std::string::npos);
-  EXPECT_NE(open_error("me", 8).find("another list of keepers"), std::string::npos);
+  EXPECT_NE(open_error("you", 7).find("belongs to gateway me;"), std::string::npos);
+  EXPECT_NE(open_error("me", 8).find("different list of keepers"), std::string::npos);
   EXPECT_EQ(open_error("me", 7), "");
 }
 
