--- a/src/results/result_token.cpp
+++ b/src/results/result_token.cpp
@@ -18,7 +18,7 @@
 ResultToken generate_token() {
   ResultToken token;
   if (::getrandom(token.data(), token.size(), 0) != static_cast<ssize_t>(token.size()))
-    throw std::runtime_error("the system gives no random numbers");
+    throw std::runtime_error("the system's random source failed");
   return token;
 }
 
--- a/tests/schema/compatibility_checker_test.cpp
+++ b/tests/schema/compatibility_checker_test.cpp
@@ -274,7 +274,7 @@
     best_ms = std::min(
         best_ms, std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begin).count());
   }
-  std::printf("a verdict over 200 fields, 20 versions, 1,000 declarations: %.2f ms\n", best_ms);
+  std::printf("check of 200 fields, 20 versions, 1,000 declarations: %.2f ms\n", best_ms);
 }
 
 }  // namespace
--- a/tests/schema/registry_test.cpp
+++ b/tests/schema/registry_test.cpp
@@ -99,7 +99,7 @@
     static const char* const kActors[] = {"the proposal without beds", "the declaration of beds",
                                           "the other proposal"};
     return std::string(kActors[move.actor]) +
-           (proposals_[move.actor].front().id == 0 ? " reads" : " is put before the record");
+           (proposals_[move.actor].front().id == 0 ? " reads" : " is committed");
   }
   std::string digest() const {
     consensus::Digest digest;
@@ -113,12 +113,12 @@
   std::optional<std::string> breach() const {
     std::string error;
     const auto topic = decode_topic(register_.current.value, error);
-    if (!topic) return "the bulletin cannot be read: " + error;
+    if (!topic) return "the topic cannot be decoded: " + error;
     for (const Declaration& declaration : topic->declarations)
       for (const Version& version : topic->versions)
         for (const uint32_t field : declaration.reads)
           if (version.state == State::kLive && !version.schema.find(field))
-            return "version " + std::to_string(version.number) + " stands without what " +
+            return "version " + std::to_string(version.number) + " lacks a field that " +
                    declaration.subscriber + " reads";
     return {};
   }
@@ -131,7 +131,7 @@
 
 TEST(RegistryExplore, NoOrderOfConcurrentChangesBreaksADeclaration) {
   const simulation::Explored out = simulation::explore(ConcurrentChanges(), 100000);
-  std::printf("%zu states, whole\n", out.states);
+  std::printf("%zu states, search complete\n", out.states);
   EXPECT_TRUE(out.whole);
   EXPECT_FALSE(out.breach) << *out.breach;
 }
