--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -48,7 +48,6 @@
   start_lingering_close();
 }
 
-// Handles a malformed message: sends an error without an id, fails each open call and closes the connection.
 void ClientConnection::reject_connection(const char* reason) {
   server_.metrics_.add("client connections rejected:", reason);
   std::string out;
@@ -88,7 +87,7 @@
     // kernel's receive buffer.
     if (unsent_bytes() > kMaxUnsentBytes) return set_reading(false);
     const proto::ReadResult read = frames_.next(read_buffer_, message);
-    if (read == proto::ReadResult::kIncomplete) return note_partial_message();
+    if (read == proto::ReadResult::kIncomplete) return update_partial_message_since();
     partial_message_since_.reset();
     if (read == proto::ReadResult::kMalformed) return reject_connection("broken framing");
     has_sent_message_ = true;
@@ -98,7 +97,7 @@
   }
 }
 
-void ClientConnection::note_partial_message() {
+void ClientConnection::update_partial_message_since() {
   const bool is_partial = frames_.is_in_message() || !read_buffer_.text().empty();
   if (!is_partial)
     partial_message_since_.reset();
@@ -112,7 +111,7 @@
   if (is_open() && !is_lingering()) handle_answer_written();
 }
 
-// A client that has closed its socket cannot be told from one that has only half-closed. Each accepted
+// A client that has closed its socket looks the same as one that has only half-closed. Each accepted
 // command still gets its answer, in case the client reads it. The core learns of the half-close and starts
 // the client's commands only without further delay.
 bool ClientConnection::keeps_half_open() {
@@ -220,7 +219,6 @@
       [&server = server_, call](const ClusterRequests::Reply& reply) { server.reply(call, reply); });
 }
 
-// Empty: the call was rejected.
 std::optional<CommandRequest> ClientConnection::make_command_request(proto::RpcCall& call, std::string& out) {
   CommandRequest request;
   request.command = call.command;
@@ -249,22 +247,22 @@
   if (!is_cluster_call_valid(call, out) || !can_open_call(call, out)) return;
   std::optional<CommandRequest> request = make_command_request(call, out);
   if (!request) return;
-  const CallId ref = server_.next_call_id();
-  open_call(ref, call.id);
-  server_.cluster_->run_once_job(loop_.now(), ref, call.name, std::move(*request));
+  const CallId call_id = server_.next_call_id();
+  open_call(call_id, call.id);
+  server_.cluster_->run_once_job(loop_.now(), call_id, call.name, std::move(*request));
 }
 
 void ClientConnection::handle_command(proto::RpcCall& call, std::string& out) {
   if (!can_open_call(call, out)) return;
   std::optional<CommandRequest> request = make_command_request(call, out);
   if (!request) return;
-  const CallId ref = server_.next_call_id();
-  switch (server_.core_->admit(loop_.now(), ref, std::move(*request))) {
+  const CallId call_id = server_.next_call_id();
+  switch (server_.core_->admit(loop_.now(), call_id, std::move(*request))) {
     case AdmissionResult::kAdmitted:
-      return open_call(ref, call.id, call.key);
+      return open_call(call_id, call.id, call.key);
     case AdmissionResult::kResultFound:
-      open_call(ref, call.id, call.key);
-      return server_.answer_paged(ref, server_.core_->found_result().value());
+      open_call(call_id, call.id, call.key);
+      return server_.answer_paged(call_id, server_.core_->found_result().value());
     case AdmissionResult::kUnknownProfile:
       return reject_call(call, out, proto::kRpcNoMethod, "no such method");
     case AdmissionResult::kOutOfRange:
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -1,7 +1,7 @@
 // A connection from a client: message framing, timeouts, and the handling of each request.
 //
 // Guarantees: each request that was read gets its answer. A client that has half-closed may still read, so
-// its open calls are answered. After a malformed message the client gets an error, and the connection is
+// its open calls are answered. After a protocol violation the client gets an error, and the connection is
 // closed in bounded time.
 #pragma once
 
@@ -44,8 +44,9 @@
  private:
   void cancel_open_calls();
   void close_with_reason(CloseReason reason);
+  // Sends an error without an id, fails each open call and closes the connection gracefully.
   void reject_connection(const char* reason);
-  void note_partial_message();
+  void update_partial_message_since();
 
   void handle_message(std::span<char> message);
   // Each handler appends an immediate reply, if there is one, to `out`.
@@ -58,8 +59,11 @@
   void handle_release(const proto::RpcCall& call, std::string& out);
   void reject_call(const proto::RpcCall& call, std::string& out, int code, std::string_view reason);
 
+  // Returns false if the call was answered with an error or the connection was rejected.
   bool can_open_call(const proto::RpcCall& call, std::string& out);
+  // Returns false if the call was answered with an error.
   bool is_cluster_call_valid(const proto::RpcCall& call, std::string& out);
+  // Empty: the call was answered with an error.
   std::optional<CommandRequest> make_command_request(proto::RpcCall& call, std::string& out);
   void open_call(CallId call, int64_t id, std::string_view key = {});
 
--- a/src/net/close_reason.h
+++ b/src/net/close_reason.h
@@ -17,7 +17,7 @@
   kReadTimeout,      // the peer sent nothing for longer than the protocol allows
   kResponseTimeout,  // no response within the time that the protocol allows
   kProtocolError,    // a malformed or an unsolicited response
-  kNotReusable,      // the last response asked for the close, or the next one could not be told from it
+  kNotReusable,      // the last response asked for the close, or a duplicate of it may follow
   kIdleTimeout,
   kAttemptEnded,     // the attempt that the connection carried has ended
   kEndpointRemoved,  // the engine is no longer listed, or its address has changed
--- a/src/net/engine_attempts.cpp
+++ b/src/net/engine_attempts.cpp
@@ -34,10 +34,10 @@
   connection.task = Task::kAttempt;
   connection.attempt = id;
   restart_timeout(connection, now);
-  if (connection.is_connected()) write_call(connection, now);
+  if (connection.is_connected()) write_request(connection, now);
 }
 
-void EngineConnections::write_call(EngineConnection& connection, TimePoint now) {
+void EngineConnections::write_request(EngineConnection& connection, TimePoint now) {
   if (connection.task == Task::kControlRequest) {
     restart_timeout(connection, now);
     return connection.write(connection.control_request);
@@ -51,7 +51,7 @@
     attempt.exchange.append_poll(request, attempt.request.command, connection.address);
   else if (!append_attempt_start(request, connection, attempt, now))
     return make_idle(connection, now);
-  attempt.last_call_at = now;
+  attempt.last_request_at = now;
   restart_timeout(connection, now);
   connection.write(request);
   attempt.may_have_run |= connection.unsent_bytes() == 0;
@@ -86,7 +86,7 @@
 }
 
 TimePoint EngineConnections::unpolled_expiry(const Attempt& attempt) {
-  return attempt.last_call_at.value_or(TimePoint{}) + proto::kPollResponseTime + proto::kUnpolledLifetime +
+  return attempt.last_request_at.value_or(TimePoint{}) + proto::kPollResponseTime + proto::kUnpolledLifetime +
          kNetworkSlack;
 }
 
@@ -171,7 +171,7 @@
   }
   attempt.unusable_since.reset();
   const bool must_slow_down = stored == ResultStore::AppendResult::kStoredSlowDown;
-  if (!must_slow_down && response.is_reusable) return write_call(connection, now);
+  if (!must_slow_down && response.is_reusable) return write_request(connection, now);
   attempt.connection = nullptr;
   if (must_slow_down)
     schedule_poll(attempt, now, kBackpressureDelay);
@@ -272,10 +272,10 @@
   AttemptRequest& request = at->second.request;
   request.priority = priority;
   if (!at->second.is_start_written) return;  // the start will carry the new priority
-  std::string call;
-  proto::append_priority_update(call, request.command, pools_.at(request.engine).address, priority);
+  std::string update;
+  proto::append_priority_update(update, request.command, pools_.at(request.engine).address, priority);
   if (EngineConnection* const connection = acquire_connection(request.engine, now))
-    send_control_request(*connection, id, std::move(call), false, now);
+    send_control_request(*connection, id, std::move(update), false, now);
 }
 
 void EngineConnections::cancel_at_engine(AttemptId id, TimePoint now) {
@@ -284,19 +284,19 @@
 }
 
 std::string EngineConnections::make_cancel_request(AttemptId id, const EngineConnection& connection) const {
-  std::string call;
-  proto::append_cancel(call, attempts_.at(id).request.command, connection.address);
-  return call;
+  std::string request;
+  proto::append_cancel(request, attempts_.at(id).request.command, connection.address);
+  return request;
 }
 
-void EngineConnections::send_control_request(EngineConnection& connection, AttemptId id, std::string call,
+void EngineConnections::send_control_request(EngineConnection& connection, AttemptId id, std::string request,
                                              bool finishes_attempt, TimePoint now) {
   connection.task = Task::kControlRequest;
   connection.attempt = id;
-  connection.control_request = std::move(call);
+  connection.control_request = std::move(request);
   connection.finishes_attempt = finishes_attempt;
   restart_timeout(connection, now);
-  if (connection.is_connected()) write_call(connection, now);
+  if (connection.is_connected()) write_request(connection, now);
 }
 
 void EngineConnections::finish_attempt(AttemptId id, Outcome outcome, std::string rows) {
--- a/src/net/engine_connections.h
+++ b/src/net/engine_connections.h
@@ -53,9 +53,9 @@
     bool is_start_written = false;           // at least a part of the start was written
     bool may_have_run = false;               // the whole start was sent
     Outcome cancel_outcome = Outcome::kCancelled;
-    std::optional<TimePoint> last_call_at;    // time of the last request that may have reached the engine
-    std::optional<TimePoint> unusable_since;  // no usable response has arrived since then
-    std::optional<TimePoint> poll_at;         // time of the next scheduled poll
+    std::optional<TimePoint> last_request_at;  // time of the last request that may have reached the engine
+    std::optional<TimePoint> unusable_since;   // no usable response has arrived since then
+    std::optional<TimePoint> poll_at;          // time of the next scheduled poll
     // No connection could be opened since then: the next connection that becomes idle polls the attempt.
     std::optional<TimePoint> unreachable_since;
     // Set while the attempt is being cancelled: the time at which it ends at the latest.
@@ -76,7 +76,7 @@
 
   // Implements EngineConnection::Owner.
   void handle_connection_established(EngineConnection& connection, TimePoint now) override {
-    write_call(connection, now);
+    write_request(connection, now);
   }
   void handle_response(EngineConnection& connection, const proto::HttpResponse& response) override;
   void handle_connection_lost(EngineConnection& connection, CloseReason reason) override;
@@ -104,7 +104,7 @@
   // Attempts: writing their requests and handling the responses (engine_attempts.cpp).
   void assign_attempt(EngineConnection& connection, AttemptId id, Attempt& attempt, TimePoint now);
   // Writes the request for the current task of an established connection.
-  void write_call(EngineConnection& connection, TimePoint now);
+  void write_request(EngineConnection& connection, TimePoint now);
   bool append_attempt_start(std::string& request, const EngineConnection& connection, Attempt& attempt,
                             TimePoint now);
   void poll_attempt(AttemptId id, TimePoint now);  // sends the cancel again if the attempt is being cancelled
@@ -122,7 +122,7 @@
   void cancel_and_await(AttemptId id, Outcome outcome, TimePoint now);
   void cancel_at_engine(AttemptId id, TimePoint now);  // sends a cancel whose response is ignored
   std::string make_cancel_request(AttemptId id, const EngineConnection& connection) const;
-  void send_control_request(EngineConnection& connection, AttemptId id, std::string call,
+  void send_control_request(EngineConnection& connection, AttemptId id, std::string request,
                             bool finishes_attempt, TimePoint now);
   void finish_attempt(AttemptId id, Outcome outcome, std::string rows = {});
   // The time by which the engine has ended the query, unless it is polled again.
--- a/src/proto/jsonrpc/reply.cpp
+++ b/src/proto/jsonrpc/reply.cpp
@@ -76,7 +76,7 @@
   append_framed(out, body);
 }
 
-void append_page_call(std::string& out, const RpcPage& request) {
+void append_page_call(std::string& out, const RpcPageRequest& request) {
   std::string body = fmt::format(R"({{"jsonrpc":"2.0","id":{},"method":"{}","params":{{"token":{})",
                                  request.id, request.page == 0 ? "release" : "page", quoted(request.token));
   if (request.page != 0) fmt::format_to(std::back_inserter(body), R"(,"page":{})", request.page);
--- a/src/proto/jsonrpc/reply.h
+++ b/src/proto/jsonrpc/reply.h
@@ -15,11 +15,13 @@
 // The longest statement that fits in a message after base64 encoding, with 1024 bytes for the other fields.
 constexpr size_t kMaxRpcStatementBytes = (kMaxRpcBodyBytes - 1024) / 4 * 3;
 
+// A command, as append_command() writes it.
 struct RpcCommand {
   int64_t id = 0;
   std::string_view profile, statement;
-  std::string_view command_id;        // 16 hex digits
-  std::string_view first_command_id;  // retry marker: id of the first attempt; empty: no marker is sent
+  std::string_view command_id;  // 16 hex digits
+  // Retry marker: the command id of the first try in a chain of retries; empty: no marker is sent.
+  std::string_view first_command_id;
   Ms timeout = 0, estimate = 0;
   double memory_mb = 0;
   bool paged = false;              // requests the rows as pages
@@ -27,12 +29,13 @@
   std::string_view run_once = {};  // the name of a run-once job of the cluster; empty: an ordinary command
 };
 void append_command(std::string& out, const RpcCommand& command);
-struct RpcPage {
+// Requests a page of a result, or the release of the result.
+struct RpcPageRequest {
   int64_t id = 0;
   std::string_view token, key;
   uint64_t page = 0;  // from 1; 0: releases the result
 };
-void append_page_call(std::string& out, const RpcPage& page);
+void append_page_call(std::string& out, const RpcPageRequest& request);
 // Appends a call of any method; params is a JSON object, which is sent unchanged.
 void append_method(std::string& out, int64_t id, std::string_view method, std::string_view params);
 // Returns params with the topic's name and the timeout added. Empty: params is not a JSON object.
--- a/src/proto/jsonrpc/rpc.h
+++ b/src/proto/jsonrpc/rpc.h
@@ -50,15 +50,16 @@
   int error_code = 0;
   const char* error_message = "";
   // kCommand, kRunOnce.
-  std::string_view profile;        // kTopic: the method
-  std::string_view command;        // command id, 16 hex digits; kRevoke: the command to revoke, not validated
-  std::string_view first_command;  // retry marker: id of the first attempt; empty: no marker; not validated
+  std::string_view profile;  // kTopic: the method
+  std::string_view command;  // command id, 16 hex digits; kRevoke: the command to revoke, not validated
+  // Retry marker: the command id of the first try in a chain of retries; empty: no marker. Not validated.
+  std::string_view first_command;
   Duration timeout{}, estimate{};  // timeout: also valid for kTopic
   double memory_mb = 0;
   std::string statement;  // decoded copy, outlives the message; kTopic: all params as JSON
   bool is_paged = false;  // the client requests the rows as pages
-  std::string_view
-      key;  // the key that the pages are bound to; empty: none; also valid for kPage and kRelease
+  // The key that the pages of the result are bound to; empty: none. Also valid for kPage and kRelease.
+  std::string_view key;
   // kRunOnce: the name under which the command runs once in the whole cluster. kTopic: the topic's name.
   std::string_view name;
   // kPage, kRelease.
--- a/src/proto/store/attempt_exchange.h
+++ b/src/proto/store/attempt_exchange.h
@@ -1,4 +1,5 @@
-// The HTTP requests of an attempt: start it, poll its status, fetch the pages of its result, cancel it.
+// The HTTP requests of an attempt (start, status poll, page fetch, priority update, cancel) and the handling
+// of their responses.
 #pragma once
 
 #include <optional>
--- a/src/proto/store/http.cpp
+++ b/src/proto/store/http.cpp
@@ -5,7 +5,7 @@
 namespace firvalve::proto {
 namespace {
 
-constexpr int64_t kMaxPageNumber = 1000000;  // AttemptExchange applies the stricter limit per result
+constexpr int64_t kMaxPageNumber = 1000000;  // AttemptExchange limits the pages and bytes of a whole result
 
 struct StatusLine {
   int status = 0;
