--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -45,7 +45,7 @@
 Signals::Pipe Signals::open_pipe() {
   int ends[2];
   if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0, ends) != 0)
-    throw std::runtime_error("no socket pair for signals");
+    throw std::runtime_error("cannot create the socket pair for signals");
   return {ends[0], ends[1]};
 }
 
--- a/src/net/wake_timer.cpp
+++ b/src/net/wake_timer.cpp
@@ -22,7 +22,7 @@
 
 StreamSocket create_timerfd() {
   const int descriptor = ::timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
-  if (descriptor < 0) throw std::runtime_error("no timer to wake a loop by");
+  if (descriptor < 0) throw std::runtime_error("cannot create the timer that wakes the event loop");
   return StreamSocket(new StreamSocketImpl(descriptor));
 }
 
--- a/src/net/waker.cpp
+++ b/src/net/waker.cpp
@@ -13,7 +13,7 @@
 struct SocketPair {
   SocketPair() {
     if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0, ends) != 0)
-      throw std::runtime_error("no descriptor left to wake a loop by");
+      throw std::runtime_error("cannot create the socket pair that wakes the event loop");
   }
   int ends[2];
 };
