--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -182,10 +182,9 @@
     return connection.write(http(fmt::format("{} No", status), status > 500 ? "Not-Begun: 1\r\n" : "", ""));
   }
   const size_t slash = rest.find('/');
-  const int page =
-      slash == std::string_view::npos
-          ? 0
-          : static_cast<int>(proto::parse_decimal(rest.substr(slash + 1), 1000).value_or(0));
+  const int page = slash == std::string_view::npos
+                       ? 0
+                       : static_cast<int>(proto::parse_decimal(rest.substr(slash + 1), 1000).value_or(0));
   tell(connection, id, page, now);
 }
 
