--- a/src/config/fields.cpp
+++ b/src/config/fields.cpp
@@ -1,3 +1,4 @@
+// The table of configuration fields, the lookup of fields by path, and their description.
 #include "config/fields.h"
 
 #include <fmt/format.h>
@@ -12,83 +13,84 @@
 std::vector<Field> make_fields() {
   return {
       {"clients.marks", [](OperatorConfig& c) -> FieldTarget { return &c.clients.marks; }, "true or false",
-       "read retry markers"},
+       "read the retry markers of clients"},
       {"spool.on", [](OperatorConfig& c) -> FieldTarget { return &c.spool.on; }, "true or false",
-       "paged results for clients that ask for them"},
+       "return paged results to clients that ask for them"},
       {"spool.memory_mb",
        [](OperatorConfig& c) -> FieldTarget { return &c.spool.memory_mb; },
        "MB",
-       "pages in memory",
+       "memory for stored pages",
        {0.1, 65536}},
       {"spool.folder", [](OperatorConfig& c) -> FieldTarget { return &c.spool.folder; }, "a path",
-       "segment files; empty: memory only"},
+       "directory for segment files; empty: memory only"},
       {"spool.disk_mb",
        [](OperatorConfig& c) -> FieldTarget { return &c.spool.disk_mb; },
        "MB",
-       "pages on disk",
+       "disk space for stored pages",
        {1, 16777216}},
       {"spool.lease_s",
        [](OperatorConfig& c) -> FieldTarget { return &c.spool.lease_s; },
        "s",
-       "a result is kept since its last read",
+       "how long a result is kept after its last read",
        {0.1, 86400}},
       {"spool.result_mb",
        [](OperatorConfig& c) -> FieldTarget { return &c.spool.result_mb; },
        "MB",
-       "one result",
+       "maximum size of one result",
        {0.01, 4096}},
       {"spool.page_kb",
        [](OperatorConfig& c) -> FieldTarget { return &c.spool.page_kb; },
        "kB",
-       "an engine's page",
+       "size of the pages requested from engines",
        {1, 4096}},
       {"spool.first_expected_kb",
        [](OperatorConfig& c) -> FieldTarget { return &c.spool.first_expected_kb; },
        "kB",
-       "a result of which nothing is known",
+       "expected size of a result while none of its profile is known",
        {1, 1048576}},
       {"spool.results",
        [](OperatorConfig& c) -> FieldTarget { return &c.spool.results; },
        "",
-       "results kept at once",
+       "maximum number of stored results",
        {1, 1000000, true}},
       {"fleet.on", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.on; }, "true or false",
-       "talk with peers, hold leases with them"},
+       "take part in the cluster of gateways"},
       {"fleet.site", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.site; }, "a name",
-       "where this gateway stands"},
+       "name of the site this gateway runs at"},
       {"fleet.listen", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.listen; }, "HOST:PORT",
-       "listens for peers there"},
+       "address for connections from peers"},
       {"fleet.reached_at", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.reached_at; }, "HOST:PORT",
-       "peers connect to it; empty: listen"},
+       "address that peers connect to; empty: the same as listen"},
       {"fleet.keepers", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.keepers; },
-       "a list of three, five or seven HOST:PORT", "the acceptors, the same in every file"},
+       "a list of three, five or seven HOST:PORT", "addresses of the acceptors, the same in every file"},
       {"fleet.folder", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.folder; }, "a path",
-       "an acceptor's durable state; empty: memory only"},
+       "directory for an acceptor's durable state; empty: memory only"},
       {"fleet.lease_ms",
        [](OperatorConfig& c) -> FieldTarget { return &c.fleet.lease_ms; },
        "ms",
-       "a lease lasts without renewal",
+       "how long a lease lasts without renewal",
        {500, 60000}},
       {"fleet.duties", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.duties; },
-       "a list of KIND:NAME or KIND:*", "leases that it may hold"},
+       "a list of KIND:NAME or KIND:*", "leases this gateway may hold"},
       {"fleet.trusted_network", [](OperatorConfig& c) -> FieldTarget { return &c.fleet.trusted_network; },
-       "true or false", "peers may be off the loopback"},
+       "true or false", "allow peers off the loopback; connections are not encrypted"},
       {"log.level",
        [](OperatorConfig& c) -> FieldTarget { return &c.log.level; },
        "",
-       "the least that is written",
+       "lowest level that is written",
        {},
        {"debug", "info", "warning", "error"}},
       {"log.form",
        [](OperatorConfig& c) -> FieldTarget { return &c.log.form; },
        "",
-       "the form of a line",
+       "format of a log line",
        {},
        {"logfmt", "json"}},
   };
 }
 
-// The Levenshtein distance: how many letters must change for one word to become the other.
+// The Levenshtein distance: the number of letters to insert, delete or replace to turn one word into the
+// other.
 size_t edit_distance(std::string_view one, std::string_view other) {
   std::vector<size_t> row(other.size() + 1);
   std::iota(row.begin(), row.end(), size_t{0});
@@ -131,14 +133,14 @@
 
 const Field* closest_field(std::string_view path) {
   const Field* closest = nullptr;
-  size_t least = SIZE_MAX;
+  size_t min_distance = SIZE_MAX;
   for (const Field& field : all_fields()) {
     const size_t distance = edit_distance(path, field.path);
-    if (distance >= least) continue;
+    if (distance >= min_distance) continue;
     closest = &field;
-    least = distance;
+    min_distance = distance;
   }
-  return least <= std::max<size_t>(3, path.size() / 3) ? closest : nullptr;
+  return min_distance <= std::max<size_t>(3, path.size() / 3) ? closest : nullptr;
 }
 
 std::string describe(const OperatorConfig& values) {
