--- a/tests/proto/proto_test.cpp
+++ b/tests/proto/proto_test.cpp
@@ -22,7 +22,7 @@
 
 RpcCall read(std::string body) {
   body += 'x';  // the next byte in the buffer
-  const RpcCall call = read_call({body.data(), body.size() - 1});
+  RpcCall call = read_call({body.data(), body.size() - 1});
   EXPECT_EQ(body.back(), 'x');
   return call;
 }
