--- a/src/core/core.h
+++ b/src/core/core.h
@@ -30,7 +30,7 @@
 
 namespace firvalve {
 
-// The result of an admission request. Only after kAdmitted does the ResponseSink get a response to the call.
+// The result of an admission request. Only a call that was admitted gets a response through the ResponseSink.
 enum class AdmissionResult {
   kAdmitted,
   kUnknownProfile,
@@ -77,7 +77,8 @@
   // was last known to be current; nothing if it never was.
   void update_engine_list(TimePoint now, bool is_complete, std::vector<NamedEngineInfo> engines,
                           std::optional<TimePoint> current_at = std::nullopt);
-  // Checked again right before the transport writes the start of an attempt to the engine.
+  // The transport calls this right before it writes the start of an attempt to the engine. If false, it must
+  // not start the attempt.
   bool may_start_attempt(TimePoint now, AttemptId attempt) const;
   // An engine has reported the status of an attempt in flight. Ignores unknown attempts.
   void attempt_status_received(TimePoint now, AttemptId attempt, AttemptStatusKind kind, double value);
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -94,8 +94,8 @@
   core.decide(time_point_of(1110));
   ASSERT_EQ(recorder.started.size(), 1u);
   EXPECT_TRUE(core.may_start_attempt(time_point_of(1120), AttemptId{1}));
-  EXPECT_FALSE(core.may_start_attempt(time_point_of(1170),
-                                      AttemptId{1}));  // the engine connection was established too late
+  // The engine connection was established too late.
+  EXPECT_FALSE(core.may_start_attempt(time_point_of(1170), AttemptId{1}));
   core.attempt_finished(time_point_of(1200), AttemptId{1}, Outcome::kFailed);
   core.decide(time_point_of(1200));
   EXPECT_EQ(recorder.started.size(), 1u);
