--- a/src/simulator_adapter/event_fields.h
+++ b/src/simulator_adapter/event_fields.h
@@ -32,7 +32,7 @@
   const rapidjson::Value* find(const char* name) const;  // null if absent
 
   // Throws MalformedInput: "... is not `expected`".
-  [[noreturn]] void throw_not(const char* name, const std::string& expected) const;
+  [[noreturn]] void throw_mismatch(const char* name, const std::string& expected) const;
 
  private:
   int64_t integer_in(const rapidjson::Value& value, const char* name) const;
--- a/src/simulator_adapter/event_reader.cpp
+++ b/src/simulator_adapter/event_reader.cpp
@@ -31,7 +31,7 @@
   const std::string disposition = fields.text("disposition");
   for (const auto& [wire_name, outcome] : kOutcomes)
     if (disposition == wire_name) return outcome;
-  fields.throw_not("disposition", "a known outcome");
+  fields.throw_mismatch("disposition", "a known outcome");
 }
 
 EngineState engine_state_of(int64_t lifecycle) {
@@ -60,7 +60,7 @@
 
 std::vector<EngineInfo> read_engine_list(const EventFields& fields) {
   const Value& members = fields.required("members");
-  if (!members.IsArray()) fields.throw_not("members", "a list");
+  if (!members.IsArray()) fields.throw_mismatch("members", "a list");
   std::vector<EngineInfo> engines;
   for (const Value& member : members.GetArray()) engines.push_back(read_engine(member));
   return engines;
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -41,12 +41,12 @@
   const EventFields batch_fields(kBatch, batch);
   const TimePoint now = time_of_nanoseconds(batch_fields.integer("wall"));
   const Value& events = batch_fields.required("happened");
-  if (!events.IsArray()) batch_fields.throw_not("happened", "a list");
+  if (!events.IsArray()) batch_fields.throw_mismatch("happened", "a list");
   writer_.begin();
   decision_order_.clear();
   for (const Value& event : events.GetArray()) {
     if (!event.IsObject() || event.MemberCount() != 1)
-      batch_fields.throw_not("happened", "a list of events with one name each");
+      batch_fields.throw_mismatch("happened", "a list of events with one name each");
     const auto& member = *event.MemberBegin();
     const std::string name(member.name.GetString(), member.name.GetStringLength());
     const EventFields fields(name, member.value);
@@ -116,7 +116,7 @@
 void SimulatorAdapter::handle_start(TimePoint, const EventFields& fields) {
   const int64_t id = gateway_id_of(fields);
   const Value& json = fields.required("settings");
-  if (!json.IsObject()) fields.throw_not("settings", "an object");
+  if (!json.IsObject()) fields.throw_mismatch("settings", "an object");
   const int64_t salt = fields.integer("salt");
   const Settings settings = parse_settings(json);
   gateways_.erase(id);
@@ -138,7 +138,7 @@
   std::optional<EngineListUpdate> update = read_engine_list_update(fields);
   if (!update) return;
   const auto list = engine_lists_.find(fields.integer("ref"));
-  if (list == engine_lists_.end()) fields.throw_not("ref", "the number of a list");
+  if (list == engine_lists_.end()) fields.throw_mismatch("ref", "the number of a list");
   update->engines = list->second;
   deliver(now, id, *std::move(update));
 }
