--- a/src/client/callback_thread.cpp
+++ b/src/client/callback_thread.cpp
@@ -3,7 +3,7 @@
 namespace firvalve::client {
 namespace {
 
-constexpr size_t kMaxLogs = 1000;  // waiting lines; more are dropped
+constexpr size_t kMaxQueuedLogLines = 1000;  // waiting lines; more are dropped
 
 }  // namespace
 
@@ -11,7 +11,7 @@
   thread_ = std::thread([this, owner = std::move(owner)] { run(); });
 }
 
-void CallbackThread::post(CallStatePtr ended_call) {
+void CallbackThread::post_callback(CallStatePtr ended_call) {
   {
     const std::lock_guard lock(mutex_);
     calls_.push_back(std::move(ended_call));
@@ -23,7 +23,7 @@
   if (!log_) return;
   {
     const std::lock_guard lock(mutex_);
-    if (logs_.size() >= kMaxLogs) return;
+    if (logs_.size() >= kMaxQueuedLogLines) return;
     logs_.emplace_back(level, std::move(line));
   }
   posted_.notify_one();
@@ -55,7 +55,7 @@
       call->callback(call->result);
       call->callback = {};  // what it holds is freed with the call, not with the last handle
       call.reset();
-      on_returned_();
+      on_callback_returned_();
     }
     lock.lock();
   }
--- a/src/client/callback_thread.h
+++ b/src/client/callback_thread.h
@@ -20,14 +20,15 @@
 class CallbackThread {
  public:
   using Log = std::function<void(LogLevel, std::string_view)>;
-  // `log` may be empty: then lines are dropped. `on_returned` is called on the thread after each callback.
-  CallbackThread(Log log, std::function<void()> on_returned)
-      : log_(std::move(log)), on_returned_(std::move(on_returned)) {}
+  // `log` may be empty: then lines are dropped. `on_callback_returned` is called on the thread after each
+  // callback.
+  CallbackThread(Log log, std::function<void()> on_callback_returned)
+      : log_(std::move(log)), on_callback_returned_(std::move(on_callback_returned)) {}
 
   // `owner` is kept alive until the thread has ended.
   void start(std::shared_ptr<void> owner);
   // From any thread. Calls come back in the order in which they were posted.
-  void post(CallStatePtr ended_call);
+  void post_callback(CallStatePtr ended_call);
   void post_log(LogLevel level, std::string line);
   void finish();  // the thread ends when all that was posted has been run
   void join() { thread_.join(); }
@@ -38,7 +39,7 @@
   void run();
 
   const Log log_;
-  const std::function<void()> on_returned_;
+  const std::function<void()> on_callback_returned_;
   std::thread thread_;
   std::atomic<std::thread::id> thread_id_{};
 
--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -14,7 +14,7 @@
 
 namespace firvalve::client {
 
-const size_t kStatementMost = proto::kMaxRpcStatementBytes;
+const size_t kMaxStatementBytes = proto::kMaxRpcStatementBytes;
 
 std::string_view name_of(Outcome outcome) {
   static constexpr std::string_view kNames[] = {"answered", "refused", "failed", "unknown", "expired"};
@@ -82,8 +82,8 @@
       std::move(command), [](CallState&) {}, std::move(done));
 }
 
-Handle Client::page(const std::string& gateway, const std::string& token, uint64_t page, double timeout_ms,
-                    const std::string& key, Callback done) {
+Handle Client::request_page(const std::string& gateway, const std::string& token, uint64_t page,
+                            double timeout_ms, const std::string& key, Callback done) {
   const auto index = driver_->find_gateway(gateway);
   if (!index) throw std::invalid_argument(fmt::format("gateway \"{}\" is none of this client's", gateway));
   return submit(
@@ -94,8 +94,8 @@
       std::move(done));
 }
 
-Handle Client::ask_about_topic(const std::string& method, const std::string& topic, const std::string& params,
-                               double timeout_ms, Callback done) {
+Handle Client::call_topic_method(const std::string& method, const std::string& topic,
+                                 const std::string& params, double timeout_ms, Callback done) {
   auto named = proto::add_topic_params(topic, params, timeout_ms);
   if (!named) throw std::invalid_argument("params are no JSON object");
   if (!proto::is_topic_method(method)) throw std::invalid_argument("no such method about topics");
--- a/src/client/client.h
+++ b/src/client/client.h
@@ -33,7 +33,7 @@
 
 struct Command {
   std::string profile;     // the gateway's word for the class of query
-  std::string statement;   // 1 to kStatementMost bytes
+  std::string statement;   // 1 to kMaxStatementBytes bytes
   double timeout_ms = 0;   // for the whole of it, retries and waits included; above 0, at most a day
   double estimate_ms = 0;  // of its work on one core; 0: not known
   double memory_mb = 0;    // that it will need; 0: not known
@@ -45,7 +45,7 @@
   // ordinary command.
   std::string run_once_key = {};
 };
-extern const size_t kStatementMost;  // bytes: the longest that a gateway reads
+extern const size_t kMaxStatementBytes;  // bytes: the longest that a gateway reads
 
 struct Result {
   Outcome outcome = Outcome::kFailed;
@@ -53,9 +53,9 @@
   bool may_have_run = false;  // false is proof: no attempt of it can have come to an engine
   bool cancelled = false;
   int attempts = 0;
-  double took_ms = 0;         // since call() or send()
+  double elapsed_ms = 0;      // since call() or send()
   double retry_after_ms = 0;  // refused: earlier is useless; 0: not known
-  std::string why;            // in a few words, for logs; empty when answered
+  std::string reason;         // in a few words, for logs; empty when answered
   std::string gateway;        // that answered, refused or failed it; empty: none did
   // Of a paged command. Without a token the gateway gives no pages, and `rows` are all.
   std::string token;
@@ -105,7 +105,7 @@
   uint64_t refused_without_attempt = 0;  // of the refused: without an attempt
   uint64_t attempts = 0;                 // first attempts and retries
   uint64_t retries = 0;                  // within the budget
-  uint64_t crossing_retries = 0;         // beside it: once more after a gateway's close of an idle connection
+  uint64_t idle_close_retries = 0;       // beside it: once more after a gateway's close of an idle connection
   uint64_t revoked = 0, late_answers = 0;
   uint64_t connects = 0, connects_failed = 0, reconnects = 0, connections_lost = 0, outages = 0;
   uint64_t open = 0;  // calls open now
@@ -153,8 +153,8 @@
 
   // Asks for page `page` (from 1) of a paged result at the gateway that stores it, or releases the result
   // with 0. Harmless to ask again. Throws std::invalid_argument for a gateway that is none of the client's.
-  Handle page(const std::string& gateway, const std::string& token, uint64_t page, double timeout_ms,
-              const std::string& key = {}, Callback done = {});
+  Handle request_page(const std::string& gateway, const std::string& token, uint64_t page, double timeout_ms,
+                      const std::string& key = {}, Callback done = {});
 
   // Asks about a topic's versions and declarations; every gateway of the cluster gives the same answer.
   // `method`: "propose", "deprecate", "retire", "declare", "withdraw" or "bulletin"; `params`: a JSON object
@@ -162,16 +162,16 @@
   // Answered: `rows` is the result, as JSON. Failed with a change refused: `rows` is the list of
   // compatibility violations, as JSON. Throws std::invalid_argument for another method or params that are no
   // object.
-  Handle ask_about_topic(const std::string& method, const std::string& topic, const std::string& params,
-                         double timeout_ms, Callback done = {});
+  Handle call_topic_method(const std::string& method, const std::string& topic, const std::string& params,
+                           double timeout_ms, Callback done = {});
   // Proposes a version with this schema.
   Handle propose(const std::string& topic, const std::string& schema, double timeout_ms, Callback done = {}) {
-    return ask_about_topic("propose", topic, "{\"schema\":" + schema + "}", timeout_ms, std::move(done));
+    return call_topic_method("propose", topic, "{\"schema\":" + schema + "}", timeout_ms, std::move(done));
   }
   // Declares what one subscriber relies on, in place of what it had declared before.
   Handle declare(const std::string& topic, const std::string& declaration, double timeout_ms,
                  Callback done = {}) {
-    return ask_about_topic("declare", topic, declaration, timeout_ms, std::move(done));
+    return call_topic_method("declare", topic, declaration, timeout_ms, std::move(done));
   }
 
   // Accepts no further call; waits up to so long for those open, then cancels the rest and waits for their
@@ -197,18 +197,18 @@
   };
   // After a paged command was answered.
   PageReader(Client& client, const Result& result, std::string key, Options options);
-  // With the token alone, from page `from` on; `gateways` are asked in turn which of them has it.
+  // With the token alone, from page `from_page` on; `gateways` are asked in turn which of them has it.
   PageReader(Client& client, std::vector<std::string> gateways, std::string token, std::string key,
-             uint64_t from, Options options);
+             uint64_t from_page, Options options);
   ~PageReader();
 
   enum class Next { kPage, kEnd, kGone, kFailed };
   // The next page's rows; blocks. kGone: its lease has expired, or it was released, evicted or lost. kFailed:
   // no gateway answered within give_up_ms; next() may be called again.
   Next next(std::string& rows);
-  void release();                            // the gateway may discard the result; reading has ended
-  uint64_t at() const { return at_; }        // the last page given; 0: none yet
-  uint64_t pages() const { return pages_; }  // 0: not known yet
+  void release();                                    // the gateway may discard the result; reading has ended
+  uint64_t last_page() const { return last_page_; }  // the last page given; 0: none yet
+  uint64_t pages() const { return pages_; }          // 0: not known yet
 
  private:
   void prefetch();
@@ -217,21 +217,22 @@
   Client& client_;
   std::vector<std::string> gateways_;
   std::string token_, key_;
-  std::string first_;  // the first page's rows, which came with the answer
-  bool has_first_ = false;
+  std::string first_page_;  // the first page's rows, which came with the answer
+  bool has_first_page_ = false;
   Options options_;
-  uint64_t at_ = 0, pages_ = 0;
-  uint64_t asked_ = 0;                // the last page asked for
-  size_t gateway_ = 0, gone_at_ = 0;  // that is asked; how many said that the result is not there
-  std::vector<Handle> prefetched_;    // pages asked for and not given yet, in order
+  uint64_t last_page_ = 0, pages_ = 0;
+  uint64_t last_requested_page_ = 0;  // the last page asked for
+  size_t current_gateway_ = 0,
+         gateways_without_result_ = 0;  // that is asked; how many said that the result is not there
+  std::vector<Handle> prefetched_;      // pages asked for and not given yet, in order
 };
 
 // The answer of one gateway to a heartbeat.
 struct Ping {
   bool answered = false, healthy = false;
   bool reads_retry_markers = false;
-  double took_ms = 0;
-  std::string why;  // where it was not answered
+  double elapsed_ms = 0;
+  std::string reason;  // where it was not answered
 };
 // Asks for a heartbeat, over a connection of its own, and blocks for at most `timeout_ms`. Throws
 // std::invalid_argument where the address can't be read.
--- a/src/client/connection.cpp
+++ b/src/client/connection.cpp
@@ -42,44 +42,46 @@
   return std::nullopt;
 }
 
-void Connection::set_writing(bool writing) {
-  if (is_writing_ == writing) return;
-  is_writing_ = writing;
+void Connection::set_write_interest(bool writing) {
+  if (has_write_interest_ == writing) return;
+  has_write_interest_ = writing;
   const int events = PollSet::POLL_READ | PollSet::POLL_ERROR;
   poll_set_.update(socket_, writing ? events | PollSet::POLL_WRITE : events);
 }
 
 void Connection::message_appended(size_t bytes, std::optional<RequestId> attempt) {
   queued_bytes_ += bytes;
-  if (attempt) attempts_.push_back({queued_bytes_, *attempt});
+  if (attempt) unsent_attempts_.push_back({queued_bytes_, *attempt});
 }
 
 bool Connection::flush() {
-  while (out_sent_ < out_.size()) {
-    const ssize_t sent = ::send(*descriptor_, out_.data() + out_sent_, out_.size() - out_sent_, MSG_NOSIGNAL);
+  while (send_buffer_sent_bytes_ < send_buffer_.size()) {
+    const ssize_t sent = ::send(*descriptor_, send_buffer_.data() + send_buffer_sent_bytes_,
+                                send_buffer_.size() - send_buffer_sent_bytes_, MSG_NOSIGNAL);
     if (sent >= 0) {
-      out_sent_ += static_cast<size_t>(sent);
+      send_buffer_sent_bytes_ += static_cast<size_t>(sent);
       sent_bytes_ += static_cast<uint64_t>(sent);
     } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
-      set_writing(true);
+      set_write_interest(true);
       break;
     } else if (errno != EINTR) {
       return false;
     }
   }
-  while (!attempts_.empty() && attempts_.front().offset <= sent_bytes_) attempts_.pop_front();
-  if (out_sent_ == out_.size()) {
-    out_.clear();
-    if (out_.capacity() > kReadBytes) std::string().swap(out_);
-    out_sent_ = 0;
-    set_writing(false);
+  while (!unsent_attempts_.empty() && unsent_attempts_.front().offset <= sent_bytes_)
+    unsent_attempts_.pop_front();
+  if (send_buffer_sent_bytes_ == send_buffer_.size()) {
+    send_buffer_.clear();
+    if (send_buffer_.capacity() > kReadBytes) std::string().swap(send_buffer_);
+    send_buffer_sent_bytes_ = 0;
+    set_write_interest(false);
   }
   return true;
 }
 
-std::set<RequestId> Connection::unsent() const {
+std::set<RequestId> Connection::unsent_requests() const {
   std::set<RequestId> requests;
-  for (const MessageEnd& attempt : attempts_)
+  for (const MessageEnd& attempt : unsent_attempts_)
     if (attempt.offset > sent_bytes_) requests.insert(attempt.request);
   return requests;
 }
--- a/src/client/connection.h
+++ b/src/client/connection.h
@@ -37,24 +37,24 @@
   std::optional<int> descriptor() const { return descriptor_; }  // nothing: connect() has not succeeded
 
   // Where messages are appended to, before message_appended().
-  std::string& out() { return out_; }
-  // `attempt`: the message is an attempt of a call, of which unsent() tells.
+  std::string& send_buffer() { return send_buffer_; }
+  // `attempt`: the message is an attempt of a call, of which unsent_requests() tells.
   void message_appended(size_t bytes, std::optional<RequestId> attempt);
   // Writes as much as the system takes. False: the connection is lost.
   bool flush();
   // Attempts of which the system has not taken every byte.
-  std::set<RequestId> unsent() const;
+  std::set<RequestId> unsent_requests() const;
 
   // Reads what is there. Gives the reason if the connection is lost.
   std::optional<LossCause> receive();
   enum class Next { kMessage, kNone, kUnreadable };
   Next next_message(std::span<char>& body);
-  void messages_read() { read_buffer_.release_if_empty(); }  // all complete ones: frees what they took
+  void release_read_buffer() { read_buffer_.release_if_empty(); }  // all complete ones: frees what they took
 
-  bool is_touched = false;  // the driver's mark: it is to be flushed in this turn
+  bool needs_flush = false;  // the driver's mark: it is to be flushed in this turn
 
  private:
-  void set_writing(bool writing);
+  void set_write_interest(bool writing);
 
   struct MessageEnd {
     uint64_t offset = 0;  // in bytes since the connection was made
@@ -63,13 +63,13 @@
   Poco::Net::PollSet& poll_set_;
   Poco::Net::StreamSocket socket_;
   std::optional<int> descriptor_;
-  bool is_up_ = false, is_writing_ = false;
+  bool is_up_ = false, has_write_interest_ = false;
   proto::ReadBuffer read_buffer_;
   proto::RpcFrames frames_;
-  std::string out_;
-  size_t out_sent_ = 0;                         // bytes of out_ that the system took
+  std::string send_buffer_;
+  size_t send_buffer_sent_bytes_ = 0;           // bytes of send_buffer_ that the system took
   uint64_t queued_bytes_ = 0, sent_bytes_ = 0;  // since the connection was made
-  std::deque<MessageEnd> attempts_;             // that are not known to have been sent, in order
+  std::deque<MessageEnd> unsent_attempts_;      // that are not known to have been sent, in order
 };
 
 }  // namespace firvalve::client
--- a/src/client/driver.cpp
+++ b/src/client/driver.cpp
@@ -49,13 +49,13 @@
     } else {
       ++open_calls_;
       call->id = CallId{++last_call_};
-      orders_.push_back({Order::Kind::kStart, call});
+      operations_.push_back({CallOperation::Kind::kStart, call});
     }
   }
   if (!reason) return wake();
   Result result;
   result.outcome = Outcome::kRefused;
-  result.why = reason;
+  result.reason = reason;
   end_call_state(*call, std::move(result));
   if (call->callback) call->callback(call->result);
 }
@@ -63,7 +63,7 @@
 void Driver::cancel(const CallStatePtr& call) {
   {
     const std::lock_guard lock(mutex_);
-    orders_.push_back({Order::Kind::kCancel, call});
+    operations_.push_back({CallOperation::Kind::kCancel, call});
   }
   wake();
 }
@@ -72,14 +72,14 @@
   std::unique_lock lock(mutex_);
   is_closed_ = true;
   if (callback_thread_.is_current()) return 0;
-  const auto is_none_open = [this] { return open_calls_ == 0; };
-  none_open_.wait_for(lock, timeout, is_none_open);
+  const auto has_no_open_calls = [this] { return open_calls_ == 0; };
+  all_calls_closed_.wait_for(lock, timeout, has_no_open_calls);
   const size_t left = open_calls_;
   must_cancel_all_ = true;
   lock.unlock();
   wake();
   lock.lock();
-  none_open_.wait(lock, is_none_open);
+  all_calls_closed_.wait(lock, has_no_open_calls);
   return left;
 }
 
@@ -125,24 +125,24 @@
 }
 
 void Driver::count_closed_call() {
-  if (--open_calls_ == 0) none_open_.notify_all();
+  if (--open_calls_ == 0) all_calls_closed_.notify_all();
 }
 
 // ---- The I/O thread -----------------------------------------------------------------------------
 
 void Driver::run() {
-  std::vector<Order> orders;
+  std::vector<CallOperation> operations;
   for (bool is_last = false; !is_last;) {
     bool cancels_all = false;
     {
       const std::lock_guard lock(mutex_);
-      orders.swap(orders_);
+      operations.swap(operations_);
       is_last = is_stopping_;
       cancels_all = must_cancel_all_;
     }
     const TimePoint now = MonotonicClock::now();
-    for (const Order& order : orders) execute(now, order);
-    orders.clear();
+    for (const CallOperation& operation : operations) execute(now, operation);
+    operations.clear();
     if (cancels_all) cancel_all(now);
     decide(now);
     publish_stats();
@@ -152,15 +152,15 @@
   callback_thread_.finish();
 }
 
-void Driver::execute(TimePoint now, const Order& order) {
-  const CallState& call = *order.call;
-  if (order.kind == Order::Kind::kCancel) return scheduler_.cancel_call(now, call.id);
-  calls_[call.id] = order.call;
+void Driver::execute(TimePoint now, const CallOperation& operation) {
+  const CallState& call = *operation.call;
+  if (operation.kind == CallOperation::Kind::kCancel) return scheduler_.cancel_call(now, call.id);
+  calls_[call.id] = operation.call;
   CallRequest request;
   request.profile = call.command.profile;
   request.is_replayable = call.command.effect == Effect::kReplayable;
   request.deadline = call.submitted_at + duration_of(call.command.timeout_ms);
-  if (const auto* page = std::get_if<PageRequest>(&call.request)) request.only_gateway = page->gateway;
+  if (const auto* page = std::get_if<PageRequest>(&call.request)) request.required_gateway = page->gateway;
   scheduler_.start_call(now, call.id, request);
 }
 
@@ -177,36 +177,36 @@
     actions_.clear();
     scheduler_.decide(now, actions_);
     for (const Action& action : actions_) std::visit([this](const auto& one) { execute(one); }, action);
-    flush_touched();
-  } while (!losses_.empty());
+    flush_pending();
+  } while (!unreported_losses_.empty());
 }
 
 void Driver::report_losses(TimePoint now) {
-  for (const ConnectionLoss& loss : std::exchange(losses_, {})) {
+  for (const ConnectionLoss& loss : std::exchange(unreported_losses_, {})) {
     const auto at = connections_.find(loss.connection);
     if (at == connections_.end()) continue;
-    const std::set<RequestId> unsent = at->second.unsent();
+    const std::set<RequestId> unsent = at->second.unsent_requests();
     erase(at);
     scheduler_.handle_connection_lost(now, loss.connection, loss.cause, unsent);
   }
 }
 
-void Driver::flush_touched() {
-  for (const ConnectionId id : std::exchange(touched_, {})) {
+void Driver::flush_pending() {
+  for (const ConnectionId id : std::exchange(unflushed_connections_, {})) {
     const auto at = connections_.find(id);
     if (at == connections_.end()) continue;
-    at->second.is_touched = false;
+    at->second.needs_flush = false;
     if (at->second.is_up()) flush(id, at->second);
   }
 }
 
 void Driver::flush(ConnectionId id, Connection& connection) {
   // What the gateway sent before the end is still read, where that is possible.
-  if (!connection.flush()) losses_.push_back({id, LossCause::kReset});
+  if (!connection.flush()) unreported_losses_.push_back({id, LossCause::kReset});
 }
 
 void Driver::erase(Connections::iterator at) {
-  if (const auto descriptor = at->second.descriptor()) by_descriptor_.erase(*descriptor);
+  if (const auto descriptor = at->second.descriptor()) connections_by_descriptor_.erase(*descriptor);
   connections_.erase(at);
 }
 
@@ -223,7 +223,7 @@
   stats_.refused_without_attempt = from.refused_without_attempt;
   stats_.attempts = from.attempts;
   stats_.retries = from.retries;
-  stats_.crossing_retries = from.crossing_retries;
+  stats_.idle_close_retries = from.idle_close_retries;
   stats_.revoked = from.revoked;
   stats_.late_answers = from.late_answers;
   stats_.connects = from.connects;
@@ -247,7 +247,8 @@
     if (descriptor == wake_event_.impl()->sockfd()) {
       uint64_t count = 0;
       [[maybe_unused]] const ssize_t got = ::read(descriptor, &count, sizeof count);
-    } else if (const auto at = by_descriptor_.find(descriptor); at != by_descriptor_.end()) {
+    } else if (const auto at = connections_by_descriptor_.find(descriptor);
+               at != connections_by_descriptor_.end()) {
       handle_socket(now, at->second, events);
     }
   }
@@ -257,7 +258,7 @@
   Connection& connection = connections_.at(id);
   if (!connection.is_up()) {
     if (const auto failure = connection.finish_connect()) {
-      losses_.push_back({id, *failure});
+      unreported_losses_.push_back({id, *failure});
       return;
     }
     scheduler_.handle_connected(now, id);
@@ -268,7 +269,7 @@
 
 void Driver::receive(TimePoint now, ConnectionId id, Connection& connection) {
   if (const auto lost = connection.receive()) {
-    losses_.push_back({id, *lost});
+    unreported_losses_.push_back({id, *lost});
     return;
   }
   std::span<char> body;
@@ -276,12 +277,12 @@
     const Connection::Next next = connection.next_message(body);
     if (next == Connection::Next::kNone) break;
     if (next == Connection::Next::kUnreadable || !handle_message(now, id, body)) {
-      losses_.push_back({id, LossCause::kUnreadable});
+      unreported_losses_.push_back({id, LossCause::kUnreadable});
       return;
     }
     if (!scheduler_.has_connection(id)) return;  // to be closed by the next decision
   }
-  connection.messages_read();
+  connection.release_read_buffer();
 }
 
 // False: it cannot be read.
@@ -319,9 +320,9 @@
   Connection& connection =
       connections_.try_emplace(action.connection, poll_set_, options_.max_answer_bytes).first->second;
   if (connection.connect(addresses_[action.gateway]))
-    by_descriptor_[*connection.descriptor()] = action.connection;
+    connections_by_descriptor_[*connection.descriptor()] = action.connection;
   else
-    losses_.push_back({action.connection, LossCause::kRefused});
+    unreported_losses_.push_back({action.connection, LossCause::kRefused});
 }
 
 void Driver::execute(const CloseConnection& action) {
@@ -331,10 +332,10 @@
   erase(at);
 }
 
-Connection* Driver::touch(ConnectionId id) {
+Connection* Driver::mark_for_flush(ConnectionId id) {
   const auto at = connections_.find(id);
   if (at == connections_.end()) return nullptr;
-  if (!std::exchange(at->second.is_touched, true)) touched_.push_back(id);
+  if (!std::exchange(at->second.needs_flush, true)) unflushed_connections_.push_back(id);
   return &at->second;
 }
 
@@ -353,27 +354,27 @@
 }
 
 void Driver::execute(const SendAttempt& action) {
-  Connection* const connection = touch(action.connection);
+  Connection* const connection = mark_for_flush(action.connection);
   if (!connection) return;
-  const size_t before = connection->out().size();
-  append_attempt(connection->out(), action);
-  connection->message_appended(connection->out().size() - before, action.request);
+  const size_t before = connection->send_buffer().size();
+  append_attempt(connection->send_buffer(), action);
+  connection->message_appended(connection->send_buffer().size() - before, action.request);
 }
 
 void Driver::execute(const SendRevoke& action) {
-  Connection* const connection = touch(action.connection);
+  Connection* const connection = mark_for_flush(action.connection);
   if (!connection) return;
-  const size_t before = connection->out().size();
-  proto::append_revoke(connection->out(), action.request, action.attempt_id);
-  connection->message_appended(connection->out().size() - before, std::nullopt);
+  const size_t before = connection->send_buffer().size();
+  proto::append_revoke(connection->send_buffer(), action.request, action.attempt_id);
+  connection->message_appended(connection->send_buffer().size() - before, std::nullopt);
 }
 
 void Driver::execute(const SendHeartbeat& action) {
-  Connection* const connection = touch(action.connection);
+  Connection* const connection = mark_for_flush(action.connection);
   if (!connection) return;
-  const size_t before = connection->out().size();
-  proto::append_heartbeat(connection->out(), action.request);
-  connection->message_appended(connection->out().size() - before, std::nullopt);
+  const size_t before = connection->send_buffer().size();
+  proto::append_heartbeat(connection->send_buffer(), action.request);
+  connection->message_appended(connection->send_buffer().size() - before, std::nullopt);
 }
 
 void Driver::execute(const EndCall& action) {
@@ -386,13 +387,13 @@
   result.may_have_run = action.may_have_run;
   result.cancelled = action.was_cancelled;
   result.attempts = action.attempts;
-  result.took_ms = to_ms(MonotonicClock::now() - call->submitted_at);
+  result.elapsed_ms = to_ms(MonotonicClock::now() - call->submitted_at);
   result.retry_after_ms = to_ms(action.retry_after.value_or(Duration(0)));
-  if (result.outcome != Outcome::kAnswered) result.why = action.reason;
+  if (result.outcome != Outcome::kAnswered) result.reason = action.reason;
   const bool has_callback = static_cast<bool>(call->callback);
   if (has_callback) {
     end_call_state(*call, std::move(result));
-    callback_thread_.post(call);
+    callback_thread_.post_callback(call);
     return;
   }
   // Under one lock: a caller that has its result does not find the call among those open, and close() does
--- a/src/client/driver.h
+++ b/src/client/driver.h
@@ -47,7 +47,7 @@
 
  private:
   // From a user's thread to the I/O thread.
-  struct Order {
+  struct CallOperation {
     enum class Kind { kStart, kCancel } kind = Kind::kStart;
     CallStatePtr call;
   };
@@ -63,7 +63,7 @@
 
   // The I/O thread's.
   void run();
-  void execute(TimePoint now, const Order& order);
+  void execute(TimePoint now, const CallOperation& operation);
   void cancel_all(TimePoint now);
   void decide(TimePoint now);
   void publish_stats();
@@ -72,11 +72,11 @@
   void receive(TimePoint now, ConnectionId id, Connection& connection);
   bool handle_message(TimePoint now, ConnectionId id, std::span<char> body);
   void flush(ConnectionId id, Connection& connection);
-  void flush_touched();
+  void flush_pending();
   void report_losses(TimePoint now);
   void erase(Connections::iterator connection);
   // Where the message of an action is appended; null: the connection is gone.
-  Connection* touch(ConnectionId id);
+  Connection* mark_for_flush(ConnectionId id);
 
   void execute(const Connect& action);
   void execute(const CloseConnection& action);
@@ -94,13 +94,13 @@
   Poco::Net::StreamSocket wake_event_;  // an eventfd, which the poll set understands as a socket
 
   mutable std::mutex mutex_;  // guards what follows
-  std::vector<Order> orders_;
+  std::vector<CallOperation> operations_;
   bool is_closed_ = false, must_cancel_all_ = false, is_stopping_ = false;
   size_t open_calls_ = 0;  // a call is open until its callback has returned
   uint64_t refused_at_submit_ = 0;
   uint64_t last_call_ = 0;
   Stats stats_;
-  std::condition_variable none_open_;
+  std::condition_variable all_calls_closed_;
 
   // The I/O thread's.
   RequestScheduler scheduler_;
@@ -108,9 +108,9 @@
   std::unordered_map<CallId, CallStatePtr> calls_;
   Poco::Net::PollSet poll_set_;
   Connections connections_;
-  std::unordered_map<int, ConnectionId> by_descriptor_;
-  std::vector<ConnectionLoss> losses_;  // found and not reported to the scheduler yet
-  std::vector<ConnectionId> touched_;   // with messages that are not flushed yet
+  std::unordered_map<int, ConnectionId> connections_by_descriptor_;
+  std::vector<ConnectionLoss> unreported_losses_;    // found and not reported to the scheduler yet
+  std::vector<ConnectionId> unflushed_connections_;  // with messages that are not flushed yet
 };
 
 }  // namespace firvalve::client
--- a/src/client/gateway_health.cpp
+++ b/src/client/gateway_health.cpp
@@ -32,15 +32,16 @@
       return loss.other_connections == 0;
     case LossCause::kClosed:
       if (loss.open_calls > 0) return true;
-      return loss.idle < options.idle_close && loss.other_connections == 0;
+      return loss.idle < options.min_idle_before_close && loss.other_connections == 0;
     case LossCause::kReset:
     case LossCause::kUnreadable:
-      return loss.open_calls >= options.many_calls || loss.is_gateway_losing || loss.are_others_losing;
+      return loss.open_calls >= options.min_reset_calls || loss.has_other_loss_at_gateway ||
+             loss.has_loss_at_other_gateway;
   }
   return true;
 }
 
-Duration GatewayHealth::spread_after(int failures) const {
+Duration GatewayHealth::probe_spread(int failures) const {
   constexpr int kMaxDoublings = 16;
   return std::min(options_.spread * std::pow(2.0, std::min(failures - 1, kMaxDoublings)),
                   options_.max_spread);
@@ -48,11 +49,11 @@
 
 void GatewayHealth::eject(TimePoint now, double draw) {
   // A gateway that was reinstated and failed at once had not recovered: its failures go on counting.
-  if (is_available() && failures_ > 0 && now - reinstated_at_.value_or(TimePoint()) > spread_after(failures_))
+  if (is_available() && failures_ > 0 && now - reinstated_at_.value_or(TimePoint()) > probe_spread(failures_))
     failures_ = 0;
   failures_ += 1;
   state_ = State::kEjected;
-  probe_at_ = now + draw * spread_after(failures_);
+  probe_at_ = now + draw * probe_spread(failures_);
 }
 
 void GatewayHealth::reinstate(TimePoint now) {
--- a/src/client/gateway_health.h
+++ b/src/client/gateway_health.h
@@ -29,19 +29,19 @@
 // What is known of a connection at its end.
 struct ConnectionLoss {
   LossCause cause = LossCause::kReset;
-  int open_calls = 0;              // calls in flight on it
-  int other_connections = 0;       // to the same gateway, that are up
-  bool is_gateway_losing = false;  // this gateway lost another connection at the same time
-  bool are_others_losing = false;  // another gateway lost one at the same time
-  Duration idle{0};                // since anything passed on it
+  int open_calls = 0;                      // calls in flight on it
+  int other_connections = 0;               // to the same gateway, that are up
+  bool has_other_loss_at_gateway = false;  // this gateway lost another connection at the same time
+  bool has_loss_at_other_gateway = false;  // another gateway lost one at the same time
+  Duration idle{0};                        // since anything passed on it
 };
 
 struct OutageOptions {
   Duration spread{4000};       // over which clients come back after an outage; doubled with each failed probe
   Duration max_spread{30000};  // where the doubling ends
-  int many_calls = 3;          // lost at once with a reset: more than one connection's bad luck
-  Duration same_event{200};    // losses within it are taken to have one cause
-  Duration idle_close{3500};   // a gateway may close what was idle so long; nothing has failed then
+  int min_reset_calls = 3;     // lost at once with a reset: more than one connection's bad luck
+  Duration correlation_window{200};      // losses within it are taken to have one cause
+  Duration min_idle_before_close{3500};  // a gateway may close what was idle so long; nothing has failed then
 };
 
 // A single loss reconnects at once. An outage is met by many clients together, and each must come back at a
@@ -71,7 +71,7 @@
   void reinstate(TimePoint now);
 
  private:
-  Duration spread_after(int failures) const;
+  Duration probe_spread(int failures) const;
 
   OutageOptions options_;
   State state_ = State::kAvailable;
--- a/src/client/ping.cpp
+++ b/src/client/ping.cpp
@@ -23,15 +23,15 @@
 
   Ping run(const Poco::Net::SocketAddress& address) {
     try {
-      ping_.why = exchange(address);
+      ping_.reason = exchange_heartbeat(address);
     } catch (const Poco::Net::ConnectionRefusedException&) {
-      ping_.why = "connection refused";
+      ping_.reason = "connection refused";
     } catch (const Poco::TimeoutException&) {
-      ping_.why = "no answer in time";
+      ping_.reason = "no answer in time";
     } catch (const Poco::Exception& error) {
-      ping_.why = error.what();
+      ping_.reason = error.what();
     }
-    ping_.took_ms = to_ms(MonotonicClock::now() - started_at_);
+    ping_.elapsed_ms = to_ms(MonotonicClock::now() - started_at_);
     return ping_;
   }
 
@@ -42,7 +42,7 @@
   }
 
   // Gives why there was no answer; empty: there was one.
-  const char* exchange(const Poco::Net::SocketAddress& address) {
+  const char* exchange_heartbeat(const Poco::Net::SocketAddress& address) {
     Poco::Net::StreamSocket socket;
     socket.connect(address, time_left());
     std::string message;
@@ -53,7 +53,7 @@
     for (std::span<char> body;;) {
       const proto::ReadResult read = frames.next(read_buffer, body);
       if (read == proto::ReadResult::kMalformed) return "unreadable";
-      if (read == proto::ReadResult::kComplete) return take_answer(body);
+      if (read == proto::ReadResult::kComplete) return read_answer(body);
       if (MonotonicClock::now() >= deadline_ || !socket.poll(time_left(), Poco::Net::Socket::SELECT_READ))
         return "no answer in time";
       const auto space = read_buffer.prepare(kReadBytes);
@@ -63,7 +63,7 @@
     }
   }
 
-  const char* take_answer(std::span<char> body) {
+  const char* read_answer(std::span<char> body) {
     const proto::RpcReply reply = proto::read_reply(body);
     if (reply.kind != proto::RpcReply::Kind::kHeartbeat) return "no heartbeat";
     ping_.answered = true;
--- a/src/client/request_scheduler.cpp
+++ b/src/client/request_scheduler.cpp
@@ -24,28 +24,30 @@
   Call& call = at->second;
   call.is_replayable = request.is_replayable;
   call.deadline = request.deadline;
-  call.only_gateway = request.only_gateway;
+  call.required_gateway = request.required_gateway;
   deadlines_.insert({call.deadline, id});
   // A call for one gateway only has a queue of its own: it must not keep others waiting behind it.
-  const auto queue = queue_of(
-      request.only_gateway ? fmt::format("{}\n{}", request.profile, *request.only_gateway) : request.profile);
+  const auto queue = find_or_add_queue(request.required_gateway
+                                           ? fmt::format("{}\n{}", request.profile, *request.required_gateway)
+                                           : request.profile);
   if (!queue) return end_call(at, Outcome::kRefused, "too many profiles");
   call.queue = *queue;
   if (calls_.size() > options_.max_open_calls) return end_call(at, Outcome::kRefused, "too many open calls");
   Throttle& throttle = queues_[*queue].throttle;
-  if (draw() < throttle.stop_probability(now)) {
-    throttle.record_stopped(now);
-    return end_call(at, Outcome::kRefused, "most calls are refused", false, options_.max_backoff * draw());
+  if (draw_uniform() < throttle.rejection_probability(now)) {
+    throttle.record_throttled(now);
+    return end_call(at, Outcome::kRefused, "most calls are refused", false,
+                    options_.max_backoff * draw_uniform());
   }
-  const TimePoint usable = usable_at(now, call);
-  if (is_hopeless(now, call))
+  const TimePoint usable = earliest_usable_at(now, call);
+  if (cannot_send_before_deadline(now, call))
     return end_call(at, Outcome::kRefused, "no gateway within the time given", false, usable - now);
   enqueue(call, id, false);
 }
 
 void RequestScheduler::cancel_call(TimePoint, CallId id) {
   const auto at = calls_.find(id);
-  if (at != calls_.end()) give_up(at, true, "cancelled");
+  if (at != calls_.end()) expire_or_cancel(at, true, "cancelled");
 }
 
 void RequestScheduler::handle_connected(TimePoint now, ConnectionId id) {
@@ -76,12 +78,12 @@
     handle_heartbeat(now, connection, reply);
     return std::nullopt;
   }
-  const auto open = connection.open.find(reply.request);
-  if (open == connection.open.end()) {
+  const auto open = connection.open_requests.find(reply.request);
+  if (open == connection.open_requests.end()) {
     ++stats_.late_answers;
     // A request that was never made: whatever follows on this connection is no better.
     if (reply.request < 1 || reply.request > connection.last_request) {
-      close(id);
+      close_connection(id);
       drop_connection(now, id, LossCause::kUnreadable, {});
     }
     return std::nullopt;
@@ -94,10 +96,10 @@
     return std::nullopt;
   }
   queues_[call.queue].throttle.record_accepted(now);
-  constexpr double kNewShare = 0.1;  // of a new answer in the running mean
+  constexpr double kNewSampleWeight = 0.1;  // of a new answer in the running mean
   constexpr Duration kMinLatency{0.01};
   const Duration took = now - call.sent_at;
-  gateway.latency = gateway.latency ? *gateway.latency + kNewShare * (took - *gateway.latency)
+  gateway.latency = gateway.latency ? *gateway.latency + kNewSampleWeight * (took - *gateway.latency)
                                     : std::max(took, kMinLatency);
   call.may_have_run = true;
   const bool is_answered = reply.kind == Reply::Kind::kAnswered;
@@ -109,14 +111,14 @@
 
 void RequestScheduler::decide(TimePoint now, Actions& actions) {
   decided_at_ = now;
-  if (retry_budget_.needs_rounding(now)) retry_budget_.set_rounding(now, draw());
+  if (retry_budget_.needs_rounding(now)) retry_budget_.set_rounding(now, draw_uniform());
   expire_calls(now);
-  watch_connections(now);
+  check_connections(now);
   end_backoffs(now);
   probe_ejected_gateways(now);
-  refuse_hopeless_calls(now);
+  refuse_unsendable_calls(now);
   dispatch(now);
-  refuse_hopeless_calls(now);
+  refuse_unsendable_calls(now);
   std::move(pending_.begin(), pending_.end(), std::back_inserter(actions));
   pending_.clear();
 }
--- a/src/client/request_scheduler.h
+++ b/src/client/request_scheduler.h
@@ -65,7 +65,7 @@
   uint64_t calls = 0, answered = 0, refused = 0, failed = 0, unknown = 0, expired = 0;
   uint64_t cancelled = 0;                // of the ended calls
   uint64_t refused_without_attempt = 0;  // of the refused: without an attempt
-  uint64_t attempts = 0, retries = 0, crossing_retries = 0, revoked = 0, late_answers = 0;
+  uint64_t attempts = 0, retries = 0, idle_close_retries = 0, revoked = 0, late_answers = 0;
   uint64_t connects = 0, connects_failed = 0, connections_lost = 0, outages = 0, reconnects = 0;
 };
 
@@ -94,15 +94,15 @@
 
  private:
   using QueueIndex = size_t;
-  enum class Place { kNone, kBackingOff, kQueued, kInFlight };
+  enum class State { kNone, kBackingOff, kQueued, kInFlight };
   struct Call {
     QueueIndex queue = 0;
-    std::optional<GatewayIndex> only_gateway;
+    std::optional<GatewayIndex> required_gateway;
     bool is_replayable = false, may_have_run = false;
-    bool has_crossed = false;           // a close of an idle connection; once a call
-    bool is_next_attempt_free = false;  // because of that: not counted against the retry budget
-    bool has_retry_reserved = false;    // its next attempt has a place in the retry budget
-    Place place = Place::kNone;
+    bool had_idle_close_race = false;     // a close of an idle connection; once a call
+    bool is_next_attempt_exempt = false;  // because of that: not counted against the retry budget
+    bool has_retry_reserved = false;      // its next attempt has a place in the retry budget
+    State state = State::kNone;
     TimePoint deadline;
     TimePoint backoff_until;                     // kBackingOff
     std::list<CallId>::iterator queue_position;  // kQueued
@@ -128,7 +128,7 @@
     RequestId last_request = 0;
     std::optional<RequestId> heartbeat;  // asked for and not answered
     TimePoint heartbeat_at;
-    std::map<RequestId, CallId> open;
+    std::map<RequestId, CallId> open_requests;
   };
   struct Gateway {
     explicit Gateway(const OutageOptions& options) : health(options) {}
@@ -147,66 +147,67 @@
     Throttle throttle;
   };
   // Where a call may be sent.
-  struct Choice {
+  struct GatewayChoice {
     GatewayIndex best = 0;
     std::optional<GatewayIndex> alternative;
   };
 
-  double draw() { return static_cast<double>(random_()) / 4294967296.0; }  // in [0, 1)
+  double draw_uniform() { return static_cast<double>(random_()) / 4294967296.0; }  // in [0, 1)
 
   // Calls (scheduler_calls.cpp).
-  std::optional<QueueIndex> queue_of(const std::string& name);
+  std::optional<QueueIndex> find_or_add_queue(const std::string& name);
   void enqueue(Call& call, CallId id, bool at_front);
   void back_off_until(Call& call, CallId id, TimePoint until);
-  void leave_place(Call& call, CallId id);
-  bool retry(TimePoint now, Calls::iterator call, TimePoint not_before);
+  void leave_state(Call& call, CallId id);
+  bool schedule_retry(TimePoint now, Calls::iterator call, TimePoint not_before);
   void retry_or_refuse(TimePoint now, Calls::iterator call, TimePoint not_before, const char* reason);
-  void end_without_attempt(TimePoint now, Calls::iterator call, const char* reason);
-  void give_up(Calls::iterator call, bool cancelled, const char* reason);
+  void end_waiting_call(TimePoint now, Calls::iterator call, const char* reason);
+  void expire_or_cancel(Calls::iterator call, bool cancelled, const char* reason);
   void end_call(Calls::iterator call, Outcome outcome, std::string reason, bool cancelled = false,
                 std::optional<Duration> retry_after = std::nullopt);
-  void revoke(const Call& call);
+  void revoke_attempt(const Call& call);
   Duration draw_backoff(const Call& call);
-  TimePoint usable_at(TimePoint now, const Call& call) const;
-  bool is_hopeless(TimePoint now, const Call& call) const;
+  TimePoint earliest_usable_at(TimePoint now, const Call& call) const;
+  bool cannot_send_before_deadline(TimePoint now, const Call& call) const;
   void expire_calls(TimePoint now);
   void end_backoffs(TimePoint now);
-  void refuse_hopeless_calls(TimePoint now);
+  void refuse_unsendable_calls(TimePoint now);
 
   // Connections and gateways (scheduler_gateways.cpp).
   ConnectionId open_connection(TimePoint now, GatewayIndex gateway, bool is_probe);
-  void close(ConnectionId connection);
+  void close_connection(ConnectionId connection);
   void ask_for_heartbeat(TimePoint now, ConnectionId id, Connection& connection);
   void handle_heartbeat(TimePoint now, Connection& connection, const Reply& reply);
   void handle_refusal(TimePoint now, Calls::iterator call, Gateway& gateway, const Reply& reply);
   void drop_connection(TimePoint now, ConnectionId id, LossCause cause, const std::set<RequestId>& unsent);
-  ConnectionLoss describe_loss(TimePoint now, const Connection& connection, LossCause cause) const;
-  bool is_crossing(TimePoint now, const Call& call, const Connection& connection, LossCause cause) const;
+  ConnectionLoss make_connection_loss(TimePoint now, const Connection& connection, LossCause cause) const;
+  bool is_idle_close_race(TimePoint now, const Call& call, const Connection& connection,
+                          LossCause cause) const;
   void end_lost_attempt(TimePoint now, CallId id, const Connection& connection, LossCause cause,
                         bool was_unsent, bool is_outage);
   void eject(TimePoint now, GatewayIndex gateway, const char* reason);
   enum class Check { kFine, kConnectTimeout, kIdle, kUnresponsive, kNeedsHeartbeat };
   Check check_connection(TimePoint now, const Connection& connection) const;
-  void watch_connections(TimePoint now);
-  void close_idle(ConnectionId id);
+  void check_connections(TimePoint now);
+  void close_idle_connection(ConnectionId id);
   void handle_unresponsive(TimePoint now, ConnectionId id);
-  void move_replayable_calls(TimePoint now, const Connection& connection);
+  void retry_replayable_calls(TimePoint now, const Connection& connection);
   void probe_ejected_gateways(TimePoint now);
-  TimePoint heartbeat_overdue_at(const Connection& connection) const;
-  TimePoint silent_at(const Connection& connection) const;
+  TimePoint heartbeat_timeout_at(const Connection& connection) const;
+  TimePoint heartbeat_due_at(const Connection& connection) const;
   std::optional<TimePoint> next_due_of(const Connection& connection) const;
 
   // Dispatch (scheduler_dispatch.cpp).
   void dispatch(TimePoint now);
   bool dispatch_next(TimePoint now, QueueIndex queue);
   std::vector<GatewayIndex> usable_gateways(TimePoint now, const Call& call) const;
-  std::optional<Choice> choose_gateway(TimePoint now, const Call& call);
-  std::optional<ConnectionId> connection_for(TimePoint now, const Choice& choice);
-  std::optional<ConnectionId> connection_with_room(GatewayIndex gateway) const;
+  std::optional<GatewayChoice> choose_gateway(TimePoint now, const Call& call);
+  std::optional<ConnectionId> find_or_open_connection(TimePoint now, const GatewayChoice& choice);
+  std::optional<ConnectionId> connection_with_capacity(GatewayIndex gateway) const;
   bool may_connect(TimePoint now, GatewayIndex gateway) const;
   bool back_off_for_retry_after(TimePoint now, CallId id, Call& call);
   double load_score(const Gateway& gateway) const;
-  void send(TimePoint now, CallId id, Call& call, ConnectionId connection);
+  void send_attempt(TimePoint now, CallId id, Call& call, ConnectionId connection);
 
   SchedulerOptions options_;
   pcg32 random_;
@@ -222,7 +223,7 @@
   uint64_t last_connection_ = 0;
   std::optional<TimePoint> last_call_at_;
   TimePoint decided_at_;
-  bool must_check_hopeless_ = false;  // a gateway was ejected, or asked to be left alone
+  bool must_check_unsendable_ = false;  // a gateway was ejected, or asked to be left alone
   Actions pending_;
   SchedulerStats stats_;
 };
--- a/src/client/scheduler_actions.h
+++ b/src/client/scheduler_actions.h
@@ -24,7 +24,7 @@
   std::string profile;
   bool is_replayable = false;  // running it twice does no harm
   TimePoint deadline;
-  std::optional<GatewayIndex> only_gateway;  // that it can be sent to; nothing: any
+  std::optional<GatewayIndex> required_gateway;  // that it can be sent to; nothing: any
 };
 
 // A gateway's answer to a message.
@@ -35,7 +35,7 @@
   std::optional<Duration> retry_after;  // kRefused: nothing of the profile may be sent there for so long
   bool is_healthy = false;              // kHeartbeat
   bool reads_retry_markers = false;     // kHeartbeat
-  std::string_view text;                // kFailed: why; lasts for the call of handle_reply()
+  std::string_view text;                // kFailed: reason; lasts for the call of handle_reply()
 };
 
 // Opens a connection to a gateway.
--- a/src/client/scheduler_calls.cpp
+++ b/src/client/scheduler_calls.cpp
@@ -19,7 +19,7 @@
 // ---- Places -------------------------------------------------------------------------------------
 
 // Nothing: there are too many already.
-std::optional<RequestScheduler::QueueIndex> RequestScheduler::queue_of(const std::string& name) {
+std::optional<RequestScheduler::QueueIndex> RequestScheduler::find_or_add_queue(const std::string& name) {
   const auto at =
       std::find_if(queues_.begin(), queues_.end(), [&](const Queue& queue) { return queue.name == name; });
   if (at != queues_.end()) return static_cast<QueueIndex>(at - queues_.begin());
@@ -29,46 +29,46 @@
 }
 
 void RequestScheduler::back_off_until(Call& call, CallId id, TimePoint until) {
-  call.place = Place::kBackingOff;
+  call.state = State::kBackingOff;
   call.backoff_until = until;
   backoffs_.insert({until, id});
 }
 
 void RequestScheduler::enqueue(Call& call, CallId id, bool at_front) {
   auto& calls = queues_[call.queue].calls;
-  call.place = Place::kQueued;
+  call.state = State::kQueued;
   call.queue_position = calls.insert(at_front ? calls.begin() : calls.end(), id);
 }
 
-void RequestScheduler::leave_place(Call& call, CallId id) {
-  switch (call.place) {
-    case Place::kBackingOff:
+void RequestScheduler::leave_state(Call& call, CallId id) {
+  switch (call.state) {
+    case State::kBackingOff:
       backoffs_.erase({call.backoff_until, id});
       break;
-    case Place::kQueued:
+    case State::kQueued:
       queues_[call.queue].calls.erase(call.queue_position);
       break;
-    case Place::kInFlight:
+    case State::kInFlight:
       gateways_[call.gateway.value()].open_calls -= 1;
       if (const auto at = connections_.find(call.connection); at != connections_.end())
-        at->second.open.erase(call.request);
+        at->second.open_requests.erase(call.request);
       break;
-    case Place::kNone:
+    case State::kNone:
       break;
   }
-  call.place = Place::kNone;
+  call.state = State::kNone;
 }
 
 void RequestScheduler::expire_calls(TimePoint now) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now)
-    give_up(calls_.find(deadlines_.begin()->second), false, "deadline exceeded");
+    expire_or_cancel(calls_.find(deadlines_.begin()->second), false, "deadline exceeded");
 }
 
 void RequestScheduler::end_backoffs(TimePoint now) {
   while (!backoffs_.empty() && backoffs_.begin()->first <= now) {
     const CallId id = backoffs_.begin()->second;
     Call& call = calls_.at(id);
-    leave_place(call, id);
+    leave_state(call, id);
     enqueue(call, id, false);
   }
 }
@@ -76,32 +76,33 @@
 // ---- Retries ------------------------------------------------------------------------------------
 
 // When a gateway can be used for the call: now, after a probe, or after a Retry-After.
-TimePoint RequestScheduler::usable_at(TimePoint now, const Call& call) const {
+TimePoint RequestScheduler::earliest_usable_at(TimePoint now, const Call& call) const {
   std::optional<TimePoint> soonest;
   for (GatewayIndex i = 0; i < gateways_.size(); ++i) {
-    if (call.only_gateway && i != *call.only_gateway) continue;
+    if (call.required_gateway && i != *call.required_gateway) continue;
     const Gateway& gateway = gateways_[i];
     TimePoint at = gateway.health.is_ejected() ? std::max(now, gateway.health.probe_at()) : now;
-    if (const auto held_off = gateway.retry_after.find(call.queue); held_off != gateway.retry_after.end())
-      at = std::max(at, held_off->second);
+    if (const auto retry_after = gateway.retry_after.find(call.queue);
+        retry_after != gateway.retry_after.end())
+      at = std::max(at, retry_after->second);
     soonest = earlier_of(soonest, std::optional(at));
   }
   return soonest.value();  // there is a gateway for every call
 }
 
 // Whether it cannot be sent before its deadline.
-bool RequestScheduler::is_hopeless(TimePoint now, const Call& call) const {
-  const TimePoint usable = usable_at(now, call);
-  return usable > now && usable + kMinUsefulTime >= call.deadline;
+bool RequestScheduler::cannot_send_before_deadline(TimePoint now, const Call& call) const {
+  const TimePoint usable = earliest_usable_at(now, call);
+  return usable > now && usable + kMinTimeToDeadline >= call.deadline;
 }
 
 // Places a call for another attempt, not before the given time. False: it may not be retried, for its
 // attempts, its deadline or the retry budget. That running it twice does no harm is for the caller to know.
-bool RequestScheduler::retry(TimePoint now, Calls::iterator at, TimePoint not_before) {
+bool RequestScheduler::schedule_retry(TimePoint now, Calls::iterator at, TimePoint not_before) {
   auto& [id, call] = *at;
   if (call.attempts >= options_.max_attempts) return false;
-  if (std::max(not_before, usable_at(now, call)) + kMinUsefulTime >= call.deadline) return false;
-  if (call.is_next_attempt_free) {
+  if (std::max(not_before, earliest_usable_at(now, call)) + kMinTimeToDeadline >= call.deadline) return false;
+  if (call.is_next_attempt_exempt) {
     enqueue(call, id, true);
     return true;
   }
@@ -118,31 +119,31 @@
 // The latest attempt is proved not to have run: it was refused, or not completely written.
 void RequestScheduler::retry_or_refuse(TimePoint now, Calls::iterator at, TimePoint not_before,
                                        const char* reason) {
-  if (!retry(now, at, not_before)) end_without_attempt(now, at, reason);
+  if (!schedule_retry(now, at, not_before)) end_waiting_call(now, at, reason);
 }
 
 // The call is not in flight, and will not be sent again.
-void RequestScheduler::end_without_attempt(TimePoint now, Calls::iterator at, const char* reason) {
+void RequestScheduler::end_waiting_call(TimePoint now, Calls::iterator at, const char* reason) {
   if (at->second.may_have_run) return end_call(at, Outcome::kUnknown, reason);
-  const TimePoint usable = usable_at(now, at->second);
+  const TimePoint usable = earliest_usable_at(now, at->second);
   end_call(at, Outcome::kRefused, reason, false, usable > now ? std::optional(usable - now) : std::nullopt);
 }
 
 // Full jitter: a random part of a time that doubles with each attempt.
 Duration RequestScheduler::draw_backoff(const Call& call) {
-  return draw() * std::min(options_.backoff * std::pow(2.0, call.attempts - 1), options_.max_backoff);
+  return draw_uniform() * std::min(options_.backoff * std::pow(2.0, call.attempts - 1), options_.max_backoff);
 }
 
 // Refuses what cannot be sent before its deadline at once, rather than at the deadline.
-void RequestScheduler::refuse_hopeless_calls(TimePoint now) {
-  if (!must_check_hopeless_) return;
-  must_check_hopeless_ = false;
-  std::vector<CallId> hopeless;
+void RequestScheduler::refuse_unsendable_calls(TimePoint now) {
+  if (!must_check_unsendable_) return;
+  must_check_unsendable_ = false;
+  std::vector<CallId> unsendable;
   for (const auto& [id, call] : calls_)
-    if (call.place != Place::kInFlight && is_hopeless(now, call)) hopeless.push_back(id);
-  std::sort(hopeless.begin(), hopeless.end());
-  for (const CallId id : hopeless)
-    end_without_attempt(now, calls_.find(id), "no gateway within the time left");
+    if (call.state != State::kInFlight && cannot_send_before_deadline(now, call)) unsendable.push_back(id);
+  std::sort(unsendable.begin(), unsendable.end());
+  for (const CallId id : unsendable)
+    end_waiting_call(now, calls_.find(id), "no gateway within the time left");
 }
 
 // ---- The end ------------------------------------------------------------------------------------
@@ -150,7 +151,7 @@
 void RequestScheduler::end_call(Calls::iterator at, Outcome outcome, std::string reason, bool cancelled,
                                 std::optional<Duration> retry_after) {
   auto& [id, call] = *at;
-  leave_place(call, id);
+  leave_state(call, id);
   deadlines_.erase({call.deadline, id});
   if (call.has_retry_reserved) --reserved_retries_;
   switch (outcome) {
@@ -178,42 +179,42 @@
 }
 
 // Its deadline has passed, or its caller no longer wants it: an attempt in flight is revoked.
-void RequestScheduler::give_up(Calls::iterator at, bool cancelled, const char* reason) {
+void RequestScheduler::expire_or_cancel(Calls::iterator at, bool cancelled, const char* reason) {
   Call& call = at->second;
-  if (call.place == Place::kInFlight) {
+  if (call.state == State::kInFlight) {
     call.may_have_run = true;
-    revoke(call);
+    revoke_attempt(call);
   }
   const Outcome outcome = !call.is_replayable && call.may_have_run ? Outcome::kUnknown : Outcome::kExpired;
   end_call(at, outcome, reason, cancelled);
 }
 
-void RequestScheduler::revoke(const Call& call) {
+void RequestScheduler::revoke_attempt(const Call& call) {
   pending_.emplace_back(SendRevoke{call.connection, call.request, to_hex(call.attempt_id)});
   ++stats_.revoked;
 }
 
 // ---- Sending ------------------------------------------------------------------------------------
 
-void RequestScheduler::send(TimePoint now, CallId id, Call& call, ConnectionId to) {
+void RequestScheduler::send_attempt(TimePoint now, CallId id, Call& call, ConnectionId to) {
   Connection& connection = connections_.at(to);
   Gateway& gateway = gateways_[connection.gateway];
   if (call.attempts == 0) {
     retry_budget_.record_first_attempt(now);
-  } else if (call.is_next_attempt_free) {
-    call.is_next_attempt_free = false;
-    ++stats_.crossing_retries;
+  } else if (call.is_next_attempt_exempt) {
+    call.is_next_attempt_exempt = false;
+    ++stats_.idle_close_retries;
   } else {
     retry_budget_.record_retry(now);
     call.has_retry_reserved = false;
     --reserved_retries_;
     ++stats_.retries;
   }
-  leave_place(call, id);
-  const bool was_idle = connection.open.empty();
+  leave_state(call, id);
+  const bool was_idle = connection.open_requests.empty();
   call.connection_idle = was_idle ? now - connection.active_at : Duration(0);
   if (was_idle) connection.busy_since = now;
-  call.place = Place::kInFlight;
+  call.state = State::kInFlight;
   call.connection = to;
   call.gateway = connection.gateway;
   call.request = ++connection.last_request;
@@ -221,7 +222,7 @@
   call.attempts += 1;
   call.attempt_id = attempt_ids_();
   if (call.attempts == 1) call.first_attempt_id = call.attempt_id;
-  connection.open[call.request] = id;
+  connection.open_requests[call.request] = id;
   gateway.open_calls += 1;
   ++stats_.attempts;
   const bool is_marked = call.attempts > 1 && gateway.reads_retry_markers;
--- a/src/client/scheduler_dispatch.cpp
+++ b/src/client/scheduler_dispatch.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 // Jitter behind a Retry-After time: at least so long, or this share of the time if that is longer.
-constexpr Duration kMinJitterAfter{100};
-constexpr double kJitterShareAfter = 0.5;
+constexpr Duration kMinRetryAfterJitter{100};
+constexpr double kRetryAfterJitterShare = 0.5;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
   return (gateway.open_calls + 1) * to_ms(latency);
 }
 
-std::optional<ConnectionId> RequestScheduler::connection_with_room(GatewayIndex gateway) const {
+std::optional<ConnectionId> RequestScheduler::connection_with_capacity(GatewayIndex gateway) const {
   const auto max_calls = static_cast<size_t>(options_.max_calls_per_connection);
   std::optional<ConnectionId> best;
   size_t fewest = SIZE_MAX;
@@ -32,7 +32,7 @@
     if (connection.gateway != gateway || !connection.is_up || connection.is_probe ||
         connection.is_unresponsive || connection.last_request >= options_.max_requests_per_connection)
       continue;
-    const size_t open = connection.open.size();
+    const size_t open = connection.open_requests.size();
     if (open >= max_calls) continue;
     if (open * 2 < max_calls) return id;
     if (open >= fewest) continue;
@@ -57,38 +57,40 @@
 std::vector<GatewayIndex> RequestScheduler::usable_gateways(TimePoint now, const Call& call) const {
   std::vector<GatewayIndex> usable;
   for (GatewayIndex i = 0; i < gateways_.size(); ++i) {
-    if (call.only_gateway && i != *call.only_gateway) continue;
+    if (call.required_gateway && i != *call.required_gateway) continue;
     const Gateway& gateway = gateways_[i];
-    const auto held_off = gateway.retry_after.find(call.queue);
-    const bool is_held_off = held_off != gateway.retry_after.end() && now < held_off->second;
-    if (gateway.health.is_available() && !is_held_off) usable.push_back(i);
+    const auto retry_after = gateway.retry_after.find(call.queue);
+    const bool is_retry_delayed = retry_after != gateway.retry_after.end() && now < retry_after->second;
+    if (gateway.health.is_available() && !is_retry_delayed) usable.push_back(i);
   }
   return usable;
 }
 
 // The power of two choices: the less loaded of two gateways drawn at random. Nothing: none is usable.
-std::optional<RequestScheduler::Choice> RequestScheduler::choose_gateway(TimePoint now, const Call& call) {
+std::optional<RequestScheduler::GatewayChoice> RequestScheduler::choose_gateway(TimePoint now,
+                                                                                const Call& call) {
   const std::vector<GatewayIndex> usable = usable_gateways(now, call);
   if (usable.empty()) return std::nullopt;
-  if (usable.size() == 1) return Choice{usable[0], std::nullopt};
+  if (usable.size() == 1) return GatewayChoice{usable[0], std::nullopt};
   const auto size = static_cast<uint32_t>(usable.size());
   const uint32_t first = random_(size);
   uint32_t second = random_(size - 1);
   second += second >= first;
   GatewayIndex best = usable[first], alternative = usable[second];
   if (load_score(gateways_[alternative]) < load_score(gateways_[best])) std::swap(best, alternative);
-  if (!connection_with_room(best) && !connection_with_room(alternative))
+  if (!connection_with_capacity(best) && !connection_with_capacity(alternative))
     for (const GatewayIndex gateway : usable)
-      if (connection_with_room(gateway)) alternative = gateway;
-  return Choice{best, alternative};
+      if (connection_with_capacity(gateway)) alternative = gateway;
+  return GatewayChoice{best, alternative};
 }
 
 // A connection to the best gateway, or else to the alternative. Where there is none, one is begun.
-std::optional<ConnectionId> RequestScheduler::connection_for(TimePoint now, const Choice& choice) {
-  if (const auto connection = connection_with_room(choice.best)) return connection;
+std::optional<ConnectionId> RequestScheduler::find_or_open_connection(TimePoint now,
+                                                                      const GatewayChoice& choice) {
+  if (const auto connection = connection_with_capacity(choice.best)) return connection;
   if (may_connect(now, choice.best)) open_connection(now, choice.best, false);
   if (!choice.alternative) return std::nullopt;
-  if (const auto connection = connection_with_room(*choice.alternative)) return connection;
+  if (const auto connection = connection_with_capacity(*choice.alternative)) return connection;
   if (may_connect(now, *choice.alternative)) open_connection(now, *choice.alternative, false);
   return std::nullopt;
 }
@@ -99,19 +101,19 @@
 bool RequestScheduler::back_off_for_retry_after(TimePoint now, CallId id, Call& call) {
   std::optional<TimePoint> earliest;
   for (GatewayIndex i = 0; i < gateways_.size(); ++i) {
-    if (call.only_gateway && i != *call.only_gateway) continue;
+    if (call.required_gateway && i != *call.required_gateway) continue;
     const Gateway& gateway = gateways_[i];
-    const auto held_off = gateway.retry_after.find(call.queue);
-    if (gateway.health.is_available() && held_off != gateway.retry_after.end())
-      earliest = earlier_of(earliest, std::optional(held_off->second));
+    const auto retry_after = gateway.retry_after.find(call.queue);
+    if (gateway.health.is_available() && retry_after != gateway.retry_after.end())
+      earliest = earlier_of(earliest, std::optional(retry_after->second));
   }
   if (!earliest) return false;
-  const Duration jitter = std::max(kMinJitterAfter, kJitterShareAfter * (*earliest - now));
-  const Duration time_left = std::max(Duration(0), call.deadline - kMinUsefulTime - *earliest);
-  const TimePoint until = *earliest + draw() * std::min(jitter, time_left);
-  leave_place(call, id);
+  const Duration jitter = std::max(kMinRetryAfterJitter, kRetryAfterJitterShare * (*earliest - now));
+  const Duration time_left = std::max(Duration(0), call.deadline - kMinTimeToDeadline - *earliest);
+  const TimePoint until = *earliest + draw_uniform() * std::min(jitter, time_left);
+  leave_state(call, id);
   back_off_until(call, id, until);
-  must_check_hopeless_ = true;
+  must_check_unsendable_ = true;
   return true;
 }
 
@@ -123,21 +125,21 @@
   const CallId id = queue.calls.front();
   const auto at = calls_.find(id);
   Call& call = at->second;
-  if (call.deadline - now < kMinUsefulTime) {
-    give_up(at, false, "deadline exceeded");
+  if (call.deadline - now < kMinTimeToDeadline) {
+    expire_or_cancel(at, false, "deadline exceeded");
     return true;
   }
   const auto choice = choose_gateway(now, call);
   if (!choice) return back_off_for_retry_after(now, id, call);
-  const auto connection = connection_for(now, *choice);
+  const auto connection = find_or_open_connection(now, *choice);
   if (!connection) return false;
-  if (call.attempts > 0 && !call.is_next_attempt_free &&
+  if (call.attempts > 0 && !call.is_next_attempt_exempt &&
       !retry_budget_.allows_retry(now, reserved_retries_ - 1)) {
     // The first attempts that its place in the budget came from have left the window meanwhile.
-    end_without_attempt(now, at, "no retries left");
+    end_waiting_call(now, at, "no retries left");
     return true;
   }
-  send(now, id, call, *connection);
+  send_attempt(now, id, call, *connection);
   return true;
 }
 
--- a/src/client/scheduler_gateways.cpp
+++ b/src/client/scheduler_gateways.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 // The protocol's: a call that was sent so shortly before a close was received may be sent again, once.
-constexpr Duration kCrossingTime{50};
+constexpr Duration kMaxIdleCloseRaceTime{50};
 // A connection that was idle for less was not closed by the gateway for that.
-constexpr Duration kMinIdleForCrossing{1000};
+constexpr Duration kMinIdleForCloseRace{1000};
 // Ejected gateways are probed so long after the last call.
-constexpr Duration kProbesAfterCall{5000};
+constexpr Duration kProbeTimeAfterLastCall{5000};
 
 }  // namespace
 
@@ -36,7 +36,7 @@
   return id;
 }
 
-void RequestScheduler::close(ConnectionId id) { pending_.emplace_back(CloseConnection{id}); }
+void RequestScheduler::close_connection(ConnectionId id) { pending_.emplace_back(CloseConnection{id}); }
 
 void RequestScheduler::ask_for_heartbeat(TimePoint now, ConnectionId id, Connection& connection) {
   connection.heartbeat = ++connection.last_request;
@@ -65,31 +65,32 @@
                                       const Reply& reply) {
   auto& [id, call] = *at;
   queues_[call.queue].throttle.record_refused(now);
-  leave_place(call, id);
+  leave_state(call, id);
   if (reply.retry_after) {
     const TimePoint until = now + std::min(*reply.retry_after, options_.max_retry_after);
-    const auto [held_off, is_new] = gateway.retry_after.try_emplace(call.queue, until);
-    if (!is_new) held_off->second = std::max(held_off->second, until);
-    must_check_hopeless_ = true;
+    const auto [retry_after, is_new] = gateway.retry_after.try_emplace(call.queue, until);
+    if (!is_new) retry_after->second = std::max(retry_after->second, until);
+    must_check_unsendable_ = true;
   }
   retry_or_refuse(now, at, now + draw_backoff(call), "refused");
 }
 
 // ---- Losses -------------------------------------------------------------------------------------
 
-ConnectionLoss RequestScheduler::describe_loss(TimePoint now, const Connection& connection,
-                                               LossCause cause) const {
-  const auto has_just_lost = [&](const Gateway& gateway) {
-    return gateway.lost_at && now - *gateway.lost_at <= options_.outage.same_event;
+ConnectionLoss RequestScheduler::make_connection_loss(TimePoint now, const Connection& connection,
+                                                      LossCause cause) const {
+  const auto has_recent_loss = [&](const Gateway& gateway) {
+    return gateway.lost_at && now - *gateway.lost_at <= options_.outage.correlation_window;
   };
   const Gateway& gateway = gateways_[connection.gateway];
   ConnectionLoss loss;
   loss.cause = cause;
-  loss.open_calls = static_cast<int>(connection.open.size());
+  loss.open_calls = static_cast<int>(connection.open_requests.size());
   for (const auto& [id, other] : connections_)
     loss.other_connections += other.gateway == connection.gateway && other.is_up;
-  loss.is_gateway_losing = has_just_lost(gateway);
-  for (const Gateway& other : gateways_) loss.are_others_losing |= &other != &gateway && has_just_lost(other);
+  loss.has_other_loss_at_gateway = has_recent_loss(gateway);
+  for (const Gateway& other : gateways_)
+    loss.has_loss_at_other_gateway |= &other != &gateway && has_recent_loss(other);
   loss.idle = now - connection.active_at;
   return loss;
 }
@@ -102,21 +103,21 @@
   Gateway& gateway = gateways_[connection.gateway];
   gateway.connections -= 1;
   gateway.connecting -= !connection.is_up;
-  const ConnectionLoss loss = describe_loss(now, connection, cause);
-  const bool is_idle_close =
-      cause == LossCause::kClosed && connection.open.empty() && loss.idle >= options_.outage.idle_close;
+  const ConnectionLoss loss = make_connection_loss(now, connection, cause);
+  const bool is_idle_close = cause == LossCause::kClosed && connection.open_requests.empty() &&
+                             loss.idle >= options_.outage.min_idle_before_close;
   if (!is_idle_close) gateway.lost_at = now;
   connection.is_up ? ++stats_.connections_lost : ++stats_.connects_failed;
   // What answers next may be another program.
   if (loss.other_connections == 0) gateway.was_asked_for_markers = gateway.reads_retry_markers = false;
   if (!connection.is_up && loss.other_connections > 0)
-    gateway.no_connect_before = now + draw() * options_.outage.spread;
+    gateway.no_connect_before = now + draw_uniform() * options_.outage.spread;
   const bool is_outage = connection.is_probe || client::is_outage(loss, options_.outage);
   const bool is_failed_probe =
       connection.is_probe && gateway.health.state() == GatewayHealth::State::kProbing;
   if (is_failed_probe || (is_outage && gateway.health.is_available()))
     eject(now, connection.gateway, describe(cause));
-  for (const auto& [request, call] : connection.open) {
+  for (const auto& [request, call] : connection.open_requests) {
     gateway.open_calls -= 1;
     end_lost_attempt(now, call, connection, cause, unsent.count(request) > 0, is_outage);
   }
@@ -124,11 +125,12 @@
 
 // Guards against a close of an idle connection that crosses the call, which the gateway then has not read. A
 // gateway that read the call and died looks the same, so no non-replayable call is retried for it.
-bool RequestScheduler::is_crossing(TimePoint now, const Call& call, const Connection& connection,
-                                   LossCause cause) const {
-  return (cause == LossCause::kClosed || cause == LossCause::kReset) && connection.open.size() == 1 &&
-         now - call.sent_at <= kCrossingTime && call.connection_idle >= kMinIdleForCrossing &&
-         connection.received_at < call.sent_at && !call.has_crossed;
+bool RequestScheduler::is_idle_close_race(TimePoint now, const Call& call, const Connection& connection,
+                                          LossCause cause) const {
+  return (cause == LossCause::kClosed || cause == LossCause::kReset) &&
+         connection.open_requests.size() == 1 && now - call.sent_at <= kMaxIdleCloseRaceTime &&
+         call.connection_idle >= kMinIdleForCloseRace && connection.received_at < call.sent_at &&
+         !call.had_idle_close_race;
 }
 
 // The connection of a call's attempt is gone.
@@ -136,15 +138,15 @@
                                         LossCause cause, bool was_unsent, bool is_outage) {
   const auto at = calls_.find(id);
   Call& call = at->second;
-  call.place = Place::kNone;
+  call.state = State::kNone;
   const TimePoint not_before = is_outage ? now + draw_backoff(call) : now;
   if (was_unsent)
     return retry_or_refuse(now, at, not_before, "its connection ended before it was sent completely");
   call.may_have_run = true;
-  if (call.is_replayable && is_crossing(now, call, connection, cause))
-    call.has_crossed = call.is_next_attempt_free = true;
-  if (call.is_replayable && retry(now, at, not_before)) return;
-  call.is_next_attempt_free = false;
+  if (call.is_replayable && is_idle_close_race(now, call, connection, cause))
+    call.had_idle_close_race = call.is_next_attempt_exempt = true;
+  if (call.is_replayable && schedule_retry(now, at, not_before)) return;
+  call.is_next_attempt_exempt = false;
   end_call(at, Outcome::kUnknown, fmt::format("connection {}", describe(cause)));
 }
 
@@ -154,16 +156,16 @@
   Gateway& gateway = gateways_[index];
   // Further losses belong to the same outage; only a failed probe makes it worse.
   if (gateway.health.is_ejected()) return;
-  gateway.health.eject(now, draw());
+  gateway.health.eject(now, draw_uniform());
   gateway.reads_retry_markers = gateway.was_asked_for_markers = false;
   ++stats_.outages;
-  must_check_hopeless_ = true;
+  must_check_unsendable_ = true;
   pending_.emplace_back(LogGatewayChange{index, fmt::format("ejected: {}; probed in {:.0f} ms", reason,
                                                             to_ms(gateway.health.probe_at() - now))});
 }
 
 void RequestScheduler::probe_ejected_gateways(TimePoint now) {
-  const bool is_wanted = !calls_.empty() || (last_call_at_ && now - *last_call_at_ < kProbesAfterCall);
+  const bool is_wanted = !calls_.empty() || (last_call_at_ && now - *last_call_at_ < kProbeTimeAfterLastCall);
   if (!is_wanted) return;
   for (GatewayIndex i = 0; i < gateways_.size(); ++i) {
     GatewayHealth& health = gateways_[i].health;
@@ -176,14 +178,14 @@
 // ---- Watching connections -----------------------------------------------------------------------
 
 // An unanswered heartbeat shows by then that the gateway is unresponsive.
-TimePoint RequestScheduler::heartbeat_overdue_at(const Connection& connection) const {
+TimePoint RequestScheduler::heartbeat_timeout_at(const Connection& connection) const {
   const TimePoint since = connection.is_probe ? connection.heartbeat_at
                                               : std::max(connection.heartbeat_at, connection.received_at);
   return since + options_.silence_timeout;
 }
 
 // By then nothing came for so long, with calls open, that a heartbeat is asked for.
-TimePoint RequestScheduler::silent_at(const Connection& connection) const {
+TimePoint RequestScheduler::heartbeat_due_at(const Connection& connection) const {
   return std::max(connection.received_at, connection.busy_since) + options_.silence_timeout;
 }
 
@@ -191,15 +193,15 @@
                                                            const Connection& connection) const {
   if (!connection.is_up)
     return now >= connection.opened_at + options_.connect_timeout ? Check::kConnectTimeout : Check::kFine;
-  if (connection.open.empty() && !connection.is_probe) {
+  if (connection.open_requests.empty() && !connection.is_probe) {
     const bool is_used_up = connection.last_request >= options_.max_requests_per_connection;
     const bool is_idle = now >= connection.active_at + options_.idle_timeout && !connection.heartbeat;
     if (connection.is_unresponsive || is_used_up || is_idle) return Check::kIdle;
   }
   if (connection.is_unresponsive) return Check::kFine;  // known already
   if (connection.heartbeat)
-    return now >= heartbeat_overdue_at(connection) ? Check::kUnresponsive : Check::kFine;
-  if (!connection.open.empty() && now >= silent_at(connection)) return Check::kNeedsHeartbeat;
+    return now >= heartbeat_timeout_at(connection) ? Check::kUnresponsive : Check::kFine;
+  if (!connection.open_requests.empty() && now >= heartbeat_due_at(connection)) return Check::kNeedsHeartbeat;
   return Check::kFine;
 }
 
@@ -207,15 +209,15 @@
   if (!connection.is_up) return connection.opened_at + options_.connect_timeout;
   if (connection.heartbeat) {
     if (connection.is_unresponsive) return std::nullopt;
-    return heartbeat_overdue_at(connection);
+    return heartbeat_timeout_at(connection);
   }
-  if (connection.open.empty()) return connection.active_at + options_.idle_timeout;
+  if (connection.open_requests.empty()) return connection.active_at + options_.idle_timeout;
   if (connection.is_unresponsive) return std::nullopt;
-  return silent_at(connection);
+  return heartbeat_due_at(connection);
 }
 
 // Ends connections that do not come up, that are idle, or over which nothing comes.
-void RequestScheduler::watch_connections(TimePoint now) {
+void RequestScheduler::check_connections(TimePoint now) {
   std::vector<ConnectionId> timed_out, idle, unresponsive;
   for (auto& [id, connection] : connections_) {
     switch (check_connection(now, connection)) {
@@ -236,15 +238,15 @@
     }
   }
   for (const ConnectionId id : timed_out) {
-    close(id);
+    close_connection(id);
     drop_connection(now, id, LossCause::kConnectTimeout, {});
   }
-  for (const ConnectionId id : idle) close_idle(id);
+  for (const ConnectionId id : idle) close_idle_connection(id);
   for (const ConnectionId id : unresponsive) handle_unresponsive(now, id);
 }
 
-void RequestScheduler::close_idle(ConnectionId id) {
-  close(id);
+void RequestScheduler::close_idle_connection(ConnectionId id) {
+  close_connection(id);
   const auto at = connections_.find(id);
   gateways_[at->second.gateway].connections -= 1;
   connections_.erase(at);
@@ -252,8 +254,8 @@
 
 void RequestScheduler::handle_unresponsive(TimePoint now, ConnectionId id) {
   Connection& connection = connections_.at(id);
-  if (connection.is_probe || connection.open.empty()) {
-    close(id);
+  if (connection.is_probe || connection.open_requests.empty()) {
+    close_connection(id);
     connection.is_probe = true;  // it counts as a failed probe
     GatewayHealth& health = gateways_[connection.gateway].health;
     if (health.is_available()) health.start_probe();
@@ -261,27 +263,27 @@
   }
   connection.is_unresponsive = true;
   eject(now, connection.gateway, describe(LossCause::kUnresponsive));
-  move_replayable_calls(now, connection);
+  retry_replayable_calls(now, connection);
 }
 
 // Retries replayable calls elsewhere, if there is an elsewhere. The others wait for an answer that may still
 // come.
-void RequestScheduler::move_replayable_calls(TimePoint now, const Connection& connection) {
-  std::vector<CallId> movable;
-  for (const auto& [request, id] : connection.open) {
+void RequestScheduler::retry_replayable_calls(TimePoint now, const Connection& connection) {
+  std::vector<CallId> retriable;
+  for (const auto& [request, id] : connection.open_requests) {
     const Call& call = calls_.at(id);
-    if (call.is_replayable && usable_at(now, call) + kMinUsefulTime < call.deadline &&
+    if (call.is_replayable && earliest_usable_at(now, call) + kMinTimeToDeadline < call.deadline &&
         call.attempts < options_.max_attempts &&
-        retry_budget_.allows_retry(now, reserved_retries_ + movable.size()))
-      movable.push_back(id);
+        retry_budget_.allows_retry(now, reserved_retries_ + retriable.size()))
+      retriable.push_back(id);
   }
-  for (const CallId id : movable) {
+  for (const CallId id : retriable) {
     const auto at = calls_.find(id);
     Call& call = at->second;
-    revoke(call);
+    revoke_attempt(call);
     call.may_have_run = true;
-    leave_place(call, id);
-    if (!retry(now, at, now)) end_call(at, Outcome::kUnknown, "gateway unresponsive");
+    leave_state(call, id);
+    if (!schedule_retry(now, at, now)) end_call(at, Outcome::kUnknown, "gateway unresponsive");
   }
 }
 
--- a/src/client/scheduler_limits.h
+++ b/src/client/scheduler_limits.h
@@ -6,6 +6,6 @@
 namespace firvalve::client {
 
 // Left before the deadline: with less, no answer comes back.
-constexpr Duration kMinUsefulTime{2};
+constexpr Duration kMinTimeToDeadline{2};
 
 }  // namespace firvalve::client
--- a/src/client/throttle.cpp
+++ b/src/client/throttle.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-double Throttle::stop_probability(TimePoint now) const {
+double Throttle::rejection_probability(TimePoint now) const {
   const uint64_t all = counters_.lower_bound(now, kAll), accepted = counters_.lower_bound(now, kAccepted);
   if (all < kMinCalls) return 0;
   return std::max(0.0, (static_cast<double>(all) - kAcceptedWeight * static_cast<double>(accepted)) /
--- a/src/client/throttle.h
+++ b/src/client/throttle.h
@@ -16,12 +16,12 @@
  public:
   explicit Throttle(Duration window) : counters_(window) {}
   void record_refused(TimePoint now) { counters_.add(now, kAll); }
-  void record_stopped(TimePoint now) { counters_.add(now, kAll); }
+  void record_throttled(TimePoint now) { counters_.add(now, kAll); }
   void record_accepted(TimePoint now) {
     counters_.add(now, kAll);
     counters_.add(now, kAccepted);
   }
-  double stop_probability(TimePoint now) const;
+  double rejection_probability(TimePoint now) const;
 
  private:
   static constexpr auto kAll = SlidingCounters::kFirst, kAccepted = SlidingCounters::kSecond;
--- a/src/client/validation.cpp
+++ b/src/client/validation.cpp
@@ -49,9 +49,9 @@
                "the profile's name is the protocol's own");
   require_that(command.profile.size() <= 256, "the profile's name is longer than 256 bytes");
   require_that(!command.statement.empty(), "the statement is empty");
-  if (command.statement.size() > kStatementMost)
+  if (command.statement.size() > kMaxStatementBytes)
     throw std::invalid_argument(fmt::format("command: the statement has {} bytes; a gateway reads {}",
-                                            command.statement.size(), kStatementMost));
+                                            command.statement.size(), kMaxStatementBytes));
   require_that(command.timeout_ms > 0 && command.timeout_ms <= kMaxTimeoutMs,
                "timeout_ms must be above 0, and a day at most");
   require_that(is_valid_amount(command.estimate_ms), "estimate_ms must be 0 or more");
@@ -91,7 +91,7 @@
   out.sends_retry_markers = options.send_retry_markers;
   out.outage.spread = duration_of(options.spread_ms);
   out.outage.max_spread = duration_of(options.max_spread_ms);
-  out.outage.idle_close = duration_of(options.idle_timeout_ms);
+  out.outage.min_idle_before_close = duration_of(options.idle_timeout_ms);
   return out;
 }
 
--- a/src/gateway/call_report.cpp
+++ b/src/gateway/call_report.cpp
@@ -62,7 +62,7 @@
   if (result.outcome == Outcome::kAnswered) return;
   std::string line = fmt::format("firvalve call: {}", client::name_of(result.outcome));
   if (result.cancelled) line += ", cancelled";
-  if (!result.why.empty()) line += ": " + result.why;
+  if (!result.reason.empty()) line += ": " + result.reason;
   if (result.retry_after_ms > 0) line += fmt::format("; come back in {:.0f} ms", result.retry_after_ms);
   if (result.outcome != Outcome::kRefused)
     line += result.may_have_run ? "; it may have run" : "; it did not run";
@@ -86,7 +86,7 @@
   for (size_t i = 0; i < outcome_counts_.size(); ++i)
     write_count(writer, std::string(client::name_of(static_cast<Outcome>(i))), outcome_counts_[i]);
   write_count(writer, "sends", stats.attempts);
-  write_count(writer, "repeats", stats.retries + stats.crossing_retries);
+  write_count(writer, "repeats", stats.retries + stats.idle_close_retries);
   write_count(writer, "stopped_here", stats.refused_without_attempt);
   write_count(writer, "connects", stats.connects);
   write_count(writer, "reconnects", stats.reconnects);
--- a/src/gateway/paged_call.cpp
+++ b/src/gateway/paged_call.cpp
@@ -49,12 +49,12 @@
   while ((next = pages.next(rows)) == Next::kPage) {
     if (!output.write(rows)) {
       std::fprintf(stderr, "firvalve call: %s cannot be written; page %llu is the last whole one\n",
-                   options.output_file.c_str(), static_cast<Number>(pages.at() - 1));
+                   options.output_file.c_str(), static_cast<Number>(pages.last_page() - 1));
       next = Next::kFailed;
       break;
     }
     if (shows_progress)
-      std::fprintf(stderr, "\rpage %llu of %llu", static_cast<Number>(pages.at()),
+      std::fprintf(stderr, "\rpage %llu of %llu", static_cast<Number>(pages.last_page()),
                    static_cast<Number>(pages.pages()));
   }
   if (shows_progress) std::fputc('\n', stderr);
@@ -76,7 +76,7 @@
   if (!options.is_quiet)
     std::fprintf(stderr, "firvalve call: %s after page %llu\n",
                  next == Next::kGone ? "the result is gone" : "no gateway answered",
-                 static_cast<Number>(pages.at()));
+                 static_cast<Number>(pages.last_page()));
   return kExitFailed;
 }
 
--- a/tests/client/client_test.cpp
+++ b/tests/client/client_test.cpp
@@ -91,7 +91,7 @@
   Client client(o);
   std::atomic<int> unrun = 0, unknown = 0;
   for (int i = 0; i < 32; ++i)
-    client.send(load(std::string(kStatementMost, 'x')), [&](const Result& r) {
+    client.send(load(std::string(kMaxStatementBytes, 'x')), [&](const Result& r) {
       ++(r.outcome == Outcome::kRefused && !r.may_have_run ? unrun : unknown);
     });
   Poco::Net::StreamSocket peer = deaf.acceptConnection();
@@ -314,7 +314,7 @@
   rejects([](Command& c) { c.profile.clear(); });
   rejects([](Command& c) { c.profile = "heartbeat"; });
   rejects([](Command& c) { c.statement.clear(); });
-  rejects([](Command& c) { c.statement.assign(kStatementMost + 1, 'x'); });
+  rejects([](Command& c) { c.statement.assign(kMaxStatementBytes + 1, 'x'); });
   rejects([](Command& c) { c.timeout_ms = 0; });
   rejects([](Command& c) { c.timeout_ms = -1; });
   rejects([](Command& c) { c.timeout_ms = std::nan(""); });
@@ -341,7 +341,7 @@
   gateway.set_mute(true);
   EXPECT_FALSE(ping(gateway.address(), 50).answered);
   gateway.kill();
-  EXPECT_EQ(ping(gateway.address(), 5000).why, "connection refused");
+  EXPECT_EQ(ping(gateway.address(), 5000).reason, "connection refused");
   EXPECT_THROW(ping("nowhere", 50), std::invalid_argument);
 }
 
--- a/tests/client/gateway_health_test.cpp
+++ b/tests/client/gateway_health_test.cpp
@@ -19,10 +19,10 @@
 TEST(Outage, AResetWithManyCallsOrBesideAnotherLossIsAnOutage) {
   EXPECT_TRUE(is_outage(loss(LossCause::kReset, 3), {}));
   ConnectionLoss one = loss(LossCause::kReset, 1);
-  one.is_gateway_losing = true;
+  one.has_other_loss_at_gateway = true;
   EXPECT_TRUE(is_outage(one, {}));
-  one.is_gateway_losing = false;
-  one.are_others_losing = true;
+  one.has_other_loss_at_gateway = false;
+  one.has_loss_at_other_gateway = true;
   EXPECT_TRUE(is_outage(one, {}));
 }
 
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -279,7 +279,7 @@
   for (size_t g = 0; g < c.size(); ++g) asked.push_back(merge_soon(g, "night", load));
   for (auto& a : asked) {
     const client::Result r = a.get();
-    EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.why;
+    EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.reason;
     EXPECT_FALSE(r.rows.empty());
   }
   EXPECT_EQ(runs(load), 1);
@@ -432,8 +432,8 @@
   }
   // What stands, as any gateway tells it, before the invariant checker.
   std::string stands(size_t gateway) {
-    const client::Result r = at(gateway).ask_about_topic("bulletin", "cabins", "{}", 8000).wait();
-    EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.why;
+    const client::Result r = at(gateway).call_topic_method("bulletin", "cabins", "{}", 8000).wait();
+    EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.reason;
     simulation::FleetHistory h;
     h.bulletins.push_back(simulation::read_agreed("cabins", 0, r.rows));
     for (const simulation::FleetViolation& b : simulation::check_invariants(h))
@@ -455,11 +455,11 @@
     if (first.empty()) first = r.rows;
     EXPECT_EQ(r.rows, first);
   }
-  EXPECT_THROW(at(0).ask_about_topic("propose", "cabins", "[1]", 5000), std::invalid_argument);
+  EXPECT_THROW(at(0).call_topic_method("propose", "cabins", "[1]", 5000), std::invalid_argument);
   const client::Result bad =
-      at(0).ask_about_topic("propose", "cabins", R"({"schema":{"fields":[{"number":"x"}]}})", 5000).wait();
+      at(0).call_topic_method("propose", "cabins", R"({"schema":{"fields":[{"number":"x"}]}})", 5000).wait();
   EXPECT_EQ(bad.outcome, client::Outcome::kFailed);
-  EXPECT_EQ(bad.why, "schema.fields[0].number is no number from 0 up");
+  EXPECT_EQ(bad.reason, "schema.fields[0].number is no number from 0 up");
   EXPECT_GE(c.count("schema.change_rejected"), c.size());
 }
 
--- a/tests/gateway/spool_gateway_test.cpp
+++ b/tests/gateway/spool_gateway_test.cpp
@@ -179,7 +179,8 @@
   EXPECT_EQ(read_all(wrong), std::pair(Next::kGone, 0));
   PageReader mine(*client, r, "mine", {});
   EXPECT_EQ(read_all(mine), std::pair(Next::kEnd, 3));
-  EXPECT_EQ(client->page(address, r.token, uint64_t{1} << 63, 1000, "mine").wait().no_such_page, true);
+  EXPECT_EQ(client->request_page(address, r.token, uint64_t{1} << 63, 1000, "mine").wait().no_such_page,
+            true);
 }
 
 TEST_F(SpoolGateway, TheLeaseEndsAndAReadRenewsIt) {
@@ -187,17 +188,17 @@
   const client::Result r = ask("select 1 /*! pages=3 */");
   for (int i = 0; i < 4; ++i) {
     ::usleep(500000);
-    EXPECT_EQ(client->page(address, r.token, 2, 1000).wait().outcome, Outcome::kAnswered) << i;
+    EXPECT_EQ(client->request_page(address, r.token, 2, 1000).wait().outcome, Outcome::kAnswered) << i;
   }
   ::usleep(1300000);
-  EXPECT_TRUE(client->page(address, r.token, 2, 1000).wait().gone);
+  EXPECT_TRUE(client->request_page(address, r.token, 2, 1000).wait().gone);
 }
 
 TEST_F(SpoolGateway, WhatOutgrowsTheSpoolFailsWithItsReasonAndItsEngineIsFree) {
   start(R"("memory_mb": 0.1, "result_mb": 0.05, "page_kb": 100)");
   const client::Result r = ask("select 1 /*! rows=100 pages=100 row-bytes=50 */");
   EXPECT_EQ(r.outcome, Outcome::kFailed);
-  EXPECT_NE(r.why.find("outgrown"), std::string::npos) << r.why;
+  EXPECT_NE(r.reason.find("outgrown"), std::string::npos) << r.reason;
   const auto given_up = [&] {
     int all = 0;
     for (int i = 0; i < fleet.engines(); ++i) all += fleet.engine(i).calls("DELETE");
