--- a/src/client/call_state.h
+++ b/src/client/call_state.h
@@ -1,4 +1,4 @@
-// What a handle, the driver and the callback thread know of one call.
+// State of one call, shared by its handles, the driver and the callback thread.
 #pragma once
 
 #include <condition_variable>
@@ -16,36 +16,36 @@
 
 class Driver;
 
-// Asks one gateway for a page of a stored result.
+// A request to one gateway for a page of a stored result.
 struct PageRequest {
   GatewayIndex gateway = 0;
   std::string token;
   uint64_t page = 0;  // from 1; 0: releases the result
 };
 
-// Asks about a topic. The parameters are a JSON object.
+// A call of a topic method. `params` is a JSON object.
 struct TopicRequest {
   std::string method, params;
 };
 
 struct CallState {
-  // Set before the call is submitted, and constant from then on.
+  // Set before the call is submitted and constant afterwards.
   Command command;
-  std::variant<std::monostate, PageRequest, TopicRequest> request;  // monostate: the command itself
-  CallId id{};                                                      // set by the driver, with the next two
+  std::variant<std::monostate, PageRequest, TopicRequest> request;  // monostate: an ordinary command
+  CallId id{};  // the driver sets this and the next two members
   TimePoint submitted_at;
   std::weak_ptr<Driver> driver;
 
-  Callback callback;  // the callback thread's, once the call has ended
+  Callback callback;  // used by the callback thread alone once the call has ended
 
-  mutable std::mutex mutex;  // guards what follows
+  mutable std::mutex mutex;  // guards the members below
   mutable std::condition_variable ended;
   bool has_ended = false;
-  Result result;  // the driver's until the call has ended, constant from then on
+  Result result;  // owned by the driver until the call has ended, constant afterwards
 };
 using CallStatePtr = std::shared_ptr<CallState>;
 
-// Hands the result to everybody who waits for it.
+// Stores the result and wakes all waiters.
 void end_call_state(CallState& call, Result result);
 
 }  // namespace firvalve::client
--- a/src/client/callback_thread.cpp
+++ b/src/client/callback_thread.cpp
@@ -3,7 +3,7 @@
 namespace firvalve::client {
 namespace {
 
-constexpr size_t kMaxQueuedLogLines = 1000;  // waiting lines; more are dropped
+constexpr size_t kMaxQueuedLogLines = 1000;  // further lines are dropped
 
 }  // namespace
 
@@ -53,7 +53,7 @@
     for (const auto& [level, line] : logs) log_(level, line);
     if (call) {
       call->callback(call->result);
-      call->callback = {};  // what it holds is freed with the call, not with the last handle
+      call->callback = {};  // free its captures now, not with the last handle
       call.reset();
       on_callback_returned_();
     }
--- a/src/client/callback_thread.h
+++ b/src/client/callback_thread.h
@@ -1,4 +1,4 @@
-// Runs the user's code: callbacks of ended calls and log lines, one at a time, on a thread of its own.
+// Thread that runs user code, one function at a time: the callbacks of ended calls and the log function.
 #pragma once
 
 #include <atomic>
@@ -20,17 +20,16 @@
 class CallbackThread {
  public:
   using Log = std::function<void(LogLevel, std::string_view)>;
-  // `log` may be empty: then lines are dropped. `on_callback_returned` is called on the thread after each
-  // callback.
+  // An empty `log` discards log lines. `on_callback_returned` runs on this thread after each callback.
   CallbackThread(Log log, std::function<void()> on_callback_returned)
       : log_(std::move(log)), on_callback_returned_(std::move(on_callback_returned)) {}
 
   // `owner` is kept alive until the thread has ended.
   void start(std::shared_ptr<void> owner);
-  // From any thread. Calls come back in the order in which they were posted.
+  // Thread-safe. Callbacks run in the order in which they were posted.
   void post_callback(CallStatePtr ended_call);
   void post_log(LogLevel level, std::string line);
-  void finish();  // the thread ends when all that was posted has been run
+  void finish();  // the thread ends once it has run everything posted
   void join() { thread_.join(); }
   void detach() { thread_.detach(); }
   bool is_current() const { return std::this_thread::get_id() == thread_id_; }
@@ -43,7 +42,7 @@
   std::thread thread_;
   std::atomic<std::thread::id> thread_id_{};
 
-  std::mutex mutex_;  // guards what follows
+  std::mutex mutex_;  // guards the members below
   std::condition_variable posted_;
   std::deque<CallStatePtr> calls_;
   std::deque<std::pair<LogLevel, std::string>> logs_;
--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -65,7 +65,8 @@
 
 Client::~Client() { driver_->stop(); }
 
-// A command that is checked, or what stands for one where a page or a topic is asked for.
+// Checks and submits a call. `set_request` fills in a page or topic request; `command` then holds its profile
+// and timeout.
 Handle Client::submit(Command command, const std::function<void(CallState&)>& set_request, Callback done) {
   check(command);
   Handle handle;
--- a/src/client/client.h
+++ b/src/client/client.h
@@ -1,5 +1,6 @@
-// A client of firvalve's gateways: keeps deadlines, marks and budgets retries, honours refusals, spreads
-// reconnects. docs/client.md is the guide; this header is all that a program includes.
+// Client library for firvalve's gateways: enforces deadlines, marks retries and keeps them within a budget,
+// honours Retry-After and spreads reconnects after an outage. docs/client.md is the guide; this is the only
+// header that a program includes.
 //
 //   firvalve::client::Options options;
 //   options.gateways = {"127.0.0.1:6565"};
@@ -7,14 +8,14 @@
 //   const auto result = client.call({.profile = "lookup", .statement = "select 1", .timeout_ms = 800});
 //   if (result.outcome == firvalve::client::Outcome::kAnswered) std::cout << result.rows;
 //
-// Threads. Every function may be called from any thread, from within callbacks too. A client has two threads
-// of its own: one for sockets and decisions, which runs no code of the user's, and one on which callbacks and
-// log lines are run, one at a time, in the order in which calls ended. A slow callback delays other
-// callbacks, never an answer, a deadline or a blocking call(); calls count as open until their callback has
-// returned, so that `max_open_calls` bounds what a slow one lets pile up.
+// Threads. Every function is safe to call from any thread, also from a callback. A client starts two threads:
+// the I/O thread handles sockets and scheduling and runs no user code; the callback thread runs callbacks and
+// the log function, one at a time, in the order in which calls ended. A slow callback delays other callbacks,
+// but no answer, deadline or blocking call(). A call counts as open until its callback has returned, so
+// `max_open_calls` bounds the backlog behind a slow callback.
 //
-// Times are milliseconds with fractions. Deadlines run on the monotonic clock: setting the system's clock
-// moves none.
+// Times are milliseconds with fractions. Deadlines use the monotonic clock, so changes of the system clock do
+// not affect them.
 #pragma once
 
 #include <cstdint>
@@ -28,103 +29,109 @@
 
 namespace firvalve::client {
 
-// Whether running it twice does harm. A command that is not known to be replayable is not.
+// Whether a command may safely run twice. Use kNonReplayable unless it is known to be replayable.
 enum class Effect { kNonReplayable, kReplayable };
 
 struct Command {
-  std::string profile;     // the gateway's word for the class of query
+  std::string profile;     // the class of query, as configured at the gateway
   std::string statement;   // 1 to kMaxStatementBytes bytes
-  double timeout_ms = 0;   // for the whole of it, retries and waits included; above 0, at most a day
-  double estimate_ms = 0;  // of its work on one core; 0: not known
-  double memory_mb = 0;    // that it will need; 0: not known
+  double timeout_ms = 0;   // of the whole call, including retries and waits; above 0, at most a day
+  double estimate_ms = 0;  // estimated CPU time on one core; 0: unknown
+  double memory_mb = 0;    // estimated memory need; 0: unknown
   Effect effect = Effect::kNonReplayable;
-  bool paged = false;  // the answer is a token and the first page, where the gateway gives pages: PageReader
-  std::string key = {};  // paged: only a client with the same key reads the pages; empty: the token suffices
-  // An idempotency key: the command runs once under it, however many gateways are asked for it. Asking again
-  // does no harm, so it is replayable. It fails where gateways form no cluster. 128 bytes at most; empty: an
-  // ordinary command.
+  // Asks for a paged result: the answer is a token and the first page; PageReader reads the others. A gateway
+  // without paged results returns all rows.
+  bool paged = false;
+  // Paged: a client must present the same key to read the pages; empty: the token suffices.
+  std::string key = {};
+  // Idempotency key: the cluster runs the command once per key, whichever gateways receive it, so that it is
+  // safe to repeat. It fails if the gateways form no cluster. At most 128 bytes; empty: an ordinary command.
   std::string run_once_key = {};
 };
-extern const size_t kMaxStatementBytes;  // bytes: the longest that a gateway reads
+extern const size_t kMaxStatementBytes;  // the longest statement that a gateway accepts
 
 struct Result {
   Outcome outcome = Outcome::kFailed;
-  std::string rows;           // answered: a tab between columns, a line feed after each row
-  bool may_have_run = false;  // false is proof: no attempt of it can have come to an engine
+  std::string rows;           // kAnswered: tabs between columns, a line feed after each row
+  bool may_have_run = false;  // false: it is certain that no attempt reached an engine
   bool cancelled = false;
   int attempts = 0;
   double elapsed_ms = 0;      // since call() or send()
-  double retry_after_ms = 0;  // refused: earlier is useless; 0: not known
-  std::string reason;         // in a few words, for logs; empty when answered
-  std::string gateway;        // that answered, refused or failed it; empty: none did
-  // Of a paged command. Without a token the gateway gives no pages, and `rows` are all.
+  double retry_after_ms = 0;  // kRefused: time to wait before the next try; 0: unknown
+  std::string reason;         // short text for logs; empty if kAnswered
+  std::string gateway;        // the gateway of the last attempt; empty: no attempt was made
+  // Paged commands. If the token is empty, the result is not paged and `rows` holds all of it.
   std::string token;
   uint64_t pages = 0, total_rows = 0;
-  bool gone = false;          // of a page: the result is not, or no longer, stored
-  bool no_such_page = false;  // of a page: past the last
+  bool gone = false;          // page request: the gateway does not, or no longer, store the result
+  bool no_such_page = false;  // page request: the number is past the last page
 };
 using Callback = std::function<void(const Result&)>;
 
 enum class LogLevel { kInfo, kWarning };
 
 struct Options {
-  // HOST:PORT, with a name, an IPv4 address or an IPv6 address in brackets. Names are looked up once, by the
-  // constructor. At least one.
+  // HOST:PORT, where HOST is a name, an IPv4 address or an IPv6 address in brackets. The constructor resolves
+  // names once. At least one gateway.
   std::vector<std::string> gateways;
-  uint64_t seed = 0;  // of all random draws; 0: from the system, as clients that share one act alike
+  uint64_t seed =
+      0;  // of the random generator; 0: drawn from the system. Clients with the same seed act in step
 
-  int max_connections = 4;            // to one gateway, 1 to 1,000
-  size_t max_open_calls = 10000;      // one more is refused here
-  size_t max_answer_bytes = 1 << 20;  // of an answer as it comes; a longer one ends its connection
+  int max_connections = 4;            // per gateway, 1 to 1,000
+  size_t max_open_calls = 10000;      // further calls end as kRefused without an attempt
+  size_t max_answer_bytes = 1 << 20;  // on the wire; a longer answer closes its connection
 
-  // Retry budget: retries within a window are at most this share of the first attempts in it (and one call's
-  // worth of luck, see docs/client.md). 0: no retries.
+  // Retry budget: retries within a window are at most this share of the first attempts in it, plus a random
+  // rounding below 1 (see docs/client.md). 0: no retries.
   double retry_share = 0.1;
   double retry_window_ms = 10000;
-  int max_attempts = 3;                           // of one call; 1: no retries
-  double backoff_ms = 50, max_backoff_ms = 2000;  // full jitter between the attempts of one call
-  double max_retry_after_ms = 30000;              // a longer Retry-After of a gateway is cut to it
+  int max_attempts = 3;                           // per call; 1: no retries
+  double backoff_ms = 50, max_backoff_ms = 2000;  // exponential, with full jitter, per call
+  double max_retry_after_ms = 30000;              // limit for a gateway's Retry-After
 
-  // After an outage, a client comes back at a moment drawn from this span, which doubles with each failure.
+  // After an outage, the client probes the gateway after a random time up to this. Doubles with each failed
+  // probe.
   double spread_ms = 4000, max_spread_ms = 30000;
 
   double connect_timeout_ms = 1000;
-  double silence_timeout_ms = 1000;  // without a byte while calls are open: a heartbeat is asked for; as long
-                                     // again, and the gateway is ejected
-  double idle_timeout_ms = 3500;     // idle connections are closed; less than the gateways' own time for it
-  bool send_retry_markers = true;  // with a retry, name its first attempt to gateways that read such markers
-
-  // Called when gateways are ejected and reinstated. On the callbacks' thread.
+  // If calls are open and no byte has arrived for this long, a heartbeat is requested; after the same time
+  // again without an answer, the gateway is ejected.
+  double silence_timeout_ms = 1000;
+  double idle_timeout_ms = 3500;  // idle connections are closed; must be below the gateways' idle timeout
+  bool send_retry_markers =
+      true;  // send the id of the first attempt with each retry, if the gateway reads it
+
+  // Called when a gateway is ejected or reinstated, on the callback thread.
   std::function<void(LogLevel, std::string_view)> log;
 };
 
 struct Stats {
-  uint64_t calls = 0;  // accepted from the user, or refused to the user
-  uint64_t answered = 0, refused = 0, failed = 0, unknown = 0, expired = 0;  // by their outcome
-  uint64_t cancelled = 0;                                                    // of those
-  uint64_t refused_without_attempt = 0;  // of the refused: without an attempt
-  uint64_t attempts = 0;                 // first attempts and retries
-  uint64_t retries = 0;                  // within the budget
-  uint64_t idle_close_retries = 0;       // beside it: once more after a gateway's close of an idle connection
+  uint64_t calls = 0;  // all calls submitted, including those refused by the client
+  uint64_t answered = 0, refused = 0, failed = 0, unknown = 0, expired = 0;  // ended calls, by outcome
+  uint64_t cancelled = 0;                                                    // part of the ended calls
+  uint64_t refused_without_attempt = 0;                                      // part of `refused`
+  uint64_t attempts = 0;                                                     // first attempts and retries
+  uint64_t retries = 0;             // counted against the retry budget
+  uint64_t idle_close_retries = 0;  // outside the budget: the gateway closed an idle connection
   uint64_t revoked = 0, late_answers = 0;
   uint64_t connects = 0, connects_failed = 0, reconnects = 0, connections_lost = 0, outages = 0;
   uint64_t open = 0;  // calls open now
 };
 
-class Driver;      // the sockets and threads of a client
-struct CallState;  // what the handles and the driver know of a call
+class Driver;      // sockets and threads of a client
+struct CallState;  // shared by the handles and the driver
 
-// One call. Copies share it; it may outlive its client.
+// Refers to one call. Copies refer to the same call; a handle may outlive its client.
 class Handle {
  public:
   Handle();
   ~Handle();
   Handle(const Handle&);
   Handle& operator=(const Handle&);
-  // Gives the call up: it is revoked at its gateway, and ends as expired, or as unknown where it may have
-  // run and may not run twice. Nothing happens where it has ended.
+  // Cancels the call and revokes its attempt at the gateway. It ends as kExpired, or as kUnknown if it is
+  // non-replayable and may have run. No effect if it has ended.
   void cancel();
-  // Blocks until it has ended. On a handle of no call: std::logic_error.
+  // Blocks until the call has ended. Throws std::logic_error on an empty handle.
   const Result& wait() const;
   bool done() const;
 
@@ -135,47 +142,47 @@
 
 class Client {
  public:
-  // Throws std::invalid_argument, with a sentence that names the option, for options out of range, no gateway
-  // or an address that can't be read; nothing is connected to before a call needs it.
+  // Throws std::invalid_argument if an option is out of range, no gateway is given or an address is invalid;
+  // the message names the option. Connects only when a call needs a connection.
   explicit Client(Options options);
-  // Calls still open are cancelled; their callbacks have run when it returns. Destroyed from within one of
-  // its callbacks, it returns at once, and the callbacks that are left run after that one.
+  // Cancels the open calls and waits for their callbacks. Within a callback it returns at once, and the
+  // remaining callbacks run after the current one.
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  // Starts a call. `done` runs exactly once; it may be empty. Throws std::invalid_argument for a command that
-  // no gateway could read (no profile, an empty or too long statement, an invalid timeout, a figure below 0),
-  // before anything is sent. After close() the call is refused.
+  // Starts a call. `done` runs exactly once; it may be empty. Throws std::invalid_argument, before anything
+  // is sent, for an invalid command (no profile, an empty or too long statement, an invalid timeout, a
+  // negative estimate). After close() the call is refused.
   Handle send(Command command, Callback done = {});
-  // The same, and waits for its end. The rows are the caller's.
+  // Like send(), but blocks until the call has ended.
   Result call(Command command);
 
-  // Asks for page `page` (from 1) of a paged result at the gateway that stores it, or releases the result
-  // with 0. Harmless to ask again. Throws std::invalid_argument for a gateway that is none of the client's.
+  // Requests page `page` (from 1) of a paged result from the gateway that stores it; 0 releases the result.
+  // Idempotent. Throws std::invalid_argument for a gateway that is not in Options::gateways.
   Handle request_page(const std::string& gateway, const std::string& token, uint64_t page, double timeout_ms,
                       const std::string& key = {}, Callback done = {});
 
-  // Asks about a topic's versions and declarations; every gateway of the cluster gives the same answer.
+  // Reads or changes a topic's versions and declarations; every gateway of the cluster gives the same answer.
   // `method`: "propose", "deprecate", "retire", "declare", "withdraw" or "bulletin"; `params`: a JSON object
-  // (docs/bulletins.md), without the topic's name. Idempotent, so it is retried as replayable commands are.
-  // Answered: `rows` is the result, as JSON. Failed with a change refused: `rows` is the list of
-  // compatibility violations, as JSON. Throws std::invalid_argument for another method or params that are no
-  // object.
+  // (docs/bulletins.md), without the topic's name. Idempotent, so it is retried like replayable commands.
+  // kAnswered: `rows` is the result, as JSON. kFailed because the change was refused: `rows` is the list of
+  // compatibility violations, as JSON. Throws std::invalid_argument if `method` is unknown or `params` is not
+  // a JSON object.
   Handle call_topic_method(const std::string& method, const std::string& topic, const std::string& params,
                            double timeout_ms, Callback done = {});
-  // Proposes a version with this schema.
+  // Proposes a new version of the topic with this schema (JSON).
   Handle propose(const std::string& topic, const std::string& schema, double timeout_ms, Callback done = {}) {
     return call_topic_method("propose", topic, "{\"schema\":" + schema + "}", timeout_ms, std::move(done));
   }
-  // Declares what one subscriber relies on, in place of what it had declared before.
+  // Declares the fields that one subscriber relies on (JSON). Replaces its earlier declaration.
   Handle declare(const std::string& topic, const std::string& declaration, double timeout_ms,
                  Callback done = {}) {
     return call_topic_method("declare", topic, declaration, timeout_ms, std::move(done));
   }
 
-  // Accepts no further call; waits up to so long for those open, then cancels the rest and waits for their
-  // end. Called from within a callback it does not wait. Gives how many were cancelled.
+  // Refuses new calls, waits up to `wait_ms` for the open ones, then cancels the rest and waits until they
+  // have ended. Returns the number of cancelled calls. Within a callback it returns 0 without waiting.
   size_t close(double wait_ms);
 
   Stats stats() const;
@@ -186,29 +193,30 @@
   std::shared_ptr<Driver> driver_;
 };
 
-// Reads a paged result to its end, some pages ahead of the caller, over whatever connections there are. One
-// thread at a time. The client must outlive it.
+// Reads a paged result sequentially and prefetches pages; it survives lost connections. Not thread-safe. The
+// client must outlive it.
 class PageReader {
  public:
   struct Options {
-    int prefetch_pages = 4;         // asked for beyond the one wanted, 0 to 32
-    double page_timeout_ms = 5000;  // of one page, on one attempt
-    double give_up_ms = 120000;     // without any page, through outages: then next() gives kFailed
+    int prefetch_pages = 4;         // requested ahead of the next page, 0 to 32
+    double page_timeout_ms = 5000;  // of one request for a page
+    double give_up_ms = 120000;     // next() returns kFailed if no page arrives for this long
   };
-  // After a paged command was answered.
+  // Continues from the answer to a paged command.
   PageReader(Client& client, const Result& result, std::string key, Options options);
-  // With the token alone, from page `from_page` on; `gateways` are asked in turn which of them has it.
+  // Reads from page `from_page` on, given the token. The `gateways` are tried in turn until one has the
+  // result.
   PageReader(Client& client, std::vector<std::string> gateways, std::string token, std::string key,
              uint64_t from_page, Options options);
   ~PageReader();
 
   enum class Next { kPage, kEnd, kGone, kFailed };
-  // The next page's rows; blocks. kGone: its lease has expired, or it was released, evicted or lost. kFailed:
-  // no gateway answered within give_up_ms; next() may be called again.
+  // Blocks until the next page is there and stores its rows. kGone: the result's lease has expired, or it was
+  // released, evicted or lost. kFailed: no page arrived within give_up_ms; next() may be called again.
   Next next(std::string& rows);
-  void release();                                    // the gateway may discard the result; reading has ended
-  uint64_t last_page() const { return last_page_; }  // the last page given; 0: none yet
-  uint64_t pages() const { return pages_; }          // 0: not known yet
+  void release();                                    // lets the gateway discard the result; ends reading
+  uint64_t last_page() const { return last_page_; }  // returned by next(); 0: none yet
+  uint64_t pages() const { return pages_; }          // total; 0: not known yet
 
  private:
   void prefetch();
@@ -217,25 +225,25 @@
   Client& client_;
   std::vector<std::string> gateways_;
   std::string token_, key_;
-  std::string first_page_;  // the first page's rows, which came with the answer
+  std::string first_page_;  // rows of the first page, from the answer to the command
   bool has_first_page_ = false;
   Options options_;
   uint64_t last_page_ = 0, pages_ = 0;
-  uint64_t last_requested_page_ = 0;  // the last page asked for
+  uint64_t last_requested_page_ = 0;
   size_t current_gateway_ = 0,
          gateways_without_result_ = 0;  // that is asked; how many said that the result is not there
-  std::vector<Handle> prefetched_;      // pages asked for and not given yet, in order
+  std::vector<Handle> prefetched_;      // requested pages that next() has not returned yet, in order
 };
 
-// The answer of one gateway to a heartbeat.
+// A gateway's answer to a heartbeat.
 struct Ping {
   bool answered = false, healthy = false;
   bool reads_retry_markers = false;
   double elapsed_ms = 0;
-  std::string reason;  // where it was not answered
+  std::string reason;  // empty if answered
 };
-// Asks for a heartbeat, over a connection of its own, and blocks for at most `timeout_ms`. Throws
-// std::invalid_argument where the address can't be read.
+// Sends a heartbeat request over a separate connection and blocks for at most `timeout_ms`. Throws
+// std::invalid_argument if the address is invalid.
 Ping ping(const std::string& gateway, double timeout_ms);
 
 }  // namespace firvalve::client
--- a/src/client/connection.cpp
+++ b/src/client/connection.cpp
@@ -11,7 +11,7 @@
 
 using Poco::Net::PollSet;
 
-constexpr size_t kReadBytes = size_t{64} * 1024;  // at once
+constexpr size_t kReadBytes = size_t{64} * 1024;  // per recv(); a larger empty send buffer is freed
 
 }  // namespace
 
--- a/src/client/connection.h
+++ b/src/client/connection.h
@@ -1,5 +1,5 @@
-// One connection of a client to a gateway: its socket and what waits to be read and written. Non-blocking.
-// The driver's I/O thread only.
+// A non-blocking connection from a client to a gateway, with its read and send buffers. Used only on the
+// driver's I/O thread.
 #pragma once
 
 #include <Poco/Net/PollSet.h>
@@ -22,42 +22,42 @@
 
 class Connection {
  public:
-  // `poll_set` must outlive the connection. Answers longer than `max_answer_bytes` are not read.
+  // `poll_set` must outlive the connection. An answer longer than `max_answer_bytes` makes it unreadable.
   Connection(Poco::Net::PollSet& poll_set, size_t max_answer_bytes)
       : poll_set_(poll_set), frames_(max_answer_bytes) {}
   ~Connection();
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  // Begins to connect; the poll set reports when the socket can be written. False: refused at once.
+  // Starts connecting; the poll set reports the socket as writable when done. False: failed at once.
   bool connect(const Poco::Net::SocketAddress& address);
-  // The socket can be written for the first time. Gives the reason if it could not be connected.
+  // Call when the socket first becomes writable. Returns the cause if the connection attempt failed.
   std::optional<LossCause> finish_connect();
   bool is_up() const { return is_up_; }
-  std::optional<int> descriptor() const { return descriptor_; }  // nothing: connect() has not succeeded
+  std::optional<int> descriptor() const { return descriptor_; }  // empty: connect() has not succeeded
 
-  // Where messages are appended to, before message_appended().
+  // Append a message here, then call message_appended().
   std::string& send_buffer() { return send_buffer_; }
-  // `attempt`: the message is an attempt of a call, of which unsent_requests() tells.
+  // `attempt`: the request id if the message is an attempt of a call, tracked for unsent_requests().
   void message_appended(size_t bytes, std::optional<RequestId> attempt);
-  // Writes as much as the system takes. False: the connection is lost.
+  // Writes as much as the kernel accepts. False: the connection is lost.
   bool flush();
-  // Attempts of which the system has not taken every byte.
+  // Attempts that were not completely handed to the kernel. The gateway cannot have run them.
   std::set<RequestId> unsent_requests() const;
 
-  // Reads what is there. Gives the reason if the connection is lost.
+  // Reads the available bytes. Returns the cause if the connection is lost.
   std::optional<LossCause> receive();
   enum class Next { kMessage, kNone, kUnreadable };
   Next next_message(std::span<char>& body);
-  void release_read_buffer() { read_buffer_.release_if_empty(); }  // all complete ones: frees what they took
+  void release_read_buffer() { read_buffer_.release_if_empty(); }  // after the last complete message
 
-  bool needs_flush = false;  // the driver's mark: it is to be flushed in this turn
+  bool needs_flush = false;  // set by the driver: has messages appended since the last flush
 
  private:
   void set_write_interest(bool writing);
 
   struct MessageEnd {
-    uint64_t offset = 0;  // in bytes since the connection was made
+    uint64_t offset = 0;  // bytes since the connection was opened
     RequestId request = 0;
   };
   Poco::Net::PollSet& poll_set_;
@@ -67,9 +67,9 @@
   proto::ReadBuffer read_buffer_;
   proto::RpcFrames frames_;
   std::string send_buffer_;
-  size_t send_buffer_sent_bytes_ = 0;           // bytes of send_buffer_ that the system took
-  uint64_t queued_bytes_ = 0, sent_bytes_ = 0;  // since the connection was made
-  std::deque<MessageEnd> unsent_attempts_;      // that are not known to have been sent, in order
+  size_t send_buffer_sent_bytes_ = 0;           // prefix of send_buffer_ already written
+  uint64_t queued_bytes_ = 0, sent_bytes_ = 0;  // since the connection was opened
+  std::deque<MessageEnd> unsent_attempts_;      // not known to be completely written, in order
 };
 
 }  // namespace firvalve::client
--- a/src/client/driver.cpp
+++ b/src/client/driver.cpp
@@ -170,7 +170,7 @@
   for (const CallId id : all) scheduler_.cancel_call(now, id);
 }
 
-// Decides and carries out until nothing new has come of it.
+// Runs the scheduler and its actions until they cause no further connection loss.
 void Driver::decide(TimePoint now) {
   do {
     report_losses(now);
@@ -201,7 +201,7 @@
 }
 
 void Driver::flush(ConnectionId id, Connection& connection) {
-  // What the gateway sent before the end is still read, where that is possible.
+  // Only recorded here: if the socket is also readable in this turn, its data is still read.
   if (!connection.flush()) unreported_losses_.push_back({id, LossCause::kReset});
 }
 
@@ -280,17 +280,17 @@
       unreported_losses_.push_back({id, LossCause::kUnreadable});
       return;
     }
-    if (!scheduler_.has_connection(id)) return;  // to be closed by the next decision
+    if (!scheduler_.has_connection(id)) return;  // the next decide() closes it
   }
   connection.release_read_buffer();
 }
 
-// False: it cannot be read.
+// False: the message is malformed.
 bool Driver::handle_message(TimePoint now, ConnectionId id, std::span<char> body) {
   using Kind = proto::RpcReply::Kind;
   proto::RpcReply message = proto::read_reply(body);
   if (message.kind == Kind::kUnreadable) return false;
-  // An error about a message of ours that could not be read; the close that follows it counts.
+  // The gateway could not read one of our messages. Ignored: it closes the connection next, which is handled.
   if (!message.has_id) return true;
   Reply reply;
   reply.request = message.id;
@@ -328,7 +328,7 @@
 void Driver::execute(const CloseConnection& action) {
   const auto at = connections_.find(action.connection);
   if (at == connections_.end()) return;
-  if (at->second.is_up()) flush(action.connection, at->second);  // a revocation is sent before it
+  if (at->second.is_up()) flush(action.connection, at->second);  // send pending revocations before closing
   erase(at);
 }
 
@@ -381,7 +381,7 @@
   const auto at = calls_.find(action.call);
   const CallStatePtr call = std::move(at->second);
   calls_.erase(at);
-  Result result = std::move(call->result);  // what the answer said
+  Result result = std::move(call->result);  // filled in by handle_message() if there was an answer
   result.outcome = action.outcome;
   if (action.gateway) result.gateway = options_.gateways[*action.gateway];
   result.may_have_run = action.may_have_run;
@@ -396,8 +396,8 @@
     callback_thread_.post_callback(call);
     return;
   }
-  // Under one lock: a caller that has its result does not find the call among those open, and close() does
-  // not return before the result is there.
+  // Under one lock, so that a caller that has its result no longer sees the call counted as open, and close()
+  // returns only once the result is set.
   const std::lock_guard lock(mutex_);
   end_call_state(*call, std::move(result));
   count_closed_call();
--- a/src/client/driver.h
+++ b/src/client/driver.h
@@ -1,8 +1,9 @@
-// The I/O of a client: sockets and threads around the request scheduler, which decides everything.
+// Sockets and threads of a client. All decisions are made by the request scheduler; the driver feeds it
+// events and executes its actions.
 //
 // Threads. The public functions may be called from any thread. The I/O thread owns the scheduler, the
-// connections and the calls in flight; it runs none of the user's code. The callback thread runs the user's
-// callbacks and log lines. Both keep the driver alive until they end.
+// connections and the calls in flight; it runs no user code. The callback thread runs the user's callbacks
+// and log function. Both threads keep the driver alive until they end.
 #pragma once
 
 #include <Poco/Net/PollSet.h>
@@ -32,13 +33,13 @@
 
 class Driver : public std::enable_shared_from_this<Driver> {
  public:
-  // The options are checked. Throws std::invalid_argument for an address that cannot be resolved.
+  // Expects checked options. Throws std::invalid_argument if an address cannot be resolved.
   explicit Driver(Options options);
 
   void start();
   void submit(const CallStatePtr& call);
   void cancel(const CallStatePtr& call);
-  // See Client::close() and the destructor of Client.
+  // close() and stop() implement Client::close() and Client::~Client().
   size_t close(Duration timeout);
   void stop();
 
@@ -46,7 +47,7 @@
   Stats stats() const;
 
  private:
-  // From a user's thread to the I/O thread.
+  // A request from a user's thread to the I/O thread.
   struct CallOperation {
     enum class Kind { kStart, kCancel } kind = Kind::kStart;
     CallStatePtr call;
@@ -59,9 +60,9 @@
 
   void wake();
   void handle_call_closed();
-  void count_closed_call();  // under the lock
+  void count_closed_call();  // requires mutex_
 
-  // The I/O thread's.
+  // On the I/O thread.
   void run();
   void execute(TimePoint now, const CallOperation& operation);
   void cancel_all(TimePoint now);
@@ -75,7 +76,7 @@
   void flush_pending();
   void report_losses(TimePoint now);
   void erase(Connections::iterator connection);
-  // Where the message of an action is appended; null: the connection is gone.
+  // Marks a connection for flushing and returns it so that a message can be appended; null: it has been lost.
   Connection* mark_for_flush(ConnectionId id);
 
   void execute(const Connect& action);
@@ -88,12 +89,13 @@
   void append_attempt(std::string& out, const SendAttempt& action) const;
 
   const Options options_;
-  std::vector<Poco::Net::SocketAddress> addresses_;  // of the gateways, in order
+  std::vector<Poco::Net::SocketAddress> addresses_;  // of the gateways, by GatewayIndex
   std::thread io_thread_;
   CallbackThread callback_thread_;
-  Poco::Net::StreamSocket wake_event_;  // an eventfd, which the poll set understands as a socket
+  Poco::Net::StreamSocket
+      wake_event_;  // an eventfd wrapped as a socket, because the poll set takes only sockets
 
-  mutable std::mutex mutex_;  // guards what follows
+  mutable std::mutex mutex_;  // guards the members below
   std::vector<CallOperation> operations_;
   bool is_closed_ = false, must_cancel_all_ = false, is_stopping_ = false;
   size_t open_calls_ = 0;  // a call is open until its callback has returned
@@ -102,15 +104,15 @@
   Stats stats_;
   std::condition_variable all_calls_closed_;
 
-  // The I/O thread's.
+  // Used only on the I/O thread.
   RequestScheduler scheduler_;
   Actions actions_;
   std::unordered_map<CallId, CallStatePtr> calls_;
   Poco::Net::PollSet poll_set_;
   Connections connections_;
   std::unordered_map<int, ConnectionId> connections_by_descriptor_;
-  std::vector<ConnectionLoss> unreported_losses_;    // found and not reported to the scheduler yet
-  std::vector<ConnectionId> unflushed_connections_;  // with messages that are not flushed yet
+  std::vector<ConnectionLoss> unreported_losses_;    // not yet reported to the scheduler
+  std::vector<ConnectionId> unflushed_connections_;  // have messages to flush
 };
 
 }  // namespace firvalve::client
--- a/src/client/gateway_health.cpp
+++ b/src/client/gateway_health.cpp
@@ -48,7 +48,7 @@
 }
 
 void GatewayHealth::eject(TimePoint now, double draw) {
-  // A gateway that was reinstated and failed at once had not recovered: its failures go on counting.
+  // A gateway that fails soon after its reinstatement had not recovered, so the count continues.
   if (is_available() && failures_ > 0 && now - reinstated_at_.value_or(TimePoint()) > probe_spread(failures_))
     failures_ = 0;
   failures_ += 1;
--- a/src/client/gateway_health.h
+++ b/src/client/gateway_health.h
@@ -1,5 +1,5 @@
-// Whether a gateway may be used: tells one lost connection from an outage of the gateway, and decides when an
-// ejected gateway is probed. No clock, no I/O, no random numbers of its own.
+// Health of one gateway: distinguishes a lost connection from an outage, and decides when an ejected gateway
+// is probed. No I/O; time and random numbers are parameters.
 //
 //                  outage                        time of the probe
 //   available  ------------->  ejected  ---------------------------->  probing
@@ -17,42 +17,44 @@
 
 // Why a connection ended.
 enum class LossCause {
-  kRefused,         // nothing listens there
-  kConnectTimeout,  // it was not up within the connect timeout
-  kClosed,          // in order, by the gateway
+  kRefused,         // nothing listens at the address
+  kConnectTimeout,  // not connected within the connect timeout
+  kClosed,          // closed by the gateway, without a reset
   kReset,
-  kUnreadable,    // what came over it is not the protocol
-  kUnresponsive,  // a heartbeat was not answered
+  kUnreadable,    // received data violates the protocol
+  kUnresponsive,  // a heartbeat request timed out
 };
-const char* describe(LossCause cause);  // in a few words, for logs
+const char* describe(LossCause cause);  // short text for logs
 
-// What is known of a connection at its end.
+// Circumstances of a lost connection.
 struct ConnectionLoss {
   LossCause cause = LossCause::kReset;
-  int open_calls = 0;                      // calls in flight on it
-  int other_connections = 0;               // to the same gateway, that are up
-  bool has_other_loss_at_gateway = false;  // this gateway lost another connection at the same time
-  bool has_loss_at_other_gateway = false;  // another gateway lost one at the same time
-  Duration idle{0};                        // since anything passed on it
+  int open_calls = 0;                      // in flight on the connection
+  int other_connections = 0;               // established connections to the same gateway
+  bool has_other_loss_at_gateway = false;  // within the correlation window
+  bool has_loss_at_other_gateway = false;  // within the correlation window
+  Duration idle{0};                        // since the last send or receive on the connection
 };
 
 struct OutageOptions {
-  Duration spread{4000};       // over which clients come back after an outage; doubled with each failed probe
-  Duration max_spread{30000};  // where the doubling ends
-  int min_reset_calls = 3;     // lost at once with a reset: more than one connection's bad luck
-  Duration correlation_window{200};      // losses within it are taken to have one cause
-  Duration min_idle_before_close{3500};  // a gateway may close what was idle so long; nothing has failed then
+  Duration spread{
+      4000};  // clients reconnect at random within it after an outage; doubles with each failed probe
+  Duration max_spread{30000};            // upper limit of the doubled spread
+  int min_reset_calls = 3;               // a reset that loses this many calls is an outage
+  Duration correlation_window{200};      // losses within it are attributed to one cause
+  Duration min_idle_before_close{3500};  // a close by the gateway after this idle time is normal
 };
 
-// A single loss reconnects at once. An outage is met by many clients together, and each must come back at a
-// moment of its own.
-//   - refused, timed out: nothing listens there, or nothing answers.
-//   - closed with calls open, or before it was idle: by the protocol a gateway closes only connections
-//   without
-//     open calls that were idle, so this one is shutting down.
-//   - reset with many calls, or beside another loss: the machine or the network failed, not one connection.
-// Harm: a gateway that closes connections for want of descriptors is left alone for up to `spread`, which is
-// what it needs; a client with no other gateway refuses calls for that time.
+// After a single loss the client reconnects at once. An outage hits many clients together, so each of them
+// must reconnect at a different time. A loss is an outage if the connection was:
+//   - refused or timed out, with no other connection to the gateway: nothing listens there, or nothing
+//   answers;
+//   - closed with calls open, or closed before it was idle: the protocol lets a gateway close only idle
+//     connections without open calls, so this gateway is shutting down;
+//   - reset with many calls open, or at the same time as another loss: the machine or the network failed;
+//   - unresponsive.
+// Side effect: a gateway that closes connections because it is out of descriptors gets no calls for up to
+// `spread`, which helps it; a client without another gateway refuses calls for that time.
 bool is_outage(const ConnectionLoss& loss, const OutageOptions& options);
 
 class GatewayHealth {
@@ -65,7 +67,7 @@
   bool is_ejected() const { return state_ == State::kEjected; }
   TimePoint probe_at() const { return probe_at_; }  // while ejected
 
-  // Ejects the gateway. It is probed at a moment within the spread: `draw` in [0, 1) of it.
+  // Ejects the gateway and schedules a probe after `draw`, in [0, 1), of the spread.
   void eject(TimePoint now, double draw);
   void start_probe() { state_ = State::kProbing; }
   void reinstate(TimePoint now);
@@ -77,7 +79,7 @@
   State state_ = State::kAvailable;
   TimePoint probe_at_;
   std::optional<TimePoint> reinstated_at_;
-  int failures_ = 0;  // in a row; forgotten once it stayed available for longer than the last spread
+  int failures_ = 0;  // consecutive; reset once the gateway was available for longer than the last spread
 };
 
 }  // namespace firvalve::client
--- a/src/client/outcome.h
+++ b/src/client/outcome.h
@@ -5,13 +5,13 @@
 
 namespace firvalve::client {
 
-// Exactly one of them comes for each call.
+// Each call ends with exactly one of these.
 enum class Outcome {
-  kAnswered,  // all rows are here
-  kRefused,   // it never ran; the same call is harmless later
-  kFailed,    // a gateway said that it failed; a command that changes something may have done so
-  kUnknown,   // it may have run, and its answer is lost
-  kExpired,   // its deadline passed, or it was cancelled; nothing that may run only once was in flight
+  kAnswered,  // all rows have arrived
+  kRefused,   // it never ran, so a later retry is safe
+  kFailed,    // the gateway reported a failure; the command may have had effects
+  kUnknown,   // it may have run, but the answer is lost
+  kExpired,   // deadline passed or cancelled; it is replayable, or cannot have run
 };
 std::string_view name_of(Outcome outcome);
 
--- a/src/client/page_reader.cpp
+++ b/src/client/page_reader.cpp
@@ -1,4 +1,4 @@
-// PageReader: reads a stored result to its end.
+// PageReader: reads a paged result sequentially, with prefetching and retries.
 #include <algorithm>
 #include <stdexcept>
 #include <thread>
@@ -9,9 +9,9 @@
 namespace firvalve::client {
 namespace {
 
-constexpr int kMaxPrefetchPages = 32;  // pages
+constexpr int kMaxPrefetchPages = 32;
 constexpr double kMinRetryDelayMs = 20,
-                 kMaxRetryDelayMs = 1000;  // after a page that failed, before it is asked for again
+                 kMaxRetryDelayMs = 1000;  // before a failed page is requested again
 
 }  // namespace
 
@@ -42,7 +42,7 @@
   for (Handle& handle : prefetched_) handle.cancel();
 }
 
-// Until the number of pages is known, one is asked for at a time.
+// Requests one page at a time until the number of pages is known.
 void PageReader::prefetch() {
   const auto prefetch_pages = static_cast<size_t>(std::clamp(options_.prefetch_pages, 0, kMaxPrefetchPages));
   while (prefetched_.size() < (pages_ == 0 ? 1 : prefetch_pages + 1) &&
@@ -81,13 +81,13 @@
     if (result.no_such_page) return Next::kEnd;
     cancel_prefetched();
     if (result.gone) {
-      // With the token alone it is not known which gateway has the result: each is asked once.
+      // Given only the token, the reader does not know which gateway has the result: it tries each once.
       if (pages_ > 0 || ++gateways_without_result_ >= gateways_.size()) return Next::kGone;
       current_gateway_ = (current_gateway_ + 1) % gateways_.size();
       continue;
     }
     if (MonotonicClock::now() > give_up_at) return Next::kFailed;
-    // Only an attempt was lost. The rest keeps a gateway that refuses at once from being asked in a loop.
+    // The result may still be there. The delay prevents a busy loop if the gateway refuses at once.
     std::this_thread::sleep_for(
         duration_of(std::clamp(result.retry_after_ms, kMinRetryDelayMs, kMaxRetryDelayMs)));
   }
--- a/src/client/ping.cpp
+++ b/src/client/ping.cpp
@@ -1,4 +1,4 @@
-// Asks one gateway for a heartbeat, over a connection of its own.
+// ping(): requests a heartbeat from one gateway over a separate connection, with blocking I/O.
 #include <Poco/Net/NetException.h>
 #include <Poco/Net/SocketAddress.h>
 #include <Poco/Net/StreamSocket.h>
@@ -41,7 +41,7 @@
     return Poco::Timespan(static_cast<Poco::Timespan::TimeDiff>(left * 1000));
   }
 
-  // Gives why there was no answer; empty: there was one.
+  // Returns why there was no answer; empty if there was one.
   const char* exchange_heartbeat(const Poco::Net::SocketAddress& address) {
     Poco::Net::StreamSocket socket;
     socket.connect(address, time_left());
--- a/src/client/request_scheduler.cpp
+++ b/src/client/request_scheduler.cpp
@@ -26,7 +26,7 @@
   call.deadline = request.deadline;
   call.required_gateway = request.required_gateway;
   deadlines_.insert({call.deadline, id});
-  // A call for one gateway only has a queue of its own: it must not keep others waiting behind it.
+  // A separate queue, so that a call that must wait for its gateway does not block calls for others.
   const auto queue = find_or_add_queue(request.required_gateway
                                            ? fmt::format("{}\n{}", request.profile, *request.required_gateway)
                                            : request.profile);
@@ -81,7 +81,7 @@
   const auto open = connection.open_requests.find(reply.request);
   if (open == connection.open_requests.end()) {
     ++stats_.late_answers;
-    // A request that was never made: whatever follows on this connection is no better.
+    // The id was never used: the gateway violates the protocol, so later answers cannot be trusted either.
     if (reply.request < 1 || reply.request > connection.last_request) {
       close_connection(id);
       drop_connection(now, id, LossCause::kUnreadable, {});
@@ -96,7 +96,7 @@
     return std::nullopt;
   }
   queues_[call.queue].throttle.record_accepted(now);
-  constexpr double kNewSampleWeight = 0.1;  // of a new answer in the running mean
+  constexpr double kNewSampleWeight = 0.1;  // of a new answer in the moving average
   constexpr Duration kMinLatency{0.01};
   const Duration took = now - call.sent_at;
   gateway.latency = gateway.latency ? *gateway.latency + kNewSampleWeight * (took - *gateway.latency)
@@ -124,7 +124,7 @@
 }
 
 std::optional<TimePoint> RequestScheduler::next_due() const {
-  if (!pending_.empty()) return TimePoint(Duration(1));  // at once
+  if (!pending_.empty()) return TimePoint(Duration(1));  // immediately
   std::optional<TimePoint> due;
   const auto add = [&due](std::optional<TimePoint> time) { due = earlier_of(due, time); };
   if (!deadlines_.empty()) add(deadlines_.begin()->first);
--- a/src/client/request_scheduler.h
+++ b/src/client/request_scheduler.h
@@ -1,22 +1,23 @@
-// Everything that a client decides: which gateway, when to connect, send, retry, and give up. No I/O, no
-// clock, no thread: events and the time come in, actions go out; the same seed and events give the same
-// actions.
+// Decision logic of a client: chooses gateways and decides when to connect, send, retry and end calls. No
+// I/O, clock or threads: it receives events with the time and returns actions. The same seed and events give
+// the same actions.
 //
-// A call is in one of three places: backing off until a time, in its profile's queue, or in flight on a
-// connection. decide() moves calls between them and is the only function that sends; end_call() is the only
-// one that ends a call. The implementation is in four files:
-//   request_scheduler.cpp    events, and the order of what decide() does
-//   scheduler_calls.cpp      the places of a call, its retries and its end
+// An open call is in one of three states: backing off until a given time, waiting in its profile's queue, or
+// in flight on a connection. Only decide() sends, and only end_call() ends a call. The implementation is in
+// four files:
+//   request_scheduler.cpp    events, and the steps of decide()
+//   scheduler_calls.cpp      states of a call, its retries and its end
 //   scheduler_gateways.cpp   connections, their losses, and the health of gateways
-//   scheduler_dispatch.cpp   which call is sent next, and where
+//   scheduler_dispatch.cpp   which call is sent next, and to which gateway
 //
-// What holds whatever the gateways do (tests/client/request_scheduler_property_test.cpp):
+// Invariants, whatever the gateways do (tests/client/request_scheduler_property_test.cpp):
 //   - a call ends exactly once;
 //   - a non-replayable call is sent again only if each earlier attempt was refused, or was not completely
-//     handed to the system before its connection ended;
-//   - nothing is sent at or after its deadline, and the timeout sent is the time left;
-//   - nothing of a profile is sent to a gateway within the Retry-After time of that gateway and profile;
-//   - retries stay within the budget, except one a call that crosses a gateway's close of an idle connection.
+//     handed to the kernel before its connection ended;
+//   - no attempt is sent at or after the call's deadline, and the timeout sent is the time left;
+//   - no call of a profile is sent to a gateway before the Retry-After time of that gateway and profile;
+//   - retries stay within the budget, except for one per call whose attempt met a gateway's close of an idle
+//     connection.
 #pragma once
 
 #include <cstdint>
@@ -41,30 +42,32 @@
 
 struct SchedulerOptions {
   size_t gateways = 1;
-  uint64_t seed = 0;                                   // of all random draws
-  int max_connections = 4;                             // to one gateway
-  int max_calls_per_connection = 32;                   // in flight at once, by the protocol
-  RequestId max_requests_per_connection = 1000000000;  // then a new one is made: request ids are never reused
+  uint64_t seed = 0;                  // of the random generators
+  int max_connections = 4;            // per gateway
+  int max_calls_per_connection = 32;  // in flight at once; a protocol limit
+  RequestId max_requests_per_connection =
+      1000000000;  // then a new connection is opened: request ids are never reused
   size_t max_open_calls = 10000;
-  int max_attempts = 3;      // of one call
-  double retry_share = 0.1;  // retries as a share of first attempts
+  int max_attempts = 3;      // per call
+  double retry_share = 0.1;  // retry budget as a share of first attempts
   Duration retry_window{10000};
-  Duration backoff{50}, max_backoff{2000};  // full jitter over it, doubled with each attempt
-  Duration max_retry_after{30000};          // a longer Retry-After is cut to it
+  Duration backoff{50}, max_backoff{2000};  // full jitter; doubles with each attempt
+  Duration max_retry_after{30000};          // limit for a gateway's Retry-After
   Duration connect_timeout{1000};
-  Duration silence_timeout{1000};  // without a byte while calls are open: a heartbeat is asked for; as long
-                                   // again, and the gateway is ejected
-  Duration idle_timeout{3500};     // an idle connection is closed, before the gateway would close it
-  Duration throttle_window{3000};  // after an overload, what is sent doubles in less than it
+  // If calls are open and no byte has arrived for this long, a heartbeat is requested; after the same time
+  // again without an answer, the gateway is ejected.
+  Duration silence_timeout{1000};
+  Duration idle_timeout{3500};     // idle connections are closed before the gateway would close them
+  Duration throttle_window{3000};  // after an overload, the rate of sent calls doubles in less than this
   bool sends_retry_markers = true;
   OutageOptions outage;
 };
 
-// Counts since the start; see client.h.
+// Counters since the start; see Stats in client.h.
 struct SchedulerStats {
   uint64_t calls = 0, answered = 0, refused = 0, failed = 0, unknown = 0, expired = 0;
-  uint64_t cancelled = 0;                // of the ended calls
-  uint64_t refused_without_attempt = 0;  // of the refused: without an attempt
+  uint64_t cancelled = 0;                // part of the ended calls
+  uint64_t refused_without_attempt = 0;  // part of `refused`
   uint64_t attempts = 0, retries = 0, idle_close_retries = 0, revoked = 0, late_answers = 0;
   uint64_t connects = 0, connects_failed = 0, connections_lost = 0, outages = 0, reconnects = 0;
 };
@@ -75,17 +78,17 @@
 
   // Events.
   void start_call(TimePoint now, CallId call, const CallRequest& request);
-  void cancel_call(TimePoint now, CallId call);  // nothing happens where it has ended
+  void cancel_call(TimePoint now, CallId call);  // no effect if it has ended
   void handle_connected(TimePoint now, ConnectionId connection);
-  // `unsent`: requests that were not completely handed to the system.
+  // `unsent`: attempts that were not completely handed to the kernel.
   void handle_connection_lost(TimePoint now, ConnectionId connection, LossCause cause,
                               const std::set<RequestId>& unsent = {});
-  // Gives the call that this reply has ended; nothing: none (late, refused and to be retried, a heartbeat).
+  // Returns the call that this answer has ended; empty for a late answer, a refusal or a heartbeat.
   std::optional<CallId> handle_reply(TimePoint now, ConnectionId connection, const Reply& reply);
 
-  // After the events of one moment: appends what they call for.
+  // Call after the events of one point in time: appends the actions to execute.
   void decide(TimePoint now, Actions& actions);
-  // When decide() is to be called at the latest, if nothing happens before. Nothing: no need.
+  // Latest time of the next decide() if no event comes before; empty: not until an event.
   std::optional<TimePoint> next_due() const;
 
   const SchedulerStats& stats() const { return stats_; }
@@ -99,19 +102,19 @@
     QueueIndex queue = 0;
     std::optional<GatewayIndex> required_gateway;
     bool is_replayable = false, may_have_run = false;
-    bool had_idle_close_race = false;     // a close of an idle connection; once a call
-    bool is_next_attempt_exempt = false;  // because of that: not counted against the retry budget
-    bool has_retry_reserved = false;      // its next attempt has a place in the retry budget
+    bool had_idle_close_race = false;     // the one exempt retry has been granted
+    bool is_next_attempt_exempt = false;  // not counted against the retry budget
+    bool has_retry_reserved = false;      // the retry budget has a reservation for its next attempt
     State state = State::kNone;
     TimePoint deadline;
     TimePoint backoff_until;                     // kBackingOff
     std::list<CallId>::iterator queue_position;  // kQueued
-    // Of its latest attempt:
+    // The latest attempt:
     ConnectionId connection{};
     RequestId request = 0;
     std::optional<GatewayIndex> gateway;
     TimePoint sent_at;
-    Duration connection_idle{0};  // how long its connection had been idle
+    Duration connection_idle{0};  // idle time of the connection when it was sent
     int attempts = 0;
     uint64_t first_attempt_id = 0, attempt_id = 0;
   };
@@ -119,14 +122,14 @@
   struct Connection {
     GatewayIndex gateway = 0;
     bool is_up = false;
-    bool is_probe = false;         // of an ejected gateway; carries no calls
-    bool is_unresponsive = false;  // carries no further calls
+    bool is_probe = false;         // probes an ejected gateway; carries no calls
+    bool is_unresponsive = false;  // gets no further calls
     TimePoint opened_at;
-    TimePoint active_at;    // something was sent or received
-    TimePoint received_at;  // something was received
-    TimePoint busy_since;   // calls have been open without a gap
+    TimePoint active_at;    // last send or receive
+    TimePoint received_at;  // last receive
+    TimePoint busy_since;   // start of the current period with open calls
     RequestId last_request = 0;
-    std::optional<RequestId> heartbeat;  // asked for and not answered
+    std::optional<RequestId> heartbeat;  // request without an answer so far
     TimePoint heartbeat_at;
     std::map<RequestId, CallId> open_requests;
   };
@@ -134,19 +137,20 @@
     explicit Gateway(const OutageOptions& options) : health(options) {}
     GatewayHealth health;
     int open_calls = 0, connections = 0, connecting = 0;
-    std::optional<Duration> latency;   // running mean over answers
-    std::optional<TimePoint> lost_at;  // a connection, other than by an idle close
+    std::optional<Duration> latency;   // moving average over answers
+    std::optional<TimePoint> lost_at;  // last connection loss, idle closes excluded
     std::optional<TimePoint> no_connect_before;
     bool reads_retry_markers = false, was_asked_for_markers = false;
-    std::map<QueueIndex, TimePoint> retry_after;  // nothing of the queue is sent there before
+    std::map<QueueIndex, TimePoint> retry_after;  // no call of the queue is sent there before this time
   };
-  // Calls of one profile that wait to be sent, the next one first.
+  // Calls of one profile that wait to be sent, the next one first. Calls with a required gateway have a queue
+  // per gateway.
   struct Queue {
     std::string name;
     std::list<CallId> calls;
     Throttle throttle;
   };
-  // Where a call may be sent.
+  // Gateways that a call may be sent to.
   struct GatewayChoice {
     GatewayIndex best = 0;
     std::optional<GatewayIndex> alternative;
@@ -213,17 +217,17 @@
   pcg32 random_;
   pcg64 attempt_ids_;
   RetryBudget retry_budget_;
-  uint64_t reserved_retries_ = 0;  // allowed by the budget and not sent yet
+  uint64_t reserved_retries_ = 0;  // granted by the budget, not sent yet
   Calls calls_;
   std::set<std::pair<TimePoint, CallId>> deadlines_, backoffs_;
   std::vector<Queue> queues_;
-  QueueIndex next_queue_ = 0;  // that is served first
+  QueueIndex next_queue_ = 0;  // served first in the next dispatch()
   std::map<ConnectionId, Connection> connections_;
   std::vector<Gateway> gateways_;
   uint64_t last_connection_ = 0;
   std::optional<TimePoint> last_call_at_;
   TimePoint decided_at_;
-  bool must_check_unsendable_ = false;  // a gateway was ejected, or asked to be left alone
+  bool must_check_unsendable_ = false;  // a gateway was ejected or sent a Retry-After
   Actions pending_;
   SchedulerStats stats_;
 };
--- a/src/client/scheduler_actions.h
+++ b/src/client/scheduler_actions.h
@@ -1,4 +1,4 @@
-// The ids, events and actions of the request scheduler.
+// Ids, event payloads and actions of the request scheduler.
 #pragma once
 
 #include <cstddef>
@@ -15,16 +15,16 @@
 namespace firvalve::client {
 
 enum class CallId : uint64_t {};        // chosen by the caller, unique within a scheduler
-enum class ConnectionId : uint64_t {};  // chosen by the scheduler, never used twice
-using RequestId = int64_t;              // of a JSON-RPC message, from 1, unique within its connection
-using GatewayIndex = size_t;            // into the list of gateways
+enum class ConnectionId : uint64_t {};  // chosen by the scheduler, never reused
+using RequestId = int64_t;              // JSON-RPC id, from 1, unique within a connection
+using GatewayIndex = size_t;            // index into Options::gateways
 
-// A call to be made.
+// A new call.
 struct CallRequest {
   std::string profile;
-  bool is_replayable = false;  // running it twice does no harm
+  bool is_replayable = false;  // safe to run twice
   TimePoint deadline;
-  std::optional<GatewayIndex> required_gateway;  // that it can be sent to; nothing: any
+  std::optional<GatewayIndex> required_gateway;  // empty: any gateway
 };
 
 // A gateway's answer to a message.
@@ -32,10 +32,10 @@
   enum class Kind { kAnswered, kRefused, kFailed, kHeartbeat };
   Kind kind = Kind::kAnswered;
   RequestId request = 0;
-  std::optional<Duration> retry_after;  // kRefused: nothing of the profile may be sent there for so long
+  std::optional<Duration> retry_after;  // kRefused: time to send no call of the profile to this gateway
   bool is_healthy = false;              // kHeartbeat
   bool reads_retry_markers = false;     // kHeartbeat
-  std::string_view text;                // kFailed: reason; lasts for the call of handle_reply()
+  std::string_view text;                // kFailed: error message; valid during handle_reply()
 };
 
 // Opens a connection to a gateway.
@@ -43,7 +43,8 @@
   ConnectionId connection{};
   GatewayIndex gateway = 0;
 };
-// Closes a connection. What was asked for before is written first, as far as the system takes it at once.
+// Closes a connection. Earlier messages are written first, as far as the kernel accepts them without
+// blocking.
 struct CloseConnection {
   ConnectionId connection{};
 };
@@ -53,9 +54,9 @@
   GatewayIndex gateway = 0;
   RequestId request = 0;
   CallId call{};
-  std::string attempt_id;        // 16 hex digits, unique
-  std::string first_attempt_id;  // the retry marker: of the call's first attempt; empty: none is to be sent
-  Duration timeout{0};           // until the deadline
+  std::string attempt_id;        // unique, 16 hex digits
+  std::string first_attempt_id;  // retry marker; empty: send none
+  Duration timeout{0};           // time left until the deadline
 };
 // Revokes an attempt at its gateway.
 struct SendRevoke {
@@ -67,24 +68,24 @@
   ConnectionId connection{};
   RequestId request = 0;
 };
-// A call has ended. It comes exactly once for each.
+// Reports the end of a call, exactly once per call.
 struct EndCall {
   CallId call{};
   Outcome outcome = Outcome::kFailed;
   bool was_cancelled = false;
   bool may_have_run = false;
   int attempts = 0;
-  std::optional<GatewayIndex> gateway;  // of the last attempt
-  std::optional<Duration> retry_after;  // kRefused: earlier is useless; nothing: not known
-  std::string reason;                   // in a few words, for logs
+  std::optional<GatewayIndex> gateway;  // of the last attempt; empty: none was made
+  std::optional<Duration> retry_after;  // kRefused: time to wait before the next try; empty: unknown
+  std::string reason;                   // short text for logs
 };
-// A gateway was ejected or reinstated; the text is for a log.
+// Logs that a gateway was ejected or reinstated.
 struct LogGatewayChange {
   GatewayIndex gateway = 0;
   std::string text;
 };
 
-// In the order in which they are to be carried out.
+// Executed in order.
 using Action =
     std::variant<Connect, CloseConnection, SendAttempt, SendRevoke, SendHeartbeat, EndCall, LogGatewayChange>;
 using Actions = std::vector<Action>;
--- a/src/client/scheduler_calls.cpp
+++ b/src/client/scheduler_calls.cpp
@@ -1,4 +1,4 @@
-// The places of a call, its retries and its end.
+// Request scheduler: states of a call, its retries and its end.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-// ---- Places -------------------------------------------------------------------------------------
+// ---- States -------------------------------------------------------------------------------------
 
-// Nothing: there are too many already.
+// Empty: kMaxQueues is reached.
 std::optional<RequestScheduler::QueueIndex> RequestScheduler::find_or_add_queue(const std::string& name) {
   const auto at =
       std::find_if(queues_.begin(), queues_.end(), [&](const Queue& queue) { return queue.name == name; });
@@ -75,7 +75,7 @@
 
 // ---- Retries ------------------------------------------------------------------------------------
 
-// When a gateway can be used for the call: now, after a probe, or after a Retry-After.
+// Earliest time at which a gateway can take the call: now, after a probe, or after a Retry-After.
 TimePoint RequestScheduler::earliest_usable_at(TimePoint now, const Call& call) const {
   std::optional<TimePoint> soonest;
   for (GatewayIndex i = 0; i < gateways_.size(); ++i) {
@@ -87,17 +87,17 @@
       at = std::max(at, retry_after->second);
     soonest = earlier_of(soonest, std::optional(at));
   }
-  return soonest.value();  // there is a gateway for every call
+  return soonest.value();  // each call has at least one possible gateway
 }
 
-// Whether it cannot be sent before its deadline.
+// True if no gateway can take the call early enough before its deadline.
 bool RequestScheduler::cannot_send_before_deadline(TimePoint now, const Call& call) const {
   const TimePoint usable = earliest_usable_at(now, call);
   return usable > now && usable + kMinTimeToDeadline >= call.deadline;
 }
 
-// Places a call for another attempt, not before the given time. False: it may not be retried, for its
-// attempts, its deadline or the retry budget. That running it twice does no harm is for the caller to know.
+// Queues a call for another attempt, or lets it back off until `not_before`. False: the maximum of attempts,
+// the deadline or the retry budget forbids a retry. The caller must know that a second run is safe.
 bool RequestScheduler::schedule_retry(TimePoint now, Calls::iterator at, TimePoint not_before) {
   auto& [id, call] = *at;
   if (call.attempts >= options_.max_attempts) return false;
@@ -116,25 +116,25 @@
   return true;
 }
 
-// The latest attempt is proved not to have run: it was refused, or not completely written.
+// For an attempt that cannot have run: it was refused, or not completely written.
 void RequestScheduler::retry_or_refuse(TimePoint now, Calls::iterator at, TimePoint not_before,
                                        const char* reason) {
   if (!schedule_retry(now, at, not_before)) end_waiting_call(now, at, reason);
 }
 
-// The call is not in flight, and will not be sent again.
+// Ends a call that is not in flight and gets no further attempt.
 void RequestScheduler::end_waiting_call(TimePoint now, Calls::iterator at, const char* reason) {
   if (at->second.may_have_run) return end_call(at, Outcome::kUnknown, reason);
   const TimePoint usable = earliest_usable_at(now, at->second);
   end_call(at, Outcome::kRefused, reason, false, usable > now ? std::optional(usable - now) : std::nullopt);
 }
 
-// Full jitter: a random part of a time that doubles with each attempt.
+// Exponential backoff with full jitter.
 Duration RequestScheduler::draw_backoff(const Call& call) {
   return draw_uniform() * std::min(options_.backoff * std::pow(2.0, call.attempts - 1), options_.max_backoff);
 }
 
-// Refuses what cannot be sent before its deadline at once, rather than at the deadline.
+// Refuses calls that cannot be sent before their deadline now, instead of letting them expire.
 void RequestScheduler::refuse_unsendable_calls(TimePoint now) {
   if (!must_check_unsendable_) return;
   must_check_unsendable_ = false;
@@ -178,7 +178,7 @@
   calls_.erase(at);
 }
 
-// Its deadline has passed, or its caller no longer wants it: an attempt in flight is revoked.
+// Ends a call whose deadline has passed or that was cancelled, and revokes an attempt in flight.
 void RequestScheduler::expire_or_cancel(Calls::iterator at, bool cancelled, const char* reason) {
   Call& call = at->second;
   if (call.state == State::kInFlight) {
--- a/src/client/scheduler_dispatch.cpp
+++ b/src/client/scheduler_dispatch.cpp
@@ -1,4 +1,4 @@
-// Which call is sent next, and where.
+// Request scheduler: which call is sent next, and to which gateway.
 #include <algorithm>
 #include <utility>
 
@@ -8,13 +8,14 @@
 namespace firvalve::client {
 namespace {
 
-// Jitter behind a Retry-After time: at least so long, or this share of the time if that is longer.
+// Range of the random delay after a Retry-After time: this share of the time, but at least the minimum.
 constexpr Duration kMinRetryAfterJitter{100};
 constexpr double kRetryAfterJitterShare = 0.5;
 
 }  // namespace
 
-// Calls in flight there times recent latency. An unknown gateway is taken to be as quick as the quickest.
+// Expected load: (calls in flight + 1) * average latency. A gateway without answers so far gets the lowest
+// known latency, at least 1 ms.
 double RequestScheduler::load_score(const Gateway& gateway) const {
   constexpr Duration kMinAssumedLatency{1};
   std::optional<Duration> quickest;
@@ -42,7 +43,8 @@
   return best;
 }
 
-// Whether there are more queued calls than connections under way can carry.
+// Whether one more connection is allowed, and more calls are queued than the connections being opened can
+// carry.
 bool RequestScheduler::may_connect(TimePoint now, GatewayIndex index) const {
   const Gateway& gateway = gateways_[index];
   if (!gateway.health.is_available() || gateway.connections >= options_.max_connections) return false;
@@ -53,7 +55,7 @@
          queued;
 }
 
-// Those that are available and did not ask to be left alone for now.
+// Gateways that are available and not within a Retry-After time for the call's queue.
 std::vector<GatewayIndex> RequestScheduler::usable_gateways(TimePoint now, const Call& call) const {
   std::vector<GatewayIndex> usable;
   for (GatewayIndex i = 0; i < gateways_.size(); ++i) {
@@ -66,7 +68,8 @@
   return usable;
 }
 
-// The power of two choices: the less loaded of two gateways drawn at random. Nothing: none is usable.
+// Power of two choices: the less loaded of two random gateways. If neither has a connection with capacity,
+// the alternative is one that has. Empty: no gateway is usable.
 std::optional<RequestScheduler::GatewayChoice> RequestScheduler::choose_gateway(TimePoint now,
                                                                                 const Call& call) {
   const std::vector<GatewayIndex> usable = usable_gateways(now, call);
@@ -84,7 +87,8 @@
   return GatewayChoice{best, alternative};
 }
 
-// A connection to the best gateway, or else to the alternative. Where there is none, one is begun.
+// Returns a connection with capacity to the best gateway, else to the alternative. Opens connections where
+// there is none; the call then waits until one is up.
 std::optional<ConnectionId> RequestScheduler::find_or_open_connection(TimePoint now,
                                                                       const GatewayChoice& choice) {
   if (const auto connection = connection_with_capacity(choice.best)) return connection;
@@ -95,8 +99,8 @@
   return std::nullopt;
 }
 
-// No gateway is usable. If available ones asked to be left alone, the call backs off until a random moment
-// behind the earliest of these times, so that calls do not come back all at once. False: no gateway is
+// For a call without a usable gateway. If available gateways sent a Retry-After, the call backs off until a
+// random time after the earliest of them, so that not all calls return at once. False: no gateway is
 // available.
 bool RequestScheduler::back_off_for_retry_after(TimePoint now, CallId id, Call& call) {
   std::optional<TimePoint> earliest;
@@ -117,8 +121,8 @@
   return true;
 }
 
-// Sends the first call of a queue, or moves it out of the queue. False: it has to wait, and so have those
-// behind it.
+// Sends the first call of a queue, ends it, or lets it back off. False: the queue is empty or its first call
+// must wait, which blocks the calls behind it.
 bool RequestScheduler::dispatch_next(TimePoint now, QueueIndex index) {
   const Queue& queue = queues_[index];
   if (queue.calls.empty()) return false;
@@ -135,7 +139,7 @@
   if (!connection) return false;
   if (call.attempts > 0 && !call.is_next_attempt_exempt &&
       !retry_budget_.allows_retry(now, reserved_retries_ - 1)) {
-    // The first attempts that its place in the budget came from have left the window meanwhile.
+    // The first attempts that allowed this retry have left the budget's window since.
     end_waiting_call(now, at, "no retries left");
     return true;
   }
@@ -143,7 +147,7 @@
   return true;
 }
 
-// One call from each queue in turn, so that the calls of one profile do not keep the others out.
+// Round robin over the queues, so that no profile starves the others.
 void RequestScheduler::dispatch(TimePoint now) {
   if (queues_.empty()) return;
   for (bool was_any_dispatched = true; was_any_dispatched;) {
--- a/src/client/scheduler_gateways.cpp
+++ b/src/client/scheduler_gateways.cpp
@@ -1,4 +1,4 @@
-// Connections, their losses, and the health of gateways.
+// Request scheduler: connections, their losses, and the health of gateways.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -10,11 +10,11 @@
 namespace firvalve::client {
 namespace {
 
-// The protocol's: a call that was sent so shortly before a close was received may be sent again, once.
+// By the protocol, a call sent at most this long before a close was received may be sent again, once.
 constexpr Duration kMaxIdleCloseRaceTime{50};
-// A connection that was idle for less was not closed by the gateway for that.
+// Below this idle time, the gateway cannot have closed the connection for being idle.
 constexpr Duration kMinIdleForCloseRace{1000};
-// Ejected gateways are probed so long after the last call.
+// Without open calls, ejected gateways are probed for this long after the last call.
 constexpr Duration kProbeTimeAfterLastCall{5000};
 
 }  // namespace
@@ -52,7 +52,7 @@
   gateway.reads_retry_markers = reply.reads_retry_markers;
   gateway.was_asked_for_markers = true;
   if (!reply.is_healthy) {
-    connection.is_probe = false;  // it is closed once it has been idle
+    connection.is_probe = false;  // closed later as an idle connection
     eject(now, connection.gateway, "it says that it is not healthy");
   } else if (connection.is_probe) {
     connection.is_probe = false;
@@ -108,7 +108,7 @@
                              loss.idle >= options_.outage.min_idle_before_close;
   if (!is_idle_close) gateway.lost_at = now;
   connection.is_up ? ++stats_.connections_lost : ++stats_.connects_failed;
-  // What answers next may be another program.
+  // The next connection may reach a different gateway process.
   if (loss.other_connections == 0) gateway.was_asked_for_markers = gateway.reads_retry_markers = false;
   if (!connection.is_up && loss.other_connections > 0)
     gateway.no_connect_before = now + draw_uniform() * options_.outage.spread;
@@ -123,8 +123,8 @@
   }
 }
 
-// Guards against a close of an idle connection that crosses the call, which the gateway then has not read. A
-// gateway that read the call and died looks the same, so no non-replayable call is retried for it.
+// Whether the gateway probably closed the idle connection while the call was on its way, without reading it.
+// A gateway that read the call and crashed looks the same, so non-replayable calls are not retried.
 bool RequestScheduler::is_idle_close_race(TimePoint now, const Call& call, const Connection& connection,
                                           LossCause cause) const {
   return (cause == LossCause::kClosed || cause == LossCause::kReset) &&
@@ -133,7 +133,7 @@
          !call.had_idle_close_race;
 }
 
-// The connection of a call's attempt is gone.
+// Retries or ends a call whose connection was lost during an attempt.
 void RequestScheduler::end_lost_attempt(TimePoint now, CallId id, const Connection& connection,
                                         LossCause cause, bool was_unsent, bool is_outage) {
   const auto at = calls_.find(id);
@@ -154,7 +154,7 @@
 
 void RequestScheduler::eject(TimePoint now, GatewayIndex index, const char* reason) {
   Gateway& gateway = gateways_[index];
-  // Further losses belong to the same outage; only a failed probe makes it worse.
+  // Further losses belong to the same outage; only a failed probe extends it.
   if (gateway.health.is_ejected()) return;
   gateway.health.eject(now, draw_uniform());
   gateway.reads_retry_markers = gateway.was_asked_for_markers = false;
@@ -177,14 +177,14 @@
 
 // ---- Watching connections -----------------------------------------------------------------------
 
-// An unanswered heartbeat shows by then that the gateway is unresponsive.
+// Time at which the gateway counts as unresponsive if the heartbeat has not been answered.
 TimePoint RequestScheduler::heartbeat_timeout_at(const Connection& connection) const {
   const TimePoint since = connection.is_probe ? connection.heartbeat_at
                                               : std::max(connection.heartbeat_at, connection.received_at);
   return since + options_.silence_timeout;
 }
 
-// By then nothing came for so long, with calls open, that a heartbeat is asked for.
+// Time at which a heartbeat is requested if nothing is received until then.
 TimePoint RequestScheduler::heartbeat_due_at(const Connection& connection) const {
   return std::max(connection.received_at, connection.busy_since) + options_.silence_timeout;
 }
@@ -198,7 +198,7 @@
     const bool is_idle = now >= connection.active_at + options_.idle_timeout && !connection.heartbeat;
     if (connection.is_unresponsive || is_used_up || is_idle) return Check::kIdle;
   }
-  if (connection.is_unresponsive) return Check::kFine;  // known already
+  if (connection.is_unresponsive) return Check::kFine;  // already handled
   if (connection.heartbeat)
     return now >= heartbeat_timeout_at(connection) ? Check::kUnresponsive : Check::kFine;
   if (!connection.open_requests.empty() && now >= heartbeat_due_at(connection)) return Check::kNeedsHeartbeat;
@@ -216,7 +216,7 @@
   return heartbeat_due_at(connection);
 }
 
-// Ends connections that do not come up, that are idle, or over which nothing comes.
+// Closes connections that time out, are idle or unresponsive, and requests heartbeats on silent ones.
 void RequestScheduler::check_connections(TimePoint now) {
   std::vector<ConnectionId> timed_out, idle, unresponsive;
   for (auto& [id, connection] : connections_) {
@@ -256,7 +256,7 @@
   Connection& connection = connections_.at(id);
   if (connection.is_probe || connection.open_requests.empty()) {
     close_connection(id);
-    connection.is_probe = true;  // it counts as a failed probe
+    connection.is_probe = true;  // so that the loss counts as a failed probe
     GatewayHealth& health = gateways_[connection.gateway].health;
     if (health.is_available()) health.start_probe();
     return drop_connection(now, id, LossCause::kUnresponsive, {});
@@ -266,8 +266,8 @@
   retry_replayable_calls(now, connection);
 }
 
-// Retries replayable calls elsewhere, if there is an elsewhere. The others wait for an answer that may still
-// come.
+// Retries replayable calls at another gateway if one is usable. The other calls keep waiting for their
+// answers.
 void RequestScheduler::retry_replayable_calls(TimePoint now, const Connection& connection) {
   std::vector<CallId> retriable;
   for (const auto& [request, id] : connection.open_requests) {
--- a/src/client/throttle.cpp
+++ b/src/client/throttle.cpp
@@ -6,8 +6,8 @@
 namespace firvalve::client {
 namespace {
 
-constexpr double kAcceptedWeight = 2;  // refusals of up to half of the calls stop nothing
-constexpr uint64_t kMinCalls = 10;     // fewer say nothing about the gateways
+constexpr double kAcceptedWeight = 2;  // no throttling while at least half of the calls are accepted
+constexpr uint64_t kMinCalls = 10;     // too few calls to judge the gateways
 
 }  // namespace
 
--- a/src/client/throttle.h
+++ b/src/client/throttle.h
@@ -1,5 +1,5 @@
-// Adaptive throttling at the client: it stops a part of its own calls while most of them are refused. No
-// clock, no I/O, no random numbers of its own.
+// Adaptive client-side throttling: the client refuses part of its own calls while the gateways refuse most of
+// them. No I/O; time and random numbers are parameters.
 #pragma once
 
 #include "base/time.h"
@@ -7,11 +7,11 @@
 
 namespace firvalve::client {
 
-// Of all calls within the window, with `accepted` answered other than by a refusal, the chance of the next
-// call to be stopped is (all - 2 accepted) / (all + 1), and none below ten calls. A stopped call counts among
-// all, an answer when it comes. (The form is that of client-side throttling in Google's "Site Reliability
-// Engineering", chapter 21.) It may stop a call that would have been accepted, in the first seconds after an
-// overload ends.
+// The rejection probability is (all - 2 * accepted) / (all + 1), over the calls in the window, and 0 below
+// ten calls. `all` counts throttled calls and answered attempts, at the time of the answer; `accepted` counts
+// the answers that are no refusals. The formula is that of client-side throttling in Google's "Site
+// Reliability Engineering", chapter 21. In the first seconds after an overload it may reject calls that the
+// gateways would accept.
 class Throttle {
  public:
   explicit Throttle(Duration window) : counters_(window) {}
--- a/src/client/validation.cpp
+++ b/src/client/validation.cpp
@@ -15,7 +15,7 @@
   if (!is_valid) throw std::invalid_argument(fmt::format("option {}: must be {}", option, range));
 }
 
-// False also for what is not a number.
+// False for NaN.
 bool is_within(double value, double min, double max) { return value >= min && value <= max; }
 
 bool is_valid_amount(double value) { return value >= 0 && std::isfinite(value); }
--- a/src/client/validation.h
+++ b/src/client/validation.h
@@ -1,5 +1,5 @@
-// Checks of what the user passes in, before anything is sent. Each throws std::invalid_argument with a
-// sentence that names what is wrong.
+// Validates the user's input before anything is sent. Each check throws std::invalid_argument with a message
+// that names the invalid field and what is expected.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -15,10 +15,10 @@
 
 void check(const Options& options);
 void check(const Command& command);
-// HOST:PORT; looks names up.
+// Parses HOST:PORT and resolves the name.
 Poco::Net::SocketAddress parse_address(const std::string& address);
 
-// Of checked options. Draws a seed if none is given.
+// Converts checked options. Draws a seed if none is given.
 SchedulerOptions scheduler_options(const Options& options);
 
 }  // namespace firvalve::client
