--- a/src/client/callback_thread.cpp
+++ b/src/client/callback_thread.cpp
@@ -1,3 +1,4 @@
+// Queues and runs the callbacks of ended calls and the log lines.
 #include "client/callback_thread.h"
 
 namespace firvalve::client {
--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -1,3 +1,4 @@
+// Implements Client and Handle: checks the input and passes calls to the driver.
 #include "client/client.h"
 
 #include <fmt/format.h>
--- a/src/client/client.h
+++ b/src/client/client.h
@@ -74,8 +74,8 @@
   // HOST:PORT, where HOST is a name, an IPv4 address or an IPv6 address in brackets. The constructor resolves
   // names once. At least one gateway.
   std::vector<std::string> gateways;
-  uint64_t seed =
-      0;  // of the random generator; 0: drawn from the system. Clients with the same seed act in step
+  // Of the random generator; 0: drawn from the system. Clients with the same seed act in step.
+  uint64_t seed = 0;
 
   int max_connections = 4;            // per gateway, 1 to 1,000
   size_t max_open_calls = 10000;      // further calls end as kRefused without an attempt
@@ -98,8 +98,8 @@
   // again without an answer, the gateway is ejected.
   double silence_timeout_ms = 1000;
   double idle_timeout_ms = 3500;  // idle connections are closed; must be below the gateways' idle timeout
-  bool send_retry_markers =
-      true;  // send the id of the first attempt with each retry, if the gateway reads it
+  // Send the id of the first attempt with each retry, if the gateway reads it.
+  bool send_retry_markers = true;
 
   // Called when a gateway is ejected or reinstated, on the callback thread.
   std::function<void(LogLevel, std::string_view)> log;
@@ -211,8 +211,8 @@
   ~PageReader();
 
   enum class Next { kPage, kEnd, kGone, kFailed };
-  // Blocks until the next page is there and stores its rows. kGone: the result's lease has expired, or it was
-  // released, evicted or lost. kFailed: no page arrived within give_up_ms; next() may be called again.
+  // Blocks until the next page has arrived and stores its rows. kGone: the result's lease has expired, or it
+  // was released, evicted or lost. kFailed: no page arrived within give_up_ms; next() may be called again.
   Next next(std::string& rows);
   void release();                                    // lets the gateway discard the result; ends reading
   uint64_t last_page() const { return last_page_; }  // returned by next(); 0: none yet
@@ -230,9 +230,8 @@
   Options options_;
   uint64_t last_page_ = 0, pages_ = 0;
   uint64_t last_requested_page_ = 0;
-  size_t current_gateway_ = 0,
-         gateways_without_result_ = 0;  // that is asked; how many said that the result is not there
-  std::vector<Handle> prefetched_;      // requested pages that next() has not returned yet, in order
+  size_t current_gateway_ = 0, gateways_without_result_ = 0;
+  std::vector<Handle> prefetched_;  // requested pages that next() has not returned yet, in order
 };
 
 // A gateway's answer to a heartbeat.
--- a/src/client/connection.cpp
+++ b/src/client/connection.cpp
@@ -1,3 +1,4 @@
+// Non-blocking socket I/O of one connection to a gateway.
 #include "client/connection.h"
 
 #include <Poco/Exception.h>
--- a/src/client/driver.cpp
+++ b/src/client/driver.cpp
@@ -1,3 +1,4 @@
+// Runs the I/O thread: passes calls, socket events and answers to the scheduler and executes its actions.
 #include "client/driver.h"
 
 #include <Poco/Net/StreamSocketImpl.h>
--- a/src/client/driver.h
+++ b/src/client/driver.h
@@ -92,8 +92,8 @@
   std::vector<Poco::Net::SocketAddress> addresses_;  // of the gateways, by GatewayIndex
   std::thread io_thread_;
   CallbackThread callback_thread_;
-  Poco::Net::StreamSocket
-      wake_event_;  // an eventfd wrapped as a socket, because the poll set takes only sockets
+  // An eventfd, wrapped as a socket because the poll set takes only sockets.
+  Poco::Net::StreamSocket wake_event_;
 
   mutable std::mutex mutex_;  // guards the members below
   std::vector<CallOperation> operations_;
--- a/src/client/gateway_health.cpp
+++ b/src/client/gateway_health.cpp
@@ -1,3 +1,4 @@
+// Classifies connection losses and schedules the probes of an ejected gateway.
 #include "client/gateway_health.h"
 
 #include <algorithm>
--- a/src/client/gateway_health.h
+++ b/src/client/gateway_health.h
@@ -37,8 +37,8 @@
 };
 
 struct OutageOptions {
-  Duration spread{
-      4000};  // clients reconnect at random within it after an outage; doubles with each failed probe
+  // After an outage, clients reconnect at a random time within the spread. It doubles with each failed probe.
+  Duration spread{4000};
   Duration max_spread{30000};            // upper limit of the doubled spread
   int min_reset_calls = 3;               // a reset that loses this many calls is an outage
   Duration correlation_window{200};      // losses within it are attributed to one cause
@@ -47,8 +47,7 @@
 
 // After a single loss the client reconnects at once. An outage hits many clients together, so each of them
 // must reconnect at a different time. A loss is an outage if the connection was:
-//   - refused or timed out, with no other connection to the gateway: nothing listens there, or nothing
-//   answers;
+//   - refused or timed out, with no other connection to the gateway: no answer to the connect;
 //   - closed with calls open, or closed before it was idle: the protocol lets a gateway close only idle
 //     connections without open calls, so this gateway is shutting down;
 //   - reset with many calls open, or at the same time as another loss: the machine or the network failed;
--- a/src/client/request_scheduler.cpp
+++ b/src/client/request_scheduler.cpp
@@ -1,3 +1,4 @@
+// Request scheduler: events, and the steps of decide().
 #include "client/request_scheduler.h"
 
 #include <fmt/format.h>
--- a/src/client/request_scheduler.h
+++ b/src/client/request_scheduler.h
@@ -45,8 +45,8 @@
   uint64_t seed = 0;                  // of the random generators
   int max_connections = 4;            // per gateway
   int max_calls_per_connection = 32;  // in flight at once; a protocol limit
-  RequestId max_requests_per_connection =
-      1000000000;  // then a new connection is opened: request ids are never reused
+  // After this many requests a new connection is opened, because request ids are never reused.
+  RequestId max_requests_per_connection = 1000000000;
   size_t max_open_calls = 10000;
   int max_attempts = 3;      // per call
   double retry_share = 0.1;  // retry budget as a share of first attempts
@@ -114,7 +114,7 @@
     RequestId request = 0;
     std::optional<GatewayIndex> gateway;
     TimePoint sent_at;
-    Duration connection_idle{0};  // idle time of the connection when it was sent
+    Duration connection_idle{0};  // how long the connection had been idle before sent_at
     int attempts = 0;
     uint64_t first_attempt_id = 0, attempt_id = 0;
   };
@@ -127,7 +127,7 @@
     TimePoint opened_at;
     TimePoint active_at;    // last send or receive
     TimePoint received_at;  // last receive
-    TimePoint busy_since;   // start of the current period with open calls
+    TimePoint busy_since;   // since when calls have been open without a gap
     RequestId last_request = 0;
     std::optional<RequestId> heartbeat;  // request without an answer so far
     TimePoint heartbeat_at;
@@ -137,7 +137,7 @@
     explicit Gateway(const OutageOptions& options) : health(options) {}
     GatewayHealth health;
     int open_calls = 0, connections = 0, connecting = 0;
-    std::optional<Duration> latency;   // moving average over answers
+    std::optional<Duration> latency;   // moving average of the answer time
     std::optional<TimePoint> lost_at;  // last connection loss, idle closes excluded
     std::optional<TimePoint> no_connect_before;
     bool reads_retry_markers = false, was_asked_for_markers = false;
--- a/src/client/retry_budget.cpp
+++ b/src/client/retry_budget.cpp
@@ -1,3 +1,4 @@
+// Computes whether one more retry is within the budget.
 #include "client/retry_budget.h"
 
 namespace firvalve::client {
--- a/src/client/scheduler_calls.cpp
+++ b/src/client/scheduler_calls.cpp
@@ -18,7 +18,7 @@
 
 // ---- States -------------------------------------------------------------------------------------
 
-// Empty: kMaxQueues is reached.
+// Returns the queue of this name, created on first use. Empty: kMaxQueues is reached.
 std::optional<RequestScheduler::QueueIndex> RequestScheduler::find_or_add_queue(const std::string& name) {
   const auto at =
       std::find_if(queues_.begin(), queues_.end(), [&](const Queue& queue) { return queue.name == name; });
@@ -90,7 +90,7 @@
   return soonest.value();  // each call has at least one possible gateway
 }
 
-// True if no gateway can take the call early enough before its deadline.
+// True if all possible gateways stay ejected or within a Retry-After time until too late for the deadline.
 bool RequestScheduler::cannot_send_before_deadline(TimePoint now, const Call& call) const {
   const TimePoint usable = earliest_usable_at(now, call);
   return usable > now && usable + kMinTimeToDeadline >= call.deadline;
@@ -134,7 +134,7 @@
   return draw_uniform() * std::min(options_.backoff * std::pow(2.0, call.attempts - 1), options_.max_backoff);
 }
 
-// Refuses calls that cannot be sent before their deadline now, instead of letting them expire.
+// Refuses at once the calls that can no longer be sent before their deadline, instead of letting them expire.
 void RequestScheduler::refuse_unsendable_calls(TimePoint now) {
   if (!must_check_unsendable_) return;
   must_check_unsendable_ = false;
--- a/src/client/sliding_counters.cpp
+++ b/src/client/sliding_counters.cpp
@@ -1,3 +1,4 @@
+// Counts events in a ring of time slots.
 #include "client/sliding_counters.h"
 
 #include <cmath>
--- a/src/client/throttle.cpp
+++ b/src/client/throttle.cpp
@@ -1,3 +1,4 @@
+// Computes the rejection probability of client-side throttling.
 #include "client/throttle.h"
 
 #include <algorithm>
--- a/src/client/validation.cpp
+++ b/src/client/validation.cpp
@@ -1,3 +1,4 @@
+// Validates options, commands and addresses, and converts options for the scheduler.
 #include "client/validation.h"
 
 #include <Poco/Exception.h>
