--- a/src/client/client.h
+++ b/src/client/client.h
@@ -58,7 +58,7 @@
   int attempts = 0;
   double elapsed_ms = 0;      // since call() or send()
   double retry_after_ms = 0;  // kRefused: time to wait before the next try; 0: unknown
-  std::string reason;         // short text for logs; empty if kAnswered
+  std::string why;            // the cause, a short text for logs; empty if kAnswered
   std::string gateway;        // the gateway of the last attempt; empty: no attempt was made
   // Paged commands. If the token is empty, the result is not paged and `rows` holds all of it.
   std::string token;
@@ -239,7 +239,7 @@
   bool answered = false, healthy = false;
   bool reads_retry_markers = false;
   double elapsed_ms = 0;
-  std::string reason;  // empty if answered
+  std::string why;  // the cause if not answered
 };
 // Sends a heartbeat request over a separate connection and blocks for at most `timeout_ms`. Throws
 // std::invalid_argument if the address is invalid.
--- a/src/client/driver.cpp
+++ b/src/client/driver.cpp
@@ -56,7 +56,7 @@
   if (!reason) return wake();
   Result result;
   result.outcome = Outcome::kRefused;
-  result.reason = reason;
+  result.why = reason;
   end_call_state(*call, std::move(result));
   if (call->callback) call->callback(call->result);
 }
@@ -390,7 +390,7 @@
   result.attempts = action.attempts;
   result.elapsed_ms = to_ms(MonotonicClock::now() - call->submitted_at);
   result.retry_after_ms = to_ms(action.retry_after.value_or(Duration(0)));
-  if (result.outcome != Outcome::kAnswered) result.reason = action.reason;
+  if (result.outcome != Outcome::kAnswered) result.why = action.reason;
   const bool has_callback = static_cast<bool>(call->callback);
   if (has_callback) {
     end_call_state(*call, std::move(result));
--- a/src/client/ping.cpp
+++ b/src/client/ping.cpp
@@ -23,13 +23,13 @@
 
   Ping run(const Poco::Net::SocketAddress& address) {
     try {
-      ping_.reason = exchange_heartbeat(address);
+      ping_.why = exchange_heartbeat(address);
     } catch (const Poco::Net::ConnectionRefusedException&) {
-      ping_.reason = "connection refused";
+      ping_.why = "connection refused";
     } catch (const Poco::TimeoutException&) {
-      ping_.reason = "no answer in time";
+      ping_.why = "no answer in time";
     } catch (const Poco::Exception& error) {
-      ping_.reason = error.what();
+      ping_.why = error.what();
     }
     ping_.elapsed_ms = to_ms(MonotonicClock::now() - started_at_);
     return ping_;
--- a/src/gateway/call_report.cpp
+++ b/src/gateway/call_report.cpp
@@ -62,7 +62,7 @@
   if (result.outcome == Outcome::kAnswered) return;
   std::string line = fmt::format("firvalve call: {}", client::name_of(result.outcome));
   if (result.cancelled) line += ", cancelled";
-  if (!result.reason.empty()) line += ": " + result.reason;
+  if (!result.why.empty()) line += ": " + result.why;
   if (result.retry_after_ms > 0) line += fmt::format("; come back in {:.0f} ms", result.retry_after_ms);
   if (result.outcome != Outcome::kRefused)
     line += result.may_have_run ? "; it may have run" : "; it did not run";
--- a/src/gateway/ping.cpp
+++ b/src/gateway/ping.cpp
@@ -21,7 +21,7 @@
 // Pings one gateway, and prints how it fares. False: it is not healthy, or has not answered.
 bool ping_gateway(const std::string& gateway, double timeout_ms) {
   const client::Ping ping = client::ping(gateway, timeout_ms);
-  const char* const state = !ping.answered ? ping.reason.c_str() : ping.healthy ? "healthy" : "not healthy";
+  const char* const state = !ping.answered ? ping.why.c_str() : ping.healthy ? "healthy" : "not healthy";
   std::printf("%s: %s, %.1f ms%s\n", gateway.c_str(), state, ping.elapsed_ms,
               ping.reads_retry_markers ? ", reads marks" : "");
   return ping.healthy;
--- a/tests/client/gateway_health_test.cpp
+++ b/tests/client/gateway_health_test.cpp
@@ -1,3 +1,4 @@
+// Tests the classification of connection losses and the schedule of probes.
 #include "client/gateway_health.h"
 
 #include <gtest/gtest.h>
@@ -14,9 +15,9 @@
   return loss;
 }
 
-TEST(Outage, OneResetConnectionIsNoOutage) { EXPECT_FALSE(is_outage(loss(LossCause::kReset, 1), {})); }
+TEST(Outage, SingleResetIsNoOutage) { EXPECT_FALSE(is_outage(loss(LossCause::kReset, 1), {})); }
 
-TEST(Outage, AResetWithManyCallsOrBesideAnotherLossIsAnOutage) {
+TEST(Outage, ResetWithManyCallsOrAnotherLossIsAnOutage) {
   EXPECT_TRUE(is_outage(loss(LossCause::kReset, 3), {}));
   ConnectionLoss one = loss(LossCause::kReset, 1);
   one.has_other_loss_at_gateway = true;
@@ -26,7 +27,7 @@
   EXPECT_TRUE(is_outage(one, {}));
 }
 
-TEST(Outage, AGatewayThatClosesWithOpenCallsOrBeforeItsIdleTimeIsShuttingDown) {
+TEST(Outage, CloseWithOpenCallsOrBeforeTheIdleTimeIsAnOutage) {
   EXPECT_TRUE(is_outage(loss(LossCause::kClosed, 1), {}));
   ConnectionLoss one = loss(LossCause::kClosed);
   one.idle = Duration(100);
@@ -34,18 +35,18 @@
   one.idle = Duration(4000);  // an idle close
   EXPECT_FALSE(is_outage(one, {}));
   one.idle = Duration(100);
-  one.other_connections = 1;  // it ended one for want of room
+  one.other_connections = 1;  // it evicted one connection
   EXPECT_FALSE(is_outage(one, {}));
 }
 
-TEST(Outage, ARefusalBesideAConnectionThatIsUpIsNoOutage) {
+TEST(Outage, RefusedConnectIsNoOutageWhileAnotherConnectionIsUp) {
   EXPECT_TRUE(is_outage(loss(LossCause::kRefused), {}));
   ConnectionLoss one = loss(LossCause::kRefused);
   one.other_connections = 1;
   EXPECT_FALSE(is_outage(one, {}));
 }
 
-TEST(GatewayHealth, TheSpreadDoublesToItsLimitAndIsForgottenAfterALongGoodTime) {
+TEST(GatewayHealth, ProbeSpreadDoublesUpToItsLimitAndIsResetAfterRecovery) {
   OutageOptions options;
   options.spread = Duration(1000);
   options.max_spread = Duration(3000);
@@ -60,7 +61,7 @@
   EXPECT_EQ(health.probe_at(), at(3000));
   health.start_probe();
   health.reinstate(at(3000));
-  health.eject(at(3100), 0.5);  // at once: it had not recovered
+  health.eject(at(3100), 0.5);  // soon after the reinstatement: it had not recovered
   EXPECT_EQ(health.probe_at(), at(4600));
   health.reinstate(at(5000));
   health.eject(at(20000), 0.5);
--- a/tests/client/request_scheduler_test.cpp
+++ b/tests/client/request_scheduler_test.cpp
@@ -1,3 +1,4 @@
+// Tests the request scheduler in virtual time: the test delivers the events and inspects the actions.
 #include "client/request_scheduler.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +26,7 @@
   }();
   std::unique_ptr<RequestScheduler> scheduler;
   Ms now = 1000;
-  Actions all;  // since the start, or since they were cleared
+  Actions all;  // actions since the start or the last clear()
 
   void open(size_t gateways = 1) {
     options.gateways = gateways;
@@ -54,14 +55,14 @@
   void start(uint64_t number, bool replayable = true, Ms timeout = 2000, const char* profile = "lookup") {
     scheduler->start_call(at(now), call_id(number), {profile, replayable, at(now + timeout), std::nullopt});
   }
-  void start_at(uint64_t number, GatewayIndex only, Ms timeout) {
+  void start_at_gateway(uint64_t number, GatewayIndex only, Ms timeout) {
     scheduler->start_call(at(now), call_id(number), {"page", true, at(now + timeout), only});
   }
   void connected(Ms time, ConnectionId connection) { scheduler->handle_connected(at(time), connection); }
   void lose(Ms time, ConnectionId connection, LossCause cause, const std::set<RequestId>& unsent = {}) {
     scheduler->handle_connection_lost(at(time), connection, cause, unsent);
   }
-  // A gateway with a connection that is up, and a call in flight on it.
+  // Starts a call, connects if needed, and returns the attempt in flight.
   SendAttempt send(uint64_t number, bool replayable = true, Ms timeout = 2000) {
     start(number, replayable, timeout);
     Actions actions = step(now);
@@ -101,30 +102,31 @@
   }
 };
 
-TEST_F(RequestSchedulerTest, ACallConnectsIsSentOnceUpAndAnsweredOnce) {
+TEST_F(RequestSchedulerTest, CallConnectsIsSentAndAnsweredOnce) {
   open();
   start(1);
-  const Actions a = step(1000);
-  ASSERT_TRUE(find<Connect>(a));
-  EXPECT_FALSE(find<SendAttempt>(a));
-  connected(1300, find<Connect>(a)->connection);
-  const Actions b = step(1300);
-  ASSERT_TRUE(find<SendAttempt>(b));
-  EXPECT_EQ(find<SendAttempt>(b)->timeout, Duration(1700));  // what is left
+  const Actions actions = step(1000);
+  ASSERT_TRUE(find<Connect>(actions));
+  EXPECT_FALSE(find<SendAttempt>(actions));
+  connected(1300, find<Connect>(actions)->connection);
+  const Actions later_actions = step(1300);
+  ASSERT_TRUE(find<SendAttempt>(later_actions));
+  EXPECT_EQ(find<SendAttempt>(later_actions)->timeout, Duration(1700));  // the time left
   now = 1400;
-  EXPECT_EQ(reply(*find<SendAttempt>(b), Reply::Kind::kAnswered), call_id(1));
-  EXPECT_EQ(reply(*find<SendAttempt>(b), Reply::Kind::kAnswered), std::nullopt);  // a second answer
+  EXPECT_EQ(reply(*find<SendAttempt>(later_actions), Reply::Kind::kAnswered), call_id(1));
+  EXPECT_EQ(reply(*find<SendAttempt>(later_actions), Reply::Kind::kAnswered),
+            std::nullopt);  // a second answer
   step(1400);
   ASSERT_TRUE(end_of(1));
   EXPECT_EQ(end_of(1)->outcome, Outcome::kAnswered);
   EXPECT_EQ(scheduler->stats().late_answers, 1u);
 }
 
-TEST_F(RequestSchedulerTest, AtItsDeadlineACallIsRevokedOnceAndItsLateAnswerIsDropped) {
+TEST_F(RequestSchedulerTest, ExpiredCallIsRevokedOnceAndItsLateAnswerDropped) {
   open();
   const SendAttempt sent = send(1);
-  const Actions a = step(3000);
-  EXPECT_EQ(count<SendRevoke>(a), 1);
+  const Actions actions = step(3000);
+  EXPECT_EQ(count<SendRevoke>(actions), 1);
   ASSERT_TRUE(end_of(1));
   EXPECT_EQ(end_of(1)->outcome, Outcome::kExpired);
   EXPECT_TRUE(end_of(1)->may_have_run);
@@ -133,7 +135,7 @@
   EXPECT_EQ(count<SendRevoke>(all), 1);
 }
 
-TEST_F(RequestSchedulerTest, ACancelledLoadInFlightMayHaveRunOneThatIsQueuedDidNot) {
+TEST_F(RequestSchedulerTest, CancelledLoadMayHaveRunOnlyIfItWasInFlight) {
   open();
   send(1, false);
   scheduler->cancel_call(at(now), call_id(1));
@@ -147,7 +149,7 @@
   EXPECT_EQ(count<SendRevoke>(all), 1);
 }
 
-TEST_F(RequestSchedulerTest, ALoadWhoseReplyIsLostIsNeverRetried) {
+TEST_F(RequestSchedulerTest, LoadIsNotRetriedIfItsReplyIsLost) {
   for (const LossCause cause : {LossCause::kClosed, LossCause::kReset, LossCause::kUnreadable}) {
     all.clear();
     now = 1000;
@@ -163,17 +165,17 @@
   }
 }
 
-TEST_F(RequestSchedulerTest, ALoadThatWasHalfWrittenIsRetried) {
+TEST_F(RequestSchedulerTest, PartlyWrittenLoadIsRetried) {
   open();
   const SendAttempt sent = send(1, false);
   lose(1010, sent.connection, LossCause::kReset, {sent.request});
-  const Actions a = step(1010);
-  ASSERT_TRUE(find<Connect>(a));
-  connected(1020, find<Connect>(a)->connection);
+  const Actions actions = step(1010);
+  ASSERT_TRUE(find<Connect>(actions));
+  connected(1020, find<Connect>(actions)->connection);
   EXPECT_TRUE(find<SendAttempt>(step(1020)));
 }
 
-TEST_F(RequestSchedulerTest, ARefusedLoadIsRetriedAfterItsRetryAfterEvenAfterARestart) {
+TEST_F(RequestSchedulerTest, RetryAfterIsKeptAcrossAGatewayRestart) {
   open();
   const SendAttempt sent = send(1, false, 5000);
   reply(sent, Reply::Kind::kRefused, 1000);
@@ -181,15 +183,15 @@
   lose(1100, sent.connection, LossCause::kReset);
   EXPECT_FALSE(find<SendAttempt>(step(1100)));
   EXPECT_FALSE(find<SendAttempt>(step(1999)));
-  // Behind it, at a moment of its own.
-  Actions a;
-  for (Ms time = 2000; time <= 2600 && !find<Connect>(a); time += 10) a = step(time);
-  ASSERT_TRUE(find<Connect>(a));
-  connected(now, find<Connect>(a)->connection);
+  // After a random delay behind the Retry-After time.
+  Actions actions;
+  for (Ms time = 2000; time <= 2600 && !find<Connect>(actions); time += 10) actions = step(time);
+  ASSERT_TRUE(find<Connect>(actions));
+  connected(now, find<Connect>(actions)->connection);
   ASSERT_TRUE(find<SendAttempt>(step(now)));
 }
 
-TEST_F(RequestSchedulerTest, ACallThatCannotWaitForTheRetryAfterIsRefusedAtOnce) {
+TEST_F(RequestSchedulerTest, CallIsRefusedAtOnceIfRetryAfterExceedsItsDeadline) {
   open();
   const SendAttempt sent = send(1, true, 900);
   reply(sent, Reply::Kind::kRefused, 60000);
@@ -202,16 +204,16 @@
   ASSERT_TRUE(end_of(2));
   EXPECT_EQ(end_of(2)->outcome, Outcome::kRefused);
   EXPECT_EQ(end_of(2)->attempts, 0);
-  start(3, true, 900, "report");  // another profile is not meant
+  start(3, true, 900, "report");  // the Retry-After does not apply to other profiles
   EXPECT_TRUE(find<SendAttempt>(step(1002)));
 }
 
-TEST_F(RequestSchedulerTest, AfterARefusalAtOneGatewayTheOtherIsUsed) {
+TEST_F(RequestSchedulerTest, RefusedCallIsRetriedAtAnotherGateway) {
   open(2);
   const SendAttempt sent = send(1, true, 900);
   reply(sent, Reply::Kind::kRefused, 60000);
   step(1001);
-  Actions a = step(1200);
+  Actions actions = step(1200);
   EXPECT_FALSE(end_of(1));
   for (const Action& action : Actions(all))
     if (const Connect* const connect = std::get_if<Connect>(&action)) connected(1200, connect->connection);
@@ -223,7 +225,7 @@
   EXPECT_NE(std::get<SendAttempt>(*latest).gateway, sent.gateway);
 }
 
-TEST_F(RequestSchedulerTest, OneResetReconnectsAtOnceAnEjectedGatewayIsProbedLater) {
+TEST_F(RequestSchedulerTest, SingleResetReconnectsAtOnceAndAnOutageAfterAProbe) {
   open();
   const SendAttempt sent = send(1);
   lose(1010, sent.connection, LossCause::kReset);
@@ -233,66 +235,66 @@
   now = 1000;
   open();
   const SendAttempt again = send(1, true, 20000);
-  lose(1010, again.connection, LossCause::kClosed);  // with a call open: it is ending
+  lose(1010, again.connection, LossCause::kClosed);  // with a call open: the gateway is shutting down
   EXPECT_FALSE(find<Connect>(step(1010)));
   const TimePoint due = scheduler->next_due().value();
   EXPECT_GT(due, at(1010));
   EXPECT_LE(due, at(5010));
-  Actions a;
-  for (Ms time = 1010; time < 5100 && !find<Connect>(a); time += 10) a = step(time);
-  ASSERT_TRUE(find<Connect>(a));
-  // Tried singly: it is asked for a heartbeat before a call goes there.
-  connected(now, find<Connect>(a)->connection);
-  const Actions b = step(now);
-  ASSERT_TRUE(find<SendHeartbeat>(b));
-  EXPECT_FALSE(find<SendAttempt>(b));
-  answer_heartbeat(*find<SendHeartbeat>(b));
+  Actions actions;
+  for (Ms time = 1010; time < 5100 && !find<Connect>(actions); time += 10) actions = step(time);
+  ASSERT_TRUE(find<Connect>(actions));
+  // The probe requests a heartbeat before any call is sent.
+  connected(now, find<Connect>(actions)->connection);
+  const Actions later_actions = step(now);
+  ASSERT_TRUE(find<SendHeartbeat>(later_actions));
+  EXPECT_FALSE(find<SendAttempt>(later_actions));
+  answer_heartbeat(*find<SendHeartbeat>(later_actions));
   EXPECT_TRUE(find<SendAttempt>(step(now)));
 }
 
-TEST_F(RequestSchedulerTest, ACallThatCrossesAnIdleCloseIsRetriedOnceUnlessItIsALoad) {
-  options.retry_share = 0;  // it counts against no budget
+TEST_F(RequestSchedulerTest, IdleCloseRaceIsRetriedOnceForReplayableCallsOnly) {
+  options.retry_share = 0;  // the retry does not count against the budget
   for (const bool replayable : {true, false}) {
     all.clear();
     now = 1000;
     open();
     const SendAttempt first = send(1);
     reply(first, Reply::Kind::kAnswered);
-    now = 4000;  // it rested
+    now = 4000;  // the connection was idle
     const SendAttempt sent = send(2, replayable, 20000);
     EXPECT_EQ(sent.connection, first.connection);
     lose(4030, sent.connection, LossCause::kReset);
-    const Actions a = step(4030);
+    const Actions actions = step(4030);
     if (!replayable) {
       EXPECT_EQ(end_of(2)->outcome,
-                Outcome::kUnknown);  // the same is seen of a gateway that read it and died
+                Outcome::kUnknown);  // the gateway may have read it before it crashed
       continue;
     }
-    ASSERT_TRUE(find<Connect>(a));
-    connected(4031, find<Connect>(a)->connection);
-    const Actions b = step(4031);
-    ASSERT_TRUE(find<SendAttempt>(b));
-    lose(4050, find<SendAttempt>(b)->connection, LossCause::kReset);
+    ASSERT_TRUE(find<Connect>(actions));
+    connected(4031, find<Connect>(actions)->connection);
+    const Actions later_actions = step(4031);
+    ASSERT_TRUE(find<SendAttempt>(later_actions));
+    lose(4050, find<SendAttempt>(later_actions)->connection, LossCause::kReset);
     step(4050);
-    EXPECT_EQ(end_of(2)->outcome, Outcome::kUnknown);  // once, and the budget has nothing
+    EXPECT_EQ(end_of(2)->outcome, Outcome::kUnknown);  // only one such retry, and the budget is 0
   }
 }
 
-TEST_F(RequestSchedulerTest, ASilentGatewayIsAskedForAHeartbeatThenEjectedAndItsReplayableCallsMove) {
+TEST_F(RequestSchedulerTest, SilentGatewayIsEjectedAndItsReplayableCallsAreRetried) {
   open(2);
   const SendAttempt load = send(1, false, 10000);
   SendAttempt lookup;
-  for (uint64_t no = 2; no < 20; ++no) {  // one that shares its gateway
-    lookup = send(no, true, 10000);
+  for (uint64_t number = 2; number < 20; ++number) {  // until one shares the load's gateway
+    lookup = send(number, true, 10000);
     if (lookup.gateway == load.gateway) break;
   }
   ASSERT_EQ(lookup.gateway, load.gateway);
-  const Actions a = step(2000);
-  ASSERT_TRUE(find<SendHeartbeat>(a));
+  const Actions actions = step(2000);
+  ASSERT_TRUE(find<SendHeartbeat>(actions));
   step(3000);
   EXPECT_EQ(count<SendRevoke>(all), static_cast<int>(scheduler->stats().revoked));
   EXPECT_GE(scheduler->stats().revoked, 1u);
-  EXPECT_EQ(scheduler->stats().outages, 2u);  // neither said a word
+  EXPECT_EQ(scheduler->stats().outages, 2u);  // neither gateway answered
   EXPECT_FALSE(end_of(1));                    // an answer may still come
   now = 3100;
   EXPECT_EQ(reply(load, Reply::Kind::kAnswered), call_id(1));
@@ -302,8 +304,8 @@
   options.max_requests_per_connection = 3;
   open();
   std::set<std::pair<ConnectionId, RequestId>> seen;
-  for (uint64_t no = 1; no <= 10; ++no) {
-    const SendAttempt sent = send(no);
+  for (uint64_t number = 1; number <= 10; ++number) {
+    const SendAttempt sent = send(number);
     EXPECT_LE(sent.request, 3);
     EXPECT_TRUE(seen.insert({sent.connection, sent.request}).second);
     reply(sent, Reply::Kind::kAnswered);
@@ -311,21 +313,21 @@
   }
 }
 
-TEST_F(RequestSchedulerTest, AtMost32CallsAreInFlightOnAConnectionAndTheRestIsQueued) {
+TEST_F(RequestSchedulerTest, CallsBeyond32PerConnectionAreQueued) {
   options.max_connections = 1;
   open();
-  for (uint64_t no = 1; no <= 40; ++no) start(no);
-  const Actions a = step(1000);
-  EXPECT_EQ(count<Connect>(a), 1);
-  connected(1001, find<Connect>(a)->connection);
-  const Actions b = step(1001);
-  EXPECT_EQ(count<SendAttempt>(b), 32);
+  for (uint64_t number = 1; number <= 40; ++number) start(number);
+  const Actions actions = step(1000);
+  EXPECT_EQ(count<Connect>(actions), 1);
+  connected(1001, find<Connect>(actions)->connection);
+  const Actions later_actions = step(1001);
+  EXPECT_EQ(count<SendAttempt>(later_actions), 32);
   now = 1002;
-  reply(*find<SendAttempt>(b), Reply::Kind::kAnswered);
+  reply(*find<SendAttempt>(later_actions), Reply::Kind::kAnswered);
   EXPECT_EQ(count<SendAttempt>(step(1002)), 1);
 }
 
-TEST_F(RequestSchedulerTest, AnIdleConnectionIsClosedBeforeTheGatewayWould) {
+TEST_F(RequestSchedulerTest, IdleConnectionIsClosedBeforeTheGatewayClosesIt) {
   open();
   const SendAttempt sent = send(1);
   reply(sent, Reply::Kind::kAnswered);
@@ -335,7 +337,7 @@
   EXPECT_EQ(scheduler->next_due(), std::nullopt);
 }
 
-TEST_F(RequestSchedulerTest, RetryMarkersAreSentOnlyToAGatewayThatReadsThem) {
+TEST_F(RequestSchedulerTest, RetryMarkersAreSentOnlyToGatewaysThatReadThem) {
   options.sends_retry_markers = true;
   for (const bool reads : {true, false}) {
     all.clear();
@@ -347,35 +349,35 @@
     answer_heartbeat(*heartbeat, reads);
     EXPECT_TRUE(sent.first_attempt_id.empty());
     reply(sent, Reply::Kind::kRefused);
-    Actions a;
-    for (Ms time = 1000; time < 1100 && !find<SendAttempt>(a); time += 5) a = step(time);
-    ASSERT_TRUE(find<SendAttempt>(a));
-    EXPECT_EQ(find<SendAttempt>(a)->first_attempt_id, reads ? sent.attempt_id : "");
-    EXPECT_NE(find<SendAttempt>(a)->attempt_id, sent.attempt_id);
+    Actions actions;
+    for (Ms time = 1000; time < 1100 && !find<SendAttempt>(actions); time += 5) actions = step(time);
+    ASSERT_TRUE(find<SendAttempt>(actions));
+    EXPECT_EQ(find<SendAttempt>(actions)->first_attempt_id, reads ? sent.attempt_id : "");
+    EXPECT_NE(find<SendAttempt>(actions)->attempt_id, sent.attempt_id);
   }
 }
 
-TEST_F(RequestSchedulerTest, AllGatewaysAreDownThenOneIsBack) {
+TEST_F(RequestSchedulerTest, CallIsSentWhenOneOfAllFailedGatewaysRecovers) {
   open(2);
   start(1, true, 60000);
-  Actions a = step(1000);
+  Actions actions = step(1000);
   for (int tries = 0; tries < 6; ++tries) {
-    for (const Action& action : Actions(a))
+    for (const Action& action : Actions(actions))
       if (const Connect* const connect = std::get_if<Connect>(&action))
         lose(now, connect->connection, LossCause::kRefused);
     step(now);
-    a = step_when_due();
+    actions = step_when_due();
   }
   EXPECT_FALSE(end_of(1));
-  for (int turns = 0; turns < 20 && !find<Connect>(a); ++turns) a = step_when_due();
-  ASSERT_TRUE(find<Connect>(a));
-  connected(now, find<Connect>(a)->connection);
-  a = step(now);
-  answer_heartbeat(*find<SendHeartbeat>(a));
+  for (int turns = 0; turns < 20 && !find<Connect>(actions); ++turns) actions = step_when_due();
+  ASSERT_TRUE(find<Connect>(actions));
+  connected(now, find<Connect>(actions)->connection);
+  actions = step(now);
+  answer_heartbeat(*find<SendHeartbeat>(actions));
   EXPECT_TRUE(find<SendAttempt>(step(now)));
 }
 
-TEST_F(RequestSchedulerTest, AnAnswerWithAnUnknownRequestIdEndsItsConnection) {
+TEST_F(RequestSchedulerTest, AnswerWithAnUnusedRequestIdClosesTheConnection) {
   open();
   const SendAttempt sent = send(1, false);
   Reply reply;
@@ -385,35 +387,35 @@
   EXPECT_EQ(end_of(1)->outcome, Outcome::kUnknown);
 }
 
-TEST_F(RequestSchedulerTest, ACallForAnEjectedGatewayKeepsNoneForAnotherWaiting) {
+TEST_F(RequestSchedulerTest, CallForAnEjectedGatewayDoesNotBlockOthers) {
   open(2);
-  start_at(1, 0, 20000);
-  Actions a = step(now);
-  ASSERT_TRUE(find<Connect>(a));
-  EXPECT_EQ(find<Connect>(a)->gateway, 0);
-  lose(now, find<Connect>(a)->connection, LossCause::kRefused);
+  start_at_gateway(1, 0, 20000);
+  Actions actions = step(now);
+  ASSERT_TRUE(find<Connect>(actions));
+  EXPECT_EQ(find<Connect>(actions)->gateway, 0);
+  lose(now, find<Connect>(actions)->connection, LossCause::kRefused);
   step(now);
-  start_at(2, 1, 20000);
-  a = step(now);
-  ASSERT_TRUE(find<Connect>(a));
-  EXPECT_EQ(find<Connect>(a)->gateway, 1);
-  connected(now, find<Connect>(a)->connection);
-  a = step(now);
-  ASSERT_TRUE(find<SendAttempt>(a));
-  EXPECT_EQ(find<SendAttempt>(a)->call, call_id(2));
+  start_at_gateway(2, 1, 20000);
+  actions = step(now);
+  ASSERT_TRUE(find<Connect>(actions));
+  EXPECT_EQ(find<Connect>(actions)->gateway, 1);
+  connected(now, find<Connect>(actions)->connection);
+  actions = step(now);
+  ASSERT_TRUE(find<SendAttempt>(actions));
+  EXPECT_EQ(find<SendAttempt>(actions)->call, call_id(2));
 }
 
-TEST_F(RequestSchedulerTest, WhenMostAreRefusedCallsAreThrottled) {
+TEST_F(RequestSchedulerTest, CallsAreThrottledWhileMostAreRefused) {
   options.retry_share = 0;
   open();
-  for (uint64_t no = 1; no <= 200; ++no) {
-    start(no);
-    Actions a = step(now);
-    if (const Connect* c = find<Connect>(a)) {
-      connected(now, c->connection);
-      a = step(now);
+  for (uint64_t number = 1; number <= 200; ++number) {
+    start(number);
+    Actions actions = step(now);
+    if (const Connect* connect = find<Connect>(actions)) {
+      connected(now, connect->connection);
+      actions = step(now);
     }
-    if (const SendAttempt* s = find<SendAttempt>(a)) reply(*s, Reply::Kind::kRefused);
+    if (const SendAttempt* sent = find<SendAttempt>(actions)) reply(*sent, Reply::Kind::kRefused);
     step(now += 10);
   }
   EXPECT_GT(scheduler->stats().refused_without_attempt, 120u);
--- a/tests/client/retry_budget_test.cpp
+++ b/tests/client/retry_budget_test.cpp
@@ -1,3 +1,4 @@
+// Tests the retry budget, also against generated sequences of attempts.
 #include "client/retry_budget.h"
 
 #include <gtest/gtest.h>
@@ -8,13 +9,13 @@
 
 constexpr TimePoint at(Ms ms) { return time_point_of(ms); }
 
-TEST(RetryBudget, WithoutFirstAttemptsThereIsNoRetry) {
+TEST(RetryBudget, NoRetryWithoutFirstAttempts) {
   RetryBudget budget(0.1, Duration(10000));
   budget.set_rounding(at(0), 0.99);
   EXPECT_FALSE(budget.allows_retry(at(0)));
 }
 
-TEST(RetryBudget, AShareOfFirstAttemptsAndTheDrawnRounding) {
+TEST(RetryBudget, AllowsAShareOfFirstAttemptsPlusTheRounding) {
   RetryBudget budget(0.1, Duration(10000));
   budget.set_rounding(at(0), 0.5);
   for (int i = 0; i < 5; ++i) budget.record_first_attempt(at(100));
@@ -26,7 +27,7 @@
   EXPECT_TRUE(budget.allows_retry(at(301)));
 }
 
-TEST(RetryBudget, AttemptsThatLeftTheWindowCountNoMore) {
+TEST(RetryBudget, AttemptsOutsideTheWindowDoNotCount) {
   RetryBudget budget(0.5, Duration(1000));
   budget.set_rounding(at(0), 0);
   budget.record_first_attempt(at(0)), budget.record_first_attempt(at(0));
@@ -34,9 +35,8 @@
   EXPECT_FALSE(budget.allows_retry(at(1100)));
 }
 
-// A hundred clients of which each makes three first attempts in a window: together they may retry a tenth of
-// that.
-TEST(RetryBudget, ManySmallClientsTogetherKeepTheShare) {
+// 100 clients with three first attempts each per window: together they may retry a tenth of 300.
+TEST(RetryBudget, ManySmallClientsTogetherStayWithinTheShare) {
   int retries = 0;
   for (int client = 0; client < 100; ++client) {
     RetryBudget budget(0.1, Duration(10000));
@@ -47,7 +47,7 @@
   EXPECT_EQ(retries, 30);
 }
 
-RC_GTEST_PROP(RetryBudgetProperty, HoldsInTheWindowThatEndsWithAnyRetry,
+RC_GTEST_PROP(RetryBudgetProperty, HoldsInEachWindowThatEndsWithARetry,
               (const std::vector<std::pair<uint16_t, bool>>& events)) {
   RetryBudget budget(0.25, Duration(1000));
   budget.set_rounding(at(0), 0.75);
@@ -61,11 +61,12 @@
     } else if (budget.allows_retry(now)) {
       budget.record_retry(now);
       retries.push_back(now);
-      const auto in = [&](const std::vector<TimePoint>& all) {
+      const auto count_in_window = [&](const std::vector<TimePoint>& all) {
         return std::count_if(all.begin(), all.end(),
                              [&](TimePoint time) { return time >= now - Duration(1000); });
       };
-      RC_ASSERT(static_cast<double>(in(retries)) <= 0.25 * static_cast<double>(in(first_attempts)) + 0.75);
+      RC_ASSERT(static_cast<double>(count_in_window(retries)) <=
+                0.25 * static_cast<double>(count_in_window(first_attempts)) + 0.75);
     }
   }
 }
--- a/tests/client/throttle_test.cpp
+++ b/tests/client/throttle_test.cpp
@@ -1,3 +1,4 @@
+// Tests the rejection probability of client-side throttling.
 #include "client/throttle.h"
 
 #include <gtest/gtest.h>
@@ -7,13 +8,13 @@
 
 constexpr TimePoint at(Ms ms) { return time_point_of(ms); }
 
-TEST(Throttle, StopsNothingWhileHalfAreAccepted) {
+TEST(Throttle, RejectsNothingWhileHalfAreAccepted) {
   Throttle throttle(Duration(10000));
   for (int i = 0; i < 50; ++i) throttle.record_refused(at(100)), throttle.record_accepted(at(100));
   EXPECT_EQ(throttle.rejection_probability(at(100)), 0);
 }
 
-TEST(Throttle, FewRefusalsStopNothingManyStopMost) {
+TEST(Throttle, RejectsMostCallsOnlyAfterManyRefusals) {
   Throttle throttle(Duration(10000));
   for (int i = 0; i < 9; ++i) throttle.record_refused(at(100));
   EXPECT_EQ(throttle.rejection_probability(at(100)), 0);
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -279,7 +279,7 @@
   for (size_t g = 0; g < c.size(); ++g) asked.push_back(merge_soon(g, "night", load));
   for (auto& a : asked) {
     const client::Result r = a.get();
-    EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.reason;
+    EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.why;
     EXPECT_FALSE(r.rows.empty());
   }
   EXPECT_EQ(runs(load), 1);
@@ -433,7 +433,7 @@
   // What stands, as any gateway tells it, before the invariant checker.
   std::string stands(size_t gateway) {
     const client::Result r = at(gateway).call_topic_method("bulletin", "cabins", "{}", 8000).wait();
-    EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.reason;
+    EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.why;
     simulation::FleetHistory h;
     h.bulletins.push_back(simulation::read_agreed("cabins", 0, r.rows));
     for (const simulation::FleetViolation& b : simulation::check_invariants(h))
@@ -459,7 +459,7 @@
   const client::Result bad =
       at(0).call_topic_method("propose", "cabins", R"({"schema":{"fields":[{"number":"x"}]}})", 5000).wait();
   EXPECT_EQ(bad.outcome, client::Outcome::kFailed);
-  EXPECT_EQ(bad.reason, "schema.fields[0].number is no number from 0 up");
+  EXPECT_EQ(bad.why, "schema.fields[0].number is no number from 0 up");
   EXPECT_GE(c.count("schema.change_rejected"), c.size());
 }
 
--- a/tests/compatibility/stored_data_test.cpp
+++ b/tests/compatibility/stored_data_test.cpp
@@ -331,22 +331,22 @@
   const std::string answered = "insert into sales_17.orders select * from staging.new /*! rows=2 */";
   const std::string failed = "insert into sales_17.orders select 1 /*! status=500 */";
   const client::Result rows = load("night-2026-12-02", answered);
-  EXPECT_EQ(rows.outcome, client::Outcome::kAnswered) << rows.reason;
+  EXPECT_EQ(rows.outcome, client::Outcome::kAnswered) << rows.why;
   EXPECT_EQ(rows.rows, "0\t0\trow 0 of page 0\n0\t1\trow 1 of page 0\n");
-  EXPECT_EQ(load("night-2026-12-03", failed).reason, "failed; it may have run");
-  EXPECT_EQ(load("night-2026-12-02", "insert into sales_17.orders select 2").reason,
+  EXPECT_EQ(load("night-2026-12-03", failed).why, "failed; it may have run");
+  EXPECT_EQ(load("night-2026-12-02", "insert into sales_17.orders select 2").why,
             "another statement stands under this name");
   EXPECT_EQ(engines_.started(), 0);
 }
 
 TEST_F(StoredFleet, ABulletinIsToldAndASchemaThatStandsKeepsItsVersion) {
   const client::Result cabins_told = client_->call_topic_method("bulletin", "cabins", "{}", 8000).wait();
-  EXPECT_EQ(cabins_told.outcome, client::Outcome::kAnswered) << cabins_told.reason;
+  EXPECT_EQ(cabins_told.outcome, client::Outcome::kAnswered) << cabins_told.why;
   EXPECT_NE(cabins_told.rows.find(schema::encode(cabins()).substr(1)), std::string::npos) << cabins_told.rows;
   const client::Result boats =
       client_->propose("boats", R"({"key":[1],"fields":[{"number":1,"name":"boat","required":true}]})", 8000)
           .wait();
-  EXPECT_EQ(boats.rows, R"({"version":1})") << boats.reason;
+  EXPECT_EQ(boats.rows, R"({"version":1})") << boats.why;
 }
 
 // The epoch after the stored one: the stored claim was understood and built on.
--- a/tests/gateway/spool_gateway_test.cpp
+++ b/tests/gateway/spool_gateway_test.cpp
@@ -198,7 +198,7 @@
   start(R"("memory_mb": 0.1, "result_mb": 0.05, "page_kb": 100)");
   const client::Result r = ask("select 1 /*! rows=100 pages=100 row-bytes=50 */");
   EXPECT_EQ(r.outcome, Outcome::kFailed);
-  EXPECT_NE(r.reason.find("outgrown"), std::string::npos) << r.reason;
+  EXPECT_NE(r.why.find("outgrown"), std::string::npos) << r.why;
   const auto given_up = [&] {
     int all = 0;
     for (int i = 0; i < fleet.engines(); ++i) all += fleet.engine(i).calls("DELETE");
