--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -44,7 +44,7 @@
 }
 
 const Result& Handle::wait() const {
-  if (!state_) throw std::logic_error("a handle of no call was waited for");
+  if (!state_) throw std::logic_error("Handle::wait: the handle does not refer to a call");
   std::unique_lock lock(state_->mutex);
   state_->ended.wait(lock, [this] { return state_->has_ended; });
   return state_->result;
@@ -87,7 +87,8 @@
 Handle Client::request_page(const std::string& gateway, const std::string& token, uint64_t page,
                             double timeout_ms, const std::string& key, Callback done) {
   const auto index = driver_->find_gateway(gateway);
-  if (!index) throw std::invalid_argument(fmt::format("gateway \"{}\" is none of this client's", gateway));
+  if (!index)
+    throw std::invalid_argument(fmt::format("gateway \"{}\": must be one of Options::gateways", gateway));
   return submit(
       {"page", "page", timeout_ms, 0, 0, Effect::kReplayable, false, key, {}},
       [&](CallState& state) {
@@ -99,8 +100,10 @@
 Handle Client::call_topic_method(const std::string& method, const std::string& topic,
                                  const std::string& params, double timeout_ms, Callback done) {
   auto named = proto::add_topic_params(topic, params, timeout_ms);
-  if (!named) throw std::invalid_argument("params are no JSON object");
-  if (!proto::is_topic_method(method)) throw std::invalid_argument("no such method about topics");
+  if (!named) throw std::invalid_argument("params: must be a JSON object");
+  if (!proto::is_topic_method(method))
+    throw std::invalid_argument(fmt::format(
+        "method \"{}\": must be propose, deprecate, retire, declare, withdraw or bulletin", method));
   return submit(
       {method, method, timeout_ms, 0, 0, Effect::kReplayable, false, {}, {}},
       [&](CallState& state) {
--- a/src/client/driver.cpp
+++ b/src/client/driver.cpp
@@ -24,7 +24,7 @@
       scheduler_(scheduler_options(options_)) {
   for (const std::string& gateway : options_.gateways) addresses_.push_back(parse_address(gateway));
   const int descriptor = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  if (descriptor < 0) throw std::runtime_error("client: no descriptor left");
+  if (descriptor < 0) throw std::runtime_error("client: cannot create an eventfd (no free file descriptor?)");
   wake_event_ = Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(descriptor));
   poll_set_.add(wake_event_, PollSet::POLL_READ);
 }
--- a/src/client/gateway_health.cpp
+++ b/src/client/gateway_health.cpp
@@ -17,7 +17,7 @@
     case LossCause::kReset:
       return "reset";
     case LossCause::kUnreadable:
-      return "unreadable";
+      return "ended by a malformed message";
     case LossCause::kUnresponsive:
       return "unresponsive";
   }
--- a/src/client/page_reader.cpp
+++ b/src/client/page_reader.cpp
@@ -35,7 +35,7 @@
       options_(options),
       last_page_(std::max<uint64_t>(from_page, 1) - 1),
       last_requested_page_(last_page_) {
-  if (gateways_.empty()) throw std::invalid_argument("no gateway to ask for pages");
+  if (gateways_.empty()) throw std::invalid_argument("gateways: must name at least one HOST:PORT");
 }
 
 PageReader::~PageReader() {
--- a/src/client/ping.cpp
+++ b/src/client/ping.cpp
@@ -52,20 +52,20 @@
     proto::RpcFrames frames;
     for (std::span<char> body;;) {
       const proto::ReadResult read = frames.next(read_buffer, body);
-      if (read == proto::ReadResult::kMalformed) return "unreadable";
+      if (read == proto::ReadResult::kMalformed) return "malformed answer";
       if (read == proto::ReadResult::kComplete) return read_answer(body);
       if (MonotonicClock::now() >= deadline_ || !socket.poll(time_left(), Poco::Net::Socket::SELECT_READ))
         return "no answer in time";
       const auto space = read_buffer.prepare(kReadBytes);
       const int got = socket.receiveBytes(space.data(), static_cast<int>(space.size()));
-      if (got <= 0) return "closed";
+      if (got <= 0) return "connection closed by the gateway";
       read_buffer.commit(static_cast<size_t>(got));
     }
   }
 
   const char* read_answer(std::span<char> body) {
     const proto::RpcReply reply = proto::read_reply(body);
-    if (reply.kind != proto::RpcReply::Kind::kHeartbeat) return "no heartbeat";
+    if (reply.kind != proto::RpcReply::Kind::kHeartbeat) return "answer is not a heartbeat";
     ping_.answered = true;
     ping_.healthy = reply.is_healthy;
     ping_.reads_retry_markers = reply.reads_retry_markers;
--- a/src/client/request_scheduler.cpp
+++ b/src/client/request_scheduler.cpp
@@ -31,18 +31,18 @@
   const auto queue = find_or_add_queue(request.required_gateway
                                            ? fmt::format("{}\n{}", request.profile, *request.required_gateway)
                                            : request.profile);
-  if (!queue) return end_call(at, Outcome::kRefused, "too many profiles");
+  if (!queue) return end_call(at, Outcome::kRefused, "too many different profiles in use");
   call.queue = *queue;
   if (calls_.size() > options_.max_open_calls) return end_call(at, Outcome::kRefused, "too many open calls");
   Throttle& throttle = queues_[*queue].throttle;
   if (draw_uniform() < throttle.rejection_probability(now)) {
     throttle.record_throttled(now);
-    return end_call(at, Outcome::kRefused, "most calls are refused", false,
+    return end_call(at, Outcome::kRefused, "throttled: gateways refuse most calls", false,
                     options_.max_backoff * draw_uniform());
   }
   const TimePoint usable = earliest_usable_at(now, call);
   if (cannot_send_before_deadline(now, call))
-    return end_call(at, Outcome::kRefused, "no gateway within the time given", false, usable - now);
+    return end_call(at, Outcome::kRefused, "no gateway available before the deadline", false, usable - now);
   enqueue(call, id, false);
 }
 
--- a/src/client/scheduler_calls.cpp
+++ b/src/client/scheduler_calls.cpp
@@ -143,7 +143,7 @@
     if (call.state != State::kInFlight && cannot_send_before_deadline(now, call)) unsendable.push_back(id);
   std::sort(unsendable.begin(), unsendable.end());
   for (const CallId id : unsendable)
-    end_waiting_call(now, calls_.find(id), "no gateway within the time left");
+    end_waiting_call(now, calls_.find(id), "no gateway available before the deadline");
 }
 
 // ---- The end ------------------------------------------------------------------------------------
--- a/src/client/scheduler_dispatch.cpp
+++ b/src/client/scheduler_dispatch.cpp
@@ -140,7 +140,7 @@
   if (call.attempts > 0 && !call.is_next_attempt_exempt &&
       !retry_budget_.allows_retry(now, reserved_retries_ - 1)) {
     // The first attempts that allowed this retry have left the budget's window since.
-    end_waiting_call(now, at, "no retries left");
+    end_waiting_call(now, at, "retry budget exhausted");
     return true;
   }
   send_attempt(now, id, call, *connection);
--- a/src/client/scheduler_gateways.cpp
+++ b/src/client/scheduler_gateways.cpp
@@ -53,7 +53,7 @@
   gateway.was_asked_for_markers = true;
   if (!reply.is_healthy) {
     connection.is_probe = false;  // closed later as an idle connection
-    eject(now, connection.gateway, "it says that it is not healthy");
+    eject(now, connection.gateway, "its heartbeat reports that it is not healthy");
   } else if (connection.is_probe) {
     connection.is_probe = false;
     gateway.health.reinstate(now);
@@ -72,7 +72,7 @@
     if (!is_new) retry_after->second = std::max(retry_after->second, until);
     must_check_unsendable_ = true;
   }
-  retry_or_refuse(now, at, now + draw_backoff(call), "refused");
+  retry_or_refuse(now, at, now + draw_backoff(call), "refused by the gateway");
 }
 
 // ---- Losses -------------------------------------------------------------------------------------
@@ -141,7 +141,7 @@
   call.state = State::kNone;
   const TimePoint not_before = is_outage ? now + draw_backoff(call) : now;
   if (was_unsent)
-    return retry_or_refuse(now, at, not_before, "its connection ended before it was sent completely");
+    return retry_or_refuse(now, at, not_before, "connection lost before the call was completely sent");
   call.may_have_run = true;
   if (call.is_replayable && is_idle_close_race(now, call, connection, cause))
     call.had_idle_close_race = call.is_next_attempt_exempt = true;
--- a/src/client/validation.cpp
+++ b/src/client/validation.cpp
@@ -24,10 +24,10 @@
 }  // namespace
 
 void check(const Options& options) {
-  require(!options.gateways.empty(), "gateways", "one HOST:PORT at least");
+  require(!options.gateways.empty(), "gateways", "at least one HOST:PORT");
   require(is_within(options.max_connections, 1, 1000), "max_connections", "1 to 1,000");
-  require(options.max_open_calls >= 1, "max_open_calls", "1 at least");
-  require(options.max_answer_bytes >= 1024, "max_answer_bytes", "1,024 bytes at least");
+  require(options.max_open_calls >= 1, "max_open_calls", "at least 1");
+  require(options.max_answer_bytes >= 1024, "max_answer_bytes", "at least 1,024 bytes");
   require(is_within(options.retry_share, 0, 1), "retry_share", "0 to 1");
   require(is_within(options.retry_window_ms, 100, kMaxTimeoutMs), "retry_window_ms", "100 ms to a day");
   require(is_within(options.max_attempts, 1, 100), "max_attempts", "1 to 100");
@@ -45,16 +45,16 @@
   const auto require_that = [](bool is_valid, std::string_view problem) {
     if (!is_valid) throw std::invalid_argument(fmt::format("command: {}", problem));
   };
-  require_that(!command.profile.empty(), "no profile");
+  require_that(!command.profile.empty(), "profile must not be empty");
   require_that(command.profile != "heartbeat" && command.profile != "revoke",
-               "the profile's name is the protocol's own");
-  require_that(command.profile.size() <= 256, "the profile's name is longer than 256 bytes");
-  require_that(!command.statement.empty(), "the statement is empty");
+               "profile must not be heartbeat or revoke, which the protocol reserves");
+  require_that(command.profile.size() <= 256, "profile must be at most 256 bytes");
+  require_that(!command.statement.empty(), "statement must not be empty");
   if (command.statement.size() > kMaxStatementBytes)
-    throw std::invalid_argument(fmt::format("command: the statement has {} bytes; a gateway reads {}",
+    throw std::invalid_argument(fmt::format("command: statement has {} bytes; must be at most {}",
                                             command.statement.size(), kMaxStatementBytes));
   require_that(command.timeout_ms > 0 && command.timeout_ms <= kMaxTimeoutMs,
-               "timeout_ms must be above 0, and a day at most");
+               "timeout_ms must be above 0 and at most a day");
   require_that(is_valid_amount(command.estimate_ms), "estimate_ms must be 0 or more");
   require_that(is_valid_amount(command.memory_mb), "memory_mb must be 0 or more");
 }
@@ -62,7 +62,7 @@
 Poco::Net::SocketAddress parse_address(const std::string& address) {
   const size_t colon = address.rfind(':');
   if (colon == std::string::npos || colon == 0 || colon + 1 == address.size())
-    throw std::invalid_argument(fmt::format("gateway \"{}\": not of the form HOST:PORT", address));
+    throw std::invalid_argument(fmt::format("gateway \"{}\": must be HOST:PORT", address));
   try {
     return Poco::Net::SocketAddress(address);
   } catch (const Poco::Exception& error) {
