--- a/src/client/throttle.cpp
+++ b/src/client/throttle.cpp
@@ -1,3 +1,4 @@
+// Computes the rejection probability of client-side throttling.
 #include "client/throttle.h"
 
 #include <algorithm>
@@ -6,12 +7,12 @@
 namespace firvalve::client {
 namespace {
 
-constexpr double kAcceptedWeight = 2;  // refusals of up to half of the calls stop nothing
-constexpr uint64_t kMinCalls = 10;     // fewer say nothing about the gateways
+constexpr double kAcceptedWeight = 2;  // no throttling while at least half of the calls are accepted
+constexpr uint64_t kMinCalls = 10;     // too few calls to judge the gateways
 
 }  // namespace
 
-double Throttle::stop_probability(TimePoint now) const {
+double Throttle::rejection_probability(TimePoint now) const {
   const uint64_t all = counters_.lower_bound(now, kAll), accepted = counters_.lower_bound(now, kAccepted);
   if (all < kMinCalls) return 0;
   return std::max(0.0, (static_cast<double>(all) - kAcceptedWeight * static_cast<double>(accepted)) /
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -439,7 +439,8 @@
   }
   // Reads the topic at a gateway, verifies it with the invariant checker and returns it.
   std::string read_topic(size_t gateway) {
-    const client::Result result = client_at(gateway).ask_about_topic("bulletin", "cabins", "{}", 8000).wait();
+    const client::Result result =
+        client_at(gateway).call_topic_method("bulletin", "cabins", "{}", 8000).wait();
     EXPECT_EQ(result.outcome, client::Outcome::kAnswered) << result.why;
     simulation::FleetHistory history;
     history.bulletins.push_back(simulation::read_agreed("cabins", 0, result.rows));
@@ -464,10 +465,10 @@
     if (first.empty()) first = result.rows;
     EXPECT_EQ(result.rows, first);
   }
-  EXPECT_THROW(client_at(0).ask_about_topic("propose", "cabins", "[1]", 5000), std::invalid_argument);
+  EXPECT_THROW(client_at(0).call_topic_method("propose", "cabins", "[1]", 5000), std::invalid_argument);
   const client::Result invalid =
       client_at(0)
-          .ask_about_topic("propose", "cabins", R"({"schema":{"fields":[{"number":"x"}]}})", 5000)
+          .call_topic_method("propose", "cabins", R"({"schema":{"fields":[{"number":"x"}]}})", 5000)
           .wait();
   EXPECT_EQ(invalid.outcome, client::Outcome::kFailed);
   EXPECT_EQ(invalid.why, "schema.fields[0].number is no number from 0 up");
--- a/tests/compatibility/stored_data_test.cpp
+++ b/tests/compatibility/stored_data_test.cpp
@@ -340,7 +340,7 @@
 }
 
 TEST_F(StoredFleet, ABulletinIsToldAndASchemaThatStandsKeepsItsVersion) {
-  const client::Result cabins_told = client_->ask_about_topic("bulletin", "cabins", "{}", 8000).wait();
+  const client::Result cabins_told = client_->call_topic_method("bulletin", "cabins", "{}", 8000).wait();
   EXPECT_EQ(cabins_told.outcome, client::Outcome::kAnswered) << cabins_told.why;
   EXPECT_NE(cabins_told.rows.find(schema::encode(cabins()).substr(1)), std::string::npos) << cabins_told.rows;
   const client::Result boats =
--- a/tests/gateway/spool_gateway_test.cpp
+++ b/tests/gateway/spool_gateway_test.cpp
@@ -179,7 +179,8 @@
   EXPECT_EQ(read_all(wrong), std::pair(Next::kGone, 0));
   PageReader mine(*client, r, "mine", {});
   EXPECT_EQ(read_all(mine), std::pair(Next::kEnd, 3));
-  EXPECT_EQ(client->page(address, r.token, uint64_t{1} << 63, 1000, "mine").wait().no_such_page, true);
+  EXPECT_EQ(client->request_page(address, r.token, uint64_t{1} << 63, 1000, "mine").wait().no_such_page,
+            true);
 }
 
 TEST_F(SpoolGateway, TheLeaseEndsAndAReadRenewsIt) {
@@ -187,10 +188,10 @@
   const client::Result r = ask("select 1 /*! pages=3 */");
   for (int i = 0; i < 4; ++i) {
     ::usleep(500000);
-    EXPECT_EQ(client->page(address, r.token, 2, 1000).wait().outcome, Outcome::kAnswered) << i;
+    EXPECT_EQ(client->request_page(address, r.token, 2, 1000).wait().outcome, Outcome::kAnswered) << i;
   }
   ::usleep(1300000);
-  EXPECT_TRUE(client->page(address, r.token, 2, 1000).wait().gone);
+  EXPECT_TRUE(client->request_page(address, r.token, 2, 1000).wait().gone);
 }
 
 TEST_F(SpoolGateway, WhatOutgrowsTheSpoolFailsWithItsReasonAndItsEngineIsFree) {
