--- a/src/fakes/fake_deployment.cpp
+++ b/src/fakes/fake_deployment.cpp
@@ -1,3 +1,4 @@
+// A gateway's configuration for fake engines, and free loopback addresses.
 #include "fakes/fake_deployment.h"
 
 #include <Poco/Net/ServerSocket.h>
@@ -65,8 +66,8 @@
 }
 
 std::vector<std::string> free_addresses(size_t count) {
-  // Two that listen at one address share it, and each would get a part of the other's connections: so each
-  // process that takes several has a host of its own.
+  // Two listeners on one address share it, and each receives a part of the other's connections. Each process
+  // therefore uses its own loopback host, derived from its process id.
   const auto pid = static_cast<unsigned>(::getpid());
   const std::string host = fmt::format("127.{}.{}.{}", 1 + pid / 62500 % 250, pid / 250 % 250, 1 + pid % 250);
   std::vector<Poco::Net::ServerSocket> held(count);
--- a/src/fakes/fake_deployment.h
+++ b/src/fakes/fake_deployment.h
@@ -1,4 +1,4 @@
-// An installation on loopback: engines, their event bus, and the configuration that a gateway wants.
+// A deployment on loopback: fake engines, their event bus, and the configuration of a gateway that uses them.
 #pragma once
 
 #include <memory>
@@ -10,16 +10,17 @@
 
 namespace firvalve::fakes {
 
-// What a gateway's configuration says beside its engines.
+// The part of a gateway's configuration that does not describe engines.
 struct GatewayOptions {
   std::string listen, bus;
   int memory_mb = 192, sockets = 1024;
-  int gateways = 1;  // that share the engines
+  int gateways = 1;  // number of gateways that share the engines
 };
-// The file that NODE_CONFIG names, with engines as listing() tells them, separated by commas.
-// Profiles: lookup (replayable), report (replayable, longer), load (non-replayable).
+// Returns the contents of the file that NODE_CONFIG names. `listings`: engines from listing(),
+// comma-separated. Profiles: lookup (replayable), report (replayable, longer), load (non-replayable).
 std::string gateway_config(const GatewayOptions& options, const std::string& listings);
 
+// Fake engines and their event bus, all on one FakeHost.
 class FakeDeployment {
  public:
   explicit FakeDeployment(int engines, FakeEngine::Means means = {});
@@ -29,9 +30,9 @@
   const FakeEventBus& bus() const { return *bus_; }
   FakeHost& host() { return host_; }
   std::string name_of(int engine) const;
-  // The file that NODE_CONFIG names.
+  // Returns the contents of the file that NODE_CONFIG names.
   std::string config(const std::string& listen, int memory_mb = 192, int sockets = 1024) const;
-  // Over all engines:
+  // As for one FakeEngine, over all engines.
   int runs(const std::string& statement) const;
   int runs_most() const;
   int started() const;
@@ -42,9 +43,9 @@
   std::vector<std::unique_ptr<FakeEngine>> engines_;
 };
 
-// An address of the loopback range that is free now.
+// A loopback address whose port is free now.
 std::string free_address();
-// Several at once, none twice, on an address of the loopback range that only this process uses.
+// Distinct free addresses on a loopback host that only this process uses.
 std::vector<std::string> free_addresses(size_t count);
 
 }  // namespace firvalve::fakes
--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -1,3 +1,4 @@
+// The engine's HTTP protocol and its query queue, with the faults that each statement requests.
 #include "fakes/fake_engine.h"
 
 #include <fmt/format.h>
@@ -11,8 +12,8 @@
 
 namespace {
 
-constexpr Ms kNewsWait = 250;  // the protocol's: news come within it
-constexpr Ms kUnasked = 2000;  // the protocol's: a query that is not asked for so long has ended
+constexpr Ms kNewsWait = 250;  // maximum wait for a status response, set by the protocol
+constexpr Ms kUnasked = 2000;  // a query that is not polled for this time ends, set by the protocol
 constexpr std::string_view kPath = "/v1/store";
 
 std::string http(std::string_view status, std::string_view fields, std::string_view body) {
@@ -32,7 +33,7 @@
   Session(FakeEngine& owner, const Poco::Net::StreamSocket& socket)
       : net::Connection(owner.host_.loop(), socket), owner_(owner) {}
 
-  bool waits = false;  // a call is not answered yet; the next is not read before
+  bool waits = false;  // for the response to a call; the next call is read after it
 
   void more() {
     while (!waits && is_open()) {
@@ -253,7 +254,7 @@
   begin_next();
 }
 
-// Answers now, or once there is something to tell.
+// Responds now if there is a page, a status note or an error to send; otherwise when there is one.
 void FakeEngine::tell(Session& connection, const std::string& id, int page, Ms asked_at) {
   const auto at = queries_.find(id);
   if (at == queries_.end()) {
@@ -288,7 +289,7 @@
     if (!*alive || !connections_.has(key)) return;
     const auto query_at = queries_.find(id);
     if (query_at != queries_.end() && (query_at->second.waits != key || query_at->second.number != number))
-      return;  // it has been told
+      return;  // this call has been answered
     if (!key->waits) return;
     if (query_at != queries_.end()) query_at->second.waits = nullptr;
     tell(*key, id, page, asked_at);
@@ -307,7 +308,7 @@
   }
   std::string body = rows_of(s, page);
   int told = page;
-  if (spoil && s.spoil == "half") body.resize(body.size() / 2 - 1);  // in the middle of a row
+  if (spoil && s.spoil == "half") body.resize(body.size() / 2 - 1);  // ends inside a row
   if (spoil && s.spoil == "page") told = page + 1;
   std::string text =
       http("200 OK",
--- a/src/fakes/fake_event_bus.cpp
+++ b/src/fakes/fake_event_bus.cpp
@@ -1,3 +1,4 @@
+// The event bus protocol: one request line per connection, then events and offsets as JSON lines.
 #include "fakes/fake_event_bus.h"
 
 #include <fmt/format.h>
--- a/src/fakes/fake_event_bus.h
+++ b/src/fakes/fake_event_bus.h
@@ -1,4 +1,5 @@
-// The event bus as the gateways meet it: `from N`, then all later events and each second the last number.
+// A fake event bus: a subscriber sends `from N` and receives all events after offset N, and the last offset
+// each second.
 #pragma once
 
 #include <string>
@@ -8,30 +9,31 @@
 
 namespace firvalve::fakes {
 
-// One engine as the bus lists it.
+// Returns one engine's entry in the engine list, as JSON.
 std::string listing(const std::string& name, const std::string& address, const std::string& state,
                     const std::string& machine = "std", const std::string& zone = "z");
-// One event, whole, as the bus and `known` of a gateway's configuration tell it.
+// Returns one topology event, in the form used by the bus and by `known` in a gateway's configuration.
+// `full`: it replaces the whole engine list; otherwise it holds the changed engines.
 std::string topology(int64_t offset, bool full, const std::string& listings);
 
-// Over all connections since its start.
+// Totals over all connections since the bus started; connections_open is the present number.
 struct BusTraffic {
   uint64_t connections_open = 0, connections_made = 0;
   uint64_t lines_in = 0, lines_out = 0;
   uint64_t bytes_in = 0, bytes_out = 0;
 };
 
-// From any thread.
+// The public functions may be called from any thread.
 class FakeEventBus {
  public:
   explicit FakeEventBus(FakeHost& host, int64_t last = 1, const std::string& address = "127.0.0.1:0");
   ~FakeEventBus();
   std::string address() const { return address_; }
-  // The next event: what has changed, or the whole list.
+  // Publishes the next event: the changed engines, or the complete list if `whole`.
   void announce(const std::string& listings, bool whole = false);
   BusTraffic traffic() const;
-  void say_first(std::string line);         // a line, as it is, before all else on the next connection
-  std::vector<int64_t> asked_from() const;  // the numbers that connections asked from, in order
+  void say_first(std::string line);  // sends `line` unchanged before the events of the next subscription
+  std::vector<int64_t> asked_from() const;  // the offsets that subscribers requested, in order
 
  private:
   class Session;
@@ -44,13 +46,13 @@
   std::unique_ptr<Listener> listener_;
   Connections<Session> connections_;
   std::vector<Session*> followers_;
-  std::vector<std::string> events_;  // from first_ + 1 on
+  std::vector<std::string> events_;  // offsets first_ + 1 and above
   int64_t first_;
   std::string say_first_;
   std::shared_ptr<bool> alive_;
   mutable std::mutex mutex_;
   std::vector<int64_t> asked_;
-  BusTraffic traffic_;  // the host's thread's
+  BusTraffic traffic_;  // used on the host's thread only
 };
 
 }  // namespace firvalve::fakes
--- a/src/fakes/fake_gateway.cpp
+++ b/src/fakes/fake_gateway.cpp
@@ -1,3 +1,4 @@
+// The gateway's JSON-RPC protocol, with the faults that each statement requests.
 #include "fakes/fake_gateway.h"
 
 #include <fmt/format.h>
--- a/src/fakes/fake_gateway.h
+++ b/src/fakes/fake_gateway.h
@@ -1,5 +1,5 @@
-// A gateway that does what a client library must survive, told by the statements it gets (script.h) and by
-// what is set here. It runs nothing and sends nothing on.
+// A fake gateway that produces the faults a client library must handle. Statements (fault_script.h) and the
+// setters below select them. It executes and forwards nothing.
 #pragma once
 
 #include <map>
@@ -12,27 +12,27 @@
 
 namespace firvalve::fakes {
 
-// From any thread.
+// The public functions may be called from any thread.
 class FakeGateway {
  public:
   explicit FakeGateway(FakeHost& host, const std::string& address = "127.0.0.1:0");
   ~FakeGateway();
   std::string address() const { return address_; }
 
-  void kill(bool with_reset = false);  // all connections end, the address refuses
-  void come_back();
-  void set_healthy(bool healthy);
-  void set_marks(bool marks);
-  void set_mute(bool mute);  // accepts and reads, and says nothing
+  void kill(bool with_reset = false);  // ends all connections and refuses new ones
+  void come_back();                    // listens on the same address again
+  void set_healthy(bool healthy);      // reported by heartbeat responses
+  void set_marks(bool marks);          // heartbeat responses report support for retry markers
+  void set_mute(bool mute);            // accepts connections and requests, and sends no response
 
   struct Heard {
     std::string profile, statement, req, first;
     Ms timeout = 0, at = 0;
   };
-  std::vector<Heard> heard() const;  // commands, in order
-  int heard(const std::string& statement) const;
-  int revoked() const;
-  std::vector<Ms> accepted_at() const;  // of each connection, by monotonic_ms()
+  std::vector<Heard> heard() const;               // received commands, in order
+  int heard(const std::string& statement) const;  // number of commands with this statement
+  int revoked() const;                            // number of cancellations received
+  std::vector<Ms> accepted_at() const;            // when each connection was accepted, by monotonic_ms()
 
  private:
   class Session;
--- a/src/fakes/fake_host.cpp
+++ b/src/fakes/fake_host.cpp
@@ -1,3 +1,4 @@
+// The event loop, timers and listening sockets of the fakes.
 #include "fakes/fake_host.h"
 
 #include <Poco/NObserver.h>
@@ -79,7 +80,7 @@
   socket_.bind(SocketAddress(address_.empty() ? address : address_), true);
   socket_.listen(1024);
   socket_.setBlocking(false);
-  ::fcntl(socket_.impl()->sockfd(), F_SETFD, FD_CLOEXEC);  // a gateway started now must not keep it open
+  ::fcntl(socket_.impl()->sockfd(), F_SETFD, FD_CLOEXEC);  // child processes must not inherit the socket
   address_ = socket_.address().toString();
   host_.loop().addEventHandler(
       socket_, Poco::NObserver<Listener, ReadableNotification>(*this, &Listener::on_readable));
--- a/src/fakes/fake_host.h
+++ b/src/fakes/fake_host.h
@@ -1,4 +1,4 @@
-// One thread that plays any number of peers on loopback: their sockets, and what they do later.
+// One thread that runs any number of fake peers on loopback: their sockets and timers.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -16,24 +16,26 @@
 
 namespace firvalve::fakes {
 
+// Owns the thread and its event loop.
 class FakeHost {
  public:
   FakeHost();
-  ~FakeHost();  // what it plays must have gone before
+  ~FakeHost();  // the fakes that use it must be destroyed first
   FakeHost(const FakeHost&) = delete;
   FakeHost& operator=(const FakeHost&) = delete;
 
-  // From any thread: runs it on the host's, between events; do_now waits until it has run.
+  // From any thread: runs the task on the host's thread, between events. do_now() waits until it has run and
+  // rethrows its exception.
   void post(std::function<void()> task);
   void do_now(const std::function<void()>& task);
 
-  // On the host's thread alone.
+  // On the host's thread only.
   net::Loop& loop() { return loop_; }
   void after(Ms wait, std::function<void()> task);
 
  private:
   void run_posted();
-  Ms turn(Ms now);
+  Ms turn(Ms now);  // returns when the next timer is due; 0: no timer
 
   net::Loop loop_;
   std::mutex mutex_;
@@ -43,13 +45,13 @@
   std::thread thread_;
 };
 
-// A listening address whose connections are the owner's. On the host's thread alone.
+// A listening socket that passes accepted connections to its owner. Used on the host's thread only.
 class Listener {
  public:
   Listener(FakeHost& host, std::function<void(Poco::Net::StreamSocket)> accepted);
   ~Listener() { close(); }
-  // An address with port 0 takes a free one and keeps it over close() and listen() again. Throws
-  // Poco::Exception where it is taken.
+  // Port 0 selects a free port, which is kept for listen() after close(). Throws Poco::Exception if the
+  // address is in use.
   void listen(const std::string& address);
   void close();
   bool listening() const { return listening_; }
@@ -65,7 +67,7 @@
   std::string address_;
 };
 
-// The connections of one fake: ended by themselves or all at once.
+// The connections of one fake, which can be ended one by one or all at once.
 template <class Connection>
 class Connections {
  public:
--- a/src/fakes/fault_proxy.cpp
+++ b/src/fakes/fault_proxy.cpp
@@ -1,3 +1,4 @@
+// Reads frames from both sides of each proxied connection and applies the faults of their direction.
 #include "fakes/fault_proxy.h"
 
 #include <deque>
@@ -12,7 +13,8 @@
 using Poco::Net::SocketAddress;
 using Poco::Net::StreamSocket;
 
-// The two connections that stand for one: from the gateway that dialled (near), to the one it dialled (far).
+// The two halves of a proxied connection: `near` to the gateway that dialled, `far` to the gateway it
+// dialled.
 class FaultProxy::ConnectionPair {
  public:
   class Socket : public net::Connection {
@@ -49,7 +51,7 @@
 
   std::unique_ptr<Socket> near, far;
   size_t to = 0, from = SIZE_MAX;
-  Ms last_due_forward = 0, last_due_backward = 0;  // when the last frame was due
+  Ms last_due_forward = 0, last_due_backward = 0;  // delivery time of the last delayed frame
   std::deque<std::string> held_forward, held_backward;
 };
 
@@ -112,7 +114,7 @@
   (is_forward ? *pair.far : *pair.near).write(frame);
 }
 
-// A gateway that dials names itself in its first frame.
+// Finds the dialling gateway by the sender name in its first frame.
 void FaultProxy::identify_dialer(ConnectionPair& pair, const std::string& frame) {
   const char* why = "";
   const size_t head = frame.find("\r\n\r\n") + 4;
@@ -161,7 +163,7 @@
   });
 }
 
-// Forwards the frames that waited, once their direction is no longer held.
+// Forwards the frames that were held in this direction, or resets its connections if they are cut now.
 void FaultProxy::release_held(size_t from, size_t to) {
   std::vector<uint64_t> ids;
   for (const auto& [id, pair] : pairs_) ids.push_back(id);
--- a/src/fakes/fault_proxy.h
+++ b/src/fakes/fault_proxy.h
@@ -1,6 +1,6 @@
-// The network between gateways of a fleet, as it may fail: each gateway is reached at an address here, and
-// what its peers say to it passes through, frame by frame. Each ordered pair of gateways has options of its
-// own, which a test sets and changes. Chance comes from a seed; what the system's scheduling adds does not.
+// A proxy that injects network faults between the gateways of a cluster. Peers reach each gateway at an
+// address of the proxy, which forwards frame by frame. Tests set the faults of each ordered pair of gateways
+// separately. Random choices come from a seed; timing also depends on the scheduling of the operating system.
 #pragma once
 
 #include <functional>
@@ -14,33 +14,33 @@
 
 namespace firvalve::fakes {
 
-// From any thread.
+// The public functions may be called from any thread.
 class FaultProxy {
  public:
   struct Options {
-    double lost = 0, repeated = 0;       // parts of the frames
-    Ms delay_least = 0, delay_most = 0;  // of each frame
-    bool reordered = false;              // delayed ones may pass each other
-    bool held = false;                   // frames wait here until this ends
-    bool silent = false;                 // nothing comes through, and nothing says so
-    bool cut = false;                    // connections are reset, new ones too, once it shows whose they are
-    bool torn = false;                   // the next frame is passed in half, then its connection is reset
+    double lost = 0, repeated = 0;       // fractions of frames that are dropped and duplicated
+    Ms delay_least = 0, delay_most = 0;  // range of a frame's delay
+    bool reordered = false;              // delayed frames may overtake each other
+    bool held = false;                   // frames are queued until this is cleared
+    bool silent = false;                 // drops all frames; connections stay open
+    bool cut = false;   // resets connections, new ones after the frame that identifies the dialler
+    bool torn = false;  // forwards half of the next frame, then resets its connection
   };
 
   FaultProxy(FakeHost& host, uint64_t seed);
   ~FaultProxy();
 
-  // Before the gateway that listens at `real`; gateways count from 0 in the order of these calls.
-  // The address under which its peers reach it is `address`.
+  // Adds the gateway that listens at `real`; peers reach it at `address`, which is returned. Gateways are
+  // numbered from 0 in the order of these calls.
   std::string stand_before(const std::string& real, const std::string& address);
   void set(size_t from, size_t to, const Options& options);
   void set_both(size_t a, size_t b, const Options& options);
   void set_all(const Options& options);
-  void set_apart(size_t one, const Options& options);  // from and to everybody
-  // Shown each frame that comes through, on the host's thread. Set before anybody connects.
+  void set_apart(size_t one, const Options& options);  // both directions between `one` and each other gateway
+  // Called with each forwarded frame, on the host's thread. Set it before any gateway connects.
   std::function<void(size_t from, size_t to, const std::string& frame)> on_frame;
-  uint64_t passed() const;  // frames
-  uint64_t bytes(size_t from, size_t to) const;
+  uint64_t passed() const;                       // number of frames forwarded
+  uint64_t bytes(size_t from, size_t to) const;  // bytes forwarded in this direction
 
  private:
   class ConnectionPair;
--- a/src/fakes/fault_script.cpp
+++ b/src/fakes/fault_script.cpp
@@ -1,3 +1,4 @@
+// Parses fault scripts and generates result rows.
 #include "fakes/fault_script.h"
 
 #include <fmt/format.h>
--- a/src/fakes/fault_script.h
+++ b/src/fakes/fault_script.h
@@ -1,6 +1,6 @@
-// What a fake is to do with a statement, told by the statement itself: words in its first comment that
-// opens with an exclamation mark, as in `select 1 /*! delay=200 rows=5 */`. A test so states the failure that
-// it causes in the line that meets it.
+// The fault script of a statement: options in its first comment that opens with an exclamation mark, such as
+// `select 1 /*! delay=200 rows=5 */`, tell a fake how to respond. A test thus states a fault in the statement
+// that triggers it.
 #pragma once
 
 #include <string>
@@ -10,33 +10,35 @@
 
 namespace firvalve::fakes {
 
+// The parsed options, with their defaults.
 struct FaultScript {
-  Ms delay = 0;  // until the rows are ready, or the answer is given
-  int rows = 1;  // a page
+  Ms delay = 0;  // run time of the query at the engine
+  int rows = 1;  // rows per page
   int pages = 1;
-  int row_bytes = 0;    // of the third column, at least
-  int status = 200;     // of an engine: 500 failed, 503 full, 504 over already
-  int ask_status = 0;   // of every answer but that to the start, 503 and 504 with Not-Begun; 0: as it is
-  bool refuse = false;  // from its start on its engine takes no new connections: it drains
-  bool silent = false;  // nothing is ever said to it
-  int reset = -1;       // bytes of an answer that go out before its connection is reset; below 0: not so
-  int cut = -1;         // the same, and then an orderly end
-  int times = 1 << 30;  // that reset, cut or shed happens
-  int reset_next = 0;   // new connections that are reset as they come up, once a reset or cut has happened
-  int spoil_times = 1 << 30;  // that spoil happens
-  std::string note;           // NAME:VALUE, told of a query before its rows are ready
-  std::string
-      spoil;  // junk, head, length, noise, half (a row), page (the wrong one), twice, other (number), huge
-  // Of a gateway:
+  int row_bytes = 0;    // minimum length of the third column
+  int status = 200;     // engine's response: 500 failed, 503 full, 504 deadline already passed
+  int ask_status = 0;   // engine's response to each poll, with Not-Begun if above 500; 0: the normal response
+  bool refuse = false;  // when the query starts, its engine stops accepting connections, as while draining
+  bool silent = false;  // the engine never responds
+  int reset = -1;       // bytes of the response sent before the connection is reset; negative: no reset
+  int cut = -1;         // as reset, but the connection is closed in order
+  int times = 1 << 30;  // how often reset, cut or shed is applied
+  int reset_next = 0;   // number of new connections that are reset after each reset or cut
+  int spoil_times = 1 << 30;  // how often spoil is applied
+  std::string note;           // NAME:VALUE of a status report sent before the rows are ready
+  // How the response is corrupted: junk (replaces it), head, length, noise (after it), half (ends inside a
+  // row), page (wrong page number), twice, other (wrong request id), huge.
+  std::string spoil;
+  // Fake gateway only.
   std::string answer = "rows";  // rows, shed, fail, none
-  std::string holdoff;          // as it stands in the answer; empty: none
-  Ms late = 0;                  // answered so late
+  std::string holdoff;          // JSON value of `holdoff` in a shed response; empty: omitted
+  Ms late = 0;                  // delay of the response
 };
 
-// Words that are not known, or figures that are none: std::invalid_argument names them.
+// Throws std::invalid_argument, which names the option, if an option is unknown or its number is malformed.
 FaultScript script_of(std::string_view statement);
 
-// The rows of page `page` (from 0) of a statement, whole: three columns, told by nothing but these.
+// Returns all rows of page `page` (from 0), with three columns each; they depend on the arguments only.
 std::string rows_of(const FaultScript& script, int page);
 
 }  // namespace firvalve::fakes
--- a/src/fakes/load_clients.cpp
+++ b/src/fakes/load_clients.cpp
@@ -1,3 +1,4 @@
+// Starts the gateway processes with their operator files and reads their logs.
 #include "fakes/load_clients.h"
 
 #include <fmt/format.h>
@@ -151,7 +152,7 @@
         else if (event == "lease.released" || event == "lease.lost")
           r.holds.erase(of);
         else if (event == "gateway.serving")
-          r.holds.clear();  // another life
+          r.holds.clear();  // restarted: leases of the earlier process are gone
       }
     }
     const auto at = r.holds.find(duty);
--- a/src/fakes/load_clients.h
+++ b/src/fakes/load_clients.h
@@ -1,5 +1,5 @@
-// Several processes of the gateway's program as one fleet on loopback: engines and an event bus beside them,
-// the network between them as it may fail (between.h), and what they log, as it comes.
+// A cluster of gateway processes on loopback, with fake engines, an event bus and a fault-injecting proxy
+// between the gateways (fault_proxy.h). Reads the processes' logs while they run.
 #pragma once
 
 #include <map>
@@ -15,10 +15,10 @@
 namespace firvalve::fakes {
 
 struct LoadClientsOptions {
-  size_t gateways = 5, keepers = 3;  // the keepers are the first
+  size_t gateways = 5, keepers = 3;  // the first `keepers` gateways are the acceptors
   int engines = 2;
   Ms lease = 1000;
-  bool folders = true;  // keepers have one each
+  bool folders = true;  // each acceptor stores its state on disk
   std::vector<std::string> duties = {"trial:a"};
   uint64_t seed = 1;
 };
@@ -31,31 +31,31 @@
   size_t size() const { return members_.size(); }
   Process& process(size_t i) { return *members_[i].process; }
   bool up(size_t i) const { return members_[i].up; }
-  void kill(size_t i);                                                     // SIGKILL
-  int end(size_t i);                                                       // SIGTERM; its exit code
-  void start(size_t i);                                                    // again, at the same addresses
-  void forget(size_t i);                                                   // what it had on disk
-  void pause(size_t i), go_on(size_t i);                                   // SIGSTOP, SIGCONT
-  void rewrite(size_t i, const std::string& from, const std::string& to);  // in its operator's file
+  void kill(size_t i);                    // SIGKILL
+  int end(size_t i);                      // SIGTERM; returns the exit code
+  void start(size_t i);                   // restarts it at the same addresses
+  void forget(size_t i);                  // deletes its stored state
+  void pause(size_t i), go_on(size_t i);  // SIGSTOP, SIGCONT
+  void rewrite(size_t i, const std::string& from, const std::string& to);  // edits its operator file
 
   FaultProxy& between() { return *between_; }
   FakeDeployment& engines() { return engines_; }
-  const std::string& clients(size_t i) const { return members_[i].clients; }  // where its clients connect
-  const std::string& peers(size_t i) const { return members_[i].real; }       // where its peers' bytes arrive
-  const std::string& name(size_t i) const { return members_[i].name; }        // as its peers know it
+  const std::string& clients(size_t i) const { return members_[i].clients; }  // address for clients
+  const std::string& peers(size_t i) const { return members_[i].real; }  // address it listens on for peers
+  const std::string& name(size_t i) const { return members_[i].name; }   // its address at the proxy
   std::string folder(size_t i) const;
   std::string operator_file(size_t i) const;
 
-  // What it has logged since its first start.
+  // The log of gateway `i` since its first start.
   std::string log(size_t i) const;
-  // How often an event was logged: by one, or by all.
+  // How often an event was logged, by one gateway (in lines that contain `with`) or by all.
   size_t count(size_t i, const std::string& event, const std::string& with = {}) const;
   size_t count(const std::string& event) const;
-  // Who says that it may act for a duty now; none says so, or more than one do.
+  // The gateway whose log says that it holds this lease now; none if no gateway or more than one does.
   std::optional<size_t> holder(const std::string& duty) const;
-  bool ready() const;  // a majority of keepers takes part, every duty has its holder
+  bool ready() const;  // every lease of `duties` has a holder, except those with a wildcard
 
-  // The clock that the processes count their leases by, in ms.
+  // The clock of the processes' leases, in ms.
   static Ms clock();
 
  private:
@@ -67,14 +67,14 @@
 
   const std::string program_;
   const LoadClientsOptions options_;
-  std::string place_;  // a folder for all that they write
+  std::string place_;  // directory for logs, operator files and stored state
   FakeHost host_;
   std::unique_ptr<FaultProxy> between_;
   FakeDeployment engines_;
   std::vector<Member> members_;
   struct Read {
     size_t at = 0;
-    std::map<std::string, Ms> holds;  // until when, by duty
+    std::map<std::string, Ms> holds;  // expiry time by lease
   };
   mutable std::vector<Read> read_;
 };
--- a/src/fakes/main.cpp
+++ b/src/fakes/main.cpp
@@ -1,4 +1,4 @@
-// firvalve_fake_deployment: engines and their event bus on loopback, for a gateway to be tried with.
+// firvalve_fake_deployment: runs fake engines and their event bus on loopback, for trying out gateways.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -10,7 +10,7 @@
 
 #include "fakes/fake_deployment.h"
 
-// The set-up of CLI11 allocates and may throw: an exception there ends the program, as it should.
+// The set-up of CLI11 allocates and may throw; such an exception ends the program, as intended.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   CLI::App app("Fake engines and event bus on loopback; what a statement does, it says itself.");
--- a/src/fakes/process.cpp
+++ b/src/fakes/process.cpp
@@ -1,3 +1,4 @@
+// Starts a program with fork() and execve(), and controls it by signals.
 #include "fakes/process.h"
 
 #include <Poco/Net/NetException.h>
@@ -53,7 +54,7 @@
   std::vector<char*> words{program_.data()};
   for (std::string& a : arguments_) words.push_back(a.data());
   words.push_back(nullptr);
-  // All that allocates happens before the fork: other threads may hold the allocator then.
+  // Allocates before the fork only: in the child, another thread's allocator lock could be held forever.
   environment_.back() = "NODE_CONFIG=" + path_;
   std::vector<char*> environment;
   for (char** e = environ; *e; ++e)
@@ -66,13 +67,13 @@
   if (process_ != 0) return;
   if (ends_ == Ends::kWithItsStarter) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (::getppid() != starter) ::_exit(127);  // which ended before it could be asked for
+    if (::getppid() != starter) ::_exit(127);  // the parent ended before prctl() took effect
   }
   if (!log_.empty()) {
     const int to = ::open(log_.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     if (to >= 0) ::dup2(to, STDERR_FILENO);
   }
-  // It gets none of this process's connections: those that are closed here would stay open there.
+  // The child must not inherit connections: they would stay open there after they are closed here.
   ::close_range(STDERR_FILENO + 1, ~0U, CLOSE_RANGE_CLOEXEC);
   ::execve(program_.c_str(), words.data(), environment.data());
   ::_exit(127);
--- a/src/fakes/process.h
+++ b/src/fakes/process.h
@@ -1,4 +1,4 @@
-// The gateway's program as a child process: started with a configuration, signalled, waited for.
+// A program, usually the gateway, as a child process that can be started, signalled and waited for.
 #pragma once
 
 #include <sys/types.h>
@@ -11,30 +11,31 @@
 
 class Process {
  public:
-  // `config` is written to a file of its own, which NODE_CONFIG then names; empty: none.
-  // Its standard error is added to `log`; empty: it goes where this process's goes.
-  // `environment`: NAME=VALUE each, beside this process's own or in place of what that has.
-  // kWithItsStarter: the kernel ends it where the thread that started it ends, also by SIGKILL.
+  // `config` is written to a temporary file that NODE_CONFIG names; empty: no file.
+  // Standard error is appended to the file `log`; empty: standard error is inherited.
+  // `environment`: NAME=VALUE entries that are added to the inherited environment or replace variables in it.
+  // kWithItsStarter: the kernel kills the child when the thread that started it ends, even by SIGKILL.
   enum class Ends { kByItself, kWithItsStarter };
   Process(std::string program, const std::string& config, std::vector<std::string> arguments = {},
           std::string log = {}, Ends ends = Ends::kByItself, std::vector<std::string> environment = {});
-  ~Process();  // SIGKILL, where it still runs
+  ~Process();  // sends SIGKILL if it is still running
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  void start();  // again, after its end
+  void start();  // starts it again after it has ended
   void signal(int number);
-  int wait();  // its exit code; -1: ended by a signal
+  int wait();  // returns its exit code; -1: ended by a signal
   void stop(int number) { signal(number), wait(); }
   pid_t id() const { return process_; }
-  bool running() const;  // started, and not ended by itself; its exit code is still wait()'s to tell
+  bool running() const;  // does not reap an ended process: wait() still returns its exit code
   void rewrite(const std::string& config);
   const std::string& config_path() const { return path_; }
-  // Waits until something listens there, for at most 10 s; false: nothing does.
+  // Waits until a connection to `address` succeeds, 10 s if it is refused each time; returns false if none
+  // did.
   static bool listens(const std::string& address);
 
  private:
-  bool is_replaced(std::string_view variable) const;  // by one of environment_
+  bool is_replaced(std::string_view variable) const;  // environment_ has a variable of the same name
 
   std::string program_, path_;
   std::vector<std::string> arguments_, environment_;
