--- a/bench/client_bench.cpp
+++ b/bench/client_bench.cpp
@@ -206,10 +206,10 @@
 
 void run_overload(const std::string& program, bool plain, bool advice) {
   constexpr double kLength = 20000, kTimeout = 1000, kTarget = 800, kRate = 2400;
-  fakes::FakeEngine::Means means;
-  means.slots = 8;  // two engines of eight, 20 ms a query: 800 a second
-  means.full_behind = 200;
-  fakes::FakeDeployment fleet(2, means);
+  fakes::FakeEngine::Options engine_options;
+  engine_options.slots = 8;  // two engines of eight, 20 ms a query: 800 a second
+  engine_options.max_queue_wait = 200;
+  fakes::FakeDeployment fleet(2, engine_options);
   const std::string address = fakes::free_address();
   std::string config = fleet.config(address);
   const std::string told = R"("retry_after":true)";
--- a/src/fakes/fake_deployment.cpp
+++ b/src/fakes/fake_deployment.cpp
@@ -9,9 +9,9 @@
 
 namespace firvalve::fakes {
 
-FakeDeployment::FakeDeployment(int engines, FakeEngine::Means means)
+FakeDeployment::FakeDeployment(int engines, FakeEngine::Options options)
     : bus_(std::make_unique<FakeEventBus>(host_)) {
-  for (int i = 0; i < engines; ++i) engines_.push_back(std::make_unique<FakeEngine>(host_, means));
+  for (int i = 0; i < engines; ++i) engines_.push_back(std::make_unique<FakeEngine>(host_, options));
 }
 
 std::string FakeDeployment::name_of(int engine) const { return fmt::format("s-{:08x}", 10 + engine); }
@@ -44,19 +44,19 @@
 }
 
 int FakeDeployment::runs(const std::string& statement) const {
-  int all = 0;
-  for (const auto& e : engines_) all += e->runs(statement);
-  return all;
+  int total = 0;
+  for (const auto& engine : engines_) total += engine->runs(statement);
+  return total;
 }
 int FakeDeployment::runs_most() const {
-  int most = 0;
-  for (const auto& e : engines_) most = std::max(most, e->runs_most());
-  return most;
+  int max = 0;
+  for (const auto& engine : engines_) max = std::max(max, engine->runs_most());
+  return max;
 }
 int FakeDeployment::started() const {
-  int all = 0;
-  for (const auto& e : engines_) all += e->started();
-  return all;
+  int total = 0;
+  for (const auto& engine : engines_) total += engine->started();
+  return total;
 }
 
 std::string free_address() {
@@ -70,13 +70,13 @@
   // therefore uses its own loopback host, derived from its process id.
   const auto pid = static_cast<unsigned>(::getpid());
   const std::string host = fmt::format("127.{}.{}.{}", 1 + pid / 62500 % 250, pid / 250 % 250, 1 + pid % 250);
-  std::vector<Poco::Net::ServerSocket> held(count);
-  std::vector<std::string> out;
-  for (Poco::Net::ServerSocket& socket : held) {
+  std::vector<Poco::Net::ServerSocket> sockets(count);
+  std::vector<std::string> addresses;
+  for (Poco::Net::ServerSocket& socket : sockets) {
     socket.bind(Poco::Net::SocketAddress(host, 0), false);
-    out.push_back(socket.address().toString());
+    addresses.push_back(socket.address().toString());
   }
-  return out;
+  return addresses;
 }
 
 }  // namespace firvalve::fakes
--- a/src/fakes/fake_deployment.h
+++ b/src/fakes/fake_deployment.h
@@ -23,7 +23,7 @@
 // Fake engines and their event bus, all on one FakeHost.
 class FakeDeployment {
  public:
-  explicit FakeDeployment(int engines, FakeEngine::Means means = {});
+  explicit FakeDeployment(int engines, FakeEngine::Options options = {});
   FakeEngine& engine(int i) { return *engines_[static_cast<size_t>(i)]; }
   int engines() const { return static_cast<int>(engines_.size()); }
   FakeEventBus& bus() { return *bus_; }
--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -12,18 +12,19 @@
 
 namespace {
 
-constexpr Ms kNewsWait = 250;  // maximum wait for a status response, set by the protocol
-constexpr Ms kUnasked = 2000;  // a query that is not polled for this time ends, set by the protocol
+constexpr Ms kMaxStatusWait = 250;  // maximum wait for a status response, set by the protocol
+constexpr Ms kPollTimeout = 2000;   // a query that is not polled for this time ends, set by the protocol
 constexpr std::string_view kPath = "/v1/store";
 
-std::string http(std::string_view status, std::string_view fields, std::string_view body) {
+std::string make_response(std::string_view status, std::string_view fields, std::string_view body) {
   return fmt::format("HTTP/1.1 {}\r\n{}Content-Length: {}\r\n\r\n{}", status, fields, body.size(), body);
 }
 
-std::string note_fields(const FaultScript& s) {
-  const size_t colon = s.note.find(':');
+std::string note_headers(const FaultScript& script) {
+  const size_t colon = script.note.find(':');
   if (colon == std::string::npos) return {};
-  return fmt::format("Detail: {}\r\nX-Val: {}\r\n", s.note.substr(0, colon), s.note.substr(colon + 1));
+  return fmt::format("Detail: {}\r\nX-Val: {}\r\n", script.note.substr(0, colon),
+                     script.note.substr(colon + 1));
 }
 
 }  // namespace
@@ -33,10 +34,10 @@
   Session(FakeEngine& owner, const Poco::Net::StreamSocket& socket)
       : net::Connection(owner.host_.loop(), socket), owner_(owner) {}
 
-  bool waits = false;  // for the response to a call; the next call is read after it
+  bool is_waiting = false;  // for the response to a call; the next call is read after it
 
-  void more() {
-    while (!waits && is_open()) {
+  void process_calls() {
+    while (!is_waiting && is_open()) {
       const size_t end = proto::find_header_end(read_buffer_.text());
       if (end == std::string_view::npos) return;
       std::string_view head = read_buffer_.text().substr(0, end);
@@ -53,34 +54,34 @@
       if (read_buffer_.text().size() < end + static_cast<size_t>(length)) return;
       call.statement = read_buffer_.text().substr(end, static_cast<size_t>(length));
       read_buffer_.consume(end + static_cast<size_t>(length));
-      owner_.handle(*this, call);
+      owner_.handle_call(*this, call);
       if (!owner_.connections_.has(this)) return;
     }
   }
 
  protected:
-  void on_bytes() override { more(); }
+  void on_bytes() override { process_calls(); }
   void on_end(End) override { owner_.connections_.end(this); }
 
  private:
   FakeEngine& owner_;
 };
 
-FakeEngine::FakeEngine(FakeHost& host, Means means, const std::string& address)
-    : host_(host), means_(means), connections_(host), alive_(std::make_shared<bool>(true)) {
-  host_.do_now([&] {
+FakeEngine::FakeEngine(FakeHost& host, Options options, const std::string& address)
+    : host_(host), options_(options), connections_(host), alive_(std::make_shared<bool>(true)) {
+  host_.run_and_wait([&] {
     listener_ = std::make_unique<Listener>(host_, [this](const Poco::Net::StreamSocket& socket) {
       Session* const key = connections_.add(std::make_unique<Session>(*this, socket));
       if (reset_next_ > 0) --reset_next_, connections_.end(key, true);
     });
     listener_->listen(address);
     address_ = listener_->address();
-    forget_unasked();
+    expire_unpolled();
   });
 }
 
 FakeEngine::~FakeEngine() {
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     *alive_ = false;
     listener_.reset();
     connections_.end_all(true);
@@ -88,21 +89,21 @@
 }
 
 void FakeEngine::kill() {
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     listener_->close();
     connections_.end_all(true);
     queries_.clear();
-    line_.clear();
-    at_work_ = 0;
+    queue_.clear();
+    running_ = 0;
   });
 }
 
 void FakeEngine::come_back() {
-  host_.do_now([&] { listener_->listen(address_); });
+  host_.run_and_wait([&] { listener_->listen(address_); });
 }
 
 void FakeEngine::hang(bool on) {
-  host_.do_now([&] { hangs_ = on; });
+  host_.run_and_wait([&] { is_hanging_ = on; });
 }
 
 int FakeEngine::runs(const std::string& statement) const {
@@ -113,9 +114,9 @@
 
 int FakeEngine::runs_most() const {
   const std::lock_guard lock(mutex_);
-  int most = 0;
-  for (const auto& [statement, count] : runs_) most = std::max(most, count);
-  return most;
+  int max = 0;
+  for (const auto& [statement, count] : runs_) max = std::max(max, count);
+  return max;
 }
 
 int FakeEngine::started() const {
@@ -127,39 +128,39 @@
 
 int FakeEngine::calls(const std::string& start) const {
   const std::lock_guard lock(mutex_);
-  return static_cast<int>(
-      std::count_if(lines_.begin(), lines_.end(), [&](const auto& l) { return l.starts_with(start); }));
+  return static_cast<int>(std::count_if(call_lines_.begin(), call_lines_.end(),
+                                        [&](const auto& l) { return l.starts_with(start); }));
 }
 
 Ms FakeEngine::first_call_at() const {
   const std::lock_guard lock(mutex_);
-  return first_at_;
+  return first_call_at_;
 }
 
 Ms FakeEngine::last_call_at() const {
   const std::lock_guard lock(mutex_);
-  return last_at_;
+  return last_call_at_;
 }
 
 std::vector<Ms> FakeEngine::held_after_ready() const {
   const std::lock_guard lock(mutex_);
-  return held_;
+  return held_after_ready_;
 }
 
-void FakeEngine::handle(Session& connection, const Call& call) {
+void FakeEngine::handle_call(Session& connection, const Call& call) {
   {
     const std::lock_guard lock(mutex_);
-    if (means_.records_calls) lines_.push_back(call.line);
-    last_at_ = host_.loop().now_ms();
-    if (first_at_ == 0) first_at_ = last_at_;
+    if (options_.records_calls) call_lines_.push_back(call.line);
+    last_call_at_ = host_.loop().now_ms();
+    if (first_call_at_ == 0) first_call_at_ = last_call_at_;
   }
-  if (hangs_) {
-    connection.waits = true;
+  if (is_hanging_) {
+    connection.is_waiting = true;
     return;
   }
   const Ms now = host_.loop().now_ms();
   const std::string_view line = call.line;
-  if (line.starts_with("POST ")) return start(connection, call);
+  if (line.starts_with("POST ")) return start_query(connection, call);
   const size_t path = line.find(kPath);
   if (path == std::string_view::npos) return connections_.end(&connection);
   std::string_view rest = line.substr(path + kPath.size() + 1);
@@ -170,38 +171,39 @@
     if (line.starts_with("DELETE ") && at != queries_.end()) {
       if (now >= at->second.ready_at) {
         const std::lock_guard lock(mutex_);
-        held_.push_back(now - at->second.ready_at);
+        held_after_ready_.push_back(now - at->second.ready_at);
       }
-      leave(at);
+      remove_query(at);
     }
     connection.write("HTTP/1.1 204 No Content\r\n\r\n");
     return;
   }
   if (at != queries_.end() && at->second.script.ask_status > 0) {
-    at->second.asked_at = now;
+    at->second.polled_at = now;
     const int status = at->second.script.ask_status;
-    return connection.write(http(fmt::format("{} No", status), status > 500 ? "Not-Begun: 1\r\n" : "", ""));
+    return connection.write(
+        make_response(fmt::format("{} No", status), status > 500 ? "Not-Begun: 1\r\n" : "", ""));
   }
   const size_t slash = rest.find('/');
   const int page = slash == std::string_view::npos
                        ? 0
                        : static_cast<int>(proto::parse_decimal(rest.substr(slash + 1), 1000).value_or(0));
-  tell(connection, id, page, now);
+  respond_or_wait(connection, id, page, now);
 }
 
-void FakeEngine::start(Session& connection, const Call& call) {
+void FakeEngine::start_query(Session& connection, const Call& call) {
   const Ms now = host_.loop().now_ms();
   Query query;
   query.statement = call.statement;
   query.script = script_of(call.statement);
-  query.asked_at = now;
+  query.polled_at = now;
   if (query.script.status == 503 || query.script.status == 504) {
-    connection.write(http(fmt::format("{} No", query.script.status), "Not-Begun: 1\r\n", ""));
+    connection.write(make_response(fmt::format("{} No", query.script.status), "Not-Begun: 1\r\n", ""));
     return;
   }
-  if (means_.slots > 0 &&
-      query.script.delay * static_cast<double>(line_.size()) / means_.slots > means_.full_behind) {
-    connection.write(http("503 Full", "Not-Begun: 1\r\n", ""));
+  if (options_.slots > 0 &&
+      query.script.delay * static_cast<double>(queue_.size()) / options_.slots > options_.max_queue_wait) {
+    connection.write(make_response("503 Full", "Not-Begun: 1\r\n", ""));
     return;
   }
   {
@@ -209,140 +211,144 @@
     ++runs_[call.statement];
   }
   if (query.script.refuse) listener_->close();
-  query.number = ++last_number_;
-  if (const auto same = queries_.find(call.id); same != queries_.end()) leave(same);
-  Query& kept = queries_[call.id] = std::move(query);
-  if (means_.slots == 0 || at_work_ < means_.slots)
-    begin(call.id, kept);
+  query.run_number = ++last_run_number_;
+  if (const auto same = queries_.find(call.id); same != queries_.end()) remove_query(same);
+  Query& stored = queries_[call.id] = std::move(query);
+  if (options_.slots == 0 || running_ < options_.slots)
+    run_query(call.id, stored);
   else
-    line_.push_back(call.id);
-  tell(connection, call.id, 0, now);
+    queue_.push_back(call.id);
+  respond_or_wait(connection, call.id, 0, now);
 }
 
-void FakeEngine::begin(const std::string& id, Query& query) {
-  ++at_work_;
-  query.works = true;
+void FakeEngine::run_query(const std::string& id, Query& query) {
+  ++running_;
+  query.is_running = true;
   query.ready_at = host_.loop().now_ms() + query.script.delay;
-  host_.after(query.script.delay, [this, alive = alive_, id, number = query.number] {
+  host_.after(query.script.delay, [this, alive = alive_, id, run_number = query.run_number] {
     if (!*alive) return;
     const auto at = queries_.find(id);
-    if (at == queries_.end() || at->second.number != number || !at->second.works) return;
-    at->second.works = false;
-    --at_work_;
-    begin_next();
-    Session* const waits = std::exchange(at->second.waits, nullptr);
-    if (!waits || !connections_.has(waits)) return;
-    tell(*waits, id, 0, host_.loop().now_ms());
-    if (connections_.has(waits)) waits->more();
+    if (at == queries_.end() || at->second.run_number != run_number || !at->second.is_running) return;
+    at->second.is_running = false;
+    --running_;
+    run_queued();
+    Session* const waiting = std::exchange(at->second.waiting_session, nullptr);
+    if (!waiting || !connections_.has(waiting)) return;
+    respond_or_wait(*waiting, id, 0, host_.loop().now_ms());
+    if (connections_.has(waiting)) waiting->process_calls();
   });
 }
 
-void FakeEngine::begin_next() {
-  while (!line_.empty() && (means_.slots == 0 || at_work_ < means_.slots)) {
-    const std::string id = line_.front();
-    line_.pop_front();
-    if (const auto at = queries_.find(id); at != queries_.end()) begin(id, at->second);
+void FakeEngine::run_queued() {
+  while (!queue_.empty() && (options_.slots == 0 || running_ < options_.slots)) {
+    const std::string id = queue_.front();
+    queue_.pop_front();
+    if (const auto at = queries_.find(id); at != queries_.end()) run_query(id, at->second);
   }
 }
 
-void FakeEngine::leave(std::map<std::string, Query>::iterator at) {
-  if (at->second.works)
-    --at_work_;
+void FakeEngine::remove_query(std::map<std::string, Query>::iterator at) {
+  if (at->second.is_running)
+    --running_;
   else
-    std::erase(line_, at->first);
+    std::erase(queue_, at->first);
   queries_.erase(at);
-  begin_next();
+  run_queued();
 }
 
 // Responds now if there is a page, a status note or an error to send; otherwise when there is one.
-void FakeEngine::tell(Session& connection, const std::string& id, int page, Ms asked_at) {
+void FakeEngine::respond_or_wait(Session& connection, const std::string& id, int page, Ms polled_at) {
   const auto at = queries_.find(id);
   if (at == queries_.end()) {
-    connection.waits = false;
-    return connection.write(http("500 Error", "", ""));
+    connection.is_waiting = false;
+    return connection.write(make_response("500 Error", "", ""));
   }
   Query& query = at->second;
   const Ms now = host_.loop().now_ms();
-  query.asked_at = now;
+  query.polled_at = now;
   if (query.script.silent) {
-    connection.waits = true;
+    connection.is_waiting = true;
     return;
   }
   if (now >= query.ready_at) {
-    connection.waits = false;
-    return answer(connection, query, page);
+    connection.is_waiting = false;
+    return send_page(connection, query, page);
   }
-  if (now >= asked_at + kNewsWait) {
-    connection.waits = false;
-    connection.write(http("202 Accepted", note_fields(query.script), ""));
-    return connection.more();
+  if (now >= polled_at + kMaxStatusWait) {
+    connection.is_waiting = false;
+    connection.write(make_response("202 Accepted", note_headers(query.script), ""));
+    return connection.process_calls();
   }
-  if (!query.script.note.empty() && !query.noted) {
-    query.noted = true;
-    connection.waits = false;
-    return connection.write(http("202 Accepted", note_fields(query.script), ""));
+  if (!query.script.note.empty() && !query.note_sent) {
+    query.note_sent = true;
+    connection.is_waiting = false;
+    return connection.write(make_response("202 Accepted", note_headers(query.script), ""));
   }
-  connection.waits = true;
-  query.waits = &connection;
-  host_.after(asked_at + kNewsWait - now, [this, alive = alive_, key = &connection, id, page, asked_at,
-                                           number = query.number] {
-    if (!*alive || !connections_.has(key)) return;
-    const auto query_at = queries_.find(id);
-    if (query_at != queries_.end() && (query_at->second.waits != key || query_at->second.number != number))
-      return;  // this call has been answered
-    if (!key->waits) return;
-    if (query_at != queries_.end()) query_at->second.waits = nullptr;
-    tell(*key, id, page, asked_at);
-    if (connections_.has(key)) key->more();
-  });
+  connection.is_waiting = true;
+  query.waiting_session = &connection;
+  host_.after(polled_at + kMaxStatusWait - now,
+              [this, alive = alive_, key = &connection, id, page, polled_at, run_number = query.run_number] {
+                if (!*alive || !connections_.has(key)) return;
+                const auto query_at = queries_.find(id);
+                if (query_at != queries_.end() &&
+                    (query_at->second.waiting_session != key || query_at->second.run_number != run_number))
+                  return;  // this call has been answered
+                if (!key->is_waiting) return;
+                if (query_at != queries_.end()) query_at->second.waiting_session = nullptr;
+                respond_or_wait(*key, id, page, polled_at);
+                if (connections_.has(key)) key->process_calls();
+              });
 }
 
-void FakeEngine::answer(Session& connection, Query& query, int page) {
-  const FaultScript& s = query.script;
-  if (s.status != 200 || page >= s.pages) return connection.write(http("500 Error", "", ""));
-  bool spoil = false, breaks = false;
+void FakeEngine::send_page(Session& connection, Query& query, int page) {
+  const FaultScript& script = query.script;
+  if (script.status != 200 || page >= script.pages)
+    return connection.write(make_response("500 Error", "", ""));
+  bool spoil = false, breaks_off = false;
   {
     const std::lock_guard lock(mutex_);
-    if (s.reset >= 0 || s.cut >= 0) breaks = broken_[query.statement]++ < s.times;
-    if (!breaks && !s.spoil.empty()) spoil = spoilt_[query.statement]++ < s.spoil_times;
+    if (script.reset >= 0 || script.cut >= 0)
+      breaks_off = broken_responses_[query.statement]++ < script.times;
+    if (!breaks_off && !script.spoil.empty()) spoil = corrupted_[query.statement]++ < script.spoil_times;
   }
-  std::string body = rows_of(s, page);
-  int told = page;
-  if (spoil && s.spoil == "half") body.resize(body.size() / 2 - 1);  // ends inside a row
-  if (spoil && s.spoil == "page") told = page + 1;
-  std::string text =
-      http("200 OK",
-           page == 0 ? fmt::format("X-Sheets: {}\r\n", s.pages) : fmt::format("X-Sheet: {}\r\n", told), body);
-  if (spoil && s.spoil == "head") text[0] = '?';
-  if (spoil && s.spoil == "length") text.replace(text.find("Content-Length: ") + 16, 1, "99999999");
-  if (spoil && s.spoil == "noise") text += "noise";
-  if (spoil && s.spoil == "twice") text += std::string(text);
-  if (spoil && s.spoil == "junk") text = "junk\r\n\r\n";
-  if (breaks) {
-    reset_next_ += s.reset_next;
-    const auto bytes = static_cast<size_t>(std::max(s.reset, s.cut));
+  std::string body = rows_of(script, page);
+  int sent_page = page;
+  if (spoil && script.spoil == "half") body.resize(body.size() / 2 - 1);  // ends inside a row
+  if (spoil && script.spoil == "page") sent_page = page + 1;
+  std::string text = make_response(
+      "200 OK",
+      page == 0 ? fmt::format("X-Sheets: {}\r\n", script.pages) : fmt::format("X-Sheet: {}\r\n", sent_page),
+      body);
+  if (spoil && script.spoil == "head") text[0] = '?';
+  if (spoil && script.spoil == "length") text.replace(text.find("Content-Length: ") + 16, 1, "99999999");
+  if (spoil && script.spoil == "noise") text += "noise";
+  if (spoil && script.spoil == "twice") text += std::string(text);
+  if (spoil && script.spoil == "junk") text = "junk\r\n\r\n";
+  if (breaks_off) {
+    reset_next_ += script.reset_next;
+    const auto bytes = static_cast<size_t>(std::max(script.reset, script.cut));
     connection.write(std::string_view(text).substr(0, bytes));
-    return connections_.end(&connection, s.reset >= 0);
+    return connections_.end(&connection, script.reset >= 0);
   }
   connection.write(text);
 }
 
-void FakeEngine::forget_unasked() {
+void FakeEngine::expire_unpolled() {
   const Ms now = host_.loop().now_ms();
   for (auto at = queries_.begin(); at != queries_.end();) {
     const Query& q = at->second;
-    const bool asked = q.waits && connections_.has(q.waits);
-    const bool unasked = !asked && now - q.asked_at > kUnasked;
-    if (unasked && now >= q.ready_at) {
+    const bool is_polled = q.waiting_session && connections_.has(q.waiting_session);
+    const bool is_expired = !is_polled && now - q.polled_at > kPollTimeout;
+    if (is_expired && now >= q.ready_at) {
       const std::lock_guard lock(mutex_);
-      held_.push_back(now - q.ready_at);
+      held_after_ready_.push_back(now - q.ready_at);
     }
     const auto next = std::next(at);
-    if (unasked) leave(at);
+    if (is_expired) remove_query(at);
     at = next;
   }
-  host_.after(kUnasked / 4, [this, alive = alive_] {
-    if (*alive) forget_unasked();
+  host_.after(kPollTimeout / 4, [this, alive = alive_] {
+    if (*alive) expire_unpolled();
   });
 }
 
--- a/src/fakes/fake_engine.h
+++ b/src/fakes/fake_engine.h
@@ -15,12 +15,12 @@
 // The public functions may be called from any thread.
 class FakeEngine {
  public:
-  struct Means {
+  struct Options {
     int slots = 0;              // maximum number of running queries, others are queued; 0: unlimited
-    Ms full_behind = 1e18;      // a query with a longer expected wait is rejected as full
+    Ms max_queue_wait = 1e18;   // a query with a longer expected wait is rejected as full
     bool records_calls = true;  // false: calls() returns 0, which saves memory over millions of calls
   };
-  explicit FakeEngine(FakeHost& host, Means means, const std::string& address = "127.0.0.1:0");
+  explicit FakeEngine(FakeHost& host, Options options, const std::string& address = "127.0.0.1:0");
   ~FakeEngine();
 
   std::string address() const { return address_; }
@@ -48,39 +48,39 @@
   struct Query {
     std::string statement;
     FaultScript script;
-    Ms ready_at = 1e18, asked_at = 0;  // ready_at is set when the query starts running
-    bool noted = false, works = false;
-    Session* waits = nullptr;  // the session whose call awaits the status
-    uint64_t number = 0;       // tells this query from an earlier one with the same id
+    Ms ready_at = 1e18, polled_at = 0;  // ready_at is set when the query starts running
+    bool note_sent = false, is_running = false;
+    Session* waiting_session = nullptr;  // the session whose call awaits the status
+    uint64_t run_number = 0;             // tells this query from an earlier one with the same id
   };
-  void handle(Session& connection, const Call& call);
-  void start(Session& connection, const Call& call);
-  void tell(Session& connection, const std::string& id, int page, Ms asked_at);
-  void answer(Session& connection, Query& query, int page);
-  void begin(const std::string& id, Query& query);
-  void leave(std::map<std::string, Query>::iterator at);  // frees its slot for the next queued query
-  void begin_next();
-  void forget_unasked();
+  void handle_call(Session& connection, const Call& call);
+  void start_query(Session& connection, const Call& call);
+  void respond_or_wait(Session& connection, const std::string& id, int page, Ms polled_at);
+  void send_page(Session& connection, Query& query, int page);
+  void run_query(const std::string& id, Query& query);
+  void remove_query(std::map<std::string, Query>::iterator at);  // frees its slot for the next queued query
+  void run_queued();
+  void expire_unpolled();
 
   FakeHost& host_;
-  const Means means_;
+  const Options options_;
   std::string address_;
   // Used on the host's thread only.
   std::unique_ptr<Listener> listener_;
   Connections<Session> connections_;
   std::map<std::string, Query> queries_;
-  std::list<std::string> line_;  // ids of queries that wait for a slot
-  int at_work_ = 0;
-  uint64_t last_number_ = 0;
-  bool hangs_ = false;
+  std::list<std::string> queue_;  // ids of queries that wait for a slot
+  int running_ = 0;
+  uint64_t last_run_number_ = 0;
+  bool is_hanging_ = false;
   int reset_next_ = 0;
   std::shared_ptr<bool> alive_;  // false after destruction; checked by timers on the host
   // Guarded by mutex_.
   mutable std::mutex mutex_;
-  std::map<std::string, int> runs_, broken_, spoilt_;  // by statement
-  std::vector<std::string> lines_;
-  Ms first_at_ = 0, last_at_ = 0;
-  std::vector<Ms> held_;
+  std::map<std::string, int> runs_, broken_responses_, corrupted_;  // by statement
+  std::vector<std::string> call_lines_;
+  Ms first_call_at_ = 0, last_call_at_ = 0;
+  std::vector<Ms> held_after_ready_;
 };
 
 }  // namespace firvalve::fakes
--- a/src/fakes/fake_event_bus.cpp
+++ b/src/fakes/fake_event_bus.cpp
@@ -11,7 +11,7 @@
 namespace firvalve::fakes {
 
 namespace {
-constexpr Ms kSecond = 1000;
+constexpr Ms kOffsetInterval = 1000;
 }
 
 std::string listing(const std::string& name, const std::string& address, const std::string& state,
@@ -42,7 +42,7 @@
     ++owner_.traffic_.lines_in;
     owner_.traffic_.bytes_in += end + 1;
     if (!from) return owner_.connections_.end(this);
-    owner_.serve(*this, *from);
+    owner_.start_subscription(*this, *from);
   }
   void on_end(End) override { owner_.connections_.end(this); }
 
@@ -50,21 +50,21 @@
   FakeEventBus& owner_;
 };
 
-FakeEventBus::FakeEventBus(FakeHost& host, int64_t last, const std::string& address)
-    : host_(host), connections_(host), first_(last), alive_(std::make_shared<bool>(true)) {
-  host_.do_now([&] {
+FakeEventBus::FakeEventBus(FakeHost& host, int64_t base_offset, const std::string& address)
+    : host_(host), connections_(host), base_offset_(base_offset), alive_(std::make_shared<bool>(true)) {
+  host_.run_and_wait([&] {
     listener_ = std::make_unique<Listener>(host_, [this](const Poco::Net::StreamSocket& socket) {
       connections_.add(std::make_unique<Session>(*this, socket));
       ++traffic_.connections_made;
     });
     listener_->listen(address);
     address_ = listener_->address();
-    tick();
+    broadcast_offset();
   });
 }
 
 FakeEventBus::~FakeEventBus() {
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     *alive_ = false;
     listener_.reset();
     connections_.end_all(false);
@@ -72,56 +72,57 @@
 }
 
 void FakeEventBus::announce(const std::string& listings, bool whole) {
-  host_.do_now([&] {
-    const int64_t number = first_ + static_cast<int64_t>(events_.size()) + 1;
-    events_.push_back(topology(number, whole, listings) + "\n");
-    for (Session* const c : std::vector(followers_))
-      if (connections_.has(c)) write(*c, events_.back());
+  host_.run_and_wait([&] {
+    const int64_t offset = base_offset_ + static_cast<int64_t>(events_.size()) + 1;
+    events_.push_back(topology(offset, whole, listings) + "\n");
+    for (Session* const c : std::vector(subscribers_))
+      if (connections_.has(c)) send_lines(*c, events_.back());
   });
 }
 
 BusTraffic FakeEventBus::traffic() const {
   BusTraffic out;
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     out = traffic_;
     out.connections_open = connections_.size();
   });
   return out;
 }
 
-void FakeEventBus::write(Session& connection, const std::string& lines) {
+void FakeEventBus::send_lines(Session& connection, const std::string& lines) {
   traffic_.lines_out += static_cast<uint64_t>(std::count(lines.begin(), lines.end(), '\n'));
   traffic_.bytes_out += lines.size();
   connection.write(lines);
 }
 
 void FakeEventBus::say_first(std::string line) {
-  host_.do_now([&] { say_first_ = std::move(line); });
+  host_.run_and_wait([&] { first_line_ = std::move(line); });
 }
 
 std::vector<int64_t> FakeEventBus::asked_from() const {
   const std::lock_guard lock(mutex_);
-  return asked_;
+  return requested_offsets_;
 }
 
-void FakeEventBus::serve(Session& connection, int64_t from) {
+void FakeEventBus::start_subscription(Session& connection, int64_t from) {
   {
     const std::lock_guard lock(mutex_);
-    asked_.push_back(from);
+    requested_offsets_.push_back(from);
   }
-  write(connection, std::exchange(say_first_, {}));
-  for (int64_t n = std::max(from, first_); n < first_ + static_cast<int64_t>(events_.size()); ++n)
-    write(connection, events_[static_cast<size_t>(n - first_)]);
-  followers_.push_back(&connection);
+  send_lines(connection, std::exchange(first_line_, {}));
+  for (int64_t n = std::max(from, base_offset_); n < base_offset_ + static_cast<int64_t>(events_.size()); ++n)
+    send_lines(connection, events_[static_cast<size_t>(n - base_offset_)]);
+  subscribers_.push_back(&connection);
 }
 
-void FakeEventBus::tick() {
-  std::erase_if(followers_, [&](Session* c) { return !connections_.has(c); });
-  const std::string line = fmt::format("{{\"offset\":{}}}\n", first_ + static_cast<int64_t>(events_.size()));
-  for (Session* const c : std::vector(followers_))
-    if (connections_.has(c)) write(*c, line);
-  host_.after(kSecond, [this, alive = alive_] {
-    if (*alive) tick();
+void FakeEventBus::broadcast_offset() {
+  std::erase_if(subscribers_, [&](Session* c) { return !connections_.has(c); });
+  const std::string line =
+      fmt::format("{{\"offset\":{}}}\n", base_offset_ + static_cast<int64_t>(events_.size()));
+  for (Session* const c : std::vector(subscribers_))
+    if (connections_.has(c)) send_lines(*c, line);
+  host_.after(kOffsetInterval, [this, alive = alive_] {
+    if (*alive) broadcast_offset();
   });
 }
 
--- a/src/fakes/fake_event_bus.h
+++ b/src/fakes/fake_event_bus.h
@@ -26,7 +26,7 @@
 // The public functions may be called from any thread.
 class FakeEventBus {
  public:
-  explicit FakeEventBus(FakeHost& host, int64_t last = 1, const std::string& address = "127.0.0.1:0");
+  explicit FakeEventBus(FakeHost& host, int64_t base_offset = 1, const std::string& address = "127.0.0.1:0");
   ~FakeEventBus();
   std::string address() const { return address_; }
   // Publishes the next event: the changed engines, or the complete list if `whole`.
@@ -37,21 +37,21 @@
 
  private:
   class Session;
-  void tick();
-  void serve(Session& connection, int64_t from);
-  void write(Session& connection, const std::string& lines);
+  void broadcast_offset();
+  void start_subscription(Session& connection, int64_t from);
+  void send_lines(Session& connection, const std::string& lines);
 
   FakeHost& host_;
   std::string address_;
   std::unique_ptr<Listener> listener_;
   Connections<Session> connections_;
-  std::vector<Session*> followers_;
-  std::vector<std::string> events_;  // offsets first_ + 1 and above
-  int64_t first_;
-  std::string say_first_;
+  std::vector<Session*> subscribers_;
+  std::vector<std::string> events_;  // offsets base_offset_ + 1 and above
+  int64_t base_offset_;
+  std::string first_line_;
   std::shared_ptr<bool> alive_;
   mutable std::mutex mutex_;
-  std::vector<int64_t> asked_;
+  std::vector<int64_t> requested_offsets_;
   BusTraffic traffic_;  // used on the host's thread only
 };
 
--- a/src/fakes/fake_gateway.cpp
+++ b/src/fakes/fake_gateway.cpp
@@ -19,7 +19,7 @@
       const proto::ReadResult read = frames_.next(read_buffer_, body);
       if (read == proto::ReadResult::kIncomplete) return;
       if (read == proto::ReadResult::kMalformed) return owner_.connections_.end(this);
-      owner_.handle(*this, body);
+      owner_.handle_request(*this, body);
       if (!is_open()) return;
     }
   }
@@ -32,11 +32,11 @@
 
 FakeGateway::FakeGateway(FakeHost& host, const std::string& address)
     : host_(host), connections_(host), alive_(std::make_shared<bool>(true)) {
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     listener_ = std::make_unique<Listener>(host_, [this](const Poco::Net::StreamSocket& socket) {
       connections_.add(std::make_unique<Session>(*this, socket));
       const std::lock_guard lock(mutex_);
-      accepted_.push_back(host_.loop().now_ms());
+      accepted_at_.push_back(host_.loop().now_ms());
     });
     listener_->listen(address);
     address_ = listener_->address();
@@ -44,7 +44,7 @@
 }
 
 FakeGateway::~FakeGateway() {
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     *alive_ = false;
     listener_.reset();
     connections_.end_all(false);
@@ -52,32 +52,33 @@
 }
 
 void FakeGateway::kill(bool with_reset) {
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     listener_->close();
     connections_.end_all(with_reset);
   });
 }
 void FakeGateway::come_back() {
-  host_.do_now([&] { listener_->listen(address_); });
+  host_.run_and_wait([&] { listener_->listen(address_); });
 }
 void FakeGateway::set_healthy(bool healthy) {
-  host_.do_now([&] { healthy_ = healthy; });
+  host_.run_and_wait([&] { is_healthy_ = healthy; });
 }
 void FakeGateway::set_marks(bool marks) {
-  host_.do_now([&] { marks_ = marks; });
+  host_.run_and_wait([&] { reads_markers_ = marks; });
 }
 void FakeGateway::set_mute(bool mute) {
-  host_.do_now([&] { mute_ = mute; });
+  host_.run_and_wait([&] { is_mute_ = mute; });
 }
 
-std::vector<FakeGateway::Heard> FakeGateway::heard() const {
+std::vector<FakeGateway::ReceivedCommand> FakeGateway::heard() const {
   const std::lock_guard lock(mutex_);
-  return heard_;
+  return received_commands_;
 }
 int FakeGateway::heard(const std::string& statement) const {
   const std::lock_guard lock(mutex_);
   return static_cast<int>(
-      std::count_if(heard_.begin(), heard_.end(), [&](const Heard& h) { return h.statement == statement; }));
+      std::count_if(received_commands_.begin(), received_commands_.end(),
+                    [&](const ReceivedCommand& command) { return command.statement == statement; }));
 }
 int FakeGateway::revoked() const {
   const std::lock_guard lock(mutex_);
@@ -85,10 +86,10 @@
 }
 std::vector<Ms> FakeGateway::accepted_at() const {
   const std::lock_guard lock(mutex_);
-  return accepted_;
+  return accepted_at_;
 }
 
-void FakeGateway::handle(Session& connection, std::span<char> body) {
+void FakeGateway::handle_request(Session& connection, std::span<char> body) {
   const proto::RpcCall call = proto::read_call(body);
   using Kind = proto::RpcCall::Kind;
   if (call.kind == Kind::kRevoke) {
@@ -97,9 +98,9 @@
     return;
   }
   if (call.kind == Kind::kHeartbeat) {
-    if (mute_) return;
+    if (is_mute_) return;
     std::string out;
-    proto::append_heartbeat_reply(out, call.id, healthy_, marks_);
+    proto::append_heartbeat_reply(out, call.id, is_healthy_, reads_markers_);
     return connection.write(out);
   }
   if (call.kind != Kind::kCommand) {
@@ -109,42 +110,46 @@
   }
   {
     const std::lock_guard lock(mutex_);
-    heard_.push_back({std::string(call.profile), call.statement, std::string(call.command),
-                      std::string(call.first_command), to_ms(call.timeout), host_.loop().now_ms()});
+    received_commands_.push_back({std::string(call.profile), call.statement, std::string(call.command),
+                                  std::string(call.first_command), to_ms(call.timeout),
+                                  host_.loop().now_ms()});
   }
-  if (mute_) return;
+  if (is_mute_) return;
   const FaultScript script = script_of(call.statement);
-  if (script.late <= 0) return answer(connection, call.id, script, call.statement);
+  if (script.late <= 0) return send_response(connection, call.id, script, call.statement);
   host_.after(script.late,
               [this, alive = alive_, key = &connection, id = call.id, script, statement = call.statement] {
-                if (*alive && connections_.has(key)) answer(*key, id, script, statement);
+                if (*alive && connections_.has(key)) send_response(*key, id, script, statement);
               });
 }
 
-void FakeGateway::answer(Session& connection, int64_t id, const FaultScript& s,
-                         const std::string& statement) {
-  if (s.answer == "none") return;
-  const bool breaks = (s.reset >= 0 || s.cut >= 0) && broken_[statement]++ < s.times;
+void FakeGateway::send_response(Session& connection, int64_t id, const FaultScript& script,
+                                const std::string& statement) {
+  if (script.answer == "none") return;
+  const bool breaks_off =
+      (script.reset >= 0 || script.cut >= 0) && faults_applied_[statement]++ < script.times;
   std::string out;
-  if (s.spoil == "other") id += 1000000;
-  if (s.answer == "shed" && broken_[statement]++ < s.times) {
-    const std::string data = s.holdoff.empty() ? "" : fmt::format(R"(,"data":{{"holdoff":{}}})", s.holdoff);
+  if (script.spoil == "other") id += 1000000;
+  if (script.answer == "shed" && faults_applied_[statement]++ < script.times) {
+    const std::string data =
+        script.holdoff.empty() ? "" : fmt::format(R"(,"data":{{"holdoff":{}}})", script.holdoff);
     const std::string text =
         fmt::format(R"({{"jsonrpc":"2.0","id":{},"error":{{"code":-32001,"message":"shed"{}}}}})", id, data);
     out = fmt::format("Content-Length: {}\r\n\r\n{}", text.size(), text);
-  } else if (s.answer == "fail") {
+  } else if (script.answer == "fail") {
     proto::append_error(out, id, true, proto::kRpcFailed, "failed");
   } else {
     std::string rows;
-    for (int page = 0; page < s.pages; ++page) rows += rows_of(s, page);
+    for (int page = 0; page < script.pages; ++page) rows += rows_of(script, page);
     proto::append_result(out, id, rows);
   }
-  if (s.spoil == "huge") out = "Content-Length: 60000000\r\n\r\n" + std::string(200000, ' ');
-  if (s.spoil == "junk") out = "Content-Length: 4\r\n\r\njunk";
-  if (s.spoil == "twice") out += std::string(out);
-  if (breaks) {
-    connection.write(std::string_view(out).substr(0, static_cast<size_t>(std::max(s.reset, s.cut))));
-    return connections_.end(&connection, s.reset >= 0);
+  if (script.spoil == "huge") out = "Content-Length: 60000000\r\n\r\n" + std::string(200000, ' ');
+  if (script.spoil == "junk") out = "Content-Length: 4\r\n\r\njunk";
+  if (script.spoil == "twice") out += std::string(out);
+  if (breaks_off) {
+    connection.write(
+        std::string_view(out).substr(0, static_cast<size_t>(std::max(script.reset, script.cut))));
+    return connections_.end(&connection, script.reset >= 0);
   }
   connection.write(out);
 }
--- a/src/fakes/fake_gateway.h
+++ b/src/fakes/fake_gateway.h
@@ -25,30 +25,31 @@
   void set_marks(bool marks);          // heartbeat responses report support for retry markers
   void set_mute(bool mute);            // accepts connections and requests, and sends no response
 
-  struct Heard {
+  struct ReceivedCommand {
     std::string profile, statement, req, first;
     Ms timeout = 0, at = 0;
   };
-  std::vector<Heard> heard() const;               // received commands, in order
+  std::vector<ReceivedCommand> heard() const;     // received commands, in order
   int heard(const std::string& statement) const;  // number of commands with this statement
   int revoked() const;                            // number of cancellations received
   std::vector<Ms> accepted_at() const;            // when each connection was accepted, by monotonic_ms()
 
  private:
   class Session;
-  void handle(Session& connection, std::span<char> body);
-  void answer(Session& connection, int64_t id, const FaultScript& script, const std::string& statement);
+  void handle_request(Session& connection, std::span<char> body);
+  void send_response(Session& connection, int64_t id, const FaultScript& script,
+                     const std::string& statement);
 
   FakeHost& host_;
   std::string address_;
   std::unique_ptr<Listener> listener_;
   Connections<Session> connections_;
-  bool healthy_ = true, marks_ = false, mute_ = false;
-  std::map<std::string, int> broken_;
+  bool is_healthy_ = true, reads_markers_ = false, is_mute_ = false;
+  std::map<std::string, int> faults_applied_;
   std::shared_ptr<bool> alive_;
   mutable std::mutex mutex_;
-  std::vector<Heard> heard_;
-  std::vector<Ms> accepted_;
+  std::vector<ReceivedCommand> received_commands_;
+  std::vector<Ms> accepted_at_;
   int revoked_ = 0;
 };
 
--- a/src/fakes/fake_host.cpp
+++ b/src/fakes/fake_host.cpp
@@ -19,7 +19,7 @@
   loop_.set_limits(1 << 20, size_t{1} << 30);
   waker_ = std::make_unique<net::Waker>(loop_, [this] { run_posted(); });
   loop_.on_turn = [this](TimePoint now) -> std::optional<TimePoint> {
-    const Ms due = turn(to_ms(now));
+    const Ms due = run_due_timers(to_ms(now));
     if (due <= 0) return std::nullopt;
     return time_point_of(due);
   };
@@ -37,7 +37,7 @@
   waker_->wake();
 }
 
-void FakeHost::do_now(const std::function<void()>& task) {
+void FakeHost::run_and_wait(const std::function<void()>& task) {
   std::promise<void> done;
   post([&] {
     try {
@@ -63,7 +63,7 @@
   timers_.emplace(loop_.now_ms() + wait, std::move(task));
 }
 
-Ms FakeHost::turn(Ms now) {
+Ms FakeHost::run_due_timers(Ms now) {
   while (!timers_.empty() && timers_.begin()->first <= now) {
     const auto task = std::move(timers_.begin()->second);
     timers_.erase(timers_.begin());
@@ -72,8 +72,8 @@
   return timers_.empty() ? 0 : timers_.begin()->first;
 }
 
-Listener::Listener(FakeHost& host, std::function<void(StreamSocket)> accepted)
-    : host_(host), accepted_(std::move(accepted)) {}
+Listener::Listener(FakeHost& host, std::function<void(StreamSocket)> on_accepted)
+    : host_(host), on_accepted_(std::move(on_accepted)) {}
 
 void Listener::listen(const std::string& address) {
   socket_ = Poco::Net::ServerSocket();
@@ -100,7 +100,7 @@
     const int descriptor =
         ::accept4(socket_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (descriptor < 0) return;
-    accepted_(StreamSocket(new Poco::Net::StreamSocketImpl(descriptor)));
+    on_accepted_(StreamSocket(new Poco::Net::StreamSocketImpl(descriptor)));
   }
 }
 
--- a/src/fakes/fake_host.h
+++ b/src/fakes/fake_host.h
@@ -24,10 +24,10 @@
   FakeHost(const FakeHost&) = delete;
   FakeHost& operator=(const FakeHost&) = delete;
 
-  // From any thread: runs the task on the host's thread, between events. do_now() waits until it has run and
-  // rethrows its exception.
+  // From any thread: runs the task on the host's thread, between events. run_and_wait() waits until it has
+  // run and rethrows its exception.
   void post(std::function<void()> task);
-  void do_now(const std::function<void()>& task);
+  void run_and_wait(const std::function<void()>& task);
 
   // On the host's thread only.
   net::Loop& loop() { return loop_; }
@@ -35,7 +35,7 @@
 
  private:
   void run_posted();
-  Ms turn(Ms now);  // returns when the next timer is due; 0: no timer
+  Ms run_due_timers(Ms now);  // returns when the next timer is due; 0: no timer
 
   net::Loop loop_;
   std::mutex mutex_;
@@ -48,7 +48,7 @@
 // A listening socket that passes accepted connections to its owner. Used on the host's thread only.
 class Listener {
  public:
-  Listener(FakeHost& host, std::function<void(Poco::Net::StreamSocket)> accepted);
+  Listener(FakeHost& host, std::function<void(Poco::Net::StreamSocket)> on_accepted);
   ~Listener() { close(); }
   // Port 0 selects a free port, which is kept for listen() after close(). Throws Poco::Exception if the
   // address is in use.
@@ -61,7 +61,7 @@
   void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
 
   FakeHost& host_;
-  std::function<void(Poco::Net::StreamSocket)> accepted_;
+  std::function<void(Poco::Net::StreamSocket)> on_accepted_;
   Poco::Net::ServerSocket socket_;
   bool listening_ = false;
   std::string address_;
--- a/src/fakes/fault_proxy.cpp
+++ b/src/fakes/fault_proxy.cpp
@@ -56,20 +56,20 @@
 };
 
 FaultProxy::FaultProxy(FakeHost& host, uint64_t seed)
-    : host_(host), chance_(seed), alive_(std::make_shared<bool>(true)) {}
+    : host_(host), rng_(seed), alive_(std::make_shared<bool>(true)) {}
 
 FaultProxy::~FaultProxy() {
-  host_.do_now([this] {
+  host_.run_and_wait([this] {
     *alive_ = false;
     routes_.clear();
     while (!pairs_.empty()) end_pair(pairs_.begin()->first);
   });
 }
 
-double FaultProxy::draw_fraction() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
+double FaultProxy::draw_fraction() { return std::uniform_real_distribution<double>(0, 1)(rng_); }
 
 std::string FaultProxy::stand_before(const std::string& real, const std::string& address) {
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     const size_t number = routes_.size();
     auto route = std::make_unique<Route>();
     route->real = real;
@@ -86,7 +86,7 @@
     });
     route->listener->listen(address);
     route->address = address;
-    names_[address] = number;
+    route_numbers_[address] = number;
     routes_.push_back(std::move(route));
   });
   return address;
@@ -119,8 +119,8 @@
   const char* why = "";
   const size_t head = frame.find("\r\n\r\n") + 4;
   const auto read = cluster::read_frame({frame.data() + head, frame.size() - head}, why);
-  const auto name = read ? names_.find(read->sender) : names_.end();
-  if (name != names_.end()) pair.from = name->second;
+  const auto name = read ? route_numbers_.find(read->sender) : route_numbers_.end();
+  if (name != route_numbers_.end()) pair.from = name->second;
 }
 
 void FaultProxy::forward(uint64_t id, bool is_forward, std::string frame) {
@@ -184,7 +184,7 @@
 }
 
 void FaultProxy::set(size_t from, size_t to, const Options& options) {
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     options_[{from, to}] = options;
     if (!options.held) release_held(from, to);
   });
@@ -208,13 +208,13 @@
 
 uint64_t FaultProxy::passed() const {
   uint64_t all = 0;
-  host_.do_now([&] { all = frames_passed_; });
+  host_.run_and_wait([&] { all = frames_passed_; });
   return all;
 }
 
 uint64_t FaultProxy::bytes(size_t from, size_t to) const {
   uint64_t all = 0;
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     if (const auto at = bytes_.find({from, to}); at != bytes_.end()) all = at->second;
   });
   return all;
--- a/src/fakes/fault_proxy.h
+++ b/src/fakes/fault_proxy.h
@@ -60,9 +60,9 @@
   double draw_fraction();
 
   FakeHost& host_;
-  pcg32 chance_;
+  pcg32 rng_;
   std::vector<std::unique_ptr<Route>> routes_;
-  std::map<std::string, size_t> names_;
+  std::map<std::string, size_t> route_numbers_;
   std::map<std::pair<size_t, size_t>, Options> options_;
   std::map<std::pair<size_t, size_t>, uint64_t> bytes_;
   std::map<uint64_t, std::unique_ptr<ConnectionPair>> pairs_;
--- a/src/fakes/fault_script.cpp
+++ b/src/fakes/fault_script.cpp
@@ -9,54 +9,54 @@
 namespace firvalve::fakes {
 namespace {
 
-double figure(std::string_view word, std::string_view value) {
+double parse_number(std::string_view option, std::string_view value) {
   double number = 0;
   const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
   if (error != std::errc() || end != value.data() + value.size())
-    throw std::invalid_argument(fmt::format("script: {} wants a number, not \"{}\"", word, value));
+    throw std::invalid_argument(fmt::format("script: {} wants a number, not \"{}\"", option, value));
   return number;
 }
 
-void put(FaultScript& s, std::string_view word, std::string_view value) {
-  const auto whole = [&] { return static_cast<int>(figure(word, value)); };
-  if (word == "delay")
-    s.delay = figure(word, value);
-  else if (word == "late")
-    s.late = figure(word, value);
-  else if (word == "rows")
-    s.rows = whole();
-  else if (word == "pages")
-    s.pages = whole();
-  else if (word == "row-bytes")
-    s.row_bytes = whole();
-  else if (word == "status")
-    s.status = whole();
-  else if (word == "ask-status")
-    s.ask_status = whole();
-  else if (word == "refuse")
-    s.refuse = true;
-  else if (word == "silent")
-    s.silent = true;
-  else if (word == "reset")
-    s.reset = whole();
-  else if (word == "cut")
-    s.cut = whole();
-  else if (word == "times")
-    s.times = whole();
-  else if (word == "reset-next")
-    s.reset_next = whole();
-  else if (word == "spoil-times")
-    s.spoil_times = whole();
-  else if (word == "note")
-    s.note = value;
-  else if (word == "spoil")
-    s.spoil = value;
-  else if (word == "answer")
-    s.answer = value;
-  else if (word == "holdoff")
-    s.holdoff = value;
+void set_option(FaultScript& script, std::string_view option, std::string_view value) {
+  const auto integer = [&] { return static_cast<int>(parse_number(option, value)); };
+  if (option == "delay")
+    script.delay = parse_number(option, value);
+  else if (option == "late")
+    script.late = parse_number(option, value);
+  else if (option == "rows")
+    script.rows = integer();
+  else if (option == "pages")
+    script.pages = integer();
+  else if (option == "row-bytes")
+    script.row_bytes = integer();
+  else if (option == "status")
+    script.status = integer();
+  else if (option == "ask-status")
+    script.ask_status = integer();
+  else if (option == "refuse")
+    script.refuse = true;
+  else if (option == "silent")
+    script.silent = true;
+  else if (option == "reset")
+    script.reset = integer();
+  else if (option == "cut")
+    script.cut = integer();
+  else if (option == "times")
+    script.times = integer();
+  else if (option == "reset-next")
+    script.reset_next = integer();
+  else if (option == "spoil-times")
+    script.spoil_times = integer();
+  else if (option == "note")
+    script.note = value;
+  else if (option == "spoil")
+    script.spoil = value;
+  else if (option == "answer")
+    script.answer = value;
+  else if (option == "holdoff")
+    script.holdoff = value;
   else
-    throw std::invalid_argument(fmt::format("script: no such word as \"{}\"", word));
+    throw std::invalid_argument(fmt::format("script: no such word as \"{}\"", option));
 }
 
 }  // namespace
@@ -74,8 +74,8 @@
     const std::string_view word = words.substr(0, words.find(' '));
     words.remove_prefix(word.size());
     const size_t equals = word.find('=');
-    put(script, word.substr(0, equals),
-        equals == std::string_view::npos ? std::string_view() : word.substr(equals + 1));
+    set_option(script, word.substr(0, equals),
+               equals == std::string_view::npos ? std::string_view() : word.substr(equals + 1));
   }
   return script;
 }
--- a/src/fakes/fault_script.h
+++ b/src/fakes/fault_script.h
@@ -16,7 +16,7 @@
   int rows = 1;  // rows per page
   int pages = 1;
   int row_bytes = 0;    // minimum length of the third column
-  int status = 200;     // engine's response: 500 failed, 503 full, 504 deadline already passed
+  int status = 200;     // engine's response: 500 failed, 503 full, 504 cancelled before it started
   int ask_status = 0;   // engine's response to each poll, with Not-Begun if above 500; 0: the normal response
   bool refuse = false;  // when the query starts, its engine stops accepting connections, as while draining
   bool silent = false;  // the engine never responds
--- a/src/fakes/load_clients.cpp
+++ b/src/fakes/load_clients.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-std::string whole(const std::string& path, size_t from = 0) {
+std::string read_file(const std::string& path, size_t from = 0) {
   std::ifstream file(path);
   file.seekg(static_cast<std::streamoff>(from));
   std::stringstream all;
@@ -34,7 +34,7 @@
   return line.substr(from, line.find('"', from) - from);
 }
 
-std::string listed(const std::vector<std::string>& all) {
+std::string json_list(const std::vector<std::string>& all) {
   std::string text;
   for (const std::string& one : all) text += (text.empty() ? "\"" : ", \"") + one + "\"";
   return "[" + text + "]";
@@ -46,48 +46,50 @@
     : program_(std::move(program)), options_(options), engines_(options.engines) {
   char name[] = "/tmp/firvalve-clients-XXXXXX";
   if (!::mkdtemp(name)) throw std::runtime_error("no folder for load clients");
-  place_ = name;
-  between_ = std::make_unique<FaultProxy>(host_, options.seed);
+  directory_ = name;
+  proxy_ = std::make_unique<FaultProxy>(host_, options.seed);
   std::vector<std::string> keepers;
   const std::vector<std::string> free = free_addresses(3 * options.gateways);
   for (size_t i = 0; i < options.gateways; ++i) {
-    Member& m = members_.emplace_back();
-    m.clients = free[3 * i];
-    m.real = free[3 * i + 1];
-    m.name = between_->stand_before(m.real, free[3 * i + 2]);
-    m.log = fmt::format("{}/{}.log", place_, i);
-    if (i < options.keepers) keepers.push_back(m.name);
+    Member& member = members_.emplace_back();
+    member.clients = free[3 * i];
+    member.real = free[3 * i + 1];
+    member.name = proxy_->stand_before(member.real, free[3 * i + 2]);
+    member.log = fmt::format("{}/{}.log", directory_, i);
+    if (i < options.keepers) keepers.push_back(member.name);
   }
-  read_.resize(options.gateways);
+  log_readers_.resize(options.gateways);
   for (size_t i = 0; i < options.gateways; ++i) {
     const std::string kept =
         i < options.keepers && options.folders ? fmt::format(R"("folder": "{}", )", folder(i)) : "";
     std::ofstream(operator_file(i)) << fmt::format(
         R"({{"fleet": {{"on": true, "site": "here", "listen": "{}", "reached_at": "{}", "keepers": {}, {})"
         R"("lease_ms": {}, "duties": {}}}, "log": {{"level": "debug", "form": "json"}}}})",
-        members_[i].real, members_[i].name, listed(keepers), kept, options.lease, listed(options.duties));
+        members_[i].real, members_[i].name, json_list(keepers), kept, options.lease,
+        json_list(options.duties));
   }
   for (size_t i = 0; i < options.gateways; ++i) start(i);
 }
 
 LoadClients::~LoadClients() {
   members_.clear();
-  between_.reset();
+  proxy_.reset();
   std::error_code ignored;
-  std::filesystem::remove_all(place_, ignored);
+  std::filesystem::remove_all(directory_, ignored);
 }
 
-std::string LoadClients::folder(size_t i) const { return fmt::format("{}/{}.kept", place_, i); }
-std::string LoadClients::operator_file(size_t i) const { return fmt::format("{}/{}.json5", place_, i); }
+std::string LoadClients::folder(size_t i) const { return fmt::format("{}/{}.kept", directory_, i); }
+std::string LoadClients::operator_file(size_t i) const { return fmt::format("{}/{}.json5", directory_, i); }
 
 void LoadClients::start(size_t i) {
-  Member& m = members_[i];
-  if (m.process)
-    m.process->start();
+  Member& member = members_[i];
+  if (member.process)
+    member.process->start();
   else
-    m.process = std::make_unique<Process>(program_, engines_.config(m.clients),
-                                          std::vector<std::string>{"--operator", operator_file(i)}, m.log);
-  m.up = true;
+    member.process =
+        std::make_unique<Process>(program_, engines_.config(member.clients),
+                                  std::vector<std::string>{"--operator", operator_file(i)}, member.log);
+  member.up = true;
 }
 
 void LoadClients::kill(size_t i) {
@@ -111,14 +113,14 @@
 void LoadClients::go_on(size_t i) { members_[i].process->signal(SIGCONT); }
 
 void LoadClients::rewrite(size_t i, const std::string& from, const std::string& to) {
-  std::string text = whole(operator_file(i));
+  std::string text = read_file(operator_file(i));
   const size_t at = text.find(from);
   if (at == std::string::npos) throw std::runtime_error("not in the operator's file: " + from);
   text.replace(at, from.size(), to);
   std::ofstream(operator_file(i), std::ios::trunc) << text;
 }
 
-std::string LoadClients::log(size_t i) const { return whole(members_[i].log); }
+std::string LoadClients::log(size_t i) const { return read_file(members_[i].log); }
 
 size_t LoadClients::count(size_t i, const std::string& event, const std::string& with) const {
   std::istringstream lines(log(i));
@@ -136,27 +138,27 @@
 
 Ms LoadClients::clock() { return boot_clock_ms(); }
 
-std::optional<size_t> LoadClients::holder(const std::string& duty) const {
+std::optional<size_t> LoadClients::holder(const std::string& lease) const {
   std::optional<size_t> found;
   for (size_t i = 0; i < size(); ++i) {
-    Read& r = read_[i];
-    const std::string text = whole(members_[i].log, r.at);
+    LogReader& reader = log_readers_[i];
+    const std::string text = read_file(members_[i].log, reader.offset);
     const size_t end = text.rfind('\n');
     if (end != std::string::npos) {
-      r.at += end + 1;
+      reader.offset += end + 1;
       std::istringstream lines(text.substr(0, end + 1));
       for (std::string line; std::getline(lines, line);) {
-        const std::string event = field(line, "event"), of = field(line, "lease");
+        const std::string event = field(line, "event"), name = field(line, "lease");
         if (event == "lease.acquired" || event == "lease.renewed")
-          r.holds[of] = std::strtod(field(line, "until_ms").c_str(), nullptr);
+          reader.expiry_by_lease[name] = std::strtod(field(line, "until_ms").c_str(), nullptr);
         else if (event == "lease.released" || event == "lease.lost")
-          r.holds.erase(of);
+          reader.expiry_by_lease.erase(name);
         else if (event == "gateway.serving")
-          r.holds.clear();  // restarted: leases of the earlier process are gone
+          reader.expiry_by_lease.clear();  // restarted: leases of the earlier process are gone
       }
     }
-    const auto at = r.holds.find(duty);
-    if (!up(i) || at == r.holds.end() || at->second <= clock()) continue;
+    const auto at = reader.expiry_by_lease.find(lease);
+    if (!up(i) || at == reader.expiry_by_lease.end() || at->second <= clock()) continue;
     if (found) return {};
     found = i;
   }
@@ -164,8 +166,8 @@
 }
 
 bool LoadClients::ready() const {
-  for (const std::string& duty : options_.duties)
-    if (!duty.ends_with("*") && !holder(duty)) return false;
+  for (const std::string& lease : options_.duties)
+    if (!lease.ends_with("*") && !holder(lease)) return false;
   return true;
 }
 
--- a/src/fakes/load_clients.h
+++ b/src/fakes/load_clients.h
@@ -38,7 +38,7 @@
   void pause(size_t i), go_on(size_t i);  // SIGSTOP, SIGCONT
   void rewrite(size_t i, const std::string& from, const std::string& to);  // edits its operator file
 
-  FaultProxy& between() { return *between_; }
+  FaultProxy& between() { return *proxy_; }
   FakeDeployment& engines() { return engines_; }
   const std::string& clients(size_t i) const { return members_[i].clients; }  // address for clients
   const std::string& peers(size_t i) const { return members_[i].real; }  // address it listens on for peers
@@ -52,7 +52,7 @@
   size_t count(size_t i, const std::string& event, const std::string& with = {}) const;
   size_t count(const std::string& event) const;
   // The gateway whose log says that it holds this lease now; none if no gateway or more than one does.
-  std::optional<size_t> holder(const std::string& duty) const;
+  std::optional<size_t> holder(const std::string& lease) const;
   bool ready() const;  // every lease of `duties` has a holder, except those with a wildcard
 
   // The clock of the processes' leases, in ms.
@@ -67,16 +67,16 @@
 
   const std::string program_;
   const LoadClientsOptions options_;
-  std::string place_;  // directory for logs, operator files and stored state
+  std::string directory_;  // for logs, operator files and stored state
   FakeHost host_;
-  std::unique_ptr<FaultProxy> between_;
+  std::unique_ptr<FaultProxy> proxy_;
   FakeDeployment engines_;
   std::vector<Member> members_;
-  struct Read {
-    size_t at = 0;
-    std::map<std::string, Ms> holds;  // expiry time by lease
+  struct LogReader {
+    size_t offset = 0;
+    std::map<std::string, Ms> expiry_by_lease;
   };
-  mutable std::vector<Read> read_;
+  mutable std::vector<LogReader> log_readers_;
 };
 
 }  // namespace firvalve::fakes
--- a/src/fakes/process.cpp
+++ b/src/fakes/process.cpp
@@ -31,18 +31,18 @@
     const int descriptor = ::mkstemp(name);
     if (descriptor < 0) throw std::runtime_error("no file for a configuration");
     ::close(descriptor);
-    path_ = name;
+    config_path_ = name;
     rewrite(config);
   }
   start();
 }
 
 Process::~Process() {
-  if (process_ > 0) stop(SIGKILL);
-  if (!path_.empty()) std::remove(path_.c_str());
+  if (process_id_ > 0) stop(SIGKILL);
+  if (!config_path_.empty()) std::remove(config_path_.c_str());
 }
 
-void Process::rewrite(const std::string& config) { std::ofstream(path_, std::ios::trunc) << config; }
+void Process::rewrite(const std::string& config) { std::ofstream(config_path_, std::ios::trunc) << config; }
 
 bool Process::is_replaced(std::string_view variable) const {
   const std::string_view name = variable.substr(0, variable.find('=') + 1);
@@ -51,11 +51,11 @@
 }
 
 void Process::start() {
-  std::vector<char*> words{program_.data()};
-  for (std::string& a : arguments_) words.push_back(a.data());
-  words.push_back(nullptr);
+  std::vector<char*> argv{program_.data()};
+  for (std::string& a : arguments_) argv.push_back(a.data());
+  argv.push_back(nullptr);
   // Allocates before the fork only: in the child, another thread's allocator lock could be held forever.
-  environment_.back() = "NODE_CONFIG=" + path_;
+  environment_.back() = "NODE_CONFIG=" + config_path_;
   std::vector<char*> environment;
   for (char** e = environ; *e; ++e)
     if (!is_replaced(*e)) environment.push_back(*e);
@@ -63,37 +63,37 @@
     if (variable != "NODE_CONFIG=") environment.push_back(variable.data());
   environment.push_back(nullptr);
   const pid_t starter = ::getpid();
-  process_ = ::fork();
-  if (process_ != 0) return;
+  process_id_ = ::fork();
+  if (process_id_ != 0) return;
   if (ends_ == Ends::kWithItsStarter) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != starter) ::_exit(127);  // the parent ended before prctl() took effect
   }
   if (!log_.empty()) {
-    const int to = ::open(log_.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-    if (to >= 0) ::dup2(to, STDERR_FILENO);
+    const int log_file = ::open(log_.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
+    if (log_file >= 0) ::dup2(log_file, STDERR_FILENO);
   }
   // The child must not inherit connections: they would stay open there after they are closed here.
   ::close_range(STDERR_FILENO + 1, ~0U, CLOSE_RANGE_CLOEXEC);
-  ::execve(program_.c_str(), words.data(), environment.data());
+  ::execve(program_.c_str(), argv.data(), environment.data());
   ::_exit(127);
 }
 
 void Process::signal(int number) {
-  if (process_ > 0) ::kill(process_, number);
+  if (process_id_ > 0) ::kill(process_id_, number);
 }
 
 bool Process::running() const {
-  if (process_ <= 0) return false;
+  if (process_id_ <= 0) return false;
   siginfo_t ended{};
-  if (::waitid(P_PID, static_cast<id_t>(process_), &ended, WEXITED | WNOHANG | WNOWAIT) != 0) return false;
+  if (::waitid(P_PID, static_cast<id_t>(process_id_), &ended, WEXITED | WNOHANG | WNOWAIT) != 0) return false;
   return ended.si_pid == 0;
 }
 
 int Process::wait() {
   int status = 0;
-  if (process_ > 0) ::waitpid(process_, &status, 0);
-  process_ = 0;
+  if (process_id_ > 0) ::waitpid(process_id_, &status, 0);
+  process_id_ = 0;
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
--- a/src/fakes/process.h
+++ b/src/fakes/process.h
@@ -26,10 +26,10 @@
   void signal(int number);
   int wait();  // returns its exit code; -1: ended by a signal
   void stop(int number) { signal(number), wait(); }
-  pid_t id() const { return process_; }
+  pid_t id() const { return process_id_; }
   bool running() const;  // does not reap an ended process: wait() still returns its exit code
   void rewrite(const std::string& config);
-  const std::string& config_path() const { return path_; }
+  const std::string& config_path() const { return config_path_; }
   // Waits until a connection to `address` succeeds, 10 s if it is refused each time; returns false if none
   // did.
   static bool listens(const std::string& address);
@@ -37,11 +37,11 @@
  private:
   bool is_replaced(std::string_view variable) const;  // environment_ has a variable of the same name
 
-  std::string program_, path_;
+  std::string program_, config_path_;
   std::vector<std::string> arguments_, environment_;
   const std::string log_;
   const Ends ends_;
-  pid_t process_ = 0;
+  pid_t process_id_ = 0;
 };
 
 }  // namespace firvalve::fakes
--- a/src/loadtest/scripted_engines.cpp
+++ b/src/loadtest/scripted_engines.cpp
@@ -29,12 +29,12 @@
   try {
     for (size_t i = 0; i < kThreads; ++i) hosts_.push_back(std::make_unique<fakes::FakeHost>());
     bus_ = std::make_unique<fakes::FakeEventBus>(*hosts_.front());
-    fakes::FakeEngine::Means means;
-    means.slots = kSlots;
-    means.records_calls = false;
+    fakes::FakeEngine::Options options;
+    options.slots = kSlots;
+    options.records_calls = false;
     for (int i = 0; i < count; ++i) {
       fakes::FakeHost& host = *hosts_[static_cast<size_t>(i) % kThreads];
-      engines_.push_back(std::make_unique<fakes::FakeEngine>(host, means, engine_address(i)));
+      engines_.push_back(std::make_unique<fakes::FakeEngine>(host, options, engine_address(i)));
     }
   } catch (const Poco::Exception& error) {
     throw ScaleError(fmt::format("engine {} of {} cannot listen at {}: {}", engines_.size() + 1, count,
