--- a/src/fakes/fault_proxy.cpp
+++ b/src/fakes/fault_proxy.cpp
@@ -1,3 +1,4 @@
+// Reads frames from both sides of each proxied connection and applies the faults of their direction.
 #include "fakes/fault_proxy.h"
 
 #include <deque>
@@ -12,7 +13,8 @@
 using Poco::Net::SocketAddress;
 using Poco::Net::StreamSocket;
 
-// The two connections that stand for one: from the gateway that dialled (near), to the one it dialled (far).
+// The two halves of a proxied connection: `near` to the gateway that dialled, `far` to the gateway it
+// dialled.
 class FaultProxy::ConnectionPair {
  public:
   class Socket : public net::Connection {
@@ -49,25 +51,25 @@
 
   std::unique_ptr<Socket> near, far;
   size_t to = 0, from = SIZE_MAX;
-  Ms last_due_forward = 0, last_due_backward = 0;  // when the last frame was due
+  Ms last_due_forward = 0, last_due_backward = 0;  // delivery time of the last delayed frame
   std::deque<std::string> held_forward, held_backward;
 };
 
 FaultProxy::FaultProxy(FakeHost& host, uint64_t seed)
-    : host_(host), chance_(seed), alive_(std::make_shared<bool>(true)) {}
+    : host_(host), rng_(seed), alive_(std::make_shared<bool>(true)) {}
 
 FaultProxy::~FaultProxy() {
-  host_.do_now([this] {
+  host_.run_and_wait([this] {
     *alive_ = false;
     routes_.clear();
     while (!pairs_.empty()) end_pair(pairs_.begin()->first);
   });
 }
 
-double FaultProxy::draw_fraction() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
+double FaultProxy::draw_fraction() { return std::uniform_real_distribution<double>(0, 1)(rng_); }
 
 std::string FaultProxy::stand_before(const std::string& real, const std::string& address) {
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     const size_t number = routes_.size();
     auto route = std::make_unique<Route>();
     route->real = real;
@@ -84,7 +86,7 @@
     });
     route->listener->listen(address);
     route->address = address;
-    names_[address] = number;
+    route_numbers_[address] = number;
     routes_.push_back(std::move(route));
   });
   return address;
@@ -112,13 +114,13 @@
   (is_forward ? *pair.far : *pair.near).write(frame);
 }
 
-// A gateway that dials names itself in its first frame.
+// Finds the dialling gateway by the sender name in its first frame.
 void FaultProxy::identify_dialer(ConnectionPair& pair, const std::string& frame) {
   const char* why = "";
   const size_t head = frame.find("\r\n\r\n") + 4;
   const auto read = cluster::read_frame({frame.data() + head, frame.size() - head}, why);
-  const auto name = read ? names_.find(read->sender) : names_.end();
-  if (name != names_.end()) pair.from = name->second;
+  const auto name = read ? route_numbers_.find(read->sender) : route_numbers_.end();
+  if (name != route_numbers_.end()) pair.from = name->second;
 }
 
 void FaultProxy::forward(uint64_t id, bool is_forward, std::string frame) {
@@ -161,7 +163,7 @@
   });
 }
 
-// Forwards the frames that waited, once their direction is no longer held.
+// Forwards the frames that were held in this direction, or resets its connections if they are cut now.
 void FaultProxy::release_held(size_t from, size_t to) {
   std::vector<uint64_t> ids;
   for (const auto& [id, pair] : pairs_) ids.push_back(id);
@@ -182,7 +184,7 @@
 }
 
 void FaultProxy::set(size_t from, size_t to, const Options& options) {
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     options_[{from, to}] = options;
     if (!options.held) release_held(from, to);
   });
@@ -206,13 +208,13 @@
 
 uint64_t FaultProxy::passed() const {
   uint64_t all = 0;
-  host_.do_now([&] { all = frames_passed_; });
+  host_.run_and_wait([&] { all = frames_passed_; });
   return all;
 }
 
 uint64_t FaultProxy::bytes(size_t from, size_t to) const {
   uint64_t all = 0;
-  host_.do_now([&] {
+  host_.run_and_wait([&] {
     if (const auto at = bytes_.find({from, to}); at != bytes_.end()) all = at->second;
   });
   return all;
