--- a/src/client/call_state.h
+++ b/src/client/call_state.h
@@ -36,7 +36,7 @@
   TimePoint submitted_at;
   std::weak_ptr<Driver> driver;
 
-  Callback callback;  // used by the callback thread alone once the call has ended
+  Callback callback;  // used only by the callback thread once the call has ended
 
   mutable std::mutex mutex;  // guards the members below
   mutable std::condition_variable ended;
