--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -1,6 +1,6 @@
 // What a fleet costs and how fast it hands on: processes of the program on loopback, and fleets in virtual
 // time.
-//   firvalve_fleet_bench [trials]    as in docs/fleet.md; simulated engines
+//   firvalve_fleet_bench [trials]    as in docs/cluster.md; simulated engines
 #include <fmt/format.h>
 #include <signal.h>
 
--- a/src/client/client.h
+++ b/src/client/client.h
@@ -165,7 +165,7 @@
 
   // Reads or changes a topic's versions and declarations; every gateway of the cluster gives the same answer.
   // `method`: "propose", "deprecate", "retire", "declare", "withdraw" or "bulletin"; `params`: a JSON object
-  // (docs/bulletins.md), without the topic's name. Idempotent, so it is retried like replayable commands.
+  // (docs/topics.md), without the topic's name. Idempotent, so it is retried like replayable commands.
   // kAnswered: `rows` is the result, as JSON. kFailed because the change was refused: `rows` is the list of
   // compatibility violations, as JSON. Throws std::invalid_argument if `method` is unknown or `params` is not
   // a JSON object.
--- a/src/consensus/register.h
+++ b/src/consensus/register.h
@@ -4,7 +4,7 @@
 // expects to be current and is committed only if it is. There is no log, no leader and no term; a replica
 // stores one slot per key. The algorithm is CASPaxos, single-decree Paxos repeated on one register (prepare,
 // promise, accept, accepted), extended with replica incarnations so that a replica that lost its storage can
-// rejoin. docs/design-fleet.md compares it with alternatives and states its guarantees.
+// rejoin. docs/design-cluster.md compares it with alternatives and states its guarantees.
 //
 // Acceptor (acceptor.h) votes and stores, Proposer (proposer.h) changes and reads registers, RegisterWatcher
 // (register_watcher.h) follows changes. They do no I/O, read no clock and start no threads: the caller passes
--- a/src/results/page.h
+++ b/src/results/page.h
@@ -11,8 +11,8 @@
 // Limit of a page's size, both before and after compression.
 constexpr uint32_t kMaxPageBytes = 64 * 1024 * 1024;
 
-// A page compressed with LZ4 (docs/design-spool.md compares it with Zstandard). Rows that do not become
-// smaller are stored uncompressed.
+// A page compressed with LZ4 (docs/design-paged-results.md compares it with Zstandard). Rows that do not
+// become smaller are stored uncompressed.
 struct StoredPage {
   std::string bytes;
   uint32_t uncompressed_bytes = 0;  // size of the rows; equal to bytes.size() if they are uncompressed
--- a/src/schema/violation.h
+++ b/src/schema/violation.h
@@ -7,7 +7,7 @@
 
 namespace firvalve::schema {
 
-// docs/bulletins.md explains each rule to clients.
+// docs/topics.md explains each rule to clients.
 enum class Rule : uint8_t {
   kMalformed,       // the schema is invalid in itself, or a limit is exceeded
   kNumberReused,    // some version uses the number for a field of another name
--- a/tests/docs/examples_test.cpp
+++ b/tests/docs/examples_test.cpp
@@ -94,7 +94,7 @@
         << printed[i];
 }
 
-INSTANTIATE_TEST_SUITE_P(Pages, Docs, testing::Values("fleet.md", "bulletins.md"), [](const auto& p) {
+INSTANTIATE_TEST_SUITE_P(Pages, Docs, testing::Values("cluster.md", "topics.md"), [](const auto& p) {
   return std::string(p.param).substr(0, std::string(p.param).find('.'));
 });
 
