--- a/src/cluster/topic_requests.cpp
+++ b/src/cluster/topic_requests.cpp
@@ -39,7 +39,7 @@
     case Result::Kind::kNoQuorum:
       return {Kind::kNoQuorum, {}};
     case Result::Kind::kUnreadable:
-      return {Kind::kInvalidParams, "this gateway cannot decode the stored bulletin"};
+      return {Kind::kInvalidParams, "what stands there is no bulletin that this program reads"};
     case Result::Kind::kUnknown:
       break;
   }
