--- a/src/gateway/call.cpp
+++ b/src/gateway/call.cpp
@@ -1,3 +1,4 @@
+// Options of `firvalve call` and the execution of a run without paged results.
 #include "gateway/call.h"
 
 #include <algorithm>
@@ -23,16 +24,16 @@
   client::Command command;
   std::string effect = "non-replayable";
   int count = 1;
-  double calls_per_second = 0;  // not above 0: each starts when the one before has ended
+  double calls_per_second = 0;  // 0: each call starts when the previous one has ended
   bool prints_json = false, is_quiet = false;
-  // Of paged results.
+  // For paged results.
   std::string output_file, resume_token;
   uint64_t first_page = 1;
 };
 
 Duration time_since(Clock::time_point start) { return Clock::now() - start; }
 
-// One run of `firvalve call` without pages.
+// Executes `firvalve call` without paged results.
 class CallRun {
  public:
   explicit CallRun(const CallOptions& options) : options_(options), client_(client_options(options)) {}
@@ -61,27 +62,30 @@
     return client_options;
   }
 
-  // Each call has its start time, however those before it fare.
+  // Starts each call at its scheduled time, even if earlier calls are still open.
   void run_open_loop(Clock::time_point start) {
     for (int i = 0; i < options_.count; ++i) {
-      const auto intended = start + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(
-                                        static_cast<double>(i) / options_.calls_per_second));
-      std::this_thread::sleep_until(intended);
-      client_.send(options_.command,
-                   [this, intended](const client::Result& result) { take_result(result, intended); });
+      const auto intended_start =
+          start + std::chrono::duration_cast<Clock::duration>(
+                      std::chrono::duration<double>(static_cast<double>(i) / options_.calls_per_second));
+      std::this_thread::sleep_until(intended_start);
+      client_.send(options_.command, [this, intended_start](const client::Result& result) {
+        handle_result(result, intended_start);
+      });
     }
   }
 
+  // Starts each call when the previous one has ended.
   void run_closed_loop() {
     for (int i = 0; i < options_.count; ++i) {
-      const Clock::time_point intended = Clock::now();
-      take_result(client_.call(options_.command), intended);
+      const Clock::time_point intended_start = Clock::now();
+      handle_result(client_.call(options_.command), intended_start);
     }
   }
 
-  // With rows on standard output nothing else goes there.
-  void take_result(const client::Result& result, Clock::time_point intended) {
-    report_.add(result, time_since(intended));
+  // Standard output carries either rows or the JSON summary; all other output goes to standard error.
+  void handle_result(const client::Result& result, Clock::time_point intended_start) {
+    report_.add(result, time_since(intended_start));
     if (!options_.prints_json && result.outcome == Outcome::kAnswered)
       std::fwrite(result.rows.data(), 1, result.rows.size(), stdout);
     if (options_.count == 1 && !options_.is_quiet) print_result(result);
--- a/src/gateway/event_log.h
+++ b/src/gateway/event_log.h
@@ -1,5 +1,5 @@
-// The gateway's events as lines of the log: one function an event, named `component.what_happened`, with its
-// fields. Also the observers that write single commands and connections.
+// Writes the gateway's events to the log: one function per event. Events are named `component.what_happened`.
+// Also registers the observers that log each command and connection.
 #pragma once
 
 #include <string_view>
@@ -14,13 +14,13 @@
 
 namespace firvalve {
 
-// Sets form and level as the operator's file has them.
+// Applies the line format and the level of the operator's file.
 void configure_log(log::Log& log, const config::OperatorConfig::Log& options);
 
-// One thread: the loop's.
+// Not thread-safe: used on the loop's thread only.
 class EventLog {
  public:
-  // Both outlive this.
+  // Both arguments must outlive this object.
   EventLog(log::Log& log, net::Loop& loop) : log_(log), loop_(loop) {}
 
   void write(log::Level level, std::string_view event, log::Fields fields);
@@ -28,7 +28,7 @@
   void log_serving(std::string_view address);
   void log_shutdown_started();
   void log_config_reloaded();
-  void log_config_rejected(std::string_view reason);  // the configuration before it stays in force
+  void log_config_rejected(std::string_view reason);  // the previous configuration stays in force
   void log_metrics(const Metrics& metrics);
   void log_wall_clock_step(Duration step);
   void log_engine_health_change(const EngineHealthChange& change);
@@ -36,7 +36,8 @@
   void log_endpoint_change(const net::EndpointChange& change);
   void log_unreadable_event(std::string_view line);
 
-  // Single commands, attempts and connections are logged at the level `debug` alone: they are many.
+  // Registers observers that log each command, attempt and connection. They write at level `debug` only,
+  // because of the volume.
   void observe(Core& core, net::ClientServer& clients, net::EngineConnections& engines);
 
  private:
--- a/src/gateway/gateway_config.cpp
+++ b/src/gateway/gateway_config.cpp
@@ -33,9 +33,9 @@
   return value.GetString();
 }
 
-// NODE_CONFIG's variable is read again at each reload, on the one thread that there is.
+// Reads the environment variable again at each reload. Called on the main thread only.
 std::string read_config_file() {
-  const char* const path = std::getenv("NODE_CONFIG");  // NOLINT(concurrency-mt-unsafe): nothing sets it
+  const char* const path = std::getenv("NODE_CONFIG");  // NOLINT(concurrency-mt-unsafe): never modified
   if (!path) throw ConfigError(Code::kNotGiven, "NODE_CONFIG", "NODE_CONFIG is not set");
   std::ifstream file(path);
   if (!file) throw ConfigError(Code::kUnreadable, path, fmt::format("configuration {} cannot be read", path));
@@ -98,8 +98,8 @@
   throw ConfigError(Code::kInvalid, operator_file, lines);
 }
 
-// Guards against a result store that takes the memory which connections and statements need: the gateway
-// would be ended for it. Half is more than they ever had.
+// The result store may take at most half of the memory limit: connections and statements have never needed
+// more than the other half. A gateway that exceeds the limit is killed.
 void check_result_store_memory(const config::OperatorConfig& operator_config, const GatewayConfig& config,
                                const std::string& operator_file) {
   const config::OperatorConfig::Spool& spool = operator_config.spool;
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -1,5 +1,5 @@
-// The program `firvalve`. Without a sub-command it is a gateway, configured by the file that NODE_CONFIG
-// names; the sub-commands are clients of gateways, and a check of the operator's file.
+// The program `firvalve`. Without a sub-command it runs a gateway, configured by the file that NODE_CONFIG
+// names. `call` and `ping` are clients of gateways; `check` validates an operator's file.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-// What building the command line throws is a fault of the program itself: it ends by std::terminate().
+// An exception while the command line is being defined is a bug in the program and ends in std::terminate().
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   CLI::App app("An admission controller for queries on pooled engines.", "firvalve");
--- a/src/gateway/paged_call.cpp
+++ b/src/gateway/paged_call.cpp
@@ -12,9 +12,9 @@
 
 using client::Outcome;
 using Next = client::PageReader::Next;
-using Number = unsigned long long;
+using PrintfUint = unsigned long long;
 
-// Standard output, or a file that is closed at the end.
+// Standard output, or a file that the destructor closes.
 class Output {
  public:
   Output(const std::string& file_name, bool appends)
@@ -30,7 +30,8 @@
   bool write(const std::string& rows) {
     return std::fwrite(rows.data(), 1, rows.size(), stream_) == rows.size();
   }
-  bool finish() {  // false: not all could be written
+  // Flushes standard output or closes the file. Returns false if not everything could be written.
+  bool finish() {
     std::FILE* const stream = std::exchange(stream_, nullptr);
     return (is_file_ ? std::fclose(stream) : std::fflush(stream)) == 0;
   }
@@ -40,7 +41,7 @@
   std::FILE* stream_;
 };
 
-// Copies all pages that are left; the last answer of the reader, or kFailed where a page cannot be written.
+// Copies all remaining pages. Returns the reader's last result, or kFailed if a page cannot be written.
 Next copy_pages(const PagedCallOptions& options, client::PageReader& pages, Output& output) {
   const bool shows_progress =
       !options.is_quiet && ::isatty(STDERR_FILENO) != 0 && !options.output_file.empty();
@@ -49,13 +50,13 @@
   while ((next = pages.next(rows)) == Next::kPage) {
     if (!output.write(rows)) {
       std::fprintf(stderr, "firvalve call: %s cannot be written; page %llu is the last whole one\n",
-                   options.output_file.c_str(), static_cast<Number>(pages.at() - 1));
+                   options.output_file.c_str(), static_cast<PrintfUint>(pages.at() - 1));
       next = Next::kFailed;
       break;
     }
     if (shows_progress)
-      std::fprintf(stderr, "\rpage %llu of %llu", static_cast<Number>(pages.at()),
-                   static_cast<Number>(pages.pages()));
+      std::fprintf(stderr, "\rpage %llu of %llu", static_cast<PrintfUint>(pages.at()),
+                   static_cast<PrintfUint>(pages.pages()));
   }
   if (shows_progress) std::fputc('\n', stderr);
   return next;
@@ -76,7 +77,7 @@
   if (!options.is_quiet)
     std::fprintf(stderr, "firvalve call: %s after page %llu\n",
                  next == Next::kGone ? "the result is gone" : "no gateway answered",
-                 static_cast<Number>(pages.at()));
+                 static_cast<PrintfUint>(pages.at()));
   return kExitFailed;
 }
 
@@ -96,8 +97,8 @@
   }
   if (!options.is_quiet && !result.token.empty())
     std::fprintf(stderr, "firvalve call: token %s at %s, %llu pages, %llu rows\n", result.token.c_str(),
-                 result.gateway.c_str(), static_cast<Number>(result.pages),
-                 static_cast<Number>(result.total_rows));
+                 result.gateway.c_str(), static_cast<PrintfUint>(result.pages),
+                 static_cast<PrintfUint>(result.total_rows));
   client::PageReader pages(client, result, options.command.key, {});
   return read_pages(options, pages);
 }
--- a/src/gateway/ping.cpp
+++ b/src/gateway/ping.cpp
@@ -1,3 +1,4 @@
+// `firvalve ping`: sends a heartbeat to gateways and prints their state.
 #include <algorithm>
 #include <cstdio>
 #include <memory>
@@ -18,7 +19,7 @@
   double timeout_ms = 1000;
 };
 
-// Pings one gateway, and prints how it fares. False: it is not healthy, or has not answered.
+// Pings one gateway and prints its state. Returns false if it is not healthy or has not answered.
 bool ping_gateway(const std::string& gateway, double timeout_ms) {
   const client::Ping ping = client::ping(gateway, timeout_ms);
   const char* const state = !ping.answered ? ping.why.c_str() : ping.healthy ? "healthy" : "not healthy";
--- a/src/gateway/reload.h
+++ b/src/gateway/reload.h
@@ -1,5 +1,5 @@
-// SIGHUP: the configuration files are read again. The event bus may have moved, and the log's level and form
-// may have changed; everything else that a new file says holds from the next start.
+// Reload on SIGHUP: reads the configuration files again and applies the address of the event bus and the
+// log's level and format. All other changes take effect at the next start.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 class ConfigReloader {
  public:
-  // operator_file: empty where there is none. The references outlive this.
+  // operator_file: empty if there is none. The references must outlive this object.
   ConfigReloader(std::string operator_file, net::Loop& loop, net::EndpointWatcher& endpoint_watcher,
                  log::Log& log, EventLog& event_log, Metrics& metrics)
       : operator_file_(std::move(operator_file)),
@@ -22,7 +22,8 @@
         event_log_(event_log),
         metrics_(metrics) {}
 
-  // A file that cannot be read or used changes nothing, and leaves the other its effect. Throws nothing.
+  // The files are applied independently: one that is unreadable or invalid is logged and changes nothing.
+  // Never throws.
   void reload();
 
  private:
--- a/src/gateway/result_store_wiring.h
+++ b/src/gateway/result_store_wiring.h
@@ -1,4 +1,5 @@
-// The result store with its files on disk, as the operator's file asks for it, tied to the gateway's loop.
+// Creates the store of paged results and its files on disk according to the operator's file, and connects
+// them to the gateway's loop.
 #pragma once
 
 #include <memory>
@@ -14,15 +15,16 @@
 
 class ResultStoreWiring {
  public:
-  // Opens the store where the operator's file switches it on, with files where it names a folder. Throws what
-  // results::SegmentFiles throws where the folder is of no use. All arguments outlive this.
+  // Opens the store if the operator's file enables it, with files if it names a folder. Throws the exceptions
+  // of results::SegmentFiles if the folder cannot be used. All arguments must outlive this object.
   ResultStoreWiring(const config::OperatorConfig::Spool& options, net::Loop& loop, Metrics& metrics,
                     EventLog& event_log);
 
-  results::PagedResultStore* store() { return store_.get(); }  // null: it is switched off
+  results::PagedResultStore* store() { return store_.get(); }  // null: disabled
 
  private:
-  // The files' thread wakes the loop through the waker: the files are destroyed first.
+  // Members are destroyed in reverse order: files_ before waker_, because its thread wakes the loop through
+  // the waker.
   std::unique_ptr<net::Waker> waker_;
   std::unique_ptr<results::SegmentFiles> files_;
   std::unique_ptr<results::PagedResultStore> store_;
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -29,21 +29,21 @@
 constexpr Duration kDefaultConnectTimeout = 250ms;
 constexpr Duration kDefaultIdleTimeout = 15000ms;
 
-// Beside those of the connections: standard streams, the reactor, its timer, the listener, files, and a
-// reserve.
+// Descriptors not available to connections: standard streams, the reactor, its timer, the listener, files and
+// a reserve.
 constexpr int kReservedDescriptors = 20;
 
-// Shares of the memory limit: of the connections' buffers, of the statements in flight, and of a replica's
-// registers. The rest is the program's own.
+// Shares of the memory limit for the connections' buffers, the statements in flight and a replica's
+// registers. The rest is left to the program itself.
 constexpr double kBufferShare = 0.4, kStatementShare = 0.2, kRegisterShare = 0.1;
 
-// Of the grace for drains: the event bus is asked for the first time within it.
+// The gateway connects to the event bus for the first time within this share of the drain grace.
 constexpr double kFirstWatchShare = 0.1;
 
-// A time of the settings; one that is not above 0 counts as missing.
-Duration duration_setting(const Settings& settings, const char* name, Duration otherwise) {
-  const Ms value = number_setting(settings, name, to_ms(otherwise));
-  return value > 0 ? duration_of(value) : otherwise;
+// Returns a duration of the settings; a value that is not positive counts as missing.
+Duration duration_setting(const Settings& settings, const char* name, Duration default_value) {
+  const Ms value = number_setting(settings, name, to_ms(default_value));
+  return value > 0 ? duration_of(value) : default_value;
 }
 
 cluster::ClusterOptions cluster_options(const config::OperatorConfig::Fleet& section, double memory_bytes) {
@@ -54,39 +54,39 @@
   return options;
 }
 
-// All that has work at the end of a turn of the loop.
-struct TurnParts {
+// The components that run due work at the end of each turn of the loop.
+struct TurnComponents {
   WallClockMonitor& wall_clock_monitor;
   net::EndpointWatcher& endpoint_watcher;
   log::Log& log;
   net::EngineConnections& engines;
-  results::PagedResultStore* result_store = nullptr;  // null: switched off
+  results::PagedResultStore* result_store = nullptr;  // null: disabled
   net::ClientServer& clients;
-  cluster::ClusterService* cluster = nullptr;  // null: switched off
+  cluster::ClusterService* cluster = nullptr;  // null: disabled
   Core& core;
 };
 
-// The order is fixed: what has ended is handed to the core before the core decides.
-void run_due_work(const TurnParts& parts, TimePoint now) {
-  parts.wall_clock_monitor.check(now);
-  parts.endpoint_watcher.run_due(now);
-  parts.log.write_suppressed(now);
-  parts.engines.run_due(now);
-  if (parts.result_store) parts.result_store->handle_due(now);
-  parts.clients.run_due(now);
-  if (parts.cluster) parts.cluster->due(now);
-  parts.core.decide(now);
+// The core comes last: it makes its decisions after the other components have reported what has completed.
+void run_due_work(const TurnComponents& components, TimePoint now) {
+  components.wall_clock_monitor.check(now);
+  components.endpoint_watcher.run_due(now);
+  components.log.write_suppressed(now);
+  components.engines.run_due(now);
+  if (components.result_store) components.result_store->handle_due(now);
+  components.clients.run_due(now);
+  if (components.cluster) components.cluster->due(now);
+  components.core.decide(now);
 }
 
-// The earliest time at which any part has work, if any has.
-std::optional<TimePoint> next_due(const TurnParts& parts, TimePoint now) {
-  std::optional<TimePoint> due = parts.endpoint_watcher.next_due();
-  if (parts.cluster) due = earlier_of<TimePoint>(due, parts.cluster->next_due(now));
-  if (parts.result_store) due = earlier_of(due, parts.result_store->next_due());
-  due = earlier_of(due, parts.log.next_due());
-  due = earlier_of(due, parts.clients.next_due());
-  due = earlier_of(due, parts.engines.next_due());
-  return earlier_of(due, parts.core.next_due());
+// Returns the earliest time at which any component has due work; empty: none is scheduled.
+std::optional<TimePoint> next_due(const TurnComponents& components, TimePoint now) {
+  std::optional<TimePoint> due = components.endpoint_watcher.next_due();
+  if (components.cluster) due = earlier_of<TimePoint>(due, components.cluster->next_due(now));
+  if (components.result_store) due = earlier_of(due, components.result_store->next_due());
+  due = earlier_of(due, components.log.next_due());
+  due = earlier_of(due, components.clients.next_due());
+  due = earlier_of(due, components.engines.next_due());
+  return earlier_of(due, components.core.next_due());
 }
 
 }  // namespace
@@ -94,14 +94,14 @@
 int serve(const std::string& operator_file) {
   net::block_signals();
 
-  // What is to be served.
+  // Configuration.
   const config::OperatorConfig operator_config = read_operator_config(operator_file);
   GatewayConfig config = read_gateway_config();
   check_result_store_memory(operator_config, config, operator_file);
   const Settings& settings = config.settings;
   const double memory_bytes = config.memory_limit_bytes();
 
-  // The loop, its limits, the log.
+  // The log, and the loop with its limits.
   log::Log log;
   configure_log(log, operator_config.log);
   net::Loop loop;
@@ -110,7 +110,8 @@
   EventLog event_log(log, loop);
   Metrics metrics;
 
-  // Clients in front, engines behind, the core between them, and the cluster of gateways beside it.
+  // The server for clients, the connections to engines, the core between them, and the cluster of gateways.
+  // With a cluster, the core sends its responses through the cluster service.
   const Duration connect_timeout = duration_setting(settings, "connect time-out", kDefaultConnectTimeout);
   const Duration idle_timeout = duration_setting(settings, "idle close", kDefaultIdleTimeout);
   net::ClientServer clients(loop, metrics);
@@ -142,7 +143,7 @@
   }
   event_log.observe(core, clients, engines);
 
-  // The endpoint list: what the configuration knows of it, then what the event bus says.
+  // The endpoint list: first the events in the configuration, then those of the event bus.
   net::EndpointWatcher endpoint_watcher(
       loop, metrics, config.event_bus_address, connect_timeout,
       duration_of(kFirstWatchShare * number_setting(settings, "drain grace")), config.seed);
@@ -174,11 +175,11 @@
   event_log.log_serving(config.listen_address);
 
   WallClockMonitor wall_clock_monitor(event_log, metrics);
-  const TurnParts parts{wall_clock_monitor, endpoint_watcher, log,           engines,
-                        result_store,       clients,          cluster.get(), core};
+  const TurnComponents components{wall_clock_monitor, endpoint_watcher, log,           engines,
+                                  result_store,       clients,          cluster.get(), core};
   loop.on_turn = [&](TimePoint now) -> std::optional<TimePoint> {
-    run_due_work(parts, now);
-    if (!shutdown.is_started()) return next_due(parts, now);
+    run_due_work(components, now);
+    if (!shutdown.is_started()) return next_due(components, now);
     if (shutdown.is_complete(now)) loop.stop();
     return now + kShutdownCheckInterval;
   };
--- a/src/gateway/serve.h
+++ b/src/gateway/serve.h
@@ -1,14 +1,14 @@
-// The gateway process from its configuration to its exit.
+// Runs a gateway process from reading its configuration to its exit.
 #pragma once
 
 #include <string>
 
 namespace firvalve {
 
-// Serves what the file named by NODE_CONFIG says until SIGTERM or SIGINT, with the features that the
-// operator's own file switches on (empty: none). Returns the exit code. Throws ConfigError where a file
-// cannot be used, and std::exception where an address cannot be listened on. Blocks the calling thread, which
-// handles all signals.
+// Runs the gateway that the file named by NODE_CONFIG describes until SIGTERM or SIGINT. The operator's file
+// enables further features; an empty name enables none. Returns the exit code. Throws ConfigError if a file
+// is invalid, and a std::exception if the gateway cannot listen on an address. Blocks the calling thread,
+// which also handles the signals.
 int serve(const std::string& operator_file);
 
 }  // namespace firvalve
--- a/src/gateway/shutdown.h
+++ b/src/gateway/shutdown.h
@@ -1,4 +1,5 @@
-// The graceful shutdown: from SIGTERM until everything taken in has its answer, or the time for it is over.
+// The graceful shutdown: lasts from SIGTERM until every accepted call is answered or the time limit is
+// reached.
 #pragma once
 
 #include <optional>
@@ -14,27 +15,27 @@
 
 class Shutdown {
  public:
-  // What takes part in it. All but the last two are always there; all outlive the Shutdown.
-  struct Parts {
+  // The components that take part. They must outlive the Shutdown.
+  struct Components {
     Core& core;
     net::ClientServer& clients;
     EventLog& event_log;
-    cluster::ClusterService* cluster = nullptr;         // null: switched off
-    results::PagedResultStore* result_store = nullptr;  // null: switched off
+    cluster::ClusterService* cluster = nullptr;         // null: disabled
+    results::PagedResultStore* result_store = nullptr;  // null: disabled
   };
-  Shutdown(const Parts& parts, Duration longest_client_timeout)
-      : parts_(parts), longest_client_timeout_(longest_client_timeout) {}
+  Shutdown(const Components& components, Duration longest_client_timeout)
+      : components_(components), longest_client_timeout_(longest_client_timeout) {}
 
   bool is_started() const { return started_at_.has_value(); }
-  void start(TimePoint now);  // a second time: nothing happens
-  // Once started, called once a turn: ends the clients' connections when everything has been answered. True:
-  // the loop may stop.
+  void start(TimePoint now);  // no effect if already started
+  // To be called once per turn of the loop after start(): closes the clients' connections when every call is
+  // answered. Returns true when the loop may stop.
   bool is_complete(TimePoint now);
 
  private:
-  bool is_all_answered(TimePoint now) const;
+  bool is_every_call_answered(TimePoint now) const;
 
-  const Parts parts_;
+  const Components components_;
   const Duration longest_client_timeout_;
   std::optional<TimePoint> started_at_;
 };
--- a/src/gateway/wall_clock_monitor.cpp
+++ b/src/gateway/wall_clock_monitor.cpp
@@ -11,8 +11,8 @@
 }
 
 void WallClockMonitor::check(TimePoint now) {
-  if (checked_at_ && now < *checked_at_ + kCheckInterval) return;
-  checked_at_ = now;
+  if (last_check_at_ && now < *last_check_at_ + kCheckInterval) return;
+  last_check_at_ = now;
   const std::optional<Duration> step =
       detector_.find_step(MonotonicClock::now(), duration_of(wall_clock_ms()));
   if (!step) return;
--- a/src/gateway/wall_clock_monitor.h
+++ b/src/gateway/wall_clock_monitor.h
@@ -1,4 +1,4 @@
-// Looks once a second whether the wall clock was stepped, and logs and counts it.
+// Checks once a second whether the wall clock was stepped, and logs and counts each step.
 #pragma once
 
 #include <optional>
@@ -11,15 +11,15 @@
 
 class WallClockMonitor {
  public:
-  // Both outlive this.
+  // Both arguments must outlive this object.
   WallClockMonitor(EventLog& event_log, Metrics& metrics) : event_log_(event_log), metrics_(metrics) {}
-  void check(TimePoint now);
+  void check(TimePoint now);  // to be called at each turn of the loop
 
  private:
   EventLog& event_log_;
   Metrics& metrics_;
   net::ClockStepDetector detector_;
-  std::optional<TimePoint> checked_at_;
+  std::optional<TimePoint> last_check_at_;
 };
 
 }  // namespace firvalve
