--- a/tests/gateway/clock_faults_test.cpp
+++ b/tests/gateway/clock_faults_test.cpp
@@ -1,6 +1,6 @@
-// Seeded trouble with the wall clock, in real processes over loopback: gateways whose clocks are stepped by
-// seconds or an hour at any time, interrupted waits, new configurations that move the bus, engines that begin
-// to drain. The verdict comes from what clients and engines saw, never from the gateways' logs.
+// Randomized wall clock faults (seeded) in real gateway processes over loopback: clocks are stepped by up to
+// an hour at any time, waits are interrupted, a reload moves the event bus, an engine starts to drain. The
+// checks use only what the clients and engines observed, never the gateways' logs.
 #include <Poco/Net/NetException.h>
 #include <Poco/Net/StreamSocket.h>
 #include <fmt/format.h>
@@ -23,25 +23,25 @@
 namespace firvalve {
 namespace {
 
-constexpr Ms kRun = 3000;         // of the load
-constexpr Ms kDrainGrace = 1500;  // for the move of the bus and the reading of the list
+constexpr Ms kLoadDuration = 3000;
+constexpr Ms kDrainGrace = 1500;  // time to reconnect to the moved bus and read the endpoint list
 constexpr int kEngines = 4, kGateways = 2;
-constexpr int kTimeout = 4000;    // ms, of each command
-constexpr Ms kAnswerSlack = 500;  // past a command's time
+constexpr int kTimeoutMs = 4000;  // of each command
+constexpr Ms kAnswerSlack = 500;  // after a command's timeout
 
-// One gateway with its clock and the one client that it has.
+// One gateway with its clock and its only client.
 struct FaultyGateway {
   SteppedClock clock;
   std::string address = fakes::free_address();
   std::unique_ptr<fakes::Process> process;
   StreamSocket client;
-  std::string held;            // bytes read of the next answer
-  std::map<int, int> answers;  // by command
+  std::string read_buffer;           // the part of the next answer read so far
+  std::map<int, int> answer_counts;  // by command id
 };
 
 struct SentCommand {
   std::string statement;
-  Ms at = 0;
+  Ms sent_at = 0;
 };
 
 class ClockFaults : public testing::TestWithParam<unsigned> {
@@ -59,113 +59,116 @@
     gateway.client.connect(SocketAddress(gateway.address));
   }
 
-  // Three attempts a command: a second copy is made where the gateway believes that one is due.
+  // Allows three attempts per command, so that a gateway misled by its clock could send a duplicate.
   std::string config_of(const FaultyGateway& gateway, const std::string& bus) {
     const std::string config =
-        with(engines_.config(gateway.address), R"("try_limit":1,)", R"("try_limit":3,)");
-    return with(config, engines_.bus().address(), bus);
+        replace_first(engines_.config(gateway.address), R"("try_limit":1,)", R"("try_limit":3,)");
+    return replace_first(config, engines_.bus().address(), bus);
   }
 
-  int draw(int below) { return static_cast<int>(chance_() % static_cast<unsigned>(below)); }
+  int random_below(int bound) { return static_cast<int>(random_() % static_cast<unsigned>(bound)); }
 
   void send_command(FaultyGateway& gateway) {
     const int id = ++last_id_;
     SentCommand& sent = sent_[id];
-    sent.statement = fmt::format("select {} /*! delay={} */", id, draw(5) * 25);
-    sent.at = monotonic_ms();
-    const char* const profile = draw(3) == 0 ? "load" : "lookup";
-    send_message(gateway.client, command(id, sent.statement, kTimeout, profile));
+    sent.statement = fmt::format("select {} /*! delay={} */", id, random_below(5) * 25);
+    sent.sent_at = monotonic_ms();
+    const char* const profile = random_below(3) == 0 ? "load" : "lookup";
+    send_message(gateway.client, command_request(id, sent.statement, kTimeoutMs, profile));
   }
 
   void step_clock(FaultyGateway& gateway) {
     constexpr Ms kSteps[] = {-3600e3, -20000, -3000, -500, 500, 3000, 20000, 3600e3};
-    const Ms by = kSteps[draw(std::size(kSteps))];
-    draw(3) == 0 ? gateway.clock.interrupt_waits(1, by) : gateway.clock.step(by);
+    const Ms by = kSteps[random_below(std::size(kSteps))];
+    random_below(3) == 0 ? gateway.clock.interrupt_waits(1, by) : gateway.clock.step(by);
   }
 
-  // All that has come for its client by now.
+  // Counts all answers that the gateway's client has received so far.
   void read_answers(FaultyGateway& gateway) {
     while (gateway.client.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
       char bytes[65536];
       const int got = gateway.client.receiveBytes(bytes, sizeof bytes);
       if (got <= 0) return;
-      gateway.held.append(bytes, static_cast<size_t>(got));
-      const std::string mark = R"("id":)";
+      gateway.read_buffer.append(bytes, static_cast<size_t>(got));
+      const std::string id_key = R"("id":)";
       size_t end = 0;
-      for (size_t at = gateway.held.find(mark); at != std::string::npos; at = gateway.held.find(mark, at)) {
-        at += mark.size();
-        const size_t comma = gateway.held.find(',', at);
+      for (size_t at = gateway.read_buffer.find(id_key); at != std::string::npos;
+           at = gateway.read_buffer.find(id_key, at)) {
+        at += id_key.size();
+        const size_t comma = gateway.read_buffer.find(',', at);
         if (comma == std::string::npos) break;
-        ++gateway.answers[std::stoi(gateway.held.substr(at))];
+        ++gateway.answer_counts[std::stoi(gateway.read_buffer.substr(at))];
         end = comma;
       }
-      gateway.held.erase(0, end);
+      gateway.read_buffer.erase(0, end);
     }
   }
 
   void move_bus_and_drain(int engine) {
-    moved_ = std::make_unique<fakes::FakeEventBus>(engines_.host());
-    moved_->announce(fakes::listing(engines_.name_of(engine), engines_.engine(engine).address(), "DRAINING"));
+    moved_bus_ = std::make_unique<fakes::FakeEventBus>(engines_.host());
+    moved_bus_->announce(
+        fakes::listing(engines_.name_of(engine), engines_.engine(engine).address(), "DRAINING"));
     for (const auto& gateway : gateways_) {
-      gateway->process->rewrite(config_of(*gateway, moved_->address()));
+      gateway->process->rewrite(config_of(*gateway, moved_bus_->address()));
       gateway->process->signal(SIGHUP);
     }
   }
 
-  void play() {
-    const Ms began = monotonic_ms();
-    const int drains = draw(kEngines);
-    for (Ms now = began; now < began + kRun; now = monotonic_ms()) {
+  void run_load() {
+    const Ms started_at = monotonic_ms();
+    const int draining_engine = random_below(kEngines);
+    for (Ms now = started_at; now < started_at + kLoadDuration; now = monotonic_ms()) {
       for (const auto& gateway : gateways_) {
         send_command(*gateway);
-        if (draw(6) == 0) step_clock(*gateway);
+        if (random_below(6) == 0) step_clock(*gateway);
         read_answers(*gateway);
       }
-      if (!moved_ && now > began + kRun / 4) {
-        move_bus_and_drain(drains);
-        told_at_ = now;
+      if (!moved_bus_ && now > started_at + kLoadDuration / 4) {
+        move_bus_and_drain(draining_engine);
+        drain_announced_at_ = now;
       }
       ::usleep(20000);
     }
-    drained_ = drains;
+    drained_engine_ = draining_engine;
   }
 
-  size_t answered() {
-    size_t all = 0;
+  size_t answered_command_count() {
+    size_t count = 0;
     for (const auto& gateway : gateways_) {
       read_answers(*gateway);
-      all += gateway->answers.size();
+      count += gateway->answer_counts.size();
     }
-    return all;
+    return count;
   }
 
   fakes::FakeDeployment engines_{kEngines};
-  std::unique_ptr<fakes::FakeEventBus> moved_;
+  std::unique_ptr<fakes::FakeEventBus> moved_bus_;
   std::vector<std::unique_ptr<FaultyGateway>> gateways_;
-  std::mt19937 chance_{GetParam()};
+  std::mt19937 random_{GetParam()};
   std::map<int, SentCommand> sent_;
-  int last_id_ = 0, drained_ = 0;
-  Ms told_at_ = 0;
+  int last_id_ = 0, drained_engine_ = 0;
+  Ms drain_announced_at_ = 0;
 };
 
-TEST_P(ClockFaults, EachCommandRunsOnceNowhereElseAndIsAnsweredInTime) {
-  play();
-  const Ms last_at = monotonic_ms();
-  EXPECT_TRUE(soon([&] { return answered() == sent_.size(); }));
-  EXPECT_LT(monotonic_ms() - last_at, kTimeout + kAnswerSlack);
+TEST_P(ClockFaults, EachCommandRunsOnceOnServingEngineAndIsAnsweredInTime) {
+  run_load();
+  const Ms load_ended_at = monotonic_ms();
+  EXPECT_TRUE(soon([&] { return answered_command_count() == sent_.size(); }));
+  EXPECT_LT(monotonic_ms() - load_ended_at, kTimeoutMs + kAnswerSlack);
   for (const auto& gateway : gateways_)
-    for (const auto& [id, times] : gateway->answers) EXPECT_EQ(times, 1) << "command " << id;
+    for (const auto& [id, count] : gateway->answer_counts) EXPECT_EQ(count, 1) << "command " << id;
   for (const auto& [id, sent] : sent_) {
     EXPECT_EQ(engines_.runs(sent.statement), 1) << "command " << id;
-    if (sent.at < told_at_ + kDrainGrace) continue;
-    EXPECT_EQ(engines_.engine(drained_).runs(sent.statement), 0) << "command " << id << ", while it drains";
+    if (sent.sent_at < drain_announced_at_ + kDrainGrace) continue;
+    EXPECT_EQ(engines_.engine(drained_engine_).runs(sent.statement), 0)
+        << "command " << id << ", while its engine drains";
   }
   for (const auto& gateway : gateways_) {
     gateway->process->signal(SIGTERM);
-    const Ms ends_at = monotonic_ms();
+    const Ms signalled_at = monotonic_ms();
     step_clock(*gateway);
     EXPECT_EQ(gateway->process->wait(), 0);
-    EXPECT_LT(monotonic_ms() - ends_at, 3000);
+    EXPECT_LT(monotonic_ms() - signalled_at, 3000);
   }
 }
 
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -1,4 +1,5 @@
-// The program itself, one gateway with a stand-in engine and event bus, spoken to over loopback sockets.
+// Fixture: runs the real program as one gateway with a fake engine and a fake event bus, over loopback
+// sockets.
 #pragma once
 
 #include <Poco/Net/NetException.h>
@@ -12,30 +13,31 @@
 
 #include "fakes/fake_deployment.h"
 #include "fakes/process.h"
-#include "gateway/speaking.h"
+#include "gateway/request_text.h"
 
 namespace firvalve {
 
 using Poco::Net::SocketAddress;
 using Poco::Net::StreamSocket;
 
-inline const Poco::Timespan kConnectTimeout(10, 0);  // of a test, for what comes within milliseconds
+inline const Poco::Timespan kConnectTimeout(10, 0);  // generous: a connect takes milliseconds
 
 inline void send_message(StreamSocket& peer, const std::string& body) {
   const std::string message = "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   peer.sendBytes(message.data(), static_cast<int>(message.size()));
 }
 
-// The next message with a head and a body of the stated length; empty: the peer has ended.
-inline std::string read_message(StreamSocket& peer, std::string& held) {
-  for (int waited = 0; waited < 500; ++waited) {
-    const size_t head = held.find("\r\n\r\n");
-    if (head != std::string::npos) {
-      const size_t at = held.find("Content-Length: ");
-      const size_t length = at < head ? std::stoul(held.substr(at + 16)) : 0;
-      if (held.size() >= head + 4 + length) {
-        const std::string message = held.substr(0, head + 4 + length);
-        held.erase(0, message.size());
+// Returns the next complete message: its header and a body of the length given there. Bytes that follow stay
+// in `read_buffer`. Empty: the peer has closed the connection, or no complete message came in time.
+inline std::string read_message(StreamSocket& peer, std::string& read_buffer) {
+  for (int polls = 0; polls < 500; ++polls) {
+    const size_t header_end = read_buffer.find("\r\n\r\n");
+    if (header_end != std::string::npos) {
+      const size_t at = read_buffer.find("Content-Length: ");
+      const size_t length = at < header_end ? std::stoul(read_buffer.substr(at + 16)) : 0;
+      if (read_buffer.size() >= header_end + 4 + length) {
+        const std::string message = read_buffer.substr(0, header_end + 4 + length);
+        read_buffer.erase(0, message.size());
         return message;
       }
     }
@@ -43,20 +45,21 @@
     char bytes[4096];
     const int got = peer.receiveBytes(bytes, sizeof bytes);
     if (got <= 0) return {};
-    held.append(bytes, static_cast<size_t>(got));
+    read_buffer.append(bytes, static_cast<size_t>(got));
   }
   return {};
 }
 
 class Gateway : public testing::Test {
  protected:
-  void SetUp() override { start(fleet_.config(address_)); }
+  void SetUp() override { start(deployment_.config(address_)); }
   void start(const std::string& config, std::vector<std::string> arguments = {}) {
     process_.reset();
     config_ = config;
     process_ = std::make_unique<fakes::Process>(FIRVALVE_PROGRAM, config, std::move(arguments), std::string(),
                                                 fakes::Process::Ends::kWithItsStarter, environment_);
   }
+  // Retries until the program listens.
   StreamSocket connect() {
     for (int tries = 0;; ++tries) {
       try {
@@ -70,16 +73,17 @@
     }
   }
   static void send(StreamSocket& client, const std::string& body) { send_message(client, body); }
-  std::string ask(const std::string& body) {
+  // Sends a request on a new connection and returns the answer.
+  std::string exchange(const std::string& body) {
     StreamSocket client = connect();
     send(client, body);
-    std::string held;
-    return read_message(client, held);
+    std::string read_buffer;
+    return read_message(client, read_buffer);
   }
-  fakes::FakeDeployment fleet_{1};
-  fakes::FakeEngine& engine_ = fleet_.engine(0);
+  fakes::FakeDeployment deployment_{1};
+  fakes::FakeEngine& engine_ = deployment_.engine(0);
   std::string address_ = fakes::free_address(), config_;
-  std::vector<std::string> environment_;  // of the program, beside this process's own
+  std::vector<std::string> environment_;  // of the program, in addition to this process's environment
   std::unique_ptr<fakes::Process> process_;
 };
 
--- a/tests/gateway/wall_clock_test.cpp
+++ b/tests/gateway/wall_clock_test.cpp
@@ -1,5 +1,5 @@
-// Steps of the wall clock under the real program (docs/incidents/wall-clock-steps.md): all that it measures
-// are spans, and spans go by the monotonic clock.
+// Steps of the wall clock under the real program (docs/incidents/wall-clock-steps.md). Every time that
+// the program measures is a duration, taken from the monotonic clock.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -19,22 +19,22 @@
   void SetUp() override {
     environment_ = clock_.environment();
     start_with_attempts(3);
-    ask(command(kFirstId, "select first"));  // it serves
+    exchange(command_request(kFirstId, "select first"));  // waits until the program serves
   }
-  // Two engines, and so many attempts a command.
+  // Starts the program with two engines and the given limit of attempts per command.
   void start_with_attempts(int attempts) {
-    start(with(engines_.config(address_), R"("try_limit":1,)", fmt::format(R"("try_limit":{},)", attempts)));
+    start(replace_first(engines_.config(address_), R"("try_limit":1,)",
+                        fmt::format(R"("try_limit":{},)", attempts)));
   }
   int calls(const std::string& call) {
     return engines_.engine(0).calls(call) + engines_.engine(1).calls(call);
   }
-  std::string draining(int engine) {
+  std::string draining_listing(int engine) {
     return fakes::listing(engines_.name_of(engine), engines_.engine(engine).address(), "DRAINING");
   }
-  // The bus goes to another address, as a new configuration says; what it tells from then on comes from
-  // there.
-  void move_bus(const fakes::FakeEventBus& to) {
-    process_->rewrite(with(config_, engines_.bus().address(), to.address()));
+  // Reloads the program with a configuration that names another address of the event bus.
+  void move_bus(const fakes::FakeEventBus& new_bus) {
+    process_->rewrite(replace_first(config_, engines_.bus().address(), new_bus.address()));
     process_->signal(SIGHUP);
   }
 
@@ -43,81 +43,83 @@
   fakes::FakeDeployment engines_{2};
 };
 
-// The incident: after a step forward what runs is taken for lost and sent a second time while it runs on;
-// after one back the bus is not followed to its new address, and commands go to engines that drain.
-TEST_F(WallClock, StepsMakeNoSecondCopiesAndNoSendsToDrainingEngines) {
+// Guards against the incident: after a step forward, running attempts were taken for lost and sent a second
+// time; after a step back, the program did not reconnect to the moved bus and sent commands to draining
+// engines.
+TEST_F(WallClock, StepsCauseNoDuplicateAttemptsAndNoSendsToDrainingEngines) {
   StreamSocket client = connect();
-  const std::string slow = "select 1 /*! delay=250 */";  // too short to be taken for a bad plan
-  send(client, command(1, slow, 8000, "report"));
+  const std::string slow = "select 1 /*! delay=250 */";  // too short to be treated as a bad plan
+  send(client, command_request(1, slow, 8000, "report"));
   ASSERT_TRUE(soon([&] { return engines_.runs(slow) == 1; }));
   clock_.step(3000);
-  std::string held;
-  EXPECT_TRUE(has(read_message(client, held), R"("result")"));
+  std::string read_buffer;
+  EXPECT_TRUE(contains(read_message(client, read_buffer), R"("result")"));
   EXPECT_EQ(engines_.runs(slow), 1);
   EXPECT_EQ(calls("DELETE"), 0);
 
   clock_.step(-kHour);
   fakes::FakeEventBus moved(engines_.host());
   move_bus(moved);
-  moved.announce(draining(0));
+  moved.announce(draining_listing(0));
   EXPECT_TRUE(soon([&] { return !moved.asked_from().empty(); }));
-  ::usleep(200000);  // it has read the list by now
-  for (int id = 2; id < 22; ++id) EXPECT_TRUE(has(ask(command(id, "select after")), R"("result")"));
+  ::usleep(200000);  // time to read the endpoint list
+  for (int id = 2; id < 22; ++id)
+    EXPECT_TRUE(contains(exchange(command_request(id, "select after")), R"("result")"));
   EXPECT_EQ(engines_.engine(0).runs("select after"), 0);
   EXPECT_EQ(engines_.engine(1).runs("select after"), 20);
 }
 
-TEST_F(WallClock, ACommandEndsWithItsClientsTimeAfterAStepBack) {
+TEST_F(WallClock, CommandTimesOutInTimeAfterStepBack) {
   StreamSocket client = connect();
-  send(client, command(1, "insert 1 /*! silent */", 800, "load"));
+  send(client, command_request(1, "insert 1 /*! silent */", 800, "load"));
   ASSERT_TRUE(soon([&] { return calls("POST /v1/store") == 2; }));
   clock_.step(-kHour);
-  const Ms began = monotonic_ms();
-  std::string held;
-  EXPECT_TRUE(has(read_message(client, held), R"("error")"));
-  EXPECT_LT(monotonic_ms() - began, 1200);
+  const Ms started_at = monotonic_ms();
+  std::string read_buffer;
+  EXPECT_TRUE(contains(read_message(client, read_buffer), R"("error")"));
+  EXPECT_LT(monotonic_ms() - started_at, 1200);
 }
 
-TEST_F(WallClock, ALostBusIsAskedAgainAfterAStepBack) {
+TEST_F(WallClock, ReconnectsToBusAfterStepBack) {
   clock_.step(-kHour);
-  engines_.bus().say_first("junk\n");  // at its next connection
+  engines_.bus().say_first("junk\n");  // on its next connection
   fakes::FakeEventBus moved(engines_.host());
   moved.say_first("junk\n");
   move_bus(moved);
   EXPECT_TRUE(soon([&] { return moved.asked_from().size() >= 2; }));
 }
 
-TEST_F(WallClock, TheExitIsInTimeAfterAStep) {
+TEST_F(WallClock, ExitsInTimeAfterStep) {
   for (const Ms by : {-kHour, kHour}) {
     StreamSocket client = connect();
-    send(client, command(1, "insert 1 /*! delay=600 */", 4000, "load"));
+    send(client, command_request(1, "insert 1 /*! delay=600 */", 4000, "load"));
     const int posts = calls("POST /v1/store");
     ASSERT_TRUE(soon([&] { return calls("POST /v1/store") >= posts; }));
     process_->signal(SIGTERM);
     ::usleep(100000);
     clock_.step(by);
-    std::string held;
-    EXPECT_TRUE(has(read_message(client, held), R"("result")")) << by;
-    const Ms began = monotonic_ms();
+    std::string read_buffer;
+    EXPECT_TRUE(contains(read_message(client, read_buffer), R"("result")")) << by;
+    const Ms started_at = monotonic_ms();
     EXPECT_EQ(process_->wait(), 0);
-    EXPECT_LT(monotonic_ms() - began, 3000);
+    EXPECT_LT(monotonic_ms() - started_at, 3000);
     start_with_attempts(3);
-    ask(command(kFirstId, "select first"));
+    exchange(command_request(kFirstId, "select first"));
   }
 }
 
-// A step during a wait that is interrupted, as by a stop and a continue: nothing else wakes the process,
-// since neither its engine nor the bus says anything.
-TEST_F(WallClock, AStepWithinAnInterruptedWaitDoesNotLengthenIt) {
-  start(with(engines_.config(address_), engines_.bus().address(), fakes::free_address()));
+// Steps the clock during a wait that ends with EINTR, as after SIGSTOP and SIGCONT. Nothing else wakes the
+// process: its engine is silent and there is no event bus.
+TEST_F(WallClock, StepDuringInterruptedWaitDoesNotExtendIt) {
+  start(replace_first(engines_.config(address_), engines_.bus().address(), fakes::free_address()));
   StreamSocket client = connect();
-  send(client, command(1, "insert 1 /*! silent */", 1500, "load"));
+  send(client, command_request(1, "insert 1 /*! silent */", 1500, "load"));
   ASSERT_TRUE(soon([&] { return engines_.runs("insert 1 /*! silent */") == 1; }));
-  const Ms began = monotonic_ms();
+  const Ms started_at = monotonic_ms();
   clock_.interrupt_waits(5, -kHour);
-  std::string held;
-  EXPECT_TRUE(has(read_message(client, held), R"("error")"));
-  EXPECT_LT(monotonic_ms() - began, 1800);
+  std::string read_buffer;
+  EXPECT_TRUE(contains(read_message(client, read_buffer), R"("error")"));
+  EXPECT_LT(monotonic_ms() - started_at, 1800);
 }
 
 }  // namespace
--- a/tests/shim/clock_shim.cpp
+++ b/tests/shim/clock_shim.cpp
@@ -1,11 +1,11 @@
-// A library for tests, loaded into the real program by LD_PRELOAD: steps the wall clock under it and
-// interrupts its waits, as an operator's clock daemon and a debugger would. The monotonic clock is left
-// alone.
+// A test library, loaded into the real program by LD_PRELOAD. It steps the program's wall clock and
+// interrupts its waits, as a clock daemon and a debugger would. The monotonic clock is not changed.
 //
 // FIRVALVE_CLOCK_FILE names a file of three 64-bit numbers, which the test may change at any time:
-//   the step of the wall clock, in ns; how many waits are still to be interrupted (EINTR); by how much each
-//   of these steps the wall clock, in ns.
-// Without the variable nothing is changed.
+//   - the offset added to the wall clock, in ns;
+//   - the number of waits still to be interrupted with EINTR;
+//   - the step added to the offset at each interrupted wait, in ns.
+// Without the variable, the library changes nothing.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
@@ -22,38 +22,41 @@
 
 namespace {
 
-constexpr int64_t kSecond = 1000000000;
+constexpr int64_t kNsPerSecond = 1000000000;
 
-struct Shared {
+// Same layout as SteppedClock::SharedState.
+struct SharedState {
   std::atomic<int64_t> step_ns;
   std::atomic<int64_t> interrupts;
   std::atomic<int64_t> step_at_interrupt_ns;
 };
 
-Shared* shared() {
-  static Shared* const mapped = []() -> Shared* {
+// Null if FIRVALVE_CLOCK_FILE is not set or cannot be mapped.
+SharedState* shared_state() {
+  static SharedState* const mapped = []() -> SharedState* {
     const char* const path = std::getenv("FIRVALVE_CLOCK_FILE");
     if (!path) return nullptr;
     const int descriptor = ::open(path, O_RDWR | O_CLOEXEC);
     if (descriptor < 0) return nullptr;
-    void* const at = ::mmap(nullptr, sizeof(Shared), PROT_READ | PROT_WRITE, MAP_SHARED, descriptor, 0);
+    void* const at = ::mmap(nullptr, sizeof(SharedState), PROT_READ | PROT_WRITE, MAP_SHARED, descriptor, 0);
     ::close(descriptor);
-    return at == MAP_FAILED ? nullptr : static_cast<Shared*>(at);
+    return at == MAP_FAILED ? nullptr : static_cast<SharedState*>(at);
   }();
   return mapped;
 }
 
+// Returns the function that this library overrides.
 template <class Function>
-Function* next(const char* name) {
+Function* next_symbol(const char* name) {
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
-int64_t step() { return shared() ? shared()->step_ns.load() : 0; }
+int64_t wall_clock_step_ns() { return shared_state() ? shared_state()->step_ns.load() : 0; }
 
-void add(timespec& time, int64_t ns) {
-  const int64_t all = time.tv_sec * kSecond + time.tv_nsec + ns;
-  time.tv_sec = all / kSecond;
-  time.tv_nsec = all % kSecond;
+void add_ns(timespec& time, int64_t ns) {
+  const int64_t total_ns = time.tv_sec * kNsPerSecond + time.tv_nsec + ns;
+  time.tv_sec = total_ns / kNsPerSecond;
+  time.tv_nsec = total_ns % kNsPerSecond;
 }
 
 }  // namespace
@@ -61,9 +64,10 @@
 extern "C" {
 
 int clock_gettime(clockid_t clock, timespec* time) {
-  static const auto real = next<int(clockid_t, timespec*)>("clock_gettime");
-  const int result = real(clock, time);
-  if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) add(*time, step());
+  static const auto real_function = next_symbol<int(clockid_t, timespec*)>("clock_gettime");
+  const int result = real_function(clock, time);
+  if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE))
+    add_ns(*time, wall_clock_step_ns());
   return result;
 }
 
@@ -74,24 +78,25 @@
   return 0;
 }
 
-time_t time(time_t* told) {
+time_t time(time_t* result) {
   timespec now{};
   clock_gettime(CLOCK_REALTIME, &now);
-  if (told) *told = now.tv_sec;
+  if (result) *result = now.tv_sec;
   return now.tv_sec;
 }
 
-// Interrupted as by a stop and a continue (signal(7)): half of the wait has gone by then.
-int epoll_wait(int epoll, epoll_event* events, int most, int timeout) {
-  static const auto real = next<int(int, epoll_event*, int, int)>("epoll_wait");
-  Shared* const told = shared();
-  if (!told || told->interrupts.load() <= 0 || timeout == 0) return real(epoll, events, most, timeout);
-  constexpr int kLongestHalf = 20;  // ms
-  const int half = timeout < 0 ? kLongestHalf : std::min(timeout / 2, kLongestHalf);
-  const int ready = real(epoll, events, most, half);
+// Interrupts the wait halfway with EINTR, as SIGSTOP followed by SIGCONT does (signal(7)).
+int epoll_wait(int epoll, epoll_event* events, int max_events, int timeout) {
+  static const auto real_function = next_symbol<int(int, epoll_event*, int, int)>("epoll_wait");
+  SharedState* const state = shared_state();
+  if (!state || state->interrupts.load() <= 0 || timeout == 0)
+    return real_function(epoll, events, max_events, timeout);
+  constexpr int kMaxHalfMs = 20;
+  const int half_timeout_ms = timeout < 0 ? kMaxHalfMs : std::min(timeout / 2, kMaxHalfMs);
+  const int ready = real_function(epoll, events, max_events, half_timeout_ms);
   if (ready != 0) return ready;
-  told->interrupts.fetch_sub(1);
-  told->step_ns += told->step_at_interrupt_ns;
+  state->interrupts.fetch_sub(1);
+  state->step_ns += state->step_at_interrupt_ns;
   errno = EINTR;
   return -1;
 }
