--- a/src/gateway/call.cpp
+++ b/src/gateway/call.cpp
@@ -114,40 +114,52 @@
   auto options = std::make_shared<CallOptions>();
   options->command.timeout_ms = 2000;
   CLI::App* const call =
-      app.add_subcommand("call", "Sends a statement through gateways; rows go to standard output");
-  call->add_option("--gateway", options->client.gateways, "HOST:PORT, several with commas")
+      app.add_subcommand("call", "Sends a statement to a gateway and writes the rows to standard output");
+  call->add_option("--gateway", options->client.gateways,
+                   "addresses of the gateways, HOST:PORT, separated by commas")
       ->required()
       ->delimiter(',');
-  call->add_option("--profile", options->command.profile, "the class of query");
-  call->add_option("--timeout", options->command.timeout_ms, "ms for the whole of it")->capture_default_str();
-  call->add_option("--estimate", options->command.estimate_ms, "ms of work on one core");
-  call->add_option("--memory", options->command.memory_mb, "MB that it will need");
-  call->add_option("--effect", options->effect, "whether running it twice does harm")
+  call->add_option("--profile", options->command.profile, "profile of the command");
+  call->add_option("--timeout", options->command.timeout_ms,
+                   "timeout of the call, all attempts included, in ms")
+      ->capture_default_str();
+  call->add_option("--estimate", options->command.estimate_ms,
+                   "estimated CPU time of the statement, in ms on one core");
+  call->add_option("--memory", options->command.memory_mb, "estimated memory of the statement, in MB");
+  call->add_option("--effect", options->effect,
+                   "replayable: the statement may run more than once; non-replayable: it must not")
       ->check(CLI::IsMember({"replayable", "non-replayable"}))
       ->capture_default_str();
-  call->add_option("--count", options->count, "send it so many times")->check(CLI::Range(1, 100000000));
+  call->add_option("--count", options->count, "number of times to send the statement")
+      ->check(CLI::Range(1, 100000000));
   call->add_option("--rate", options->calls_per_second,
-                   "so many a second, whether or not those before have ended")
+                   "calls per second, started on schedule even if earlier calls are still open (default: one "
+                   "at a time)")
       ->check(CLI::PositiveNumber);
-  call->add_option("--connections", options->client.max_connections, "to each gateway, at most")
+  call->add_option("--connections", options->client.max_connections,
+                   "maximum number of connections to each gateway")
       ->capture_default_str();
-  call->add_option("--seed", options->client.seed, "of its random draws; 0: from the system");
-  call->add_flag("--json", options->prints_json, "one line of JSON on standard output in place of rows");
-  call->add_flag("--quiet", options->is_quiet, "nothing on standard error");
+  call->add_option("--seed", options->client.seed,
+                   "seed of the random number generator; 0: seeded by the system");
+  call->add_flag("--json", options->prints_json,
+                 "write a summary as one line of JSON to standard output instead of rows");
+  call->add_flag("--quiet", options->is_quiet, "write nothing to standard error");
   call->add_flag("--paged", options->command.paged,
-                 "as pages, where the gateway gives them; the token goes to standard error");
-  call->add_option("--out", options->output_file, "write the rows of --paged or --resume to this file");
-  call->add_option("--key", options->command.key, "bind the pages to this key");
-  call->add_option("--resume", options->resume_token, "read on with this token; no statement is sent");
+                 "request a paged result if the gateway supports it; its token is written to standard error");
+  call->add_option("--out", options->output_file, "file for the rows of --paged or --resume");
+  call->add_option("--key", options->command.key, "require this key to read the pages");
+  call->add_option("--resume", options->resume_token,
+                   "continue to read the result with this token; no statement is sent");
   call->add_option("--from", options->first_page,
-                   "with --resume: the first page; the file is added to from 2 on")
+                   "first page to read with --resume; above 1, the rows are appended to the file")
       ->check(CLI::Range(uint64_t{1}, uint64_t{1} << 40));
   call->add_option("--merge", options->command.run_once_key,
-                   "run it once under this name, however many gateways are asked (implies replayable)");
-  call->add_option("statement", options->command.statement, "what is to be run");
+                   "name of a run-once job: the statement runs once, even if several gateways are asked "
+                   "(implies replayable)");
+  call->add_option("statement", options->command.statement, "the statement to run");
   call->footer(
-      "Exit: 0 answered, 2 usage, 3 refused (it never ran), 4 failed, 5 unknown (it may have run).\n"
-      "With --count the worst of them.");
+      "Exit codes: 0 answered, 2 usage error, 3 refused (did not run), 4 failed, 5 unknown (may have run).\n"
+      "With --count: the highest exit code of all calls.");
   call->callback([options, &exit_code] {
     options->command.effect = options->effect == "replayable" || !options->command.run_once_key.empty()
                                   ? client::Effect::kReplayable
--- a/src/gateway/call_report.cpp
+++ b/src/gateway/call_report.cpp
@@ -63,7 +63,7 @@
   std::string line = fmt::format("firvalve call: {}", client::name_of(result.outcome));
   if (result.cancelled) line += ", cancelled";
   if (!result.why.empty()) line += ": " + result.why;
-  if (result.retry_after_ms > 0) line += fmt::format("; come back in {:.0f} ms", result.retry_after_ms);
+  if (result.retry_after_ms > 0) line += fmt::format("; retry after {:.0f} ms", result.retry_after_ms);
   if (result.outcome != Outcome::kRefused)
     line += result.may_have_run ? "; it may have run" : "; it did not run";
   std::fprintf(stderr, "%s\n", line.c_str());
--- a/src/gateway/gateway_config.cpp
+++ b/src/gateway/gateway_config.cpp
@@ -22,23 +22,24 @@
 const Value& required_object(const Value& object, const char* name) {
   const Value& value = required_field(object, name);
   if (!value.IsObject())
-    throw ConfigError(Code::kWrongType, name, fmt::format("configuration: {} is not an object", name));
+    throw ConfigError(Code::kWrongType, name, fmt::format("configuration: {} must be an object", name));
   return value;
 }
 
 std::string required_text(const Value& object, const char* name) {
   const Value& value = required_field(object, name);
   if (!value.IsString())
-    throw ConfigError(Code::kWrongType, name, fmt::format("configuration: {} is not a string", name));
+    throw ConfigError(Code::kWrongType, name, fmt::format("configuration: {} must be a string", name));
   return value.GetString();
 }
 
 // Reads the environment variable again at each reload. Called on the main thread only.
 std::string read_config_file() {
   const char* const path = std::getenv("NODE_CONFIG");  // NOLINT(concurrency-mt-unsafe): never modified
-  if (!path) throw ConfigError(Code::kNotGiven, "NODE_CONFIG", "NODE_CONFIG is not set");
+  if (!path) throw ConfigError(Code::kNotGiven, "NODE_CONFIG", "environment variable NODE_CONFIG is not set");
   std::ifstream file(path);
-  if (!file) throw ConfigError(Code::kUnreadable, path, fmt::format("configuration {} cannot be read", path));
+  if (!file)
+    throw ConfigError(Code::kUnreadable, path, fmt::format("cannot open configuration file {}", path));
   std::stringstream text;
   text << file.rdbuf();
   return text.str();
@@ -47,9 +48,10 @@
 void read_limits(const Value& json, GatewayConfig& config) {
   const Value& limits = required_field(json, "limits");
   if (!limits.IsObject() || !required_field(limits, "sockets").IsInt())
-    throw ConfigError(Code::kWrongType, "limits.sockets", "configuration: limits.sockets");
+    throw ConfigError(Code::kWrongType, "limits.sockets", "configuration: limits.sockets must be an integer");
   if (!required_field(limits, "memory_mb").IsNumber())
-    throw ConfigError(Code::kWrongType, "limits.memory_mb", "configuration: limits.memory_mb");
+    throw ConfigError(Code::kWrongType, "limits.memory_mb",
+                      "configuration: limits.memory_mb must be a number");
   config.max_descriptors = required_field(limits, "sockets").GetInt();
   config.memory_limit_mb = required_field(limits, "memory_mb").GetDouble();
 }
@@ -58,12 +60,12 @@
   const Value& known = required_object(json, "known");
   const Value& batch = required_field(known, "batch");
   if (!batch.IsArray())
-    throw ConfigError(Code::kWrongType, "known.batch", "configuration: known.batch is not a list");
+    throw ConfigError(Code::kWrongType, "known.batch", "configuration: known.batch must be an array");
   for (const Value& element : batch.GetArray()) {
     auto event = proto::read_bus_event(element);
     if (!event)
       throw ConfigError(Code::kMalformed, "known.batch",
-                        "configuration: an event of known.batch cannot be read");
+                        "configuration: known.batch contains an invalid event");
     config.known_events.push_back(std::move(*event));
   }
   const Value& offset = required_field(known, "offset");
@@ -77,7 +79,7 @@
   rapidjson::Document json;
   json.Parse<rapidjson::kParseIterativeFlag>(text.c_str());
   if (json.HasParseError() || !json.IsObject())
-    throw ConfigError(Code::kMalformed, "", "configuration is not a JSON object");
+    throw ConfigError(Code::kMalformed, "", "configuration must be a JSON object");
   GatewayConfig config;
   config.settings = parse_settings(required_object(json, "settings"));
   config.seed = std::strtoull(required_text(json, "seed").c_str(), nullptr, 16);
@@ -105,7 +107,7 @@
   const config::OperatorConfig::Spool& spool = operator_config.spool;
   if (!spool.on || spool.memory_mb <= config.memory_limit_mb / 2) return;
   throw ConfigError(Code::kExceedsLimit, "spool.memory_mb",
-                    fmt::format("{}: spool.memory_mb: {} is more than half of the gateway's own {} MB",
+                    fmt::format("{}: spool.memory_mb: {} exceeds half of the gateway's memory limit of {} MB",
                                 operator_file, spool.memory_mb, config.memory_limit_mb));
 }
 
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -29,12 +29,14 @@
   int exit_code = 0;
   std::string operator_file, checked_file;
   app.set_version_flag("--version", FIRVALVE_VERSION);
-  app.add_option("--operator", operator_file, "the operator's own file, which switches features on");
-  app.footer("Without a sub-command: the gateway told by the file that NODE_CONFIG names.");
+  app.add_option("--operator", operator_file, "the operator's file, which enables features");
+  app.footer(
+      "Without a sub-command, runs a gateway configured by the file that the environment variable "
+      "NODE_CONFIG names.");
   app.require_subcommand(0, 1);
   firvalve::add_call_command(app, exit_code);
   firvalve::add_ping_command(app, exit_code);
-  CLI::App* const check = app.add_subcommand("check", "Reads an operator's file and tells what it says");
+  CLI::App* const check = app.add_subcommand("check", "Validates an operator's file and prints its settings");
   check->add_option("file", checked_file)->required();
   check->callback([&] { exit_code = check_operator_file(checked_file); });
   try {
--- a/src/gateway/paged_call.cpp
+++ b/src/gateway/paged_call.cpp
@@ -49,7 +49,7 @@
   Next next;
   while ((next = pages.next(rows)) == Next::kPage) {
     if (!output.write(rows)) {
-      std::fprintf(stderr, "firvalve call: %s cannot be written; page %llu is the last whole one\n",
+      std::fprintf(stderr, "firvalve call: cannot write %s; the last complete page is %llu\n",
                    options.output_file.c_str(), static_cast<PrintfUint>(pages.at() - 1));
       next = Next::kFailed;
       break;
@@ -65,7 +65,7 @@
 int read_pages(const PagedCallOptions& options, client::PageReader& pages) {
   Output output(options.output_file, options.first_page > 1);
   if (!output.is_open()) {
-    std::fprintf(stderr, "firvalve call: %s cannot be written\n", options.output_file.c_str());
+    std::fprintf(stderr, "firvalve call: cannot open %s for writing\n", options.output_file.c_str());
     return kExitUsage;
   }
   Next next = copy_pages(options, pages, output);
@@ -75,8 +75,8 @@
     return kExitAnswered;
   }
   if (!options.is_quiet)
-    std::fprintf(stderr, "firvalve call: %s after page %llu\n",
-                 next == Next::kGone ? "the result is gone" : "no gateway answered",
+    std::fprintf(stderr, "firvalve call: %s; the last page read is %llu\n",
+                 next == Next::kGone ? "the result no longer exists" : "no gateway answered",
                  static_cast<PrintfUint>(pages.at()));
   return kExitFailed;
 }
--- a/src/gateway/ping.cpp
+++ b/src/gateway/ping.cpp
@@ -24,7 +24,7 @@
   const client::Ping ping = client::ping(gateway, timeout_ms);
   const char* const state = !ping.answered ? ping.why.c_str() : ping.healthy ? "healthy" : "not healthy";
   std::printf("%s: %s, %.1f ms%s\n", gateway.c_str(), state, ping.took_ms,
-              ping.reads_retry_markers ? ", reads marks" : "");
+              ping.reads_retry_markers ? ", reads retry markers" : "");
   return ping.healthy;
 }
 
@@ -44,14 +44,15 @@
 
 void add_ping_command(CLI::App& app, int& exit_code) {
   auto options = std::make_shared<PingOptions>();
-  CLI::App* const ping = app.add_subcommand("ping", "Asks gateways for a heartbeat");
-  ping->add_option("--gateway", options->gateways, "HOST:PORT, several with commas")
+  CLI::App* const ping = app.add_subcommand("ping", "Sends a heartbeat to gateways and prints their state");
+  ping->add_option("--gateway", options->gateways,
+                   "addresses of the gateways, HOST:PORT, separated by commas")
       ->required()
       ->delimiter(',');
-  ping->add_option("--timeout", options->timeout_ms, "ms for each")
+  ping->add_option("--timeout", options->timeout_ms, "timeout for each gateway, in ms")
       ->check(CLI::PositiveNumber)
       ->capture_default_str();
-  ping->footer("Exit: 0 all healthy, 2 usage, 4 otherwise.");
+  ping->footer("Exit codes: 0 all gateways healthy, 2 usage error, 4 otherwise.");
   ping->callback([options, &exit_code] { exit_code = run_ping(*options); });
 }
 
--- a/tests/gateway/stepped_clock.h
+++ b/tests/gateway/stepped_clock.h
@@ -24,10 +24,10 @@
     const int descriptor = ::mkstemp(name);
     path_ = name;
     if (descriptor < 0 || ::ftruncate(descriptor, sizeof(SharedState)) != 0)
-      throw std::runtime_error("no file for the clock");
+      throw std::runtime_error("cannot create the file of the stepped clock");
     void* const at = ::mmap(nullptr, sizeof(SharedState), PROT_READ | PROT_WRITE, MAP_SHARED, descriptor, 0);
     ::close(descriptor);
-    if (at == MAP_FAILED) throw std::runtime_error("the clock's file cannot be mapped");
+    if (at == MAP_FAILED) throw std::runtime_error("cannot map the file of the stepped clock");
     shared_ = static_cast<SharedState*>(at);
   }
   ~SteppedClock() {
