--- a/src/client/client.cpp
+++ b/src/client/client.cpp
@@ -1,3 +1,4 @@
+// Implements Client and Handle: checks the input and passes calls to the driver.
 #include "client/client.h"
 
 #include <fmt/format.h>
@@ -14,7 +15,7 @@
 
 namespace firvalve::client {
 
-const size_t kStatementMost = proto::kMaxRpcStatementBytes;
+const size_t kMaxStatementBytes = proto::kMaxRpcStatementBytes;
 
 std::string_view name_of(Outcome outcome) {
   static constexpr std::string_view kNames[] = {"answered", "refused", "failed", "unknown", "expired"};
@@ -43,7 +44,7 @@
 }
 
 const Result& Handle::wait() const {
-  if (!state_) throw std::logic_error("a handle of no call was waited for");
+  if (!state_) throw std::logic_error("Handle::wait: the handle does not refer to a call");
   std::unique_lock lock(state_->mutex);
   state_->ended.wait(lock, [this] { return state_->has_ended; });
   return state_->result;
@@ -65,7 +66,8 @@
 
 Client::~Client() { driver_->stop(); }
 
-// A command that is checked, or what stands for one where a page or a topic is asked for.
+// Checks and submits a call. `set_request` fills in a page or topic request; `command` then holds its profile
+// and timeout.
 Handle Client::submit(Command command, const std::function<void(CallState&)>& set_request, Callback done) {
   check(command);
   Handle handle;
@@ -82,10 +84,11 @@
       std::move(command), [](CallState&) {}, std::move(done));
 }
 
-Handle Client::page(const std::string& gateway, const std::string& token, uint64_t page, double timeout_ms,
-                    const std::string& key, Callback done) {
+Handle Client::request_page(const std::string& gateway, const std::string& token, uint64_t page,
+                            double timeout_ms, const std::string& key, Callback done) {
   const auto index = driver_->find_gateway(gateway);
-  if (!index) throw std::invalid_argument(fmt::format("gateway \"{}\" is none of this client's", gateway));
+  if (!index)
+    throw std::invalid_argument(fmt::format("gateway \"{}\": must be one of Options::gateways", gateway));
   return submit(
       {"page", "page", timeout_ms, 0, 0, Effect::kReplayable, false, key, {}},
       [&](CallState& state) {
@@ -94,11 +97,13 @@
       std::move(done));
 }
 
-Handle Client::ask_about_topic(const std::string& method, const std::string& topic, const std::string& params,
-                               double timeout_ms, Callback done) {
+Handle Client::call_topic_method(const std::string& method, const std::string& topic,
+                                 const std::string& params, double timeout_ms, Callback done) {
   auto named = proto::add_topic_params(topic, params, timeout_ms);
-  if (!named) throw std::invalid_argument("params are no JSON object");
-  if (!proto::is_topic_method(method)) throw std::invalid_argument("no such method about topics");
+  if (!named) throw std::invalid_argument("params: must be a JSON object");
+  if (!proto::is_topic_method(method))
+    throw std::invalid_argument(fmt::format(
+        "method \"{}\": must be propose, deprecate, retire, declare, withdraw or bulletin", method));
   return submit(
       {method, method, timeout_ms, 0, 0, Effect::kReplayable, false, {}, {}},
       [&](CallState& state) {
--- a/src/client/ping.cpp
+++ b/src/client/ping.cpp
@@ -1,4 +1,4 @@
-// Asks one gateway for a heartbeat, over a connection of its own.
+// ping(): requests a heartbeat from one gateway over a separate connection, with blocking I/O.
 #include <Poco/Net/NetException.h>
 #include <Poco/Net/SocketAddress.h>
 #include <Poco/Net/StreamSocket.h>
@@ -23,7 +23,7 @@
 
   Ping run(const Poco::Net::SocketAddress& address) {
     try {
-      ping_.why = exchange(address);
+      ping_.why = exchange_heartbeat(address);
     } catch (const Poco::Net::ConnectionRefusedException&) {
       ping_.why = "connection refused";
     } catch (const Poco::TimeoutException&) {
@@ -31,7 +31,7 @@
     } catch (const Poco::Exception& error) {
       ping_.why = error.what();
     }
-    ping_.took_ms = to_ms(MonotonicClock::now() - started_at_);
+    ping_.elapsed_ms = to_ms(MonotonicClock::now() - started_at_);
     return ping_;
   }
 
@@ -41,8 +41,8 @@
     return Poco::Timespan(static_cast<Poco::Timespan::TimeDiff>(left * 1000));
   }
 
-  // Gives why there was no answer; empty: there was one.
-  const char* exchange(const Poco::Net::SocketAddress& address) {
+  // Returns why there was no answer; empty if there was one.
+  const char* exchange_heartbeat(const Poco::Net::SocketAddress& address) {
     Poco::Net::StreamSocket socket;
     socket.connect(address, time_left());
     std::string message;
@@ -52,20 +52,20 @@
     proto::RpcFrames frames;
     for (std::span<char> body;;) {
       const proto::ReadResult read = frames.next(read_buffer, body);
-      if (read == proto::ReadResult::kMalformed) return "unreadable";
-      if (read == proto::ReadResult::kComplete) return take_answer(body);
+      if (read == proto::ReadResult::kMalformed) return "malformed answer";
+      if (read == proto::ReadResult::kComplete) return read_answer(body);
       if (MonotonicClock::now() >= deadline_ || !socket.poll(time_left(), Poco::Net::Socket::SELECT_READ))
         return "no answer in time";
       const auto space = read_buffer.prepare(kReadBytes);
       const int got = socket.receiveBytes(space.data(), static_cast<int>(space.size()));
-      if (got <= 0) return "closed";
+      if (got <= 0) return "connection closed by the gateway";
       read_buffer.commit(static_cast<size_t>(got));
     }
   }
 
-  const char* take_answer(std::span<char> body) {
+  const char* read_answer(std::span<char> body) {
     const proto::RpcReply reply = proto::read_reply(body);
-    if (reply.kind != proto::RpcReply::Kind::kHeartbeat) return "no heartbeat";
+    if (reply.kind != proto::RpcReply::Kind::kHeartbeat) return "answer is not a heartbeat";
     ping_.answered = true;
     ping_.healthy = reply.is_healthy;
     ping_.reads_retry_markers = reply.reads_retry_markers;
--- a/src/gateway/paged_call.cpp
+++ b/src/gateway/paged_call.cpp
@@ -50,12 +50,12 @@
   while ((next = pages.next(rows)) == Next::kPage) {
     if (!output.write(rows)) {
       std::fprintf(stderr, "firvalve call: cannot write %s; the last complete page is %llu\n",
-                   options.output_file.c_str(), static_cast<PrintfUint>(pages.at() - 1));
+                   options.output_file.c_str(), static_cast<PrintfUint>(pages.last_page() - 1));
       next = Next::kFailed;
       break;
     }
     if (shows_progress)
-      std::fprintf(stderr, "\rpage %llu of %llu", static_cast<PrintfUint>(pages.at()),
+      std::fprintf(stderr, "\rpage %llu of %llu", static_cast<PrintfUint>(pages.last_page()),
                    static_cast<PrintfUint>(pages.pages()));
   }
   if (shows_progress) std::fputc('\n', stderr);
@@ -77,7 +77,7 @@
   if (!options.is_quiet)
     std::fprintf(stderr, "firvalve call: %s; the last page read is %llu\n",
                  next == Next::kGone ? "the result no longer exists" : "no gateway answered",
-                 static_cast<PrintfUint>(pages.at()));
+                 static_cast<PrintfUint>(pages.last_page()));
   return kExitFailed;
 }
 
