--- a/src/gateway/result_store_wiring.cpp
+++ b/src/gateway/result_store_wiring.cpp
@@ -27,8 +27,8 @@
   store_ = std::make_unique<results::PagedResultStore>(
       store_options(options), incarnation, [&metrics](std::string_view metric) { metrics.add(metric); });
   if (options.folder.empty()) return;
-  waker_ =
-      std::make_unique<net::Waker>(loop);  // the next turn of the loop handles the completed file operations
+  // Wakes the loop, whose next turn handles the completed file operations.
+  waker_ = std::make_unique<net::Waker>(loop);
   results::SegmentFiles::Options files_options;
   files_options.folder = options.folder;
   files_options.boot = results::read_boot_time();
--- a/tests/gateway/lifecycle_faults_test.cpp
+++ b/tests/gateway/lifecycle_faults_test.cpp
@@ -114,15 +114,15 @@
   std::unique_ptr<fakes::Process> process_;
 };
 
-// A closed connection cannot be told from a half-closed one. Either way the gateway answers at once that the
-// waiting command did not run, and does not send it later, when an engine becomes available.
+// A closed connection cannot be distinguished from a half-closed one. Either way the gateway answers at once
+// that the waiting command did not run, and does not send it later, when an engine becomes available.
 TEST_F(LifecycleFaults, WaitingCommandOfClosedClientIsNotSent) {
   start(replace_first(deployment_.config(address_), "SERVING", "DRAINING"));
   Client closed(address_);
   closed.send(command_request(1, "select 1", 20000, "report"));
   closed.half_close();
-  EXPECT_TRUE(contains(closed.read_until_close(),
-                       R"("id":1,"error":{"code":-32001)"));  // at once, not after its timeout
+  // The error arrives at once, not after the timeout.
+  EXPECT_TRUE(contains(closed.read_until_close(), R"("id":1,"error":{"code":-32001)"));
   deployment_.bus().announce(fakes::listing(deployment_.name_of(0), engine_.address(), "SERVING"));
   Client open(address_);
   open.send(command_request(2, "select 2"));
--- a/tests/gateway/paged_results_gateway_test.cpp
+++ b/tests/gateway/paged_results_gateway_test.cpp
@@ -107,6 +107,7 @@
 TEST_F(PagedResultsGateway, SlowReadersDoNotOccupyEngines) {
   start("");
   std::vector<client::Result> results;
+  results.reserve(30);
   for (int i = 0; i < 30; ++i)
     results.push_back(call_paged("select " + std::to_string(i) + " /*! rows=20 pages=10 */"));
   std::vector<Ms> hold_times;
@@ -141,7 +142,7 @@
       total += entry.file_size();
     return total;
   };
-  ASSERT_TRUE(soon([&] { return stored_bytes() > 50 * 56; }));
+  ASSERT_TRUE(soon([&] { return stored_bytes() > uintmax_t{50} * 56; }));
   ::usleep(50000);
   process->stop(SIGKILL);
   process->start();
@@ -152,6 +153,7 @@
 TEST_F(PagedResultsGateway, GracefulExitKeepsAllResultsOnDisk) {
   start(on_disk());
   std::vector<std::string> tokens;
+  tokens.reserve(20);
   for (int i = 0; i < 20; ++i)
     tokens.push_back(call_paged("select " + std::to_string(i) + " /*! rows=50 pages=20 */").token);
   process->signal(SIGTERM);
--- a/tests/shim/clock_shim.cpp
+++ b/tests/shim/clock_shim.cpp
@@ -34,6 +34,7 @@
 // Null if FIRVALVE_CLOCK_FILE is not set or cannot be mapped.
 SharedState* shared_state() {
   static SharedState* const mapped = []() -> SharedState* {
+    // NOLINTNEXTLINE(concurrency-mt-unsafe): the program never modifies its environment
     const char* const path = std::getenv("FIRVALVE_CLOCK_FILE");
     if (!path) return nullptr;
     const int descriptor = ::open(path, O_RDWR | O_CLOEXEC);
