--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -1,5 +1,5 @@
-// The program `firvalve`. Without a sub-command it is a gateway, configured by the file that NODE_CONFIG
-// names; the sub-commands are clients of gateways, and a check of the operator's file.
+// The program `firvalve`. Without a sub-command it runs a gateway, configured by the file that NODE_CONFIG
+// names. `call` and `ping` are clients of gateways; `check` validates an operator's file.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -22,19 +22,21 @@
 
 }  // namespace
 
-// What building the command line throws is a fault of the program itself: it ends by std::terminate().
+// An exception while the command line is being defined is a bug in the program and ends in std::terminate().
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   CLI::App app("An admission controller for queries on pooled engines.", "firvalve");
   int exit_code = 0;
   std::string operator_file, checked_file;
   app.set_version_flag("--version", FIRVALVE_VERSION);
-  app.add_option("--operator", operator_file, "the operator's own file, which switches features on");
-  app.footer("Without a sub-command: the gateway told by the file that NODE_CONFIG names.");
+  app.add_option("--operator", operator_file, "the operator's file, which enables features");
+  app.footer(
+      "Without a sub-command, runs a gateway configured by the file that the environment variable "
+      "NODE_CONFIG names.");
   app.require_subcommand(0, 1);
   firvalve::add_call_command(app, exit_code);
   firvalve::add_ping_command(app, exit_code);
-  CLI::App* const check = app.add_subcommand("check", "Reads an operator's file and tells what it says");
+  CLI::App* const check = app.add_subcommand("check", "Validates an operator's file and prints its settings");
   check->add_option("file", checked_file)->required();
   check->callback([&] { exit_code = check_operator_file(checked_file); });
   try {
