--- a/bench/client_bench.cpp
+++ b/bench/client_bench.cpp
@@ -1,6 +1,6 @@
-// Measures the client library on loopback: reconnects after a restart, an overload of three times what the
-// engines can do, CPU a call, memory with many calls open. Beside it a plain client that connects, asks, and
-// does both again at once when it fails.
+// Measures the client library on loopback: reconnects after a gateway restart, an overload of three times the
+// engines' capacity, CPU per call, memory with many open calls. A plain client that retries at once after
+// each failure serves as the baseline.
 #include <Poco/Net/NetException.h>
 #include <Poco/Net/StreamSocket.h>
 #include <fmt/format.h>
@@ -35,10 +35,10 @@
   return std::chrono::duration<double, std::milli>(Clock::now() - from).count();
 }
 
-// Moments of what happened, in ms from the start of a run.
-class Moments {
+// The times of events, in ms since the start of a run. Thread-safe.
+class EventTimes {
  public:
-  explicit Moments(Clock::time_point start) : start_(start) {}
+  explicit EventTimes(Clock::time_point start) : start_(start) {}
   void add(size_t count = 1) {
     const double at = ms_since(start_);
     const std::lock_guard lock(mutex_);
@@ -46,10 +46,10 @@
   }
   std::vector<double> after(double from) {
     const std::lock_guard lock(mutex_);
-    std::vector<double> kept;
-    std::copy_if(all_.begin(), all_.end(), std::back_inserter(kept), [&](double t) { return t >= from; });
-    std::sort(kept.begin(), kept.end());
-    return kept;
+    std::vector<double> selected;
+    std::copy_if(all_.begin(), all_.end(), std::back_inserter(selected), [&](double t) { return t >= from; });
+    std::sort(selected.begin(), selected.end());
+    return selected;
   }
 
  private:
@@ -58,70 +58,72 @@
   std::vector<double> all_;
 };
 
-// One connection, one call at a time; whatever fails is done again at once, until its time is over.
+// A client with one connection and one call at a time. It retries a failed call at once until the call's
+// timeout.
 class PlainClient {
  public:
-  PlainClient(SocketAddress address, Moments& attempts) : address_(address), attempts_(attempts) {}
+  PlainClient(SocketAddress address, EventTimes& attempts) : address_(address), attempts_(attempts) {}
 
   bool call(const std::string& profile, const std::string& statement, double timeout) {
     const auto began = Clock::now();
     while (ms_since(began) < timeout) {
       try {
-        if (!up_) {
+        if (!is_connected_) {
           attempts_.add();
           socket_ = StreamSocket();
           socket_.connect(address_, Poco::Timespan(1, 0));
-          up_ = true;
+          is_connected_ = true;
           read_buffer_ = {};
           frames_ = proto::RpcFrames();
         }
         std::string out;
-        const std::string req = fmt::format("{:016x}", reqs_.fetch_add(1) + 1);
-        proto::append_command(out, {++id_, profile, statement, req, {}, timeout - ms_since(began), 20, 1});
+        const std::string request_id = fmt::format("{:016x}", last_request_.fetch_add(1) + 1);
+        proto::append_command(out,
+                              {++id_, profile, statement, request_id, {}, timeout - ms_since(began), 20, 1});
         ++sends;
         socket_.sendBytes(out.data(), static_cast<int>(out.size()));
         const proto::RpcReply reply = read(timeout - ms_since(began));
         if (reply.kind == proto::RpcReply::Kind::kRows) return true;
       } catch (const Poco::Exception&) {
-        up_ = false;
+        is_connected_ = false;
       }
     }
-    up_ = false;
+    is_connected_ = false;
     return false;
   }
 
   static inline std::atomic<uint64_t> sends = 0;
 
  private:
-  proto::RpcReply read(double most) {
+  proto::RpcReply read(double timeout) {
     const auto began = Clock::now();
     std::span<char> body;
     for (;;) {
-      const proto::ReadResult what = frames_.next(read_buffer_, body);
-      if (what == proto::ReadResult::kMalformed) throw Poco::Net::NetException("broken");
-      if (what == proto::ReadResult::kComplete) {
+      const proto::ReadResult result = frames_.next(read_buffer_, body);
+      if (result == proto::ReadResult::kMalformed) throw Poco::Net::NetException("broken");
+      if (result == proto::ReadResult::kComplete) {
         proto::RpcReply reply = proto::read_reply(body);
         if (reply.id == id_) return reply;
         continue;
       }
-      const double left = std::max(1.0, most - ms_since(began));
+      const double left = std::max(1.0, timeout - ms_since(began));
       if (!socket_.poll(Poco::Timespan(static_cast<long>(left * 1000)), Poco::Net::Socket::SELECT_READ))
         throw Poco::TimeoutException();
       const auto space = read_buffer_.prepare(65536);
-      const int got = socket_.receiveBytes(space.data(), static_cast<int>(space.size()));
-      if (got <= 0) throw Poco::Net::NetException("closed");
-      read_buffer_.commit(static_cast<size_t>(got));
+      const int received = socket_.receiveBytes(space.data(), static_cast<int>(space.size()));
+      if (received <= 0) throw Poco::Net::NetException("closed");
+      read_buffer_.commit(static_cast<size_t>(received));
     }
   }
 
   SocketAddress address_;
-  Moments& attempts_;
+  EventTimes& attempts_;
   StreamSocket socket_;
   proto::ReadBuffer read_buffer_;
   proto::RpcFrames frames_;
-  bool up_ = false;
+  bool is_connected_ = false;
   int64_t id_ = 0;
-  static inline std::atomic<uint64_t> reqs_ = 0;
+  static inline std::atomic<uint64_t> last_request_ = 0;
 };
 
 client::Options options_for(const std::string& gateway, uint64_t seed) {
@@ -140,23 +142,23 @@
   for (const double t : at) ++bins[static_cast<int64_t>(t / 100)];
   int busiest = 0;
   for (const auto& [bin, count] : bins) busiest = std::max(busiest, count);
-  const auto part = [&](double q) {
+  const auto percentile = [&](double q) {
     return at.empty() ? 0 : at[static_cast<size_t>(q * double(at.size() - 1))];
   };
   fmt::print("{}: {} attempts, busiest 100 ms {}, 5th to 95th percentile {:.0f} ms; answered {} of {}\n", who,
-             at.size(), busiest, part(0.95) - part(0.05), answered, asked);
+             at.size(), busiest, percentile(0.95) - percentile(0.05), answered, asked);
 }
 
-// ---- A restart ----------------------------------------------------------------------------------
+// ---- Restart of the gateway ---------------------------------------------------------------------
 
 void run_restart(const std::string& program, bool plain, int clients) {
-  constexpr double kLength = 14000, kKill = 3000, kDown = 1000, kEvery = 200, kTimeout = 1500;
+  constexpr double kRunMs = 14000, kKillAtMs = 3000, kDownMs = 1000, kCallIntervalMs = 200, kTimeoutMs = 1500;
   fakes::FakeDeployment fleet(4);
   const std::string address = fakes::free_address();
   fakes::Process gateway(program, fleet.config(address));
   fakes::Process::listens(address);
   const auto start = Clock::now();
-  Moments attempts(start);
+  EventTimes attempts(start);
   std::atomic<uint64_t> asked = 0, answered = 0;
   std::vector<std::unique_ptr<client::Client>> library;
   std::vector<std::thread> threads;
@@ -164,27 +166,27 @@
     std::this_thread::sleep_until(start + std::chrono::microseconds(static_cast<int64_t>(at * 1000)));
   };
   for (int i = 0; i < clients; ++i) {
-    const double phase = kEvery * i / clients;
+    const double phase = kCallIntervalMs * i / clients;
     if (!plain) library.push_back(std::make_unique<client::Client>(options_for(address, uint64_t(i) + 1)));
     threads.emplace_back([&, i, phase] {
       PlainClient one(SocketAddress(address), attempts);
-      for (double at = phase; at < kLength; at += kEvery) {
+      for (double at = phase; at < kRunMs; at += kCallIntervalMs) {
         sleep_until(at);
-        if (ms_since(start) > at + kEvery && plain) continue;  // it was busy with the one before
+        if (ms_since(start) > at + kCallIntervalMs && plain) continue;  // still busy with the previous call
         ++asked;
         if (plain)
-          answered += one.call("lookup", "select 1 /*! delay=5 */", kTimeout);
+          answered += one.call("lookup", "select 1 /*! delay=5 */", kTimeoutMs);
         else
           library[static_cast<size_t>(i)]->send(
-              lookup("select 1 /*! delay=5 */", kTimeout),
+              lookup("select 1 /*! delay=5 */", kTimeoutMs),
               [&](const client::Result& r) { answered += r.outcome == client::Outcome::kAnswered; });
       }
     });
   }
-  std::thread watch([&] {
+  std::thread connect_counter([&] {
     if (plain) return;
     uint64_t seen = 0;
-    for (double at = 0; at < kLength; at += 10) {
+    for (double at = 0; at < kRunMs; at += 10) {
       sleep_until(at);
       uint64_t all = 0;
       for (const auto& c : library) all += c->stats().connects;
@@ -192,50 +194,51 @@
       seen = all;
     }
   });
-  sleep_until(kKill);
+  sleep_until(kKillAtMs);
   gateway.stop(SIGKILL);
-  sleep_until(kKill + kDown);
+  sleep_until(kKillAtMs + kDownMs);
   gateway.start();
   for (std::thread& t : threads) t.join();
-  watch.join();
+  connect_counter.join();
   for (const auto& c : library) c->close(2000);
-  print_attempts(plain ? "plain client" : "library", attempts.after(kKill), answered, asked);
+  print_attempts(plain ? "plain client" : "library", attempts.after(kKillAtMs), answered, asked);
 }
 
-// ---- Three times what the engines can do --------------------------------------------------------
+// ---- Overload: three times the engines' capacity ------------------------------------------------
 
 void run_overload(const std::string& program, bool plain, bool advice) {
-  constexpr double kLength = 20000, kTimeout = 1000, kTarget = 800, kRate = 2400;
+  constexpr double kRunMs = 20000, kTimeoutMs = 1000, kTargetMs = 800, kCallsPerSecond = 2400;
   fakes::FakeEngine::Options engine_options;
-  engine_options.slots = 8;  // two engines of eight, 20 ms a query: 800 a second
+  engine_options.slots = 8;  // two engines with 8 slots, 20 ms per query: 800 queries per second
   engine_options.max_queue_wait = 200;
   fakes::FakeDeployment fleet(2, engine_options);
   const std::string address = fakes::free_address();
   std::string config = fleet.config(address);
-  const std::string told = R"("retry_after":true)";
-  if (!advice) config.replace(config.find(told), told.size(), R"("retry_after":false)");
+  const std::string retry_after = R"("retry_after":true)";
+  if (!advice) config.replace(config.find(retry_after), retry_after.size(), R"("retry_after":false)");
   fakes::Process gateway(program, config);
   fakes::Process::listens(address);
   const auto start = Clock::now();
-  Moments attempts(start);
+  EventTimes attempts(start);
   std::atomic<uint64_t> asked = 0, in_target = 0, sends = 0;
   const int clients = plain ? 600 : 100;
-  const double every = 1000.0 * clients / kRate;
+  const double every = 1000.0 * clients / kCallsPerSecond;
   std::vector<std::thread> threads;
   for (int i = 0; i < clients; ++i)
     threads.emplace_back([&, i] {
       PlainClient one(SocketAddress(address), attempts);
       std::unique_ptr<client::Client> library;
       if (!plain) library = std::make_unique<client::Client>(options_for(address, uint64_t(i) + 1));
-      for (double at = every * i / clients; at < kLength; at += every) {
+      for (double at = every * i / clients; at < kRunMs; at += every) {
         const auto due = start + std::chrono::microseconds(static_cast<int64_t>(at * 1000));
         std::this_thread::sleep_until(due);
         ++asked;
         if (plain) {
-          in_target += one.call("lookup", "select 1 /*! delay=20 */", kTimeout) && ms_since(due) <= kTarget;
+          in_target +=
+              one.call("lookup", "select 1 /*! delay=20 */", kTimeoutMs) && ms_since(due) <= kTargetMs;
         } else {
-          library->send(lookup("select 1 /*! delay=20 */", kTimeout), [&, due](const client::Result& r) {
-            in_target += r.outcome == client::Outcome::kAnswered && ms_since(due) <= kTarget;
+          library->send(lookup("select 1 /*! delay=20 */", kTimeoutMs), [&, due](const client::Result& r) {
+            in_target += r.outcome == client::Outcome::kAnswered && ms_since(due) <= kTargetMs;
           });
         }
       }
@@ -247,7 +250,7 @@
   if (plain) sends = PlainClient::sends.load();
   fmt::print("{}: {} asked, {} sent to the gateway, {} started at the engines, {} answered within {} ms\n",
              plain ? "plain client" : "library", asked.load(), sends.load(), fleet.started(),
-             in_target.load(), kTarget);
+             in_target.load(), kTargetMs);
 }
 
 // ---- CPU and memory -----------------------------------------------------------------------------
@@ -266,10 +269,10 @@
   return resident * double(::sysconf(_SC_PAGESIZE)) / 1e6;
 }
 
-// A scripted gateway in a process of its own, so that its CPU and memory do not count.
-class Apart {
+// A fake gateway in a child process, so that its CPU and memory are not measured.
+class GatewayProcess {
  public:
-  explicit Apart(bool mute) {
+  explicit GatewayProcess(bool is_mute) {
     int ends[2];
     if (::pipe(ends) != 0) throw std::runtime_error("no pipe");
     process_ = ::fork();
@@ -277,7 +280,7 @@
       {
         fakes::FakeHost host;
         fakes::FakeGateway gateway(host);
-        gateway.set_mute(mute);
+        gateway.set_mute(is_mute);
         const std::string address = gateway.address();
         [[maybe_unused]] const ssize_t n = ::write(ends[1], address.data(), address.size());
         ::close(ends[1]);
@@ -287,11 +290,11 @@
     }
     ::close(ends[1]);
     char bytes[64];
-    const ssize_t got = ::read(ends[0], bytes, sizeof bytes);
-    address.assign(bytes, static_cast<size_t>(std::max<ssize_t>(got, 0)));
+    const ssize_t received = ::read(ends[0], bytes, sizeof bytes);
+    address.assign(bytes, static_cast<size_t>(std::max<ssize_t>(received, 0)));
     ::close(ends[0]);
   }
-  ~Apart() {
+  ~GatewayProcess() {
     ::kill(process_, SIGKILL);
     ::waitpid(process_, nullptr, 0);
   }
@@ -302,7 +305,7 @@
 };
 
 void run_cpu(int calls, int window) {
-  Apart gateway(false);
+  GatewayProcess gateway(false);
   {
     client::Options o = options_for(gateway.address, 1);
     o.max_connections = 1;
@@ -319,11 +322,11 @@
     };
     for (int i = 0; i < window; ++i) client.send(lookup("select 1", 10000), next);
     while (ended < calls) ::usleep(1000);
-    const double took = ms_since(start), cpu = cpu_ms() - before;
+    const double elapsed_ms = ms_since(start), cpu = cpu_ms() - before;
     fmt::print(
         "library: {} calls, {} answered, {:.1f} us of CPU a call, {:.0f} a second of one core, {:.0f} a "
         "second met\n",
-        calls, answered.load(), 1000 * cpu / calls, 1000 * calls / cpu, 1000 * calls / took);
+        calls, answered.load(), 1000 * cpu / calls, 1000 * calls / cpu, 1000 * calls / elapsed_ms);
   }
   StreamSocket socket;
   socket.connect(SocketAddress(gateway.address));
@@ -342,22 +345,22 @@
   send(window);
   while (ended < calls) {
     const auto space = read_buffer.prepare(65536);
-    const int got = socket.receiveBytes(space.data(), static_cast<int>(space.size()));
-    read_buffer.commit(static_cast<size_t>(std::max(got, 0)));
-    int came = 0;
-    for (std::span<char> body; frames.next(read_buffer, body) == proto::ReadResult::kComplete; ++came)
+    const int received = socket.receiveBytes(space.data(), static_cast<int>(space.size()));
+    read_buffer.commit(static_cast<size_t>(std::max(received, 0)));
+    int replies = 0;
+    for (std::span<char> body; frames.next(read_buffer, body) == proto::ReadResult::kComplete; ++replies)
       proto::read_reply(body);
-    ended += came;
-    send(came);
+    ended += replies;
+    send(replies);
   }
-  const double took = ms_since(start), cpu = cpu_ms() - before;
+  const double elapsed_ms = ms_since(start), cpu = cpu_ms() - before;
   fmt::print(
       "bare loop: {} calls, {:.1f} us of CPU a call, {:.0f} a second of one core, {:.0f} a second met\n",
-      calls, 1000 * cpu / calls, 1000 * calls / cpu, 1000 * calls / took);
+      calls, 1000 * cpu / calls, 1000 * calls / cpu, 1000 * calls / elapsed_ms);
 }
 
 void run_memory(int calls) {
-  Apart gateway(true);
+  GatewayProcess gateway(true);
   client::Options o = options_for(gateway.address, 1);
   o.max_open_calls = static_cast<size_t>(calls);
   o.silence_timeout_ms = 600000;
--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -1,6 +1,6 @@
-// What a fleet costs and how fast it hands on: processes of the program on loopback, and fleets in virtual
-// time.
-//   firvalve_fleet_bench [trials]    as in docs/fleet.md; simulated engines
+// Measures how fast leases fail over and what a cluster costs, with gateway processes on loopback and with
+// simulated clusters in virtual time.
+//   firvalve_fleet_bench [trials]    produces the figures of docs/fleet.md; uses fake engines
 #include <fmt/format.h>
 #include <signal.h>
 
@@ -22,7 +22,7 @@
 using namespace firvalve;
 
 template <class Condition>
-bool soon(Condition&& condition) {
+bool wait_until(Condition&& condition) {
   for (int i = 0; i < 10000; ++i) {
     if (condition()) return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -30,40 +30,43 @@
   return false;
 }
 
-void row(const std::string& what, std::vector<double> all, size_t trials) {
+void print_row(const std::string& name, std::vector<double> all, size_t trials) {
   std::sort(all.begin(), all.end());
   if (all.empty()) return;
   const auto at = [&](double q) {
     return all[std::min(all.size() - 1,
                         static_cast<size_t>(std::ceil(q * static_cast<double>(all.size())) - 1))];
   };
-  fmt::print("{:<44} {:>4} of {:<4} {:>8.1f} {:>8.1f} {:>8.1f} ms\n", what, all.size(), trials, at(0.5),
+  fmt::print("{:<44} {:>4} of {:<4} {:>8.1f} {:>8.1f} {:>8.1f} ms\n", name, all.size(), trials, at(0.5),
              at(0.99), all.back());
 }
 
-// The time without a holder around each change of it, where `fail` does something to the present one.
-std::vector<double> gaps(fakes::LoadClients& c, size_t trials, const std::function<void(size_t)>& fail,
-                         const std::function<void(size_t)>& mend, bool from_span) {
-  std::vector<double> out;
+// Measures the time without a holder in each trial: `fail` disturbs the present holder, `restore` repairs it
+// after another gateway has the lease. `from_span`: measured from the end of the holder's last span, not from
+// `fail`.
+std::vector<double> measure_gaps(fakes::LoadClients& cluster, size_t trials,
+                                 const std::function<void(size_t)>& fail,
+                                 const std::function<void(size_t)>& restore, bool from_span) {
+  std::vector<double> gaps_ms;
   for (size_t t = 0; t < trials; ++t) {
-    if (!soon([&] { return c.ready(); })) break;
-    const size_t first = *c.holder("trial:a");
+    if (!wait_until([&] { return cluster.ready(); })) break;
+    const size_t first = *cluster.holder("trial:a");
     const Ms began = fakes::LoadClients::clock();
     fail(first);
-    if (!soon([&] {
-          const auto h = c.holder("trial:a");
+    if (!wait_until([&] {
+          const auto h = cluster.holder("trial:a");
           return h && *h != first;
         }))
       break;
     simulation::FleetHistory h;
-    for (size_t i = 0; i < c.size(); ++i) simulation::read_spans(std::to_string(i), c.log(i), h);
+    for (size_t i = 0; i < cluster.size(); ++i) simulation::read_spans(std::to_string(i), cluster.log(i), h);
     std::sort(h.held.begin(), h.held.end(), [](const auto& a, const auto& b) { return a.epoch < b.epoch; });
     const auto& last = h.held.back();
-    out.push_back(last.from - (from_span ? h.held[h.held.size() - 2].until : began));
-    mend(first);
+    gaps_ms.push_back(last.from - (from_span ? h.held[h.held.size() - 2].until : began));
+    restore(first);
     if (!simulation::check_invariants(h).empty()) fmt::print("a rule was broken\n");
   }
-  return out;
+  return gaps_ms;
 }
 
 }  // namespace
@@ -72,25 +75,26 @@
   const size_t trials = argc > 1 ? static_cast<size_t>(std::atoi(argv[1])) : 20;
   fmt::print("time without a holder, lease 1000 ms, 3 keepers of 5 processes   median   99 in 100   most\n");
   {
-    fakes::LoadClients c(FIRVALVE_PROGRAM, {});
-    const auto start = [&](size_t i) { c.start(i); };
-    row("handed on at SIGTERM, from its last act",
-        gaps(
-            c, trials, [&](size_t i) { c.end(i); }, start, true),
-        trials);
-    row("killed, from the kill",
-        gaps(
-            c, trials, [&](size_t i) { c.kill(i); }, start, false),
-        trials);
-    row("stopped, from the stop",
-        gaps(
-            c, trials, [&](size_t i) { c.pause(i); }, [&](size_t i) { c.go_on(i); }, false),
-        trials);
-    row("cut off from all, from the cut",
-        gaps(
-            c, trials, [&](size_t i) { c.between().set_apart(i, {.silent = true}); },
-            [&](size_t i) { c.between().set_apart(i, {}); }, false),
+    fakes::LoadClients cluster(FIRVALVE_PROGRAM, {});
+    const auto start = [&](size_t i) { cluster.start(i); };
+    print_row("handed on at SIGTERM, from its last act",
+              measure_gaps(
+                  cluster, trials, [&](size_t i) { cluster.end(i); }, start, true),
+              trials);
+    print_row("killed, from the kill",
+              measure_gaps(
+                  cluster, trials, [&](size_t i) { cluster.kill(i); }, start, false),
+              trials);
+    print_row(
+        "stopped, from the stop",
+        measure_gaps(
+            cluster, trials, [&](size_t i) { cluster.pause(i); }, [&](size_t i) { cluster.go_on(i); }, false),
         trials);
+    print_row("cut off from all, from the cut",
+              measure_gaps(
+                  cluster, trials, [&](size_t i) { cluster.between().set_apart(i, {.silent = true}); },
+                  [&](size_t i) { cluster.between().set_apart(i, {}); }, false),
+              trials);
   }
   fmt::print("\nin virtual time, 200 holders killed (lease 1000 ms):\n");
   {
@@ -106,7 +110,7 @@
         o.given.push_back({simulation::FleetFault::Kind::kKill, 4000.0 + 2500 * k, -1, 3 + k, 0, false});
       for (const Ms gap : simulation::play(o).gaps) all.push_back(gap);
     }
-    row("a duty without a holder", all, all.size());
+    print_row("a duty without a holder", all, all.size());
   }
   fmt::print("\nin virtual time, 10 s, 5 keepers, 20 duties, no faults\n{:>9} {:>12} {:>22} {:>16}\n",
              "gateways", "messages/s", "a gateway (no keeper)/s", "us of CPU each");
--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -1,5 +1,6 @@
-// Measures the spool: pages through memory, compression and disk; leases by wheel and by map; engines held by
-// slow readers; stopped readers' memory; the price of a plain small result; the time to serve after a kill.
+// Measures paged results: throughput of memory, compression and disk; lease expiry by timing wheel and by
+// map; how long slow readers occupy engines; memory used by stopped readers; the cost of a small unpaged
+// result; the time to serve after a kill.
 #include <Poco/Net/StreamSocket.h>
 #include <fmt/format.h>
 #include <lz4.h>
@@ -32,7 +33,7 @@
   return std::chrono::duration<double, std::milli>(Clock::now() - from).count();
 }
 
-// Rows as a passenger list has them: names that recur, numbers that do not.
+// Rows like those of a passenger list: names repeat, numbers do not.
 std::string passenger_rows(size_t bytes, unsigned seed) {
   static constexpr const char* kNames[] = {"Quispe", "Mamani", "Flores", "Huaman", "Rojas", "Vargas"};
   std::string rows;
@@ -44,13 +45,13 @@
   return rows;
 }
 
-class Folder {
+class TemporaryDirectory {
  public:
-  Folder() {
+  TemporaryDirectory() {
     char name[] = "/tmp/firvalve-bench-XXXXXX";
     path = ::mkdtemp(name);
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TemporaryDirectory() { std::filesystem::remove_all(path); }
   std::string path;
 };
 
@@ -59,20 +60,20 @@
     const std::string rows = passenger_rows(size, 1);
     const int rounds = static_cast<int>(200'000'000 / rows.size());
     std::string out(ZSTD_compressBound(rows.size()) + 1000, '\0'), back(rows.size(), '\0');
-    const auto tell = [&](const char* name, auto&& pack, auto&& unpack) {
+    const auto measure = [&](const char* name, auto&& compress, auto&& decompress) {
       auto start = Clock::now();
-      size_t packed = 0;
-      for (int i = 0; i < rounds; ++i) packed = pack();
+      size_t compressed_bytes = 0;
+      for (int i = 0; i < rounds; ++i) compressed_bytes = compress();
       const double in = ms_since(start);
       start = Clock::now();
-      for (int i = 0; i < rounds; ++i) unpack(packed);
+      for (int i = 0; i < rounds; ++i) decompress(compressed_bytes);
       const double mb = static_cast<double>(rows.size()) * rounds / 1e6;
       fmt::print("{} bytes, {}: to {:.0f} in 100; {:.0f} MB/s in, {:.0f} MB/s out\n", rows.size(), name,
-                 100.0 * static_cast<double>(packed) / static_cast<double>(rows.size()), 1000 * mb / in,
-                 1000 * mb / ms_since(start));
+                 100.0 * static_cast<double>(compressed_bytes) / static_cast<double>(rows.size()),
+                 1000 * mb / in, 1000 * mb / ms_since(start));
     };
     const int length = static_cast<int>(rows.size());
-    tell(
+    measure(
         "LZ4",
         [&] {
           return static_cast<size_t>(
@@ -80,7 +81,7 @@
         },
         [&](size_t n) { LZ4_decompress_safe(out.data(), back.data(), static_cast<int>(n), length); });
     for (const int level : {1, 3})
-      tell(
+      measure(
           level == 1 ? "Zstandard 1" : "Zstandard 3",
           [&] { return ZSTD_compress(out.data(), out.size(), rows.data(), rows.size(), level); },
           [&](size_t n) { ZSTD_decompress(back.data(), back.size(), out.data(), n); });
@@ -88,7 +89,7 @@
 }
 
 void run_through(int mb, bool disk) {
-  Folder folder;
+  TemporaryDirectory folder;
   results::PagedResultStoreOptions options;
   options.retention.memory_bytes = 16e6;
   options.retention.disk_bytes = disk ? 4e9 : 0;
@@ -123,20 +124,21 @@
              store.retention().memory_bytes() / 1e6);
   if (!disk) return;
   const auto read_start = Clock::now();
-  double got = 0;
-  int wanted = 0, came = 0;
+  double read_bytes = 0;
+  int requested = 0, received = 0;
   for (const std::string& token : tokens)
     for (uint64_t page = 1; page <= 100; ++page) {
-      ++wanted;
+      ++requested;
       store.read_page(now, token, "", page,
                       [&](TimePoint, ResultStore::ReadStatus, std::string_view text, uint64_t) {
-                        ++came;
-                        got += static_cast<double>(text.size());
+                        ++received;
+                        read_bytes += static_cast<double>(text.size());
                       });
-      while (wanted - came > 32) store.handle_due(now), std::this_thread::yield();
+      while (requested - received > 32) store.handle_due(now), std::this_thread::yield();
     }
-  while (came < wanted) store.handle_due(now), std::this_thread::yield();
-  fmt::print("with disk: {:.0f} MB out at {:.0f} MB/s\n", got / 1e6, got / 1000 / ms_since(read_start));
+  while (received < requested) store.handle_due(now), std::this_thread::yield();
+  fmt::print("with disk: {:.0f} MB out at {:.0f} MB/s\n", read_bytes / 1e6,
+             read_bytes / 1000 / ms_since(read_start));
 }
 
 void run_leases(int count) {
@@ -149,12 +151,12 @@
     for (Node& n : nodes) wheel.schedule(n, 1 + next() % 4000);
     const auto start = Clock::now();
     for (int i = 0; i < 2000000; ++i) wheel.schedule(nodes[next() % nodes.size()], 1 + next() % 4000);
-    const double put = ms_since(start);
-    const auto going = Clock::now();
+    const double renewals_ms = ms_since(start);
+    const auto expiry_start = Clock::now();
     uint64_t fired = 0;
     for (uint64_t t = 1; t <= 4000; ++t) wheel.advance(t, [&](base::TimingWheelNode&) { ++fired; });
-    fmt::print("wheel, {} leases: {:.0f} ns a renewal, {:.0f} ns an end\n", count, 1e6 * put / 2e6,
-               1e6 * ms_since(going) / static_cast<double>(fired));
+    fmt::print("wheel, {} leases: {:.0f} ns a renewal, {:.0f} ns an end\n", count, 1e6 * renewals_ms / 2e6,
+               1e6 * ms_since(expiry_start) / static_cast<double>(fired));
   }
   {
     std::multimap<uint64_t, size_t> map;
@@ -166,18 +168,20 @@
       map.erase(at[n]);
       at[n] = map.emplace(1 + next() % 4000, n);
     }
-    const double put = ms_since(start);
-    const auto going = Clock::now();
+    const double renewals_ms = ms_since(start);
+    const auto expiry_start = Clock::now();
     uint64_t fired = 0;
     for (uint64_t t = 1; t <= 4000; ++t)
       while (!map.empty() && map.begin()->first <= t) map.erase(map.begin()), ++fired;
-    fmt::print("plain map, {} leases: {:.0f} ns a renewal, {:.0f} ns an end\n", count, 1e6 * put / 2e6,
-               1e6 * ms_since(going) / static_cast<double>(fired));
+    fmt::print("plain map, {} leases: {:.0f} ns a renewal, {:.0f} ns an end\n", count,
+               1e6 * renewals_ms / 2e6, 1e6 * ms_since(expiry_start) / static_cast<double>(fired));
   }
 }
 
-// ---- Through the program ------------------------------------------------------------------------
+// ---- With the gateway program -------------------------------------------------------------------
 
+// A gateway process with fake engines. `spool`: fields of the operator file's `spool` section; empty: turned
+// off.
 struct Installation {
   Installation(const std::string& program, const std::string& spool, int memory_mb = 192, int engines = 4)
       : fleet(engines) {
@@ -223,7 +227,7 @@
     std::sort(all.begin(), all.end());
     return all;
   }
-  Folder folder;
+  TemporaryDirectory folder;
   fakes::FakeDeployment fleet;
   std::string address = fakes::free_address();
   std::unique_ptr<fakes::Process> process;
@@ -237,35 +241,36 @@
 
 void run_held(const std::string& program, int readers) {
   for (const bool on : {true, false}) {
-    Installation at(program, on ? R"("memory_mb": 32)" : "");
-    client::Client client(at.options());
+    Installation installation(program, on ? R"("memory_mb": 32)" : "");
+    client::Client client(installation.options());
     std::vector<client::Handle> handles;
     for (int i = 0; i < readers; ++i)
       handles.push_back(client.send(report(fmt::format("select {} /*! rows=20 pages=8 */", i), on)));
     for (const auto& h : handles) h.wait();
-    // The readers take a page a second now, or nothing: no engine is asked for any of it.
+    // Waits until every query has been released. No page is read meanwhile, so no reader makes an engine send
+    // one.
     std::vector<Ms> held;
     for (int i = 0; i < 6000 && held.size() < static_cast<size_t>(readers); ++i)
-      ::usleep(1000), held = at.held();
-    const auto part = [&](double q) {
+      ::usleep(1000), held = installation.held();
+    const auto percentile = [&](double q) {
       return held.empty() ? 0 : held[static_cast<size_t>(q * double(held.size() - 1))];
     };
     fmt::print(
         "spool {}: {} readers; queries held after their last row: median {:.0f} ms, 99 in 100 under {:.0f} "
         "ms\n",
-        on ? "on" : "off", readers, part(0.5), part(0.99));
+        on ? "on" : "off", readers, percentile(0.5), percentile(0.99));
   }
 }
 
 void run_stopped(const std::string& program, int readers) {
-  Installation at(program, R"("memory_mb": 8)", 32);
-  const double before = at.resident_mb();
-  const int before_fds = at.descriptors();
+  Installation installation(program, R"("memory_mb": 8)", 32);
+  const double before = installation.resident_mb();
+  const int before_fds = installation.descriptors();
   std::vector<Poco::Net::StreamSocket> sockets;
   int answered = 0;
   for (int i = 0; i < readers; ++i) {
     sockets.emplace_back();
-    sockets.back().connect(Poco::Net::SocketAddress(at.address));
+    sockets.back().connect(Poco::Net::SocketAddress(installation.address));
     std::string out;
     proto::append_command(out, {1,
                                 "report",
@@ -283,55 +288,56 @@
   fmt::print(
       "{} readers that stopped ({} had an answer waiting): {:.1f} MB of memory ({:.1f} before), {} "
       "descriptors ({} before)\n",
-      readers, answered, at.resident_mb(), before, at.descriptors(), before_fds);
+      readers, answered, installation.resident_mb(), before, installation.descriptors(), before_fds);
 }
 
 void run_plain(const std::string& program, int calls) {
   for (const char* spool : {"", R"("memory_mb": 8)"}) {
-    Installation at(program, spool);
-    client::Client client(at.options());
-    std::vector<double> took;
-    const double before = at.cpu_ms();
+    Installation installation(program, spool);
+    client::Client client(installation.options());
+    std::vector<double> call_ms;
+    const double before = installation.cpu_ms();
     for (int i = 0; i < calls; ++i) {
       const auto start = Clock::now();
       client.call({"lookup", "select 1", 5000, 20, 1, client::Effect::kReplayable});
-      took.push_back(ms_since(start));
+      call_ms.push_back(ms_since(start));
     }
-    std::sort(took.begin(), took.end());
+    std::sort(call_ms.begin(), call_ms.end());
     fmt::print(
         "plain results, spool {}: {} calls one by one: median {:.3f} ms, {:.1f} us of the gateway's CPU a "
         "call\n",
-        *spool ? "on" : "off", calls, took[took.size() / 2], 1000 * (at.cpu_ms() - before) / calls);
+        *spool ? "on" : "off", calls, call_ms[call_ms.size() / 2],
+        1000 * (installation.cpu_ms() - before) / calls);
   }
 }
 
 void run_recover(const std::string& program, int mb) {
-  Folder data;
-  Installation at(
+  TemporaryDirectory data;
+  Installation installation(
       program,
       fmt::format(
           R"("memory_mb": 32, "disk_mb": {}, "page_kb": 1000, "result_mb": 100, "lease_s": 3600, "folder": "{}")",
           2 * mb, data.path));
-  client::Options options = at.options();
-  options.spread_ms = options.max_spread_ms = 0;  // the gateway's time, not the client's
+  client::Options options = installation.options();
+  options.spread_ms = options.max_spread_ms = 0;  // measures the gateway only, without the client's delays
   client::Client client(options);
   const auto bytes = [&] {
     uintmax_t all = 0;
     for (const auto& e : std::filesystem::directory_iterator(data.path)) all += e.file_size();
     return static_cast<double>(all) / 1e6;
   };
-  // Rows that hardly shrink are not to be had from the fake engine: many of them, then.
+  // The fake engine's rows compress well, so many of them are needed to fill the segments.
   std::string token;
   for (int i = 0; bytes() < mb && i < 20000; ++i)
     token =
         client.call(report(fmt::format("select {} /*! rows=20000 pages=20 row-bytes=20 */", i), true)).token;
   ::usleep(500000);
-  at.process->stop(SIGKILL);
+  installation.process->stop(SIGKILL);
   const auto start = Clock::now();
-  at.process->start();
-  fakes::Process::listens(at.address);
+  installation.process->start();
+  fakes::Process::listens(installation.address);
   const double listens = ms_since(start);
-  client::PageReader pages(client, {at.address}, token, "", 2, {});
+  client::PageReader pages(client, {installation.address}, token, "", 2, {});
   std::string rows;
   const bool served = pages.next(rows) == client::PageReader::Next::kPage;
   fmt::print("{:.0f} MB of segments: it listens after {:.0f} ms, the first page is {} after {:.0f} ms\n",
--- a/fuzz/operator_fuzz.cpp
+++ b/fuzz/operator_fuzz.cpp
@@ -1,5 +1,5 @@
-// Any bytes as an operator's file: read or refused, each diagnostic with a message, and what is good reads
-// the same again.
+// Fuzzes the parser of the operator file: every diagnostic has a message and a line, and a valid file can be
+// described.
 #include <cstdlib>
 #include <string_view>
 
--- a/fuzz/peers_fuzz.cpp
+++ b/fuzz/peers_fuzz.cpp
@@ -1,5 +1,5 @@
-// Whatever a peer says and whatever lies in a keeper's folder or under a name in the record: it is read or
-// refused.
+// Fuzzes the decoders of peer frames, of an acceptor's stored state and of replicated values: arbitrary bytes
+// must be decoded or rejected without a fault.
 #include <cstdint>
 #include <cstring>
 #include <string>
@@ -14,9 +14,9 @@
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using namespace firvalve;
   const std::string text(reinterpret_cast<const char*>(data), size);
-  const char* why = "";
-  if (const auto frame = cluster::read_frame({text.data(), text.size()}, why)) {
-    // What could be read is heard by a keeper, as a keeper's word and as anybody's.
+  const char* reason = "";
+  if (const auto frame = cluster::read_frame({text.data(), text.size()}, reason)) {
+    // An acceptor handles each decoded message, once from an acceptor and once from another peer.
     cluster::ClusterNodeOptions options;
     cluster::ClusterNode node(time_point_of<BootClock>(1), options);
     for (const consensus::Message& m : frame->messages) {
@@ -30,8 +30,8 @@
   cluster::decode_metadata(text);
   lease::decode_lease_record(text);
   lease::decode_run_once_job(text);
-  std::string told;
-  if (const auto topic = schema::decode_topic(text, told)) schema::encode(*topic);
-  if (const auto change = schema::decode_change(text, told)) schema::apply({}, *change);
+  std::string error;
+  if (const auto topic = schema::decode_topic(text, error)) schema::encode(*topic);
+  if (const auto change = schema::decode_change(text, error)) schema::apply({}, *change);
   return 0;
 }
--- a/fuzz/segment_fuzz.cpp
+++ b/fuzz/segment_fuzz.cpp
@@ -1,5 +1,6 @@
-// Any bytes as a segment: what is found lies within it and is whole. Checksums stop most inputs at the first
-// record, so the input's records are also given right sums, as a file of a hostile hand would have them.
+// Fuzzes the recovery of segment files: recovered results are complete and lie within the segment. Checksums
+// reject most inputs at the first record, so each input is also tried with valid checksums, as in a file from
+// an attacker.
 #include <xxhash.h>
 
 #include <cstdlib>
@@ -34,7 +35,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   std::string bytes(reinterpret_cast<const char*>(data), size);
   try_segment(bytes);
-  std::string mended(kSegmentHeader);
+  std::string repaired(kSegmentHeader);
   for (size_t at = 0; at + kRecordHeadBytes <= bytes.size();) {
     std::string head = bytes.substr(at, kRecordHeadBytes);
     const uint32_t magic = 0x46565350;
@@ -45,14 +46,14 @@
     if (at + kRecordHeadBytes + length > bytes.size())
       length = static_cast<uint32_t>(bytes.size() - at - kRecordHeadBytes);
     std::memcpy(head.data() + 32, &length, sizeof length);
-    uint64_t sum = XXH3_64bits(bytes.data() + at + kRecordHeadBytes, length);
-    std::memcpy(head.data() + 40, &sum, sizeof sum);
-    sum = XXH3_64bits(head.data(), kRecordHeadBytes - 8);
-    std::memcpy(head.data() + kRecordHeadBytes - 8, &sum, sizeof sum);
-    mended += head;
-    mended.append(bytes, at + kRecordHeadBytes, length);
+    uint64_t checksum = XXH3_64bits(bytes.data() + at + kRecordHeadBytes, length);
+    std::memcpy(head.data() + 40, &checksum, sizeof checksum);
+    checksum = XXH3_64bits(head.data(), kRecordHeadBytes - 8);
+    std::memcpy(head.data() + kRecordHeadBytes - 8, &checksum, sizeof checksum);
+    repaired += head;
+    repaired.append(bytes, at + kRecordHeadBytes, length);
     at += kRecordHeadBytes + length;
   }
-  try_segment(mended);
+  try_segment(repaired);
   return 0;
 }
