--- a/bench/client_bench.cpp
+++ b/bench/client_bench.cpp
@@ -274,7 +274,7 @@
  public:
   explicit GatewayProcess(bool is_mute) {
     int ends[2];
-    if (::pipe(ends) != 0) throw std::runtime_error("no pipe");
+    if (::pipe(ends) != 0) throw std::runtime_error("could not create a pipe");
     process_ = ::fork();
     if (process_ == 0) {
       {
@@ -382,25 +382,25 @@
   std::string program = "build-test/firvalve";
   bool advice = true;
   int clients = 100, calls = 200000, window = 32, open = 10000;
-  CLI::App* const restart = app.add_subcommand("restart", "connection attempts over a gateway's restart");
+  CLI::App* const restart = app.add_subcommand("restart", "connection attempts during a gateway restart");
   restart->add_option("--program", program)->capture_default_str();
   restart->add_option("--clients", clients)->check(CLI::Range(1, 500))->capture_default_str();
   restart->callback([&] {
     run_restart(program, false, clients);
     run_restart(program, true, clients);
   });
-  CLI::App* const overload = app.add_subcommand("overload", "three times what the engines can do");
+  CLI::App* const overload = app.add_subcommand("overload", "load of three times the engines' capacity");
   overload->add_option("--program", program)->capture_default_str();
-  overload->add_flag("!--no-advice", advice, "refusals tell no time to stay away");
+  overload->add_flag("!--no-advice", advice, "rejections carry no retry delay");
   overload->callback([&] {
     run_overload(program, false, advice);
     run_overload(program, true, advice);
   });
-  CLI::App* const cpu = app.add_subcommand("cpu", "CPU a call, beside a bare socket loop");
+  CLI::App* const cpu = app.add_subcommand("cpu", "CPU per call, compared with a bare socket loop");
   cpu->add_option("--calls", calls)->check(CLI::Range(1000, 10000000))->capture_default_str();
   cpu->add_option("--window", window)->check(CLI::Range(1, 32))->capture_default_str();
   cpu->callback([&] { run_cpu(calls, window); });
-  CLI::App* const memory = app.add_subcommand("memory", "with many calls open");
+  CLI::App* const memory = app.add_subcommand("memory", "memory used by many open calls");
   memory->add_option("--open", open)->check(CLI::Range(1000, 1000000))->capture_default_str();
   memory->callback([&] { run_memory(open); });
   CLI11_PARSE(app, argc, argv);
--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -347,28 +347,31 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("Measures the spool.");
+  CLI::App app("Measures paged results.");
   app.require_subcommand(1);
   std::string program = "build-test/firvalve";
   int mb = 500, readers = 200, stopped = 1000, calls = 20000, leases = 100000;
-  app.add_subcommand("compress", "LZ4 beside Zstandard")->callback([] { run_compress(); });
-  CLI::App* const through = app.add_subcommand("through", "MB/s in and out");
+  app.add_subcommand("compress", "LZ4 compared with Zstandard")->callback([] { run_compress(); });
+  CLI::App* const through = app.add_subcommand("through", "MB/s written and read");
   through->add_option("--mb", mb)->check(CLI::Range(10, 4000))->capture_default_str();
   through->callback([&] { run_through(mb, false), run_through(mb, true); });
-  app.add_subcommand("leases", "the wheel beside a plain map")->callback([&] { run_leases(leases); });
-  CLI::App* const held = app.add_subcommand("held", "how long engines hold queries, spool on and off");
+  app.add_subcommand("leases", "lease expiry by timing wheel, compared with a map")->callback([&] {
+    run_leases(leases);
+  });
+  CLI::App* const held =
+      app.add_subcommand("held", "how long engines hold finished queries, with paged results on and off");
   held->add_option("--program", program)->capture_default_str();
   held->add_option("--readers", readers)->check(CLI::Range(1, 2000))->capture_default_str();
   held->callback([&] { run_held(program, readers); });
-  CLI::App* const stop = app.add_subcommand("stopped", "memory and descriptors with stopped readers");
+  CLI::App* const stop = app.add_subcommand("stopped", "memory and descriptors used by stopped readers");
   stop->add_option("--program", program)->capture_default_str();
   stop->add_option("--readers", stopped)->check(CLI::Range(1, 2000))->capture_default_str();
   stop->callback([&] { run_stopped(program, stopped); });
-  CLI::App* const plain = app.add_subcommand("plain", "the price of a plain small result");
+  CLI::App* const plain = app.add_subcommand("plain", "cost of a small unpaged result");
   plain->add_option("--program", program)->capture_default_str();
   plain->add_option("--calls", calls)->check(CLI::Range(100, 1000000))->capture_default_str();
   plain->callback([&] { run_plain(program, calls); });
-  CLI::App* const recover = app.add_subcommand("recover", "time to serve after a kill");
+  CLI::App* const recover = app.add_subcommand("recover", "time until the gateway serves again after a kill");
   recover->add_option("--program", program)->capture_default_str();
   recover->add_option("--mb", mb)->check(CLI::Range(10, 4000))->capture_default_str();
   recover->callback([&] { run_recover(program, mb); });
--- a/src/fakes/fault_script.cpp
+++ b/src/fakes/fault_script.cpp
@@ -13,7 +13,8 @@
   double number = 0;
   const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
   if (error != std::errc() || end != value.data() + value.size())
-    throw std::invalid_argument(fmt::format("script: {} wants a number, not \"{}\"", option, value));
+    throw std::invalid_argument(
+        fmt::format("fault script: option {} requires a number, got \"{}\"", option, value));
   return number;
 }
 
@@ -56,7 +57,7 @@
   else if (option == "holdoff")
     script.holdoff = value;
   else
-    throw std::invalid_argument(fmt::format("script: no such word as \"{}\"", option));
+    throw std::invalid_argument(fmt::format("fault script: unknown option \"{}\"", option));
 }
 
 }  // namespace
--- a/src/fakes/load_clients.cpp
+++ b/src/fakes/load_clients.cpp
@@ -115,7 +115,7 @@
 void LoadClients::rewrite(size_t i, const std::string& from, const std::string& to) {
   std::string text = read_file(operator_file(i));
   const size_t at = text.find(from);
-  if (at == std::string::npos) throw std::runtime_error("not in the operator's file: " + from);
+  if (at == std::string::npos) throw std::runtime_error("the operator file does not contain: " + from);
   text.replace(at, from.size(), to);
   std::ofstream(operator_file(i), std::ios::trunc) << text;
 }
--- a/src/fakes/main.cpp
+++ b/src/fakes/main.cpp
@@ -13,15 +13,18 @@
 // The set-up of CLI11 allocates and may throw; such an exception ends the program, as intended.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
-  CLI::App app("Fake engines and event bus on loopback; what a statement does, it says itself.");
+  CLI::App app(
+      "Fake engines and their event bus on loopback; the comment of a statement says how engines respond.");
   int engines = 4;
   std::vector<std::string> configs, listens;
-  app.add_option("--engines", engines, "how many")->check(CLI::Range(1, 1000))->capture_default_str();
+  app.add_option("--engines", engines, "number of engines")
+      ->check(CLI::Range(1, 1000))
+      ->capture_default_str();
   app.add_option("--config", configs,
-                 "write a gateway's configuration to this file; several: of several gateways")
+                 "write a gateway's configuration to this file; repeat it for several gateways")
       ->required();
   app.add_option("--listen", listens,
-                 "the address that the configuration tells the gateway to listen on; each in turn");
+                 "listen address in the configuration; one per configuration, in the same order");
   CLI11_PARSE(app, argc, argv);
   sigset_t ends;
   sigemptyset(&ends);
@@ -36,7 +39,7 @@
       file << fleet.config(listen);
       file.close();
       if (!file || std::rename((configs[i] + ".new").c_str(), configs[i].c_str()) != 0)
-        throw std::runtime_error("the configuration cannot be written");
+        throw std::runtime_error("could not write a configuration file");
       std::printf("%s\n", listen.c_str());
     }
     std::fflush(stdout);
--- a/src/fakes/process.cpp
+++ b/src/fakes/process.cpp
@@ -29,7 +29,7 @@
   if (!config.empty()) {
     char name[] = "/tmp/firvalve-XXXXXX";
     const int descriptor = ::mkstemp(name);
-    if (descriptor < 0) throw std::runtime_error("no file for a configuration");
+    if (descriptor < 0) throw std::runtime_error("could not create a temporary file for the configuration");
     ::close(descriptor);
     config_path_ = name;
     rewrite(config);
