--- a/src/gateway/ping.cpp
+++ b/src/gateway/ping.cpp
@@ -22,7 +22,7 @@
 bool ping_gateway(const std::string& gateway, double timeout_ms) {
   const client::Ping ping = client::ping(gateway, timeout_ms);
   const char* const state = !ping.answered ? ping.why.c_str() : ping.healthy ? "healthy" : "not healthy";
-  std::printf("%s: %s, %.1f ms%s\n", gateway.c_str(), state, ping.took_ms,
+  std::printf("%s: %s, %.1f ms%s\n", gateway.c_str(), state, ping.elapsed_ms,
               ping.reads_retry_markers ? ", reads marks" : "");
   return ping.healthy;
 }
--- a/src/schema/topic_codec.cpp
+++ b/src/schema/topic_codec.cpp
@@ -64,8 +64,8 @@
     if (!value->IsNumber()) return fail(name, "is no number");
     target = value->GetDouble();
   }
-  // Returns the index of the member's text in `names`, or `fallback` if it is missing or empty. An unknown name
-  // is an error.
+  // Returns the index of the member's text in `names`, or `fallback` if it is missing or empty. An unknown
+  // name is an error.
   template <size_t N>
   size_t read_enum(const char* name, const char* const (&names)[N], size_t fallback) {
     std::string text;
