--- a/src/simulation/explore.h
+++ b/src/simulation/explore.h
@@ -1,6 +1,6 @@
-// All ways that things can come about, up to a bound: a search over states, the nearest first, that looks at
-// each state once. The machines in a state are the real ones, copied; what can happen next is listed by the
-// state, one move after the other.
+// Model checking of small state machines: an exhaustive breadth-first search over all orders of moves, up to
+// a bound, and random walks for state spaces that are too large for it. A state holds copies of the real
+// state machines and lists the moves that are possible next.
 #pragma once
 
 #define XXH_INLINE_ALL
@@ -16,129 +16,134 @@
 
 namespace firvalve::simulation {
 
-// What is kept of a state that was seen: 128 bits of its digest. Two that differ are taken for one with a
-// chance of under 1 in 10^20 at a hundred million states.
-struct Seen {
+// Fingerprint of a visited state: a 128-bit hash of its digest. At a hundred million states the probability
+// that two different states collide is below 1 in 10^20.
+struct StateFingerprint {
   uint64_t low = 0, high = 0;
-  explicit Seen(const std::string& digest) {
-    const XXH128_hash_t h = XXH3_128bits(digest.data(), digest.size());
-    low = h.low64, high = h.high64;
+  explicit StateFingerprint(const std::string& digest) {
+    const XXH128_hash_t hash = XXH3_128bits(digest.data(), digest.size());
+    low = hash.low64, high = hash.high64;
   }
-  bool operator==(const Seen&) const = default;
+  bool operator==(const StateFingerprint&) const = default;
 };
-struct SeenHash {
-  size_t operator()(const Seen& s) const { return s.low; }
+struct StateFingerprintHash {
+  size_t operator()(const StateFingerprint& fingerprint) const { return fingerprint.low; }
 };
 
-struct Explored {
-  size_t states = 0;   // that differ
-  size_t depth = 0;    // moves to the farthest of them
-  bool whole = false;  // every state within the bounds was looked at
-  std::optional<std::string> breach;
-  std::vector<std::string> trace;  // the shortest way to it
+// Result of explore() or of random_walks().
+struct SearchResult {
+  size_t states = 0;         // explore(): distinct states; random_walks(): moves applied
+  size_t depth = 0;          // moves from the initial state to the farthest one
+  bool is_complete = false;  // every reachable state was visited
+  std::optional<std::string> violation;
+  std::vector<std::string> trace;  // moves that lead to the violation
 };
 
-// State: copyable; moves() -> std::vector<Move>; apply(move); told(move) -> std::string; digest() ->
-// std::string; breach() -> std::optional<std::string>.
+// Breadth-first search from `first`, so that a violation is reported with a shortest trace. Each distinct
+// state is expanded once; the search stops at the first violation or at `max_states` distinct states.
+//
+// State is copyable and has moves() -> std::vector<Move>; apply(move); describe(move) -> std::string;
+// digest() -> std::string; find_violation() -> std::optional<std::string>.
 template <class State>
-Explored explore(const State& first, size_t states_most) {
+SearchResult explore(const State& first, size_t max_states) {
   using Move = typename decltype(first.moves())::value_type;
-  struct Way {
-    size_t from = 0;
+  struct Step {
+    size_t parent = 0;
     Move move{};
   };
-  Explored out;
-  std::vector<Way> ways{{}};
+  SearchResult out;
+  std::vector<Step> steps{{}};
   std::deque<std::pair<size_t, State>> next{{0, first}};
-  std::unordered_set<Seen, SeenHash> seen{Seen(first.digest())};
+  std::unordered_set<StateFingerprint, StateFingerprintHash> visited{StateFingerprint(first.digest())};
   std::vector<uint32_t> depths{0};
-  out.whole = true;
+  out.is_complete = true;
   while (!next.empty()) {
     const size_t number = next.front().first;
     const State state = std::move(next.front().second);
     next.pop_front();
     for (const Move& move : state.moves()) {
-      State then = state;
-      then.apply(move);
-      const std::optional<std::string> breach = then.breach();
-      if (!breach && !seen.insert(Seen(then.digest())).second) continue;
-      ways.push_back({number, move});
+      State successor = state;
+      successor.apply(move);
+      const std::optional<std::string> violation = successor.find_violation();
+      if (!violation && !visited.insert(StateFingerprint(successor.digest())).second) continue;
+      steps.push_back({number, move});
       depths.push_back(depths[number] + 1);
       out.depth = depths.back();
-      if (breach) {
-        out.breach = breach;
+      if (violation) {
+        out.violation = violation;
         std::vector<Move> moves;
-        for (size_t at = ways.size() - 1; at != 0; at = ways[at].from) moves.push_back(ways[at].move);
-        State again = first;
-        for (auto m = moves.rbegin(); m != moves.rend(); ++m) {
-          out.trace.push_back(again.told(*m));
-          again.apply(*m);
+        for (size_t at = steps.size() - 1; at != 0; at = steps[at].parent) moves.push_back(steps[at].move);
+        State replay = first;
+        for (auto move = moves.rbegin(); move != moves.rend(); ++move) {
+          out.trace.push_back(replay.describe(*move));
+          replay.apply(*move);
         }
-        out.states = seen.size();
+        out.states = visited.size();
         return out;
       }
-      if (seen.size() >= states_most) {
-        out.whole = false;
-        out.states = seen.size();
+      if (visited.size() >= max_states) {
+        out.is_complete = false;
+        out.states = visited.size();
         return out;
       }
-      next.emplace_back(ways.size() - 1, std::move(then));
+      next.emplace_back(steps.size() - 1, std::move(successor));
     }
   }
-  out.states = seen.size();
+  out.states = visited.size();
   return out;
 }
 
-// Where the whole is too large to find something deep: walks drawn from a seed, each to an end or to `depth`
-// moves. The first that breaks a rule is cut down move by move for as long as it still does. A move is known
-// again by what told() says of it.
+// Random walks, for violations too deep for an exhaustive search. Each of the `walks` walks, drawn from
+// `seed`, ends after `depth` moves or when no move is possible. The trace of the first violation is
+// minimised: moves are left out one by one as long as a violation remains. On replay a move is recognised by
+// its describe() text.
 template <class State>
-Explored wander(const State& first, uint64_t seed, size_t walks, size_t depth) {
-  Explored out;
-  uint64_t at = seed;
-  const auto draw = [&at](size_t below) {  // splitmix
-    uint64_t z = (at += 0x9e3779b97f4a7c15ull);
+SearchResult random_walks(const State& first, uint64_t seed, size_t walks, size_t depth) {
+  SearchResult out;
+  uint64_t generator = seed;
+  const auto draw = [&generator](size_t below) {  // SplitMix64
+    uint64_t z = (generator += 0x9e3779b97f4a7c15ull);
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ull;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebull;
     return static_cast<size_t>((z ^ (z >> 31)) % below);
   };
-  const auto play = [&first](const std::vector<std::string>& told) -> std::optional<std::string> {
-    State s = first;
-    for (const std::string& line : told) {
-      bool done = false;
-      for (const auto& move : s.moves()) {
-        if (s.told(move) != line) continue;
-        s.apply(move);
-        done = true;
+  const auto replay = [&first](const std::vector<std::string>& trace) -> std::optional<std::string> {
+    State state = first;
+    for (const std::string& line : trace) {
+      bool is_applied = false;
+      for (const auto& move : state.moves()) {
+        if (state.describe(move) != line) continue;
+        state.apply(move);
+        is_applied = true;
         break;
       }
-      if (!done) continue;  // what it needed has been left out
-      if (auto breach = s.breach()) return breach;
+      if (!is_applied) continue;  // depended on a move that was left out
+      if (auto violation = state.find_violation()) return violation;
     }
     return {};
   };
   for (size_t walk = 0; walk < walks; ++walk) {
-    State s = first;
-    std::vector<std::string> told;
+    State state = first;
+    std::vector<std::string> trace;
     for (size_t step = 0; step < depth; ++step) {
-      const auto moves = s.moves();
+      const auto moves = state.moves();
       if (moves.empty()) break;
       const auto& move = moves[draw(moves.size())];
-      told.push_back(s.told(move));
-      s.apply(move);
+      trace.push_back(state.describe(move));
+      state.apply(move);
       ++out.states;
       out.depth = std::max(out.depth, step + 1);
-      if (!s.breach()) continue;
-      for (size_t i = 0; i < told.size();) {
-        std::vector<std::string> fewer = told;
-        fewer.erase(fewer.begin() + static_cast<long>(i));
-        if (play(fewer))
-          told = std::move(fewer), i = 0;
+      if (!state.find_violation()) continue;
+      for (size_t i = 0; i < trace.size();) {
+        std::vector<std::string> shorter = trace;
+        shorter.erase(shorter.begin() + static_cast<long>(i));
+        if (replay(shorter))
+          trace = std::move(shorter), i = 0;
         else
           ++i;
       }
-      out.trace = told;
-      out.breach = play(told);
+      out.trace = trace;
+      out.violation = replay(trace);
       return out;
     }
   }
--- a/tests/bound.h
+++ b/tests/bound.h
@@ -1,5 +1,6 @@
-// How much searches and worlds look at: what a test names, or what the environment allows, if less. Under the
-// sanitizers each state costs thirty times as much (tests/CMakeLists.txt).
+// Limits of state searches and simulation runs in tests, with environment variables that override them. The
+// sanitizer builds set lower limits, because a state costs about thirty times as much there
+// (tests/CMakeLists.txt).
 #pragma once
 
 #include <algorithm>
@@ -8,11 +9,11 @@
 
 namespace firvalve {
 
-inline size_t bound(const char* variable, size_t otherwise) {
-  const char* const told = std::getenv(variable);
-  return told ? std::stoul(told) : otherwise;
+inline size_t limit_from_environment(const char* variable, size_t default_limit) {
+  const char* const value = std::getenv(variable);
+  return value ? std::stoul(value) : default_limit;
 }
-inline size_t states_most() { return bound("FIRVALVE_STATES", 40000); }
-inline size_t seeds_most() { return bound("FIRVALVE_SEEDS", 20); }
+inline size_t state_limit() { return limit_from_environment("FIRVALVE_STATES", 40000); }
+inline size_t seed_limit() { return limit_from_environment("FIRVALVE_SEEDS", 20); }
 
 }  // namespace firvalve
--- a/tests/cluster/world_test.cpp
+++ b/tests/cluster/world_test.cpp
@@ -21,7 +21,7 @@
   o.repeated = 0.05;
   o.late = seed % 2 ? 0.02 : 0;
   o.faults = 0.5;
-  if (seeds_most() < 20) o.span = 6000;
+  if (seed_limit() < 20) o.span = 6000;
   return o;
 }
 
@@ -57,7 +57,7 @@
 
 TEST(FleetWorld, TwentySeedsOfFaultsBreakNoRule) {
   uint64_t taken = 0, refused = 0, agreed = 0, refused_changes = 0;
-  const uint64_t seeds = seeds_most();
+  const uint64_t seeds = seed_limit();
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     const FleetOutcome out = play(rough(seed));
     EXPECT_EQ(told(out), "") << "seed " << seed;
@@ -102,7 +102,7 @@
 
 TEST(FleetWorld, AThousandGatewaysAndAMajorityThatComesAndGoes) {
   FleetOptions o;
-  o.gateways = seeds_most() < 20 ? 128 : 1024;
+  o.gateways = seed_limit() < 20 ? 128 : 1024;
   o.keepers = 5;
   o.duties = 10;
   o.merges = 4;
@@ -119,7 +119,7 @@
 TEST_P(InjectedBugs, AreFound) {
   const auto [bug, rule] = GetParam();
   bool found = false;
-  for (uint64_t seed = 1; seed <= 2 * seeds_most() && !found; ++seed) {
+  for (uint64_t seed = 1; seed <= 2 * seed_limit() && !found; ++seed) {
     injected_bug = bug;
     const FleetOutcome out = play(rough(seed));
     found = breaks(out, rule);
--- a/tests/consensus/explore_test.cpp
+++ b/tests/consensus/explore_test.cpp
@@ -124,7 +124,7 @@
     collect_output();
   }
 
-  std::string told(const Move& move) const {
+  std::string describe(const Move& move) const {
     if (move.kind == Move::kTimeout) return "proposer " + std::to_string(move.index) + " times out";
     if (move.kind == Move::kLoseStorage)
       return "replica " + std::to_string(move.index) + " loses its storage";
@@ -154,7 +154,7 @@
 
   // Checks the reported results: the committed changes form one chain with one change per version, no change
   // reported as a conflict is in it, and the version that a proposer sees never decreases.
-  std::optional<std::string> breach() const {
+  std::optional<std::string> find_violation() const {
     std::map<uint64_t, uint64_t> committed;
     for (const ProposalResult& result : all_results_) {
       const Register& current = result.current;
@@ -240,34 +240,34 @@
   BootTime now_ = time_point_of<BootClock>(1);
 };
 
-const size_t kMaxStates = states_most();
+const size_t kMaxStates = state_limit();
 
-simulation::Explored explore(const Bounds& bounds, size_t max_states) {
-  return explored<TwoProposersState>(bounds, max_states);
+simulation::SearchResult explore(const Bounds& bounds, size_t max_states) {
+  return explore_and_print<TwoProposersState>(bounds, max_states);
 }
 bool random_walks_find_violation(const Bounds& bounds, InjectedBug bug) {
-  return walks_find<TwoProposersState>(bounds, bug, kMaxStates / 2);
+  return random_walks_find_violation<TwoProposersState>(bounds, bug, kMaxStates / 2);
 }
 
 TEST(ExploreConsensus, TwoProposersWithoutTimeouts) {
   Bounds bounds;
   bounds.timeouts = 0;
-  EXPECT_FALSE(explore(bounds, kMaxStates).breach);
+  EXPECT_FALSE(explore(bounds, kMaxStates).violation);
 }
 
 TEST(ExploreConsensus, TwoProposersWithATimeout) {
   Bounds bounds;
   bounds.timeouts = 1;
-  const simulation::Explored out = explore(bounds, kMaxStates);
-  EXPECT_FALSE(out.breach);
+  const simulation::SearchResult out = explore(bounds, kMaxStates);
+  EXPECT_FALSE(out.violation);
 }
 
 TEST(ExploreConsensus, ReplicaLosesItsStorage) {
   Bounds bounds;
   bounds.timeouts = 1;
   bounds.storage_losses = 1;
-  const simulation::Explored out = explore(bounds, kMaxStates);
-  EXPECT_FALSE(out.breach);
+  const simulation::SearchResult out = explore(bounds, kMaxStates);
+  EXPECT_FALSE(out.violation);
 }
 
 TEST(ExploreConsensus, ReplicaLosesItsStorageAndRecoversAtOnce) {
@@ -275,14 +275,14 @@
   bounds.timeouts = 0;
   bounds.storage_losses = 1;
   bounds.recovers_immediately = true;
-  EXPECT_FALSE(explore(bounds, kMaxStates).breach);
+  EXPECT_FALSE(explore(bounds, kMaxStates).violation);
 }
 
 TEST(ExploreConsensus, MessageIsDeliveredTwice) {
   Bounds bounds;
   bounds.timeouts = 1;
   bounds.duplicates = 1;
-  EXPECT_FALSE(explore(bounds, kMaxStates).breach);
+  EXPECT_FALSE(explore(bounds, kMaxStates).violation);
 }
 
 TEST(ExploreConsensus, EachInjectedBugIsFound) {
--- a/tests/lease/explore_test.cpp
+++ b/tests/lease/explore_test.cpp
@@ -121,7 +121,7 @@
     collect_output(gateway);
   }
 
-  std::string told(const Move& move) const {
+  std::string describe(const Move& move) const {
     static const char* const kDescriptions[] = {
         "a third of a lease passes",    "is ticked",
         "has its change committed",     "gets its result",
@@ -148,7 +148,7 @@
     return digest.text();
   }
 
-  std::optional<std::string> breach() const {
+  std::optional<std::string> find_violation() const {
     const auto first = managers_[0].active_epoch(local_time(0), "merge:m");
     const auto second = managers_[1].active_epoch(local_time(1), "merge:m");
     if (first && second)
@@ -187,25 +187,25 @@
   int lease_thirds_ = 0, started_jobs_ = 0;
 };
 
-const size_t kMaxStates = states_most();
+const size_t kMaxStates = state_limit();
 
-simulation::Explored explore(const Bounds& bounds, size_t max_states) {
-  return explored<TwoCandidatesState>(bounds, max_states);
+simulation::SearchResult explore(const Bounds& bounds, size_t max_states) {
+  return explore_and_print<TwoCandidatesState>(bounds, max_states);
 }
 bool random_walks_find_violation(const Bounds& bounds, InjectedBug bug) {
-  return walks_find<TwoCandidatesState>(bounds, bug, kMaxStates / 2);
+  return random_walks_find_violation<TwoCandidatesState>(bounds, bug, kMaxStates / 2);
 }
 
 TEST(ExploreLease, AtMostOneHolderIsActive) {
-  const simulation::Explored out = explore({}, kMaxStates);
-  EXPECT_FALSE(out.breach);
+  const simulation::SearchResult out = explore({}, kMaxStates);
+  EXPECT_FALSE(out.violation);
 }
 
 TEST(ExploreLease, RunOnceJobStartsAtMostOnce) {
   Bounds bounds;
   bounds.has_job = true;
   bounds.lease_thirds = 7;
-  EXPECT_FALSE(explore(bounds, kMaxStates).breach);
+  EXPECT_FALSE(explore(bounds, kMaxStates).violation);
 }
 
 TEST(ExploreLease, EachInjectedBugIsFound) {
--- a/tests/schema/registry_test.cpp
+++ b/tests/schema/registry_test.cpp
@@ -95,7 +95,7 @@
     proposals_[move.actor] = registries_[move.actor].take_proposals();
     registries_[move.actor].take_results();
   }
-  std::string told(const Move& move) const {
+  std::string describe(const Move& move) const {
     static const char* const kActors[] = {"the proposal without beds", "the declaration of beds",
                                           "the other proposal"};
     return std::string(kActors[move.actor]) +
@@ -110,7 +110,7 @@
     return digest.text();
   }
   // Every live version has the fields that the declared subscribers read.
-  std::optional<std::string> breach() const {
+  std::optional<std::string> find_violation() const {
     std::string error;
     const auto topic = decode_topic(register_.current.value, error);
     if (!topic) return "the topic cannot be decoded: " + error;
@@ -130,18 +130,18 @@
 };
 
 TEST(RegistryExplore, NoOrderOfConcurrentChangesBreaksADeclaration) {
-  const simulation::Explored out = simulation::explore(ConcurrentChanges(), 100000);
+  const simulation::SearchResult out = simulation::explore(ConcurrentChanges(), 100000);
   std::printf("%zu states, search complete\n", out.states);
-  EXPECT_TRUE(out.whole);
-  EXPECT_FALSE(out.breach) << *out.breach;
+  EXPECT_TRUE(out.is_complete);
+  EXPECT_FALSE(out.violation) << *out.violation;
 }
 
 // With the injected bug, a change is not checked again after a conflict; the search must find the violation.
 TEST(RegistryExplore, CommitWithoutASecondCheckIsDetected) {
   injected_bug = InjectedBug::kCheckStaleDeclarations;
-  const simulation::Explored out = simulation::explore(ConcurrentChanges(), 100000);
+  const simulation::SearchResult out = simulation::explore(ConcurrentChanges(), 100000);
   injected_bug = InjectedBug::kNone;
-  ASSERT_TRUE(out.breach);
+  ASSERT_TRUE(out.violation);
   for (const std::string& line : out.trace) std::printf("  %s\n", line.c_str());
 }
 
--- a/tests/searching.h
+++ b/tests/searching.h
@@ -1,4 +1,5 @@
-// Searches over states, printed as they end: whole up to a bound, or random walks with an injected bug.
+// State space searches for tests: exhaustive up to a bound, or random walks with an injected bug. Each search
+// prints its result.
 #pragma once
 
 #include <cstdio>
@@ -9,27 +10,30 @@
 
 namespace firvalve {
 
-inline void print(const simulation::Explored& out) {
-  std::printf("%zu states, depth %zu, %s%s\n", out.states, out.depth, out.whole ? "whole" : "cut off",
-              out.breach ? (": " + *out.breach).c_str() : "");
+inline void print(const simulation::SearchResult& out) {
+  std::printf("%zu states, depth %zu, %s%s\n", out.states, out.depth, out.is_complete ? "whole" : "cut off",
+              out.violation ? (": " + *out.violation).c_str() : "");
   for (const std::string& line : out.trace) std::printf("  %s\n", line.c_str());
 }
 
+// Searches all states that are reachable within the bounds, up to `max_states`.
 template <class State, class Bounds>
-simulation::Explored explored(const Bounds& bounds, size_t most) {
-  const simulation::Explored out = simulation::explore(State(bounds), most);
+simulation::SearchResult explore_and_print(const Bounds& bounds, size_t max_states) {
+  const simulation::SearchResult out = simulation::explore(State(bounds), max_states);
   print(out);
   return out;
 }
 
-// Whether walks from the state, with the bug injected, violate an invariant.
+// Whether random walks find an invariant violation while the bug is injected.
 template <class State, class Bounds>
-bool walks_find(const Bounds& bounds, InjectedBug bug, size_t walks) {
+bool random_walks_find_violation(const Bounds& bounds, InjectedBug bug, size_t walks) {
+  constexpr uint64_t kSeed = 1;
+  constexpr size_t kMaxMoves = 60;  // a walk
   injected_bug = bug;
-  const simulation::Explored out = simulation::wander(State(bounds), 1, walks, 60);
+  const simulation::SearchResult out = simulation::random_walks(State(bounds), kSeed, walks, kMaxMoves);
   injected_bug = InjectedBug::kNone;
   print(out);
-  return out.breach.has_value();
+  return out.violation.has_value();
 }
 
 }  // namespace firvalve
