--- a/src/loadtest/load.cpp
+++ b/src/loadtest/load.cpp
@@ -161,7 +161,7 @@
   const double met = static_cast<double>(m.ends[0]) / o.seconds;
   if (!o.json) {
     std::printf("%9.0f %9.0f %9.1f %8.2f %8.2f %8.2f %8.2f %7.1f  %s\n", step.rate, met, 100 * step.answered,
-                m.latency.quantile(0.5), m.latency.quantile(0.9), step.p99, m.latency.most(), step.cpu,
+                m.latency.quantile(0.5), m.latency.quantile(0.9), step.p99, m.latency.max(), step.cpu,
                 why.c_str());
     std::fflush(stdout);
     return;
@@ -176,7 +176,7 @@
                                     {"p50_ms", m.latency.quantile(0.5)},
                                     {"p90_ms", m.latency.quantile(0.9)},
                                     {"p99_ms", step.p99},
-                                    {"most_ms", m.latency.most()},
+                                    {"most_ms", m.latency.max()},
                                     {"lag_p99_ms", step.lag_p99},
                                     {"tool_cores", step.cpu}}) {
     w.Key(name);
@@ -196,7 +196,7 @@
 int run_load(LoadOptions& o) {
   std::signal(SIGINT, [](int) { interrupted = 1; });
   o.command.effect = o.effect == "replayable" ? client::Effect::kReplayable : client::Effect::kNonReplayable;
-  o.search.cpu_most = 0.9 * (2.0 * o.threads);  // a sender and a socket thread each
+  o.search.max_cpu = 0.9 * (2.0 * o.threads);  // a sender and a socket thread each
   if (!o.json)
     std::printf("%9s %9s %9s %8s %8s %8s %8s %7s  %s\n", "asked/s", "answer/s", "in 100", "p50 ms", "p90 ms",
                 "p99 ms", "most ms", "cores", "");
@@ -215,12 +215,13 @@
     tell(o, step, meter, why);
   }
   if (o.json) return 0;
-  if (search.tool_was_limit())
-    std::printf("the tool was the limit; service held at %.0f a second\n", search.held());
-  else if (search.broke() > 0)
-    std::printf("service held at %.0f a second and broke at %.0f\n", search.held(), search.broke());
+  if (search.generator_was_limit())
+    std::printf("the tool was the limit; service held at %.0f a second\n", search.max_passed());
+  else if (search.min_failed() > 0)
+    std::printf("service held at %.0f a second and broke at %.0f\n", search.max_passed(),
+                search.min_failed());
   else
-    std::printf("service held at every rate asked, up to %.0f a second\n", search.held());
+    std::printf("service held at every rate asked, up to %.0f a second\n", search.max_passed());
   return 0;
 }
 
@@ -248,14 +249,16 @@
   load->add_option("--factor", o->search.factor, "from step to step")
       ->check(CLI::Range(1.01, 100.0))
       ->capture_default_str();
-  load->add_option("--steps", o->search.steps, "at most")->check(CLI::Range(1, 100))->capture_default_str();
+  load->add_option("--steps", o->search.max_steps, "at most")
+      ->check(CLI::Range(1, 100))
+      ->capture_default_str();
   load->add_option("--seconds", o->seconds, "of a step")
       ->check(CLI::Range(0.1, 3600.0))
       ->capture_default_str();
-  load->add_option("--answered", o->search.answered_least, "service holds while this share is answered")
+  load->add_option("--answered", o->search.min_answered, "service holds while this share is answered")
       ->check(CLI::Range(0.0, 1.0))
       ->capture_default_str();
-  load->add_option("--p99", o->search.p99_most, "and 99 in 100 come within this, ms")->capture_default_str();
+  load->add_option("--p99", o->search.max_p99, "and 99 in 100 come within this, ms")->capture_default_str();
   load->add_option("--arrivals", o->arrivals)
       ->check(CLI::IsMember({"poisson", "even"}))
       ->capture_default_str();
--- a/src/simulation/engine_model.cpp
+++ b/src/simulation/engine_model.cpp
@@ -4,9 +4,9 @@
 
 namespace firvalve::simulation {
 
-constexpr double kWorkDone = 1e-9;  // ms of work: less is rounding
+constexpr double kMinWorkLeft = 1e-9;  // ms; less is a rounding error
 
-double EngineModel::pace() const {
+double EngineModel::work_per_thread() const {
   if (threads_ <= 0 || silent_) return 0;
   const double threads_per_core = threads_ / options_.cores;
   const double excess = std::max(0.0, threads_per_core - options_.contention_from);
@@ -18,9 +18,9 @@
 }
 
 void EngineModel::advance(Ms now) {
-  const double gone = (now - advanced_at_) * pace();
-  if (gone > 0)
-    for (Job& job : jobs_) job.work_left -= gone * job.threads;
+  const double work_done = (now - advanced_at_) * work_per_thread();
+  if (work_done > 0)
+    for (Job& job : jobs_) job.work_left -= work_done * job.threads;
   advanced_at_ = now;
 }
 
@@ -51,34 +51,35 @@
 
 bool EngineModel::remove(Ms now, uint64_t attempt) {
   advance(now);
-  const auto is_it = [&](const Job& job) { return job.number == attempt && !job.is_handshake; };
-  const auto waits = std::find_if(queue_.begin(), queue_.end(), is_it);
-  if (waits != queue_.end()) {
-    queue_.erase(waits);
+  const auto matches = [&](const Job& job) { return job.number == attempt && !job.is_handshake; };
+  const auto queued = std::find_if(queue_.begin(), queue_.end(), matches);
+  if (queued != queue_.end()) {
+    queue_.erase(queued);
     return true;
   }
-  const auto runs = std::find_if(jobs_.begin(), jobs_.end(), is_it);
-  if (runs == jobs_.end()) return false;
-  threads_ -= runs->threads;
+  const auto running = std::find_if(jobs_.begin(), jobs_.end(), matches);
+  if (running == jobs_.end()) return false;
+  threads_ -= running->threads;
   --running_;
-  jobs_.erase(runs);
+  jobs_.erase(running);
   fill_slots();
   return true;
 }
 
 EngineModel::Progress EngineModel::progress_of(Ms now, uint64_t attempt) {
-  const auto is_it = [&](const Job& job) { return job.number == attempt && !job.is_handshake; };
-  const auto runs = std::find_if(jobs_.begin(), jobs_.end(), is_it);
-  if (runs != jobs_.end()) return {State::kRunning, runs->work_left - (now - advanced_at_) * pace()};
-  const auto waits = std::find_if(queue_.begin(), queue_.end(), is_it);
-  return waits == queue_.end() ? Progress{} : Progress{State::kQueued, waits->work_left};
+  const auto matches = [&](const Job& job) { return job.number == attempt && !job.is_handshake; };
+  const auto running = std::find_if(jobs_.begin(), jobs_.end(), matches);
+  if (running != jobs_.end())
+    return {State::kRunning, running->work_left - (now - advanced_at_) * work_per_thread()};
+  const auto queued = std::find_if(queue_.begin(), queue_.end(), matches);
+  return queued == queue_.end() ? Progress{} : Progress{State::kQueued, queued->work_left};
 }
 
 std::vector<EngineModel::Completion> EngineModel::complete(Ms now) {
   advance(now);
   std::vector<Completion> done;
   for (size_t i = 0; i < jobs_.size();) {
-    if (jobs_[i].work_left > kWorkDone) {
+    if (jobs_[i].work_left > kMinWorkLeft) {
       ++i;
       continue;
     }
@@ -90,7 +91,7 @@
       --running_;
       continue;
     }
-    handshake_runs_ = false;
+    is_handshake_running_ = false;
     ++connections_;
   }
   fill_slots();
@@ -99,7 +100,7 @@
 }
 
 std::optional<Ms> EngineModel::next_completion() const {
-  const double rate = pace();
+  const double rate = work_per_thread();
   if (rate <= 0) return std::nullopt;
   Ms soonest = 1e18;
   for (const Job& job : jobs_)
@@ -123,13 +124,13 @@
   connects_.clear();
   connections_ = running_ = 0;
   threads_ = 0;
-  handshake_runs_ = false;
+  is_handshake_running_ = false;
   return ended;
 }
 
 bool EngineModel::admit_connect(Ms now, uint64_t connect) {
   const ConnectionOptions& c = options_.connections;
-  const size_t wanted = connects_.size() + handshake_runs_;
+  const size_t wanted = connects_.size() + is_handshake_running_;
   if (c.table_size > 0 && connections_ + wanted >= c.table_size) return false;
   if (c.connect_queue > 0 && connects_.size() >= c.connect_queue) return false;
   advance(now);
@@ -139,8 +140,8 @@
 }
 
 void EngineModel::begin_handshake() {
-  if (handshake_runs_ || connects_.empty()) return;
-  handshake_runs_ = true;
+  if (is_handshake_running_ || connects_.empty()) return;
+  is_handshake_running_ = true;
   run({connects_.front(), options_.connections.handshake_work, 1, true});
   connects_.pop_front();
 }
--- a/src/simulation/engine_model.h
+++ b/src/simulation/engine_model.h
@@ -1,6 +1,7 @@
-// One engine of the simulation's world: cores shared by all that runs (processor sharing), a bounded number
-// of slots and a bounded queue before them, a table of connections and a queue of those that want one.
-// Virtual time comes in with every call; it schedules nothing itself: after a change, ask `next_completion`.
+// Model of one engine: cores shared by all running attempts (processor sharing), a bounded number of slots
+// with a bounded queue, a connection table, and a queue of connects that wait for a handshake. Each call
+// passes the virtual time. The model schedules no events: after each change the caller asks
+// next_completion().
 #pragma once
 
 #include <cstdint>
@@ -12,24 +13,27 @@
 
 namespace firvalve::simulation {
 
-// How gateways and engines are connected. Not modelled unless `modelled`: then an attempt simply arrives.
+// Model of the connections between gateways and engines. If `modelled` is false, an attempt reaches its
+// engine without one.
 struct ConnectionOptions {
   bool modelled = false;
-  size_t table_size = 0;          // connections an engine holds; more are refused. 0: any number
-  double full_table_tax = 0;      // share of the engine's capacity that a full table takes, in proportion
-  Ms handshake_work = 1;          // on one core of the engine, which takes one handshake after the other
-  int handshake_round_trips = 1;  // before the first call can go out
-  size_t connect_queue = 128;     // that wait for a handshake; more are refused. 0: any number
-  Ms connect_timeout = 250;       // after which the gateway gives the connection up
-  Ms idle_close = 15000;  // after which the engine would close an idle one; the gateway does so before
+  size_t table_size = 0;          // connections of an engine; more are refused. 0: unlimited
+  double full_table_tax = 0;      // share of the engine's capacity lost with a full table; less in proportion
+  Ms handshake_work = 1;          // on one core of the engine, which runs one handshake at a time
+  int handshake_round_trips = 1;  // before the first request
+  size_t connect_queue = 128;     // connects that wait for a handshake; more are refused. 0: unlimited
+  Ms connect_timeout = 250;       // after which the gateway abandons the connect
+  Ms idle_close = 15000;          // of the engine; the gateway closes an idle connection before
 };
 
 struct EngineOptions {
   double cores = 8;
-  double contention_from = 1.5;  // threads a core past which total work falls, by `contention_loss` for each
-  double contention_loss = 0.1;  // more
-  size_t slots = 0;              // attempts that run at once. 0: any number
-  size_t queue = 0;              // attempts that wait for a slot; more are answered "full"
+  // Above `contention_from` threads per core the total throughput falls: it is divided by
+  // 1 + `contention_loss` * (threads per core - `contention_from`).
+  double contention_from = 1.5;
+  double contention_loss = 0.1;
+  size_t slots = 0;  // attempts that run at once. 0: unlimited
+  size_t queue = 0;  // attempts that wait for a slot; more are answered "full"
   ConnectionOptions connections;
 };
 
@@ -37,7 +41,7 @@
  public:
   enum class Admission { kRuns, kQueued, kFull };
   struct Completion {
-    uint64_t number = 0;  // of the attempt, or of the connect
+    uint64_t number = 0;  // of the attempt or of the connect
     bool is_handshake = false;
   };
   enum class State { kAbsent, kQueued, kRunning };
@@ -49,19 +53,20 @@
   explicit EngineModel(const EngineOptions& options) : options_(options) {}
 
   Admission admit(Ms now, uint64_t attempt, double work, int threads);
-  bool remove(Ms now, uint64_t attempt);  // whether it was there
+  bool remove(Ms now, uint64_t attempt);  // false if the engine does not have it
   Progress progress_of(Ms now, uint64_t attempt);
-  // What has finished by now; what waits takes the places that came free.
+  // Removes and returns the attempts and handshakes that have finished by `now`; waiting ones take their
+  // places.
   std::vector<Completion> complete(Ms now);
-  std::optional<Ms> next_completion() const;  // from the last change on; none: nothing makes progress
+  std::optional<Ms> next_completion() const;  // time after the last change; none if nothing makes progress
 
   void set_silent(Ms now, bool silent);
   bool is_silent() const { return silent_; }
-  std::vector<uint64_t> clear(Ms now);  // the process ends: the attempts that it had, its connections gone
+  std::vector<uint64_t> clear(Ms now);  // the process ends; returns its attempts
 
-  // Whether a connect is taken into the queue for a handshake.
+  // False if the connection table or the queue for handshakes is full.
   bool admit_connect(Ms now, uint64_t connect);
-  void abandon_connect(uint64_t connect);  // before its handshake began; later it is done for nobody
+  void abandon_connect(uint64_t connect);  // no effect once its handshake has begun
   void release_connection(Ms now);
 
   double threads() const { return threads_; }
@@ -76,20 +81,20 @@
     int threads = 1;
     bool is_handshake = false;
   };
-  double pace() const;  // work a ms that each thread gets done
+  double work_per_thread() const;  // ms of work that each thread completes in a ms
   void advance(Ms now);
   void run(const Job& job);
   void fill_slots();
   void begin_handshake();
 
   EngineOptions options_;
-  std::vector<Job> jobs_;  // that share the cores: attempts and at most one handshake
+  std::vector<Job> jobs_;  // running: attempts and at most one handshake
   std::deque<Job> queue_;
   std::deque<uint64_t> connects_;
   size_t connections_ = 0, running_ = 0;
   double threads_ = 0;
   Ms advanced_at_ = 0;
-  bool silent_ = false, handshake_runs_ = false;
+  bool silent_ = false, is_handshake_running_ = false;
 };
 
 }  // namespace firvalve::simulation
--- a/src/simulation/fleet_world.cpp
+++ b/src/simulation/fleet_world.cpp
@@ -52,7 +52,7 @@
         put(1000 + uniform() * std::max(0.0, o_.span - 5000), {What::kMerge, draw(o_.gateways), m});
     while (!queue_.empty() && queue_.next_at() <= o_.span) {
       now_ = queue_.next_at();
-      const Event e = queue_.take();
+      const Event e = queue_.pop();
       ++out_.events;
       step(e);
     }
@@ -94,7 +94,7 @@
   double uniform() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
   uint32_t draw(uint32_t below) { return std::uniform_int_distribution<uint32_t>(0, below - 1)(chance_); }
   uint64_t number() { return chance_() | 1; }
-  void put(Ms at, const Event& e) { queue_.put(at, e); }
+  void put(Ms at, const Event& e) { queue_.push(at, e); }
   Ms local(const Gateway& g) const { return g.offset + g.rate * now_; }
   Ms global(const Gateway& g, Ms at) const { return (at - g.offset) / g.rate; }
   static std::string name_of(uint32_t n) { return fmt::format("g{}", n); }
--- a/src/simulation/history_checker.cpp
+++ b/src/simulation/history_checker.cpp
@@ -12,11 +12,11 @@
 
 using Kind = HistoryEvent::Kind;
 using State = HistoryEvent::State;
-using How = HistoryEvent::How;
+using AttemptEnd = HistoryEvent::AttemptEnd;
 
-constexpr size_t kFirst = 5;  // violations of a rule that are told one by one
+constexpr size_t kMaxDetailed = 5;  // violations of a rule that are listed one by one
 
-struct Sending {
+struct Attempt {
   uint64_t command = 0;
   uint32_t engine = 0;
 };
@@ -26,11 +26,11 @@
   uint32_t gateway = 0;
   uint64_t key = 0;
   Ms until = 0;
-  int sends = 0, out = 0;
+  int attempts = 0, running = 0;
   bool answered = false, gone = false;
-  bool risked = false;  // a send of it may have run
-  Ms risked_at = 0;     // when that went out first
-  uint32_t risked_on = 0;
+  bool may_have_run = false;  // an attempt may have run
+  Ms first_attempt_at = 0;    // start of the first attempt that may have run
+  uint32_t first_engine = 0;  // the engine of that attempt
 };
 
 class HistoryChecker {
@@ -39,7 +39,7 @@
 
   void handle(const HistoryEvent& h) {
     switch (h.kind) {
-      case Kind::kTold:
+      case Kind::kListed:
         last_listed_[{h.gateway, h.engine}] = {h.state, h.at};
         break;
       case Kind::kStarted:
@@ -48,25 +48,26 @@
         report_violation(Rule::kCold, h, "fell over while cold");
         break;
       case Kind::kTaken:
-        take(h);
+        admit_command(h);
         break;
       case Kind::kSent:
-        send(h);
+        start_attempt(h);
         break;
       case Kind::kSendOver:
-        over(h);
+        end_attempt(h);
         break;
       case Kind::kAnswered:
       case Kind::kRefused:
       case Kind::kFailed:
-        answer(h);
+        answer_command(h);
         break;
       case Kind::kGone:
         if (const auto at = commands_.find(h.command); at != commands_.end()) at->second.gone = true;
         break;
       case Kind::kGatewayDied:
         for (auto& [id, c] : commands_) c.gone |= c.gateway == h.gateway;
-        // What it had out may run on: whoever takes the command anew is another command to the rules.
+        // Attempts of the dead gateway may still run. A retry through another gateway counts as a new
+        // command.
         break;
     }
   }
@@ -84,21 +85,21 @@
   }
 
  private:
-  struct LastListed {
+  struct LastListed {  // the engine state that a gateway received last
     State state = State::kServing;
     Ms at = 0;
   };
   struct Budget {
-    std::deque<Ms> taken, further;
+    std::deque<Ms> admitted, retried;  // times within the window
   };
   struct Key {
-    std::deque<uint64_t> waiting;  // in the order taken, not ended
-    int out = 0;
-    Ms rests_until = 0;
+    std::deque<uint64_t> unanswered;  // commands in the order of their admission
+    int running = 0;                  // attempts
+    Ms blocked_until = 0;
   };
 
   void report_violation(Rule rule, const HistoryEvent& h, std::string what) {
-    if (++verdict_.counts[static_cast<size_t>(rule)] <= kFirst)
+    if (++verdict_.counts[static_cast<size_t>(rule)] <= kMaxDetailed)
       verdict_.first.push_back({rule, h.at, h.command, h.gateway, h.engine, std::move(what)});
   }
 
@@ -112,9 +113,9 @@
   const RunRules::Profile& profile_of(const Command& c) const {
     return rules_.profiles[static_cast<size_t>(c.profile)];
   }
-  bool ordered(const Command& c) const { return c.key != 0 && profile_of(c).in_order; }
+  bool is_ordered(const Command& c) const { return c.key != 0 && profile_of(c).in_order; }
 
-  void take(const HistoryEvent& h) {
+  void admit_command(const HistoryEvent& h) {
     if (h.profile < 0 || static_cast<size_t>(h.profile) >= rules_.profiles.size())
       return report_violation(Rule::kHistory, h, "of no profile");
     const auto [at, added] = commands_.try_emplace(h.command);
@@ -125,48 +126,49 @@
     c.key = h.key;
     c.until = h.until;
     ++verdict_.commands;
-    budgets_[h.gateway].taken.push_back(h.at);
-    if (ordered(c)) keys_[{h.gateway, h.key}].waiting.push_back(h.command);
+    budgets_[h.gateway].admitted.push_back(h.at);
+    if (is_ordered(c)) keys_[{h.gateway, h.key}].unanswered.push_back(h.command);
   }
 
-  void send(const HistoryEvent& h) {
+  void start_attempt(const HistoryEvent& h) {
     Command* const c = find(h);
     if (!c) return;
     ++verdict_.sends;
     if (h.engine >= rules_.engines.size()) return report_violation(Rule::kHistory, h, "to no engine");
-    if (!sendings_.emplace(h.send, Sending{h.command, h.engine}).second)
+    if (!attempts_.emplace(h.send, Attempt{h.command, h.engine}).second)
       return report_violation(Rule::kHistory, h, "the same send twice");
     const RunRules::Profile& p = profile_of(*c);
     if (c->answered) report_violation(Rule::kOneAnswer, h, "sent after its final answer");
-    check_again(h, *c, p);
-    check_place(h, p);
+    check_retry(h, *c, p);
+    check_placement(h, p);
     check_drain(h);
-    if (ordered(*c)) check_order(h);
-    if (c->sends > 0) check_budget(h);
-    c->sends += 1;
-    c->out += 1;
-    if (!c->risked) {  // until it is proved that it did not
-      c->risked_at = h.at;
-      c->risked_on = h.engine;
+    if (is_ordered(*c)) check_order(h);
+    if (c->attempts > 0) check_budget(h);
+    c->attempts += 1;
+    c->running += 1;
+    if (!c->may_have_run) {  // no attempt that has ended may have run
+      c->first_attempt_at = h.at;
+      c->first_engine = h.engine;
     }
   }
 
-  void check_again(const HistoryEvent& h, const Command& c, const RunRules::Profile& p) {
-    const bool may_run = c.risked || c.out > 0;
-    if (!may_run) return;
+  void check_retry(const HistoryEvent& h, const Command& c, const RunRules::Profile& p) {
+    const bool is_possible_rerun = c.may_have_run || c.running > 0;
+    if (!is_possible_rerun) return;
     if (p.effect == RunRules::Effect::kNonReplayable)
       report_violation(Rule::kNotTwice, h, "may run a second time");
     if (p.effect != RunRules::Effect::kUniqued) return;
-    if (h.at > c.risked_at + p.window)
-      report_violation(Rule::kWindow, h,
-                       fmt::format("again {:.0f} ms after the first, past its window", h.at - c.risked_at));
-    const RunRules::Engine &was = rules_.engines[c.risked_on], &is = rules_.engines[h.engine];
+    if (h.at > c.first_attempt_at + p.window)
+      report_violation(
+          Rule::kWindow, h,
+          fmt::format("again {:.0f} ms after the first, past its window", h.at - c.first_attempt_at));
+    const RunRules::Engine &was = rules_.engines[c.first_engine], &is = rules_.engines[h.engine];
     const bool same = p.group == RunRules::Group::kAll || was.zone == is.zone;
     if (!same || (p.group == RunRules::Group::kCell && was.cell != is.cell))
       report_violation(Rule::kWindow, h, "again outside its group");
   }
 
-  void check_place(const HistoryEvent& h, const RunRules::Profile& p) {
+  void check_placement(const HistoryEvent& h, const RunRules::Profile& p) {
     const RunRules::Engine& e = rules_.engines[h.engine];
     const auto in = [](const std::vector<std::string>& all, const std::string& one) {
       return all.empty() || std::find(all.begin(), all.end(), one) != all.end();
@@ -186,64 +188,66 @@
 
   void check_order(const HistoryEvent& h) {
     Key& key = keys_[{h.gateway, commands_.at(h.command).key}];
-    if (key.out > 0) report_violation(Rule::kOrder, h, "beside another of its key");
-    if (!key.waiting.empty() && key.waiting.front() != h.command)
+    if (key.running > 0) report_violation(Rule::kOrder, h, "beside another of its key");
+    if (!key.unanswered.empty() && key.unanswered.front() != h.command)
       report_violation(Rule::kOrder, h, "ahead of one of its key that came before");
-    if (h.at < key.rests_until) report_violation(Rule::kOrder, h, "while its key rests");
-    key.out += 1;
+    if (h.at < key.blocked_until) report_violation(Rule::kOrder, h, "while its key rests");
+    key.running += 1;
   }
 
   void check_budget(const HistoryEvent& h) {
     if (rules_.budget_window <= 0) return;
     Budget& b = budgets_[h.gateway];
-    b.further.push_back(h.at);
+    b.retried.push_back(h.at);
     const Ms from = h.at - rules_.budget_window;
-    for (auto* const all : {&b.taken, &b.further})
+    for (auto* const all : {&b.admitted, &b.retried})
       while (!all->empty() && all->front() < from) all->pop_front();
-    const double most = rules_.budget_free + rules_.budget_share * static_cast<double>(b.taken.size());
-    if (static_cast<double>(b.further.size()) > most)
+    const double max_retries =
+        rules_.budget_free + rules_.budget_share * static_cast<double>(b.admitted.size());
+    if (static_cast<double>(b.retried.size()) > max_retries)
       report_violation(Rule::kBudget, h,
-                       fmt::format("{} further sends, {:.1f} allowed", b.further.size(), most));
+                       fmt::format("{} further sends, {:.1f} allowed", b.retried.size(), max_retries));
   }
 
-  void over(const HistoryEvent& h) {
-    const auto sending = sendings_.find(h.send);
-    if (sending == sendings_.end()) return report_violation(Rule::kHistory, h, "the end of no send");
-    const auto at = commands_.find(sending->second.command);
-    const uint32_t engine = sending->second.engine;
-    sendings_.erase(sending);
+  void end_attempt(const HistoryEvent& h) {
+    const auto attempt = attempts_.find(h.send);
+    if (attempt == attempts_.end()) return report_violation(Rule::kHistory, h, "the end of no send");
+    const auto at = commands_.find(attempt->second.command);
+    const uint32_t engine = attempt->second.engine;
+    attempts_.erase(attempt);
     if (at == commands_.end()) return;
     Command& c = at->second;
-    c.out -= 1;
-    if (h.how != How::kNeverRan && !c.risked) {
-      c.risked = true;
-      c.risked_on = engine;
+    c.running -= 1;
+    if (h.how != AttemptEnd::kNeverRan && !c.may_have_run) {
+      c.may_have_run = true;
+      c.first_engine = engine;
     }
-    if (!ordered(c)) return;
+    if (!is_ordered(c)) return;
     Key& key = keys_[{c.gateway, c.key}];
-    key.out -= 1;
-    if (h.how == How::kMayHaveRun) key.rests_until = std::max(key.rests_until, h.at + rules_.key_rest);
+    key.running -= 1;
+    if (h.how == AttemptEnd::kMayHaveRun)
+      key.blocked_until = std::max(key.blocked_until, h.at + rules_.key_rest);
   }
 
-  void answer(const HistoryEvent& h) {
+  void answer_command(const HistoryEvent& h) {
     Command* const c = find(h);
     if (!c) return;
     if (c->answered) return report_violation(Rule::kOneAnswer, h, "a second final answer");
     if (h.at > c->until + rules_.answer_grace && !c->gone)
       report_violation(Rule::kOneAnswer, h, fmt::format("{:.0f} ms late", h.at - c->until));
     c->answered = true;
-    // Trying again is harmless only if nothing of it may run.
-    if (h.kind == Kind::kRefused && (c->risked || c->out > 0) &&
+    // A retry is safe only if no attempt has run or may still run.
+    if (h.kind == Kind::kRefused && (c->may_have_run || c->running > 0) &&
         profile_of(*c).effect == RunRules::Effect::kNonReplayable)
       report_violation(Rule::kNotTwice, h, "refused as harmless, and it may have run");
-    if (ordered(*c)) std::erase(keys_[{c->gateway, c->key}].waiting, h.command);
+    if (is_ordered(*c)) std::erase(keys_[{c->gateway, c->key}].unanswered, h.command);
   }
 
   const RunRules& rules_;
   const Ms end_;
   Verdict verdict_;
   std::unordered_map<uint64_t, Command> commands_;
-  std::unordered_map<uint64_t, Sending> sendings_;
+  std::unordered_map<uint64_t, Attempt> attempts_;
   std::map<std::pair<uint32_t, uint32_t>, LastListed> last_listed_;  // by gateway and engine
   std::map<std::pair<uint32_t, uint64_t>, Key> keys_;                // by gateway and key
   std::map<uint32_t, Budget> budgets_;
--- a/src/simulation/history_checker.h
+++ b/src/simulation/history_checker.h
@@ -1,5 +1,5 @@
-// Checks a run against its rules, from its history alone. Written apart from the module and from the core: it
-// shares no line with them. One pass, memory by commands and engines in hand.
+// Checks the history of a run against its rules. It shares no code with the core or the policy module, so
+// that it cannot share their faults. It makes one pass over the history.
 #pragma once
 
 #include <array>
@@ -11,15 +11,15 @@
 namespace firvalve::simulation {
 
 enum class Rule {
-  kOneAnswer,  // exactly one final answer a command, in time
-  kNotTwice,   // non-replayable commands never run twice
-  kWindow,     // uniqued ones run again only inside their window and group
-  kDrain,      // no send to an engine that drains or is gone, past the grace
-  kCold,       // no cold engine is pushed over
-  kOrder,      // commands of a key in order, one at a time
-  kPlacement,  // only where a profile may run
-  kBudget,     // further sends within the budget
-  kHistory,    // the record itself makes no sense: a send of no command, an end of no send
+  kOneAnswer,  // exactly one final answer for each command, before its deadline
+  kNotTwice,   // a non-replayable command never runs twice
+  kWindow,     // a deduplicated command is retried only within its window and group
+  kDrain,      // no attempt at a draining or removed engine after the grace period
+  kCold,       // no cold engine is overloaded until it fails
+  kOrder,      // commands of an ordering key run in order, one at a time
+  kPlacement,  // a command runs only in the zones and on the machines of its profile
+  kBudget,     // retries stay within the retry budget
+  kHistory,    // the history is inconsistent: an attempt without a command, an end without an attempt
 };
 constexpr size_t kRules = 9;
 std::string_view name_of(Rule rule);
@@ -37,10 +37,10 @@
   std::vector<Violation> first;  // the first few of each rule
   uint64_t commands = 0, sends = 0;
   bool good() const;
-  std::string text() const;  // a line for each rule that is broken, or one that says that none is
+  std::string text() const;  // one line for each violated rule, or one line that says that there is none
 };
 
-// `end`: until when the run was watched; what its clients still wait for then is owed nothing.
+// `end` is when the history ends. A command whose deadline is later may still be unanswered.
 Verdict check_history(const RunRules& rules, const History& history, Ms end);
 
 }  // namespace firvalve::simulation
--- a/src/simulation/search.cpp
+++ b/src/simulation/search.cpp
@@ -8,31 +8,32 @@
 
 std::string Search::handle(const StepOutcome& o) {
   std::string why;
-  ++played_;
-  // Guards against blaming the service for a tool that could not ask in time: nothing is learned of the
-  // service then, and no higher rate can be asked.
-  if (o.lag_p99 > options_.lag_most || o.cpu > options_.cpu_most) {
-    tool_ = done_ = true;
-    return o.lag_p99 > options_.lag_most
+  ++steps_;
+  // A load generator that cannot send in time says nothing about the service and cannot reach a higher rate:
+  // the search ends without a verdict on the service.
+  if (o.lag_p99 > options_.max_lag || o.cpu > options_.max_cpu) {
+    generator_was_limit_ = done_ = true;
+    return o.lag_p99 > options_.max_lag
                ? fmt::format("the tool was the limit: it sent {:.1f} ms late", o.lag_p99)
                : fmt::format("the tool was the limit: it used {:.1f} cores", o.cpu);
   }
-  if (o.answered < options_.answered_least)
+  if (o.answered < options_.min_answered)
     why = fmt::format("{:.1f} in 100 answered", 100 * o.answered);
-  else if (o.p99 > options_.p99_most)
+  else if (o.p99 > options_.max_p99)
     why = fmt::format("99 in 100 within {:.0f} ms", o.p99);
   if (why.empty()) {
-    held_ = std::max(held_, o.rate);
+    max_passed_ = std::max(max_passed_, o.rate);
   } else {
-    broke_ = broke_ > 0 ? std::min(broke_, o.rate) : o.rate;
+    min_failed_ = min_failed_ > 0 ? std::min(min_failed_, o.rate) : o.rate;
   }
-  if (broke_ == 0) {
-    rate_ = held_ * options_.factor;
+  if (min_failed_ == 0) {
+    rate_ = max_passed_ * options_.factor;
   } else {
-    rate_ = held_ > 0 ? std::sqrt(held_ * broke_) : broke_ / options_.factor;
+    rate_ = max_passed_ > 0 ? std::sqrt(max_passed_ * min_failed_) : min_failed_ / options_.factor;
   }
-  done_ =
-      played_ >= options_.steps || (held_ > 0 && broke_ > 0 && broke_ <= held_ * options_.close) || rate_ < 1;
+  done_ = steps_ >= options_.max_steps ||
+          (max_passed_ > 0 && min_failed_ > 0 && min_failed_ <= max_passed_ * options_.max_ratio) ||
+          rate_ < 1;
   return why;
 }
 
--- a/src/simulation/search.h
+++ b/src/simulation/search.h
@@ -1,5 +1,6 @@
-// Looks for the rate at which service breaks: up by steps while it holds, then between the last that held and
-// the first that did not. No I/O, no clock: the outcome of each step comes in, the next rate goes out.
+// Searches for the highest request rate that a service sustains: raises the rate by a factor while its
+// objectives are met, then tries the geometric mean of the highest rate that passed and the lowest that
+// failed. No I/O and no clock: the caller runs each step and passes its outcome.
 #pragma once
 
 #include <string>
@@ -9,39 +10,40 @@
 namespace firvalve::simulation {
 
 struct StepOutcome {
-  double rate = 0;      // asked for, a second
-  double answered = 0;  // share of what was asked
-  Ms p99 = 0;           // of the answered, from the intended start
-  Ms lag_p99 = 0;       // by which the tool itself sent late
-  double cpu = 0;       // cores that the tool used
+  double rate = 0;      // requests a second that were intended
+  double answered = 0;  // share of the requests
+  Ms p99 = 0;           // latency of the answered ones, from the intended start
+  Ms lag_p99 = 0;       // delay of the load generator itself after the intended start
+  double cpu = 0;       // cores that the load generator used
 };
 
 struct SearchOptions {
-  double first = 100, factor = 1.5;  // rates: where it begins, and times which it goes up
-  int steps = 12;                    // at most, up and between together
-  double close = 1.1;                // between what held and what broke: near enough
-  double answered_least = 0.99;
-  Ms p99_most = 1000;
-  Ms lag_most = 5;      // past it the tool was the limit
-  double cpu_most = 1;  // cores that the tool may use before it is taken to be the limit
+  double first = 100, factor = 1.5;  // initial rate, and the factor between steps
+  int max_steps = 12;                // in total
+  double max_ratio = 1.1;            // of the lowest failed to the highest passed rate, to stop
+  double min_answered = 0.99;
+  Ms max_p99 = 1000;
+  Ms max_lag = 5;      // above it the load generator was the limit
+  double max_cpu = 1;  // cores; above it the load generator was the limit
 };
 
 class Search {
  public:
   explicit Search(const SearchOptions& options) : options_(options), rate_(options.first) {}
   bool done() const { return done_; }
-  double rate() const { return rate_; }  // the next to try
-  // What the step that was just played says; empty: service held.
+  double rate() const { return rate_; }  // of the next step
+  // Takes the outcome of a step. Returns the reason why it failed; empty if it passed.
   std::string handle(const StepOutcome& outcome);
-  double held() const { return held_; }    // the highest rate that held; 0: none did
-  double broke() const { return broke_; }  // the lowest that did not; 0: none was met
-  bool tool_was_limit() const { return tool_; }
+  // The highest rate that passed and the lowest that failed; 0 if there is none.
+  double max_passed() const { return max_passed_; }
+  double min_failed() const { return min_failed_; }
+  bool generator_was_limit() const { return generator_was_limit_; }
 
  private:
   SearchOptions options_;
-  double rate_, held_ = 0, broke_ = 0;
-  int played_ = 0;
-  bool done_ = false, tool_ = false;
+  double rate_, max_passed_ = 0, min_failed_ = 0;
+  int steps_ = 0;
+  bool done_ = false, generator_was_limit_ = false;
 };
 
 }  // namespace firvalve::simulation
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -132,7 +132,7 @@
   std::string zone_of(uint32_t engine) const;
   NamedEngineInfo listing_of(uint32_t engine, uint32_t id) const;
   Settings settings(int gateway) const;
-  void put(Ms wait, Event e) { queue_.put(now_ + wait, e); }
+  void put(Ms wait, Event e) { queue_.push(now_ + wait, e); }
   WorldSecond& second_at(Ms at);
   WorldSecond& this_second() { return second_at(now_); }
   void close_seconds();
@@ -278,7 +278,7 @@
       gateways_[g]->place[engines_[i].id] = i;
       all.push_back(listing_of(i, engines_[i].id));
       HistoryEvent h;
-      h.kind = HistoryEvent::Kind::kTold;
+      h.kind = HistoryEvent::Kind::kListed;
       h.gateway = g;
       h.engine = engines_[i].id - 1;
       note(h);
@@ -575,11 +575,11 @@
   h.gateway = a.gateway;
   h.command = a.command;
   h.send = attempt;
-  h.how = outcome == Outcome::kOk ? HistoryEvent::How::kDone
+  h.how = outcome == Outcome::kOk ? HistoryEvent::AttemptEnd::kDone
           : outcome == Outcome::kConnectFailed || outcome == Outcome::kQueueFull ||
                   outcome == Outcome::kCancelledBeforeStart
-              ? HistoryEvent::How::kNeverRan
-              : HistoryEvent::How::kMayHaveRun;
+              ? HistoryEvent::AttemptEnd::kNeverRan
+              : HistoryEvent::AttemptEnd::kMayHaveRun;
   note(h);
   Gateway& gateway = *gateways_[a.gateway];
   gateway.by_send.erase(a.of_gateway);
@@ -697,7 +697,7 @@
   e.kind = Event::Kind::kIdleClose;
   e.who = g;
   e.engine = engine;
-  queue_.put(idle.since.front() + most, e);
+  queue_.push(idle.since.front() + most, e);
 }
 
 // ---- The list and what goes wrong ---------------------------------------------------------------
@@ -711,7 +711,7 @@
   else
     gateway.ejected.erase(l.name);
   HistoryEvent h;
-  h.kind = HistoryEvent::Kind::kTold;
+  h.kind = HistoryEvent::Kind::kListed;
   h.gateway = g;
   h.engine = id - 1;
   h.state = listed ? HistoryEvent::State::kServing : HistoryEvent::State::kDeleted;
@@ -774,7 +774,7 @@
   Event e;
   e.kind = Event::Kind::kTurn;
   e.who = g;
-  queue_.put(at, e);
+  queue_.push(at, e);
 }
 
 void World::handle(const Event& e) {
@@ -851,7 +851,7 @@
     now_ = queue_.next_at();
     close_seconds();
     ++outcome_.events;
-    handle(queue_.take());
+    handle(queue_.pop());
   }
   now_ = end;
   close_seconds();
