--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -55,11 +55,12 @@
           return h && *h != first;
         }))
       break;
-    simulation::FleetHistory h;
-    for (size_t i = 0; i < c.size(); ++i) simulation::read_spans(std::to_string(i), c.log(i), h);
-    std::sort(h.held.begin(), h.held.end(), [](const auto& a, const auto& b) { return a.epoch < b.epoch; });
-    const auto& last = h.held.back();
-    out.push_back(last.from - (from_span ? h.held[h.held.size() - 2].until : began));
+    simulation::ClusterHistory h;
+    for (size_t i = 0; i < c.size(); ++i) simulation::add_lease_terms(std::to_string(i), c.log(i), h);
+    std::sort(h.lease_terms.begin(), h.lease_terms.end(),
+              [](const auto& a, const auto& b) { return a.epoch < b.epoch; });
+    const auto& last = h.lease_terms.back();
+    out.push_back(last.from - (from_span ? h.lease_terms[h.lease_terms.size() - 2].until : began));
     mend(first);
     if (!simulation::check_invariants(h).empty()) fmt::print("a rule was broken\n");
   }
@@ -96,14 +97,15 @@
   {
     std::vector<double> all;
     for (uint64_t seed = 1; all.size() < 200; ++seed) {
-      simulation::FleetOptions o;
+      simulation::ClusterWorldOptions o;
       o.seed = seed;
       o.gateways = 8;
-      o.duties = 30;
-      o.merges = o.readers = o.publishers = 0;
-      o.span = 9000;
+      o.leases = 30;
+      o.jobs = o.readers = o.publishers = 0;
+      o.duration = 9000;
       for (uint32_t k = 0; k < 2; ++k)
-        o.given.push_back({simulation::FleetFault::Kind::kKill, 4000.0 + 2500 * k, -1, 3 + k, 0, false});
+        o.given_faults.push_back(
+            {simulation::ClusterFault::Kind::kKill, 4000.0 + 2500 * k, -1, 3 + k, 0, false});
       for (const Ms gap : simulation::play(o).gaps) all.push_back(gap);
     }
     row("a duty without a holder", all, all.size());
@@ -111,19 +113,20 @@
   fmt::print("\nin virtual time, 10 s, 5 keepers, 20 duties, no faults\n{:>9} {:>12} {:>22} {:>16}\n",
              "gateways", "messages/s", "a gateway (no keeper)/s", "us of CPU each");
   for (const uint32_t gateways : {8u, 30u, 100u, 300u, 1024u}) {
-    simulation::FleetOptions o;
-    o.keepers = 5;
+    simulation::ClusterWorldOptions o;
+    o.replicas = 5;
     o.gateways = gateways;
-    o.duties = 20;
-    o.merges = o.readers = o.publishers = 0;
-    o.span = 10000;
+    o.leases = 20;
+    o.jobs = o.readers = o.publishers = 0;
+    o.duration = 10000;
     const auto begin = std::chrono::steady_clock::now();
-    const simulation::FleetOutcome out = simulation::play(o);
+    const simulation::ClusterWorldOutcome out = simulation::play(o);
     const double took =
         std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count();
-    fmt::print("{:>9} {:>12.0f} {:>22.2f} {:>16.1f}\n", gateways,
-               static_cast<double>(out.messages - out.acts - out.refused) / 10,
-               static_cast<double>(out.messages - out.acts - out.refused) / 10 / gateways,
-               took / 10 / gateways);
+    fmt::print(
+        "{:>9} {:>12.0f} {:>22.2f} {:>16.1f}\n", gateways,
+        static_cast<double>(out.messages - out.accepted_requests - out.rejected_requests) / 10,
+        static_cast<double>(out.messages - out.accepted_requests - out.rejected_requests) / 10 / gateways,
+        took / 10 / gateways);
   }
 }
--- a/src/loadtest/loss_fleet.cpp
+++ b/src/loadtest/loss_fleet.cpp
@@ -224,7 +224,7 @@
   const Ms killed_at = read_report_clock();
   for (const size_t member : members) {
     if (member < keepers()) proxies_[member]->set_listening(false);
-    for (simulation::HeldSpan& span : history_.held)
+    for (simulation::LeaseTerm& span : history_.lease_terms)
       if (span.holder == names_[member]) span.until = std::min(span.until, killed_at);
   }
 }
@@ -292,24 +292,24 @@
 void LossFleet::note(size_t member, const LeaseEvent& event) {
   using Kind = LeaseEvent::Kind;
   const bool acts = event.kind == Kind::kTaken || event.kind == Kind::kRenewed;
-  for (simulation::HeldSpan& span : history_.held) {
+  for (simulation::LeaseTerm& span : history_.lease_terms) {
     if (span.holder != names_[member] || span.lease != event.lease || span.epoch != event.epoch) continue;
     span.until = acts ? event.until : std::min(span.until, event.at);
     return;
   }
-  if (acts) history_.held.push_back({event.lease, names_[member], event.epoch, event.at, event.until});
+  if (acts) history_.lease_terms.push_back({event.lease, names_[member], event.epoch, event.at, event.until});
 }
 
 std::vector<size_t> LossFleet::holders_now() {
   collect_history();
   const Ms now = read_report_clock();
   std::vector<size_t> out;
-  for (const simulation::HeldSpan& span : history_.held)
+  for (const simulation::LeaseTerm& span : history_.lease_terms)
     if (span.from <= now && now < span.until) out.push_back(members_.at(span.holder));
   return out;
 }
 
-std::vector<simulation::FleetViolation> LossFleet::violations() {
+std::vector<simulation::InvariantViolation> LossFleet::violations() {
   collect_history();
   return simulation::check_invariants(history_);
 }
--- a/src/loadtest/loss_fleet.h
+++ b/src/loadtest/loss_fleet.h
@@ -70,7 +70,7 @@
   void collect_history();
   // Members that may act for some lease at this moment, by their own reports.
   std::vector<size_t> holders_now();
-  std::vector<simulation::FleetViolation> violations();
+  std::vector<simulation::InvariantViolation> violations();
   std::vector<pid_t> process_ids() const;
 
  private:
@@ -97,7 +97,7 @@
   std::vector<std::unique_ptr<RegionProxy>> proxies_;  // by keeper
   std::vector<Process> processes_;                     // of keepers, of first holders, of all others
   std::vector<size_t> process_of_;                     // by member
-  simulation::FleetHistory history_;
+  simulation::ClusterHistory history_;
 };
 
 // A rate of the keeper that has the most of it.
--- a/src/loadtest/loss_run.cpp
+++ b/src/loadtest/loss_run.cpp
@@ -136,7 +136,7 @@
                          name_of(loss), gateways, result.recovery, result.return_recovery));
     add_result(series, gateways, result);
   }
-  const std::vector<simulation::FleetViolation> violations = fleet.violations();
+  const std::vector<simulation::InvariantViolation> violations = fleet.violations();
   if (!violations.empty()) throw ScaleError(fmt::format("{}: {}", violations[0].rule, violations[0].text));
 }
 
--- a/src/simulation/fleet_world.h
+++ b/src/simulation/fleet_world.h
@@ -1,11 +1,10 @@
-// A fleet in virtual time: many gateways' real machines (fleet/node.h) before a model of the network between
-// them, of their clocks, disks, stalls and ends. One thread, no sockets, no clock; the same options give the
-// same history. Engines are a number of runs that begin and end.
+// Simulates a cluster in virtual time: the real state machines of many gateways (cluster/cluster_node.h) on
+// models of the network, clocks, disks, process stalls and crashes. One thread, no sockets, no clock; the
+// same options give the same history. Engines are modelled only as runs that start and finish.
 //
-// Modelled: messages lost, repeated, late, in another order; pairs of gateways cut off, one way or both;
-// processes that stand still and go on, that die and come back with or without what they had on disk; clocks
-// that run at different rates from different starts; disks that refuse to write. Not modelled: the price of
-// CPU, bandwidth.
+// Modelled: lost, duplicated, late and reordered messages; network partitions, in one or both directions;
+// processes that stall and resume, or crash and restart with or without their disk; clocks with different
+// rates and offsets; disks that fail to write. Not modelled: CPU cost and bandwidth.
 #pragma once
 
 #include <cstdint>
@@ -16,53 +15,57 @@
 
 namespace firvalve::simulation {
 
-struct FleetFault {
+struct ClusterFault {
   enum class Kind : uint8_t { kStall, kKill, kCut, kCutOneWay, kDisk };
   Kind kind = Kind::kStall;
-  Ms at = 0, lasts = 0;          // of kKill: until it is started again; 0: at once; below 0: never
-  uint32_t node = 0, other = 0;  // of cuts: between these; other == node: from everybody
-  bool forgets = false;          // kKill: what it had on disk is gone
+  Ms at = 0, duration = 0;       // kKill: time until the restart; 0: at once; negative: no restart
+  uint32_t node = 0, other = 0;  // kCut, kCutOneWay: between these; other == node: from all others
+  bool loses_disk = false;       // kKill: the restarted gateway has an empty disk
 };
 
-struct FleetOptions {
+struct ClusterWorldOptions {
   uint64_t seed = 1;
-  uint32_t keepers = 3, gateways = 8;  // the keepers are the first of the gateways
-  uint32_t duties = 4;                 // that every gateway is willing to hold
-  uint32_t merges = 2;                 // each asked of three gateways, at drawn moments
-  Ms span = 30000, lease = 1000;
-  Ms delay_least = 0.2, delay_most = 2;
-  double late = 0;  // part of messages that take up to two leases
-  double lost = 0, repeated = 0;
-  double drift = 0.009;   // between the fastest and the slowest clock
-  bool folders = true;    // keepers have disks
-  double faults = 0;      // a second of span, drawn; 0: those given alone
-  bool forgetful = true;  // among the drawn faults are kills of keepers with their disks, one at a time
-  std::vector<FleetFault> given;
-  uint32_t publishers = 2;  // gateways at which versions of one bulletin are proposed and declared against
-  uint32_t readers = 2;     // gateways that read and change one fact of the record again and again
+  uint32_t replicas = 3, gateways = 8;  // the first gateways are the replicas
+  uint32_t leases = 4;                  // every gateway campaigns for each of them
+  uint32_t jobs = 2;                    // run-once jobs, each submitted at three random gateways and times
+  Ms duration = 30000, lease_duration = 1000;
+  Ms min_delay = 0.2, max_delay = 2;  // of a message
+  double late_share = 0;              // of messages, with an extra delay of up to two lease durations
+  double lost_share = 0, duplicated_share = 0;
+  double clock_drift = 0.009;    // between the fastest and the slowest clock
+  bool have_disks = true;        // replicas have disks
+  double faults_per_second = 0;  // random faults, besides the given ones
+  bool may_lose_disks = true;    // random kills may lose a replica's disk, one replica at a time
+  std::vector<ClusterFault> given_faults;
+  uint32_t publishers = 2;  // gateways that propose versions of one topic and declare its readers
+  uint32_t readers = 2;     // gateways that keep reading and changing the registers
 };
 
-// What was sent to one gateway by others, of the record.
-struct FleetHeard {
+// Messages of the state machines that other gateways sent to one gateway.
+struct ReceivedTraffic {
   uint64_t messages = 0;
-  uint64_t facts = 0;  // that these messages carried
+  uint64_t facts = 0;  // entries in these messages
 };
 
-struct FleetOutcome {
-  std::vector<FleetHeard> heard;  // by gateway
-  FleetHistory history;
-  std::vector<FleetViolation> violations;
+struct ClusterWorldOutcome {
+  std::vector<ReceivedTraffic> received;  // by gateway
+  ClusterHistory history;
+  std::vector<InvariantViolation> violations;
   uint64_t hash = 0;  // of the whole history
-  uint64_t messages = 0, events = 0, taken = 0, acts = 0, refused = 0, refused_changes = 0;
-  std::vector<Ms> gaps;            // between the end of one holder's say and the next one's beginning
-  std::vector<FleetFault> faults;  // those given and drawn
-  uint32_t merges_ended = 0;       // of which at least one who asked was told rows
-  size_t unheld_at_end = 0;        // duties that nobody held when it ended
+  uint64_t messages = 0, events = 0;
+  uint64_t acquisitions = 0;                              // of leases
+  uint64_t accepted_requests = 0, rejected_requests = 0;  // fenced requests, at their receivers
+  uint64_t rejected_changes = 0;                          // of the topic
+  std::vector<Ms> gaps;              // from the end of one lease term to the start of the next holder's
+  std::vector<ClusterFault> faults;  // random and given ones
+  uint32_t finished_jobs = 0;        // jobs of which at least one submitter received the result
+  size_t unheld_leases = 0;          // at the end
 };
 
-FleetOutcome play(const FleetOptions& options);
+ClusterWorldOutcome play(const ClusterWorldOptions& options);
 
-// Leaves out faults, one after the other, for as long as the same rule is still broken: a short way to it.
-FleetOptions cut_down(const FleetOptions& options, const std::string& rule);
+// Minimises a failing run: leaves out faults one by one and shortens the run as long as the same rule is
+// still violated.
+ClusterWorldOptions minimise(const ClusterWorldOptions& options, const std::string& rule);
 
 }  // namespace firvalve::simulation
--- a/src/simulation/invariant_checker.cpp
+++ b/src/simulation/invariant_checker.cpp
@@ -1,3 +1,4 @@
+// Implements the invariant checks of clusters and the parsers of their input.
 #include "simulation/invariant_checker.h"
 
 #include <fmt/format.h>
@@ -13,50 +14,52 @@
 namespace {
 
 template <class T>
-std::map<std::string, std::vector<T>> by(const std::vector<T>& all, std::string T::*name) {
+std::map<std::string, std::vector<T>> group_by(const std::vector<T>& all, std::string T::*name) {
   std::map<std::string, std::vector<T>> out;
   for (const T& one : all) out[one.*name].push_back(one);
   return out;
 }
 
-void check_spans(const FleetHistory& history, std::vector<FleetViolation>& out) {
-  for (auto& [lease, spans] : by(history.held, &HeldSpan::lease)) {
-    std::stable_sort(spans.begin(), spans.end(),
-                     [](const HeldSpan& a, const HeldSpan& b) { return a.from < b.from; });
-    const HeldSpan* longest = nullptr;  // of those so far, the one that ends last
+void check_lease_terms(const ClusterHistory& history, std::vector<InvariantViolation>& out) {
+  for (auto& [lease, terms] : group_by(history.lease_terms, &LeaseTerm::lease)) {
+    std::stable_sort(terms.begin(), terms.end(),
+                     [](const LeaseTerm& a, const LeaseTerm& b) { return a.from < b.from; });
+    const LeaseTerm* last_ending = nullptr;  // the term so far that ends last
     uint64_t highest = 0;
-    for (const HeldSpan& s : spans) {
-      if (longest && s.from < longest->until && (s.epoch != longest->epoch || s.holder != longest->holder))
-        out.push_back({"one_holder", fmt::format("{}: {} under {} from {:.3f} while {} under {} until {:.3f}",
-                                                 lease, s.holder, s.epoch, s.from, longest->holder,
-                                                 longest->epoch, longest->until)});
-      if (s.epoch <= highest)
+    for (const LeaseTerm& term : terms) {
+      if (last_ending && term.from < last_ending->until &&
+          (term.epoch != last_ending->epoch || term.holder != last_ending->holder))
         out.push_back(
-            {"epochs_grow", fmt::format("{}: {} took {} after {}", lease, s.holder, s.epoch, highest)});
-      highest = std::max(highest, s.epoch);
-      if (!longest || s.until > longest->until) longest = &s;
+            {"one_holder", fmt::format("{}: {} under {} from {:.3f} while {} under {} until {:.3f}", lease,
+                                       term.holder, term.epoch, term.from, last_ending->holder,
+                                       last_ending->epoch, last_ending->until)});
+      if (term.epoch <= highest)
+        out.push_back(
+            {"epochs_grow", fmt::format("{}: {} took {} after {}", lease, term.holder, term.epoch, highest)});
+      highest = std::max(highest, term.epoch);
+      if (!last_ending || term.until > last_ending->until) last_ending = &term;
     }
   }
 }
 
-void check_acts(const FleetHistory& history, std::vector<FleetViolation>& out) {
+void check_fencing(const ClusterHistory& history, std::vector<InvariantViolation>& out) {
   std::map<std::pair<std::string, std::string>, uint64_t> highest;
-  for (const TakenAct& a : history.acts) {
-    uint64_t& h = highest[{a.lease, a.receiver}];
-    if (a.epoch < h)
-      out.push_back({"acts_in_order", fmt::format("{}: {} took an act of {} after one of {}", a.lease,
-                                                  a.receiver, a.epoch, h)});
-    h = std::max(h, a.epoch);
+  for (const AcceptedRequest& request : history.accepted_requests) {
+    uint64_t& highest_epoch = highest[{request.lease, request.receiver}];
+    if (request.epoch < highest_epoch)
+      out.push_back({"acts_in_order", fmt::format("{}: {} took an act of {} after one of {}", request.lease,
+                                                  request.receiver, request.epoch, highest_epoch)});
+    highest_epoch = std::max(highest_epoch, request.epoch);
   }
 }
 
 using Report = std::function<void(std::string text)>;
-using Operations = std::vector<RecordOp>;
+using Operations = std::vector<RegisterOperation>;
 
-// Each version was made once.
+// Checks that each version was made by one change; returns the change of each version.
 std::map<uint64_t, uint64_t> check_versions(const Operations& operations, const Report& report) {
   std::map<uint64_t, uint64_t> change_of_version;
-  for (const RecordOp& op : operations) {
+  for (const RegisterOperation& op : operations) {
     const auto [at, first] = change_of_version.emplace(op.version, op.id);
     if (!first && at->second != op.id)
       report(fmt::format("version {} is {:x} and {:x}", op.version, at->second, op.id));
@@ -64,46 +67,47 @@
   return change_of_version;
 }
 
-// Each version builds on the one before.
+// Checks that each change replaced the version that it expected.
 void check_predecessors(const Operations& operations, const std::map<uint64_t, uint64_t>& change_of_version,
                         const Report& report) {
-  for (const RecordOp& op : operations) {
-    if (op.kind != RecordOp::Kind::kChange) continue;
+  for (const RegisterOperation& op : operations) {
+    if (op.kind != RegisterOperation::Kind::kChange) continue;
     const auto before = change_of_version.find(op.version - 1);
-    if (before != change_of_version.end() && before->second != op.on)
-      report(fmt::format("version {} was to build on {:x} and stands on {:x}", op.version, op.on,
+    if (before != change_of_version.end() && before->second != op.expected_change)
+      report(fmt::format("version {} was to build on {:x} and stands on {:x}", op.version, op.expected_change,
                          before->second));
-    if (op.version == 1 && op.on != 0) report("the first version was to build on another");
+    if (op.version == 1 && op.expected_change != 0) report("the first version was to build on another");
   }
 }
 
-// In the order of their starts, against the highest version that had ended when each began.
+// Checks each operation, in the order of their starts, against the highest version whose operation had ended
+// before its start.
 void check_real_time_order(const Operations& operations, const Report& report) {
-  std::vector<const RecordOp*> by_end;
+  std::vector<const RegisterOperation*> by_end;
   by_end.reserve(operations.size());
-  for (const RecordOp& op : operations) by_end.push_back(&op);
-  std::vector<const RecordOp*> by_start = by_end;
+  for (const RegisterOperation& op : operations) by_end.push_back(&op);
+  std::vector<const RegisterOperation*> by_start = by_end;
   std::sort(by_end.begin(), by_end.end(),
-            [](const RecordOp* a, const RecordOp* b) { return a->ended < b->ended; });
+            [](const RegisterOperation* a, const RegisterOperation* b) { return a->ended < b->ended; });
   std::sort(by_start.begin(), by_start.end(),
-            [](const RecordOp* a, const RecordOp* b) { return a->asked < b->asked; });
+            [](const RegisterOperation* a, const RegisterOperation* b) { return a->started < b->started; });
   size_t next = 0;
-  uint64_t place = 0;
-  for (const RecordOp* const op : by_start) {
-    for (; next < by_end.size() && by_end[next]->ended < op->asked; ++next)
-      place = std::max(place, by_end[next]->version);
-    const bool is_change = op->kind == RecordOp::Kind::kChange;
-    if (op->version < place || (is_change && op->version == place && place > 0))
+  uint64_t min_version = 0;
+  for (const RegisterOperation* const op : by_start) {
+    for (; next < by_end.size() && by_end[next]->ended < op->started; ++next)
+      min_version = std::max(min_version, by_end[next]->version);
+    const bool is_change = op->kind == RegisterOperation::Kind::kChange;
+    if (op->version < min_version || (is_change && op->version == min_version && min_version > 0))
       report(fmt::format("{} asked at {:.3f} has place {} after {} had ended",
-                         is_change ? "a change" : "a reading", op->asked, op->version, place));
+                         is_change ? "a change" : "a reading", op->started, op->version, min_version));
   }
 }
 
-// On one register that is changed by compare-and-set each operation tells its place: the version that it made
-// or read. They can be put in one order exactly where each version was made once, on top of the one before,
-// and no operation that ended before another began has a later place.
-void check_ops(const FleetHistory& history, std::vector<FleetViolation>& out) {
-  for (auto& [key, operations] : by(history.ops, &RecordOp::key)) {
+// A register is changed by compare-and-set only, so the version that an operation made or read gives its
+// place in the order. The history is linearizable exactly if each version was made once, on top of the
+// version before it, and no operation that ended before another one started has a later place.
+void check_linearizability(const ClusterHistory& history, std::vector<InvariantViolation>& out) {
+  for (auto& [key, operations] : group_by(history.operations, &RegisterOperation::key)) {
     const Report report = [&, k = key](std::string text) {
       out.push_back({"linearizable", k + ": " + std::move(text)});
     };
@@ -114,27 +118,27 @@
 
 }  // namespace
 
-std::vector<FleetViolation> check_invariants(const FleetHistory& history) {
-  std::vector<FleetViolation> out;
-  check_spans(history, out);
-  check_acts(history, out);
-  for (const auto& [name, all] : by(history.begun, &Begun::name))
+std::vector<InvariantViolation> check_invariants(const ClusterHistory& history) {
+  std::vector<InvariantViolation> out;
+  check_lease_terms(history, out);
+  check_fencing(history, out);
+  for (const auto& [name, all] : group_by(history.job_starts, &JobStart::name))
     if (all.size() > 1)
       out.push_back(
           {"once", fmt::format("{} was begun {} times, the second at {:.3f}", name, all.size(), all[1].at)});
-  for (const AgreedTopic& b : history.bulletins)
-    for (const auto& [subscriber, reads] : b.declarations)
-      for (const auto& [version, fields] : b.published)
+  for (const TopicSnapshot& topic : history.topics)
+    for (const auto& [subscriber, reads] : topic.declarations)
+      for (const auto& [version, fields] : topic.published)
         for (const std::string& field : reads)
           if (!fields.count(field))
             out.push_back({"compatible", fmt::format("{} at {:.3f}: version {} has no {}, which {} reads",
-                                                     b.name, b.at, version, field, subscriber)});
-  check_ops(history, out);
+                                                     topic.name, topic.at, version, field, subscriber)});
+  check_linearizability(history, out);
   return out;
 }
 
-AgreedTopic read_agreed(const std::string& name, Ms at, const std::string& json) {
-  AgreedTopic out{name, at, {}, {}};
+TopicSnapshot parse_topic(const std::string& name, Ms at, const std::string& json) {
+  TopicSnapshot out{name, at, {}, {}};
   rapidjson::Document d;
   d.Parse(json.c_str());
   if (d.HasParseError() || !d.IsObject() || !d.HasMember("versions")) return out;
@@ -154,13 +158,13 @@
   return out;
 }
 
-void read_spans(const std::string& holder, const std::string& log, FleetHistory& into) {
-  std::map<std::string, HeldSpan> open;
+void add_lease_terms(const std::string& holder, const std::string& log, ClusterHistory& into) {
+  std::map<std::string, LeaseTerm> open;
   std::istringstream lines(log);
   const auto close = [&](const std::string& lease) {
     const auto at = open.find(lease);
     if (at == open.end()) return;
-    into.held.push_back(at->second);
+    into.lease_terms.push_back(at->second);
     open.erase(at);
   };
   for (std::string line; std::getline(lines, line);) {
--- a/src/simulation/invariant_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -1,15 +1,14 @@
-// Checks what many gateways did together, from their histories alone. It knows nothing of how the record,
-// the leases or the merges work and shares no line with them; times are those of one clock that all histories
-// were taken with.
+// Checks invariants of a cluster of gateways on the histories of all of them. It shares no code with the
+// consensus, lease or job packages, so that it cannot share their faults. All times are of one clock.
 //
-// Rules, by the names that a verdict gives:
-//  one_holder    never two that may act for one lease at one moment
-//  epochs_grow   each new holder of a lease has a greater epoch than all before
-//  acts_in_order whoever receives acts takes none of an older epoch than one it has taken
-//  once          a named load is begun at most once
-//  compatible    every version of a bulletin that is published has each field that a declaration of that
-//  moment reads linearizable  changes and readings of the record can be put in one order, a key, that agrees
-//  with time
+// Invariants, by the names in InvariantViolation::rule:
+//   one_holder     at most one gateway may act under a lease at any time
+//   epochs_grow    each new holder of a lease has a higher epoch than all holders before
+//   acts_in_order  a receiver accepts no fenced request of a lower epoch than one that it has accepted
+//   once           a run-once job is started at most once
+//   compatible     each published version of a topic has every field that a current declaration reads
+//   linearizable   for each key, the changes and reads of the replicated register have one order that agrees
+//                  with real time
 #pragma once
 
 #include <limits>
@@ -22,60 +21,65 @@
 
 namespace firvalve::simulation {
 
-struct HeldSpan {  // a gateway may act
+// A period in which a gateway may act under a lease.
+struct LeaseTerm {
   std::string lease, holder;
   uint64_t epoch = 0;
   Ms from = 0, until = 0;
 };
 
-struct TakenAct {  // at whoever receives it, in the order of time
+// A fenced request that its receiver accepted. ClusterHistory has them in the order of time.
+struct AcceptedRequest {
   std::string lease, receiver;
   uint64_t epoch = 0;
   Ms at = 0;
 };
 
-struct Begun {  // at the engine
+// The start of a run-once job at an engine.
+struct JobStart {
   std::string name;
   Ms at = 0;
 };
 
-struct RecordOp {
+// A completed change (compare-and-set) or read of a replicated register.
+struct RegisterOperation {
   enum class Kind : uint8_t { kChange, kRead };
   Kind kind = Kind::kRead;
   std::string key;
-  Ms asked = 0, ended = 0;
-  uint64_t version = 0;  // that it made or read
-  uint64_t id = 0;       // of the change that made that version; 0: none has been made
-  uint64_t on = 0;       // kChange: the change that it was to build on
+  Ms started = 0, ended = 0;
+  uint64_t version = 0;          // that it made or read
+  uint64_t id = 0;               // of the change that made that version; 0: no change has been made
+  uint64_t expected_change = 0;  // kChange: the id of the change that it expected to replace; 0: none
 };
 
-struct AgreedTopic {  // as it stood at some moment
+// The agreed state of a topic at some time.
+struct TopicSnapshot {
   std::string name;
   Ms at = 0;
   std::map<uint64_t, std::set<std::string>> published;        // fields of each version that may be published
   std::map<std::string, std::set<std::string>> declarations;  // fields that each subscriber reads
 };
 
-struct FleetHistory {
-  std::vector<HeldSpan> held;
-  std::vector<TakenAct> acts;
-  std::vector<Begun> begun;
-  std::vector<AgreedTopic> bulletins;
-  std::vector<RecordOp> ops;  // those that ended and told what stands
+struct ClusterHistory {
+  std::vector<LeaseTerm> lease_terms;
+  std::vector<AcceptedRequest> accepted_requests;
+  std::vector<JobStart> job_starts;
+  std::vector<TopicSnapshot> topics;
+  std::vector<RegisterOperation> operations;  // only those with a known version
 };
 
-struct FleetViolation {
+struct InvariantViolation {
   std::string rule, text;
 };
 
-std::vector<FleetViolation> check_invariants(const FleetHistory& history);
+std::vector<InvariantViolation> check_invariants(const ClusterHistory& history);
 
-// Reads the logs of processes, JSON a line: `lease.acquired`, `lease.renewed`, `lease.released` and
-// `lease.lost` with `lease`, `epoch`, `at_ms` and, of the first two, `until_ms`, into spans. Lines of other
-// events are passed over.
-void read_spans(const std::string& holder, const std::string& log, FleetHistory& into);
+// Adds the lease terms that a gateway's log shows. The log has one JSON object a line: `lease.acquired`,
+// `lease.renewed`, `lease.released` and `lease.lost` with `lease`, `epoch`, `at_ms` and, for the first two,
+// `until_ms`. Lines of other events are ignored.
+void add_lease_terms(const std::string& holder, const std::string& log, ClusterHistory& into);
 
-// Reads a bulletin as gateways tell it: JSON with `versions` and `declarations`.
-AgreedTopic read_agreed(const std::string& name, Ms at, const std::string& json);
+// Parses the state of a topic as gateways report it: JSON with `versions` and `declarations`.
+TopicSnapshot parse_topic(const std::string& name, Ms at, const std::string& json);
 
 }  // namespace firvalve::simulation
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -34,12 +34,12 @@
   }
   void TearDown() override {
     if (!crowd_) return;
-    simulation::FleetHistory history;
+    simulation::ClusterHistory history;
     for (size_t i = 0; i < crowd_->size(); ++i)
-      simulation::read_spans(fmt::format("g{}", i), crowd_->log(i), history);
-    for (const simulation::FleetViolation& b : simulation::check_invariants(history))
+      simulation::add_lease_terms(fmt::format("g{}", i), crowd_->log(i), history);
+    for (const simulation::InvariantViolation& b : simulation::check_invariants(history))
       ADD_FAILURE() << b.rule << ": " << b.text;
-    EXPECT_GT(history.held.size(), 0u);
+    EXPECT_GT(history.lease_terms.size(), 0u);
     for (const auto& [statement, most] : once_)
       EXPECT_LE(crowd_->engines().runs(statement), most) << statement;
     if (HasFailure())
@@ -109,11 +109,13 @@
   const size_t first = held_by();
   EXPECT_EQ(c.end(first), 0);
   EXPECT_TRUE(handed_on(first));
-  simulation::FleetHistory h;
-  for (size_t i = 0; i < c.size(); ++i) simulation::read_spans("g", c.log(i), h);
-  std::sort(h.held.begin(), h.held.end(), [](const auto& a, const auto& b) { return a.epoch < b.epoch; });
-  ASSERT_GE(h.held.size(), 2u);
-  EXPECT_LT(h.held[1].from - h.held[0].until, 1000);  // far from the lease, however loaded the machine
+  simulation::ClusterHistory h;
+  for (size_t i = 0; i < c.size(); ++i) simulation::add_lease_terms("g", c.log(i), h);
+  std::sort(h.lease_terms.begin(), h.lease_terms.end(),
+            [](const auto& a, const auto& b) { return a.epoch < b.epoch; });
+  ASSERT_GE(h.lease_terms.size(), 2u);
+  EXPECT_LT(h.lease_terms[1].from - h.lease_terms[0].until,
+            1000);  // far from the lease, however loaded the machine
 }
 
 TEST_F(Processes, HolderCutOffFromTheReplicasAlone) {
@@ -434,9 +436,9 @@
   std::string stands(size_t gateway) {
     const client::Result r = at(gateway).ask_about_topic("bulletin", "cabins", "{}", 8000).wait();
     EXPECT_EQ(r.outcome, client::Outcome::kAnswered) << r.why;
-    simulation::FleetHistory h;
-    h.bulletins.push_back(simulation::read_agreed("cabins", 0, r.rows));
-    for (const simulation::FleetViolation& b : simulation::check_invariants(h))
+    simulation::ClusterHistory h;
+    h.topics.push_back(simulation::parse_topic("cabins", 0, r.rows));
+    for (const simulation::InvariantViolation& b : simulation::check_invariants(h))
       ADD_FAILURE() << b.rule << ": " << b.text;
     return r.rows;
   }
--- a/tests/loadtest/scale_control_test.cpp
+++ b/tests/loadtest/scale_control_test.cpp
@@ -23,19 +23,19 @@
 constexpr Ms kSettleMost = 60000;
 
 // What comes to a gateway that holds no lease in ten seconds of virtual time, once the fleet has settled.
-simulation::FleetHeard heard_at_rest(uint32_t gateways) {
-  simulation::FleetOptions options;
+simulation::ReceivedTraffic heard_at_rest(uint32_t gateways) {
+  simulation::ClusterWorldOptions options;
   options.gateways = gateways;
-  options.keepers = 5;
-  options.duties = 8;
-  options.merges = options.publishers = options.readers = 0;
-  options.lease = 3000;
-  options.span = 10000;
-  const std::vector<simulation::FleetHeard> before = simulation::play(options).heard;
-  options.span = 20000;
-  const std::vector<simulation::FleetHeard> after = simulation::play(options).heard;
+  options.replicas = 5;
+  options.leases = 8;
+  options.jobs = options.publishers = options.readers = 0;
+  options.lease_duration = 3000;
+  options.duration = 10000;
+  const std::vector<simulation::ReceivedTraffic> before = simulation::play(options).received;
+  options.duration = 20000;
+  const std::vector<simulation::ReceivedTraffic> after = simulation::play(options).received;
   std::vector<uint64_t> messages, facts;
-  for (size_t i = options.keepers; i < after.size(); ++i) {
+  for (size_t i = options.replicas; i < after.size(); ++i) {
     messages.push_back(after[i].messages - before[i].messages);
     facts.push_back(after[i].facts - before[i].facts);
   }
@@ -47,11 +47,11 @@
 }
 
 TEST(ScaleControl, AGatewaysTrafficAtRestDoesNotGrowWithTheFleet) {
-  const simulation::FleetHeard small = heard_at_rest(32);
+  const simulation::ReceivedTraffic small = heard_at_rest(32);
   ASSERT_GT(small.messages, 0u);
   ASSERT_GT(small.facts, 0u);
   for (const uint32_t gateways : {64u, 128u}) {
-    const simulation::FleetHeard heard = heard_at_rest(gateways);
+    const simulation::ReceivedTraffic heard = heard_at_rest(gateways);
     const auto ratio = [](uint64_t a, uint64_t b) { return static_cast<double>(a) / static_cast<double>(b); };
     EXPECT_NEAR(ratio(heard.messages, small.messages), 1, 0.1) << gateways;
     EXPECT_NEAR(ratio(heard.facts, small.facts), 1, 0.1) << gateways;
--- a/tests/loadtest/scale_loss_test.cpp
+++ b/tests/loadtest/scale_loss_test.cpp
@@ -21,7 +21,7 @@
   void expect_whole() {
     EXPECT_TRUE(fleet_->is_served(fleet_->gateways_up(), fleet_->holders_up(), 0));
     EXPECT_EQ(fleet_->gateways_up().size(), 12u);
-    for (const simulation::FleetViolation& violation : fleet_->violations())
+    for (const simulation::InvariantViolation& violation : fleet_->violations())
       ADD_FAILURE() << violation.rule << ": " << violation.text;
   }
   LossResult lose(LossKind kind) { return try_loss(*fleet_, kind, kTimes, kQuiet); }
