--- a/src/simulation/run.cpp
+++ b/src/simulation/run.cpp
@@ -1,3 +1,4 @@
+// Implements `firvalve-loadtest run`.
 #include "simulation/run.h"
 
 #include <fmt/format.h>
@@ -21,7 +22,7 @@
   return 0;
 }
 
-// A table with a line a second: what the clients got, what went on, how things stood at its end.
+// Prints a table with one line for each second: results of the clients, events, and the state at its end.
 void print_timeline(const std::vector<WorldSecond>& timeline) {
   const auto count = [](uint64_t value) { return static_cast<unsigned long long>(value); };
   std::printf("%4s %6s %7s %7s %7s | %8s %8s %7s %7s %7s | %7s %7s %7s | %7s %7s %7s %7s %7s %7s\n", "s",
@@ -29,23 +30,23 @@
               "connect", "refused", "timeout", "in hand", "running", "queued", "conns", "ejected", "thr/cor");
   for (size_t i = 0; i < timeline.size(); ++i) {
     const WorldSecond& t = timeline[i];
-    const double asked = std::max(1.0, static_cast<double>(t.asked));
+    const double asked = std::max(1.0, static_cast<double>(t.submitted));
     std::printf(
         "%4zu %6llu %7.1f %7.1f %7llu | %8llu %8llu %7llu %7llu %7llu | %7llu %7llu %7llu | %7llu %7llu "
         "%7llu "
         "%7llu %7llu %7.2f\n",
-        i, count(t.asked), 100 * static_cast<double>(t.served) / asked,
-        100 * static_cast<double>(t.in_target) / asked, count(t.asked_again), count(t.attempts),
+        i, count(t.submitted), 100 * static_cast<double>(t.served) / asked,
+        100 * static_cast<double>(t.in_target) / asked, count(t.client_retried), count(t.attempts),
         count(t.answered), count(t.full), count(t.timed_out), count(t.cancelled), count(t.connects),
-        count(t.connects_refused), count(t.connects_timed_out), count(t.in_hand), count(t.running),
+        count(t.connects_refused), count(t.connects_timed_out), count(t.unanswered), count(t.running),
         count(t.queued), count(t.connections), count(t.ejected), t.threads_per_core);
   }
 }
 
 void print_recovery(const WorldOptions& options, const WorldOutcome& outcome) {
-  for (const Trouble& t : options.troubles) {
+  for (const WorldFault& t : options.faults) {
     const auto begins = static_cast<size_t>(t.at / 1000);
-    const auto ends = static_cast<size_t>(std::ceil((t.at + t.lasts) / 1000));
+    const auto ends = static_cast<size_t>(std::ceil((t.at + t.duration) / 1000));
     if (const auto seconds = seconds_to_recover(outcome, begins, ends))
       std::printf("recovered %zu s after second %zu\n", *seconds, ends);
     else
@@ -63,14 +64,14 @@
   for (size_t i = 0; i < o.profiles.size(); ++i) {
     const ProfileOutcome& p = o.profiles[i];
     std::printf("%-8s %9llu %9llu %7llu %7llu %7llu %9.1f %9.1f\n", o.names[i].c_str(),
-                static_cast<unsigned long long>(p.asked), static_cast<unsigned long long>(p.in_target),
+                static_cast<unsigned long long>(p.submitted), static_cast<unsigned long long>(p.in_target),
                 static_cast<unsigned long long>(p.late), static_cast<unsigned long long>(p.shed),
                 static_cast<unsigned long long>(p.failed), p.latency.quantile(0.5), p.latency.quantile(0.99));
   }
   std::printf(
       "%llu commands, %llu attempts, %llu events; %.1f s of %.1f s, %.1f us a command; %.0f MB at most\n",
       static_cast<unsigned long long>(o.commands), static_cast<unsigned long long>(o.attempts),
-      static_cast<unsigned long long>(o.events), took, options.length / 1000,
+      static_cast<unsigned long long>(o.events), took, options.duration / 1000,
       o.commands ? 1e6 * took / static_cast<double>(o.commands) : 0, peak_mb());
   std::printf("of what was shed or failed, %.0f in 100 while half of the cores or more stood idle\n",
               100 * o.idle_shed);
@@ -82,39 +83,39 @@
   return o.verdict.good() ? 0 : 1;
 }
 
-// What the line sets stays.
-void use_crowded_fleet(const CLI::App& line, WorldOptions& options) {
-  WorldOptions crowded = crowded_fleet(options.gateways);
+// Replaces the options with those of crowded_cluster(), except for values set on the command line.
+void use_crowded_cluster(const CLI::App& line, WorldOptions& options) {
+  WorldOptions crowded = crowded_cluster(options.gateways);
   crowded.seed = options.seed;
   if (line.count("--rate") > 0) crowded.rate = options.rate;
   if (line.count("--engines") > 0) crowded.engines = options.engines;
   options = crowded;
 }
 
-// One suspect less, the rest as it is.
-void take_away(const std::string& model, WorldOptions& options) {
-  if (model == "retries") options.client_retries.most = 0;
+// Disables one model, to see whether it causes an effect.
+void disable_model(const std::string& model, WorldOptions& options) {
+  if (model == "retries") options.client_retries.max_retries = 0;
   if (model == "connections") options.engine.connections.modelled = false;
   if (model == "slots") options.engine.slots = 0;
   if (model == "contention") options.engine.contention_loss = 0;
   if (model == "cancel") options.may_cancel = false;
-  if (model == "notes") options.note_period = 0;
-  if (model == "unasked") options.unasked_most = 0;
+  if (model == "notes") options.progress_period = 0;
+  if (model == "unasked") options.max_abandoned_run = 0;
   if (model == "cancel-at-timeout") options.cancels_at_timeout = false;
-  if (model == "attempts") options.attempts_most = 1;
+  if (model == "attempts") options.max_attempts = 1;
 }
 
 }  // namespace
 
 void add_run(CLI::App& app, int& exit_code) {
-  struct Line {
+  struct CommandLine {
     WorldOptions options;
     double seconds = 60;
     std::vector<double> silent, dies, burst;
     std::vector<std::string> without;
     bool no_history = false, crowded = false, timeline = false;
   };
-  auto o = std::make_shared<Line>();
+  auto o = std::make_shared<CommandLine>();
   CLI::App* const run_app =
       app.add_subcommand("run", "Plays a world in virtual time through real cores and modules");
   run_app->add_option("--engines", o->options.engines)->check(CLI::Range(1, 100000))->capture_default_str();
@@ -149,9 +150,9 @@
                     "no verdict on the rules: a long run at large size has no room for it");
   run_app->footer("Exit: 0 no rule broken, 1 one was, 2 usage.");
   run_app->callback([o, run_app, &exit_code] {
-    if (o->crowded) use_crowded_fleet(*run_app, o->options);
-    for (const std::string& model : o->without) take_away(model, o->options);
-    const auto add = [&](const std::vector<double>& words, Trouble::Kind kind) {
+    if (o->crowded) use_crowded_cluster(*run_app, o->options);
+    for (const std::string& model : o->without) disable_model(model, o->options);
+    const auto add = [&](const std::vector<double>& words, WorldFault::Kind kind) {
       if (words.empty()) return true;
       const double engines = words.size() > 3 ? words[3] : 1;
       if (words[0] < 0 || words[1] < 0 || words[2] < 0 || engines < 1 ||
@@ -161,15 +162,15 @@
         exit_code = 2;
         return false;
       }
-      o->options.troubles.push_back({kind, words[0] * 1000, words[1] * 1000, static_cast<uint32_t>(words[2]),
-                                     static_cast<uint32_t>(engines)});
+      o->options.faults.push_back({kind, words[0] * 1000, words[1] * 1000, static_cast<uint32_t>(words[2]),
+                                   static_cast<uint32_t>(engines)});
       return true;
     };
-    if (!add(o->silent, Trouble::Kind::kSilent) || !add(o->dies, Trouble::Kind::kDies)) return;
+    if (!add(o->silent, WorldFault::Kind::kSilent) || !add(o->dies, WorldFault::Kind::kCrash)) return;
     if (!o->burst.empty())
-      o->options.troubles.push_back(
-          {Trouble::Kind::kBurst, o->burst[0] * 1000, o->burst[1] * 1000, 0, 0, o->burst[2]});
-    o->options.length = o->seconds * 1000;
+      o->options.faults.push_back(
+          {WorldFault::Kind::kBurst, o->burst[0] * 1000, o->burst[1] * 1000, 0, 0, o->burst[2]});
+    o->options.duration = o->seconds * 1000;
     o->options.keep_history = !o->no_history;
     exit_code = run(o->options, o->timeline);
   });
--- a/src/simulation/run.h
+++ b/src/simulation/run.h
@@ -1,4 +1,4 @@
-// `firvalve-loadtest run`: a world in virtual time, told on the line.
+// `firvalve-loadtest run`: simulates the world that the command line describes.
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/tests/simulation/engine_model_test.cpp
+++ b/tests/simulation/engine_model_test.cpp
@@ -1,3 +1,4 @@
+// Tests the engine model: slots, queue, contention, connections.
 #include "simulation/engine_model.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +16,7 @@
   return options;
 }
 
-TEST(EngineModel, WhatFindsSlotsAndQueueFullIsRefusedAndTheQueueMovesUp) {
+TEST(EngineModel, RejectsAttemptsWhenSlotsAndQueueAreFull) {
   EngineModel engine(two_slots());
   EXPECT_EQ(engine.admit(0, 1, 10, 1), Admission::kRuns);
   EXPECT_EQ(engine.admit(0, 2, 20, 1), Admission::kRuns);
@@ -30,17 +31,17 @@
   EXPECT_DOUBLE_EQ(*engine.next_completion(), 3);
 }
 
-TEST(EngineModel, PastTheKneeMoreThreadsDoLessWork) {
+TEST(EngineModel, ContentionReducesThroughput) {
   EngineOptions options;
   options.cores = 1;
   options.contention_from = 2;
   options.contention_loss = 0.5;
   EngineModel engine(options);
   for (uint64_t attempt = 1; attempt <= 4; ++attempt) engine.admit(0, attempt, 10, 1);
-  EXPECT_DOUBLE_EQ(*engine.next_completion(), 80);  // 40 of work, at half of the pace
+  EXPECT_DOUBLE_EQ(*engine.next_completion(), 80);  // 40 ms of work at half of the throughput
 }
 
-TEST(EngineModel, AFullConnectionTableRefusesAndTakesItsShareOfTheCapacity) {
+TEST(EngineModel, FullConnectionTableRefusesConnectsAndReducesCapacity) {
   EngineOptions options;
   options.cores = 1;
   options.connections = {true, 2, 0.2, 1, 1, 8, 250, 15000};
@@ -58,7 +59,7 @@
   EXPECT_TRUE(engine.admit_connect(10, 4));
 }
 
-TEST(EngineModel, AShortConnectQueueRefusesAndWhatIsAbandonedInItCostsNothing) {
+TEST(EngineModel, FullConnectQueueRefusesAndAbandonedConnectsCostNothing) {
   EngineOptions options;
   options.connections.modelled = true;
   options.connections.connect_queue = 1;
@@ -71,7 +72,7 @@
   EXPECT_FALSE(engine.next_completion().has_value());
 }
 
-TEST(EngineModel, ASilentEngineDoesNothingAndOneThatEndsNamesWhatItHad) {
+TEST(EngineModel, SilentEngineMakesNoProgressAndClearReturnsItsAttempts) {
   EngineModel engine(two_slots());
   for (uint64_t attempt = 1; attempt <= 3; ++attempt) engine.admit(0, attempt, 10, 1);
   engine.set_silent(4, true);
