--- a/src/simulation/run.cpp
+++ b/src/simulation/run.cpp
@@ -36,7 +36,7 @@
         "%7llu "
         "%7llu %7llu %7.2f\n",
         i, count(t.submitted), 100 * static_cast<double>(t.served) / asked,
-        100 * static_cast<double>(t.in_target) / asked, count(t.client_retried), count(t.attempts),
+        100 * static_cast<double>(t.in_target) / asked, count(t.client_retries), count(t.attempts),
         count(t.answered), count(t.full), count(t.timed_out), count(t.cancelled), count(t.connects),
         count(t.connects_refused), count(t.connects_timed_out), count(t.unanswered), count(t.running),
         count(t.queued), count(t.connections), count(t.ejected), t.threads_per_core);
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -426,7 +426,7 @@
   const auto at = pending_retries_.find(retry);
   const Command command = at->second;
   pending_retries_.erase(at);
-  ++this_second().client_retried;
+  ++this_second().client_retries;
   submit(g, command);
 }
 
--- a/src/simulation/world.h
+++ b/src/simulation/world.h
@@ -76,10 +76,10 @@
   double rate = 200;  // commands a second, all gateways together
   Ms duration = 60000;
   Ms min_delay = 0.5, max_delay = 2;  // of the network, one way
-  Ms list_delay = 2000;
-  Ms progress_period = 0;  // between an engine's progress reports on an attempt; 0: no reports
-  int max_attempts = 4;    // for one command
-  bool may_cancel = true;  // gateways may cancel attempts
+  Ms list_delay = 2000;               // until a gateway receives a change of the endpoint list, at most
+  Ms progress_period = 0;             // between an engine's progress reports on an attempt; 0: no reports
+  int max_attempts = 4;               // for one command
+  bool may_cancel = true;             // gateways may cancel attempts
   // How long an engine keeps running an attempt that its gateway gave up without a cancellation, as at the
   // client's timeout. 0: the engine ends it at the timeout.
   Ms max_abandoned_run = 0;
@@ -107,7 +107,7 @@
   // within the target since their first submission.
   uint64_t submitted = 0, served = 0, in_target = 0;
   // Events in this second.
-  uint64_t client_retried = 0;                                    // by clients
+  uint64_t client_retries = 0;
   uint64_t attempts = 0;                                          // by gateways at engines
   uint64_t full = 0, timed_out = 0, cancelled = 0, answered = 0;  // ends of attempts
   uint64_t connects = 0, connects_refused = 0, connects_timed_out = 0;
--- a/tests/simulation/collapse_test.cpp
+++ b/tests/simulation/collapse_test.cpp
@@ -110,12 +110,12 @@
   options.faults.push_back({WorldFault::Kind::kSilent, 1000, 7000, 0, 8});
   const WorldOutcome outcome = play(options);
   EXPECT_GT(sum(outcome, &WorldSecond::connects_timed_out), 0u);
-  const uint64_t retried = sum(outcome, &WorldSecond::client_retried);
+  const uint64_t retried = sum(outcome, &WorldSecond::client_retries);
   EXPECT_GT(retried, 100u);
   EXPECT_LE(retried, 2 * sum(outcome, &WorldSecond::submitted));
   EXPECT_EQ(outcome.commands, retried + sum(outcome, &WorldSecond::submitted));
   options.client_retries.max_retries = 0;
-  EXPECT_EQ(sum(play(options), &WorldSecond::client_retried), 0u);
+  EXPECT_EQ(sum(play(options), &WorldSecond::client_retries), 0u);
 }
 
 }  // namespace
