--- a/src/simulation/history_checker.cpp
+++ b/src/simulation/history_checker.cpp
@@ -45,7 +45,7 @@
       case Kind::kStarted:
         break;
       case Kind::kFell:
-        report_violation(Rule::kCold, h, "fell over while cold");
+        report_violation(Rule::kCold, h, "the engine failed under load while it was cold");
         break;
       case Kind::kTaken:
         admit_command(h);
@@ -79,7 +79,7 @@
       h.at = c.until;
       h.command = id;
       h.gateway = c.gateway;
-      report_violation(Rule::kOneAnswer, h, "had no final answer");
+      report_violation(Rule::kOneAnswer, h, "no final answer before the deadline");
     }
     return verdict_;
   }
@@ -106,7 +106,7 @@
   Command* find(const HistoryEvent& h) {
     const auto at = commands_.find(h.command);
     if (at != commands_.end()) return &at->second;
-    report_violation(Rule::kHistory, h, "of a command that nobody has taken");
+    report_violation(Rule::kHistory, h, "event of a command that no gateway has admitted");
     return nullptr;
   }
 
@@ -117,9 +117,9 @@
 
   void admit_command(const HistoryEvent& h) {
     if (h.profile < 0 || static_cast<size_t>(h.profile) >= rules_.profiles.size())
-      return report_violation(Rule::kHistory, h, "of no profile");
+      return report_violation(Rule::kHistory, h, "unknown profile");
     const auto [at, added] = commands_.try_emplace(h.command);
-    if (!added) return report_violation(Rule::kHistory, h, "taken twice");
+    if (!added) return report_violation(Rule::kHistory, h, "the command was admitted twice");
     Command& c = at->second;
     c.profile = h.profile;
     c.gateway = h.gateway;
@@ -134,11 +134,12 @@
     Command* const c = find(h);
     if (!c) return;
     ++verdict_.sends;
-    if (h.engine >= rules_.engines.size()) return report_violation(Rule::kHistory, h, "to no engine");
+    if (h.engine >= rules_.engines.size())
+      return report_violation(Rule::kHistory, h, "attempt at an unknown engine");
     if (!attempts_.emplace(h.send, Attempt{h.command, h.engine}).second)
-      return report_violation(Rule::kHistory, h, "the same send twice");
+      return report_violation(Rule::kHistory, h, "duplicate attempt number");
     const RunRules::Profile& p = profile_of(*c);
-    if (c->answered) report_violation(Rule::kOneAnswer, h, "sent after its final answer");
+    if (c->answered) report_violation(Rule::kOneAnswer, h, "attempt started after the final answer");
     check_retry(h, *c, p);
     check_placement(h, p);
     check_drain(h);
@@ -156,16 +157,17 @@
     const bool is_possible_rerun = c.may_have_run || c.running > 0;
     if (!is_possible_rerun) return;
     if (p.effect == RunRules::Effect::kNonReplayable)
-      report_violation(Rule::kNotTwice, h, "may run a second time");
+      report_violation(Rule::kNotTwice, h, "the command may run twice");
     if (p.effect != RunRules::Effect::kUniqued) return;
     if (h.at > c.first_attempt_at + p.window)
       report_violation(
           Rule::kWindow, h,
-          fmt::format("again {:.0f} ms after the first, past its window", h.at - c.first_attempt_at));
+          fmt::format("retry {:.0f} ms after the first attempt, outside the deduplication window",
+                      h.at - c.first_attempt_at));
     const RunRules::Engine &was = rules_.engines[c.first_engine], &is = rules_.engines[h.engine];
     const bool same = p.group == RunRules::Group::kAll || was.zone == is.zone;
     if (!same || (p.group == RunRules::Group::kCell && was.cell != is.cell))
-      report_violation(Rule::kWindow, h, "again outside its group");
+      report_violation(Rule::kWindow, h, "retry outside the deduplication group");
   }
 
   void check_placement(const HistoryEvent& h, const RunRules::Profile& p) {
@@ -173,25 +175,33 @@
     const auto in = [](const std::vector<std::string>& all, const std::string& one) {
       return all.empty() || std::find(all.begin(), all.end(), one) != all.end();
     };
-    if (!in(p.zones, e.zone)) report_violation(Rule::kPlacement, h, fmt::format("in zone {}", e.zone));
+    if (!in(p.zones, e.zone))
+      report_violation(Rule::kPlacement, h,
+                       fmt::format("attempt in zone {}, which the profile excludes", e.zone));
     if (!in(p.machines, e.machine))
-      report_violation(Rule::kPlacement, h, fmt::format("on machine {}", e.machine));
+      report_violation(Rule::kPlacement, h,
+                       fmt::format("attempt on machine type {}, which the profile excludes", e.machine));
   }
 
   void check_drain(const HistoryEvent& h) {
     const auto listed = last_listed_.find({h.gateway, h.engine});
     if (listed == last_listed_.end())
-      return report_violation(Rule::kDrain, h, "to an engine that it was never told of");
+      return report_violation(Rule::kDrain, h, "attempt at an engine that the gateway was never notified of");
     if (listed->second.state != State::kServing && h.at > listed->second.at + rules_.drain_grace)
-      report_violation(Rule::kDrain, h, fmt::format("{:.0f} ms after it was told", h.at - listed->second.at));
+      report_violation(
+          Rule::kDrain, h,
+          fmt::format("attempt {:.0f} ms after the gateway was notified that the engine drains or is removed",
+                      h.at - listed->second.at));
   }
 
   void check_order(const HistoryEvent& h) {
     Key& key = keys_[{h.gateway, commands_.at(h.command).key}];
-    if (key.running > 0) report_violation(Rule::kOrder, h, "beside another of its key");
+    if (key.running > 0)
+      report_violation(Rule::kOrder, h, "attempt concurrent with another one of its ordering key");
     if (!key.unanswered.empty() && key.unanswered.front() != h.command)
-      report_violation(Rule::kOrder, h, "ahead of one of its key that came before");
-    if (h.at < key.blocked_until) report_violation(Rule::kOrder, h, "while its key rests");
+      report_violation(Rule::kOrder, h, "attempt ahead of an earlier command of its ordering key");
+    if (h.at < key.blocked_until)
+      report_violation(Rule::kOrder, h, "attempt while its ordering key is blocked");
     key.running += 1;
   }
 
@@ -206,12 +216,12 @@
         rules_.budget_free + rules_.budget_share * static_cast<double>(b.admitted.size());
     if (static_cast<double>(b.retried.size()) > max_retries)
       report_violation(Rule::kBudget, h,
-                       fmt::format("{} further sends, {:.1f} allowed", b.retried.size(), max_retries));
+                       fmt::format("{} retries, {:.1f} allowed", b.retried.size(), max_retries));
   }
 
   void end_attempt(const HistoryEvent& h) {
     const auto attempt = attempts_.find(h.send);
-    if (attempt == attempts_.end()) return report_violation(Rule::kHistory, h, "the end of no send");
+    if (attempt == attempts_.end()) return report_violation(Rule::kHistory, h, "end of an unknown attempt");
     const auto at = commands_.find(attempt->second.command);
     const uint32_t engine = attempt->second.engine;
     attempts_.erase(attempt);
@@ -232,14 +242,14 @@
   void answer_command(const HistoryEvent& h) {
     Command* const c = find(h);
     if (!c) return;
-    if (c->answered) return report_violation(Rule::kOneAnswer, h, "a second final answer");
+    if (c->answered) return report_violation(Rule::kOneAnswer, h, "second final answer");
     if (h.at > c->until + rules_.answer_grace && !c->gone)
-      report_violation(Rule::kOneAnswer, h, fmt::format("{:.0f} ms late", h.at - c->until));
+      report_violation(Rule::kOneAnswer, h, fmt::format("final answer {:.0f} ms late", h.at - c->until));
     c->answered = true;
     // A retry is safe only if no attempt has run or may still run.
     if (h.kind == Kind::kRefused && (c->may_have_run || c->running > 0) &&
         profile_of(*c).effect == RunRules::Effect::kNonReplayable)
-      report_violation(Rule::kNotTwice, h, "refused as harmless, and it may have run");
+      report_violation(Rule::kNotTwice, h, "rejected as safe to retry, but it may have run");
     if (is_ordered(*c)) std::erase(keys_[{c->gateway, c->key}].unanswered, h.command);
   }
 
@@ -266,11 +276,11 @@
 }
 
 std::string Verdict::text() const {
-  if (good()) return fmt::format("no rule broken by {} commands and {} sends\n", commands, sends);
+  if (good()) return fmt::format("no violation by {} commands and {} attempts\n", commands, sends);
   std::string all;
   for (size_t i = 0; i < kRules; ++i) {
     if (counts[i] == 0) continue;
-    all += fmt::format("rule \"{}\" broken {} times\n", name_of(static_cast<Rule>(i)), counts[i]);
+    all += fmt::format("rule \"{}\" violated {} times\n", name_of(static_cast<Rule>(i)), counts[i]);
     for (const Violation& b : first)
       if (b.rule == static_cast<Rule>(i))
         all += fmt::format("  at {:.1f} ms, gateway {}, engine {}, command {:016x}: {}\n", b.at, b.gateway,
--- a/src/simulation/invariant_checker.cpp
+++ b/src/simulation/invariant_checker.cpp
@@ -29,13 +29,13 @@
     for (const LeaseTerm& term : terms) {
       if (last_ending && term.from < last_ending->until &&
           (term.epoch != last_ending->epoch || term.holder != last_ending->holder))
-        out.push_back(
-            {"one_holder", fmt::format("{}: {} under {} from {:.3f} while {} under {} until {:.3f}", lease,
-                                       term.holder, term.epoch, term.from, last_ending->holder,
-                                       last_ending->epoch, last_ending->until)});
+        out.push_back({"one_holder",
+                       fmt::format("{}: {} with epoch {} from {:.3f}, while {} with epoch {} until {:.3f}",
+                                   lease, term.holder, term.epoch, term.from, last_ending->holder,
+                                   last_ending->epoch, last_ending->until)});
       if (term.epoch <= highest)
-        out.push_back(
-            {"epochs_grow", fmt::format("{}: {} took {} after {}", lease, term.holder, term.epoch, highest)});
+        out.push_back({"epochs_grow", fmt::format("{}: {} acquired epoch {} after epoch {}", lease,
+                                                  term.holder, term.epoch, highest)});
       highest = std::max(highest, term.epoch);
       if (!last_ending || term.until > last_ending->until) last_ending = &term;
     }
@@ -47,8 +47,9 @@
   for (const AcceptedRequest& request : history.accepted_requests) {
     uint64_t& highest_epoch = highest[{request.lease, request.receiver}];
     if (request.epoch < highest_epoch)
-      out.push_back({"acts_in_order", fmt::format("{}: {} took an act of {} after one of {}", request.lease,
-                                                  request.receiver, request.epoch, highest_epoch)});
+      out.push_back(
+          {"acts_in_order", fmt::format("{}: {} accepted a request of epoch {} after one of epoch {}",
+                                        request.lease, request.receiver, request.epoch, highest_epoch)});
     highest_epoch = std::max(highest_epoch, request.epoch);
   }
 }
@@ -62,7 +63,7 @@
   for (const RegisterOperation& op : operations) {
     const auto [at, first] = change_of_version.emplace(op.version, op.id);
     if (!first && at->second != op.id)
-      report(fmt::format("version {} is {:x} and {:x}", op.version, at->second, op.id));
+      report(fmt::format("version {} was made by changes {:x} and {:x}", op.version, at->second, op.id));
   }
   return change_of_version;
 }
@@ -74,9 +75,9 @@
     if (op.kind != RegisterOperation::Kind::kChange) continue;
     const auto before = change_of_version.find(op.version - 1);
     if (before != change_of_version.end() && before->second != op.expected_change)
-      report(fmt::format("version {} was to build on {:x} and stands on {:x}", op.version, op.expected_change,
+      report(fmt::format("version {} expected change {:x} and replaced {:x}", op.version, op.expected_change,
                          before->second));
-    if (op.version == 1 && op.expected_change != 0) report("the first version was to build on another");
+    if (op.version == 1 && op.expected_change != 0) report("the first version expected a predecessor");
   }
 }
 
@@ -98,8 +99,8 @@
       min_version = std::max(min_version, by_end[next]->version);
     const bool is_change = op->kind == RegisterOperation::Kind::kChange;
     if (op->version < min_version || (is_change && op->version == min_version && min_version > 0))
-      report(fmt::format("{} asked at {:.3f} has place {} after {} had ended",
-                         is_change ? "a change" : "a reading", op->started, op->version, min_version));
+      report(fmt::format("{} started at {:.3f} has version {} after version {} had ended",
+                         is_change ? "change" : "read", op->started, op->version, min_version));
   }
 }
 
@@ -124,8 +125,8 @@
   check_fencing(history, out);
   for (const auto& [name, all] : group_by(history.job_starts, &JobStart::name))
     if (all.size() > 1)
-      out.push_back(
-          {"once", fmt::format("{} was begun {} times, the second at {:.3f}", name, all.size(), all[1].at)});
+      out.push_back({"once", fmt::format("{} was started {} times, the second time at {:.3f}", name,
+                                         all.size(), all[1].at)});
   for (const TopicSnapshot& topic : history.topics)
     for (const auto& [subscriber, reads] : topic.declarations)
       for (const auto& [version, fields] : topic.published)
--- a/src/simulation/run.cpp
+++ b/src/simulation/run.cpp
@@ -73,9 +73,9 @@
       static_cast<unsigned long long>(o.commands), static_cast<unsigned long long>(o.attempts),
       static_cast<unsigned long long>(o.events), took, options.duration / 1000,
       o.commands ? 1e6 * took / static_cast<double>(o.commands) : 0, peak_mb());
-  std::printf("of what was shed or failed, %.0f in 100 while half of the cores or more stood idle\n",
+  std::printf("%.0f%% of the shed and failed commands ended while at least half of the cores were idle\n",
               100 * o.idle_shed);
-  std::printf("of what clients first asked for, %.1f in 100 served\n",
+  std::printf("%.1f%% of the commands were served, with client retries\n",
               100 * served_share(o, 0, o.timeline.size()));
   print_recovery(options, o);
   std::printf("history %016llx\n", static_cast<unsigned long long>(o.hash));
@@ -116,39 +116,45 @@
     bool no_history = false, crowded = false, timeline = false;
   };
   auto o = std::make_shared<CommandLine>();
-  CLI::App* const run_app =
-      app.add_subcommand("run", "Plays a world in virtual time through real cores and modules");
+  CLI::App* const run_app = app.add_subcommand(
+      "run", "Simulates engines and clients in virtual time with real gateway cores and policy modules");
   run_app->add_option("--engines", o->options.engines)->check(CLI::Range(1, 100000))->capture_default_str();
   run_app->add_option("--gateways", o->options.gateways)->check(CLI::Range(1, 10000))->capture_default_str();
-  run_app->add_option("--cores", o->options.engine.cores, "of an engine")
+  run_app->add_option("--cores", o->options.engine.cores, "cores of an engine")
       ->check(CLI::Range(1.0, 1024.0))
       ->capture_default_str();
-  run_app->add_option("--rate", o->options.rate, "commands a second, all gateways")
+  run_app->add_option("--rate", o->options.rate, "commands a second at all gateways together")
       ->check(CLI::Range(0.1, 1e7))
       ->capture_default_str();
-  run_app->add_option("--seconds", o->seconds, "of virtual time")
+  run_app->add_option("--seconds", o->seconds, "duration in virtual time")
       ->check(CLI::Range(0.1, 1e6))
       ->capture_default_str();
   run_app->add_option("--seed", o->options.seed)->capture_default_str();
-  run_app->add_option("--list-late", o->options.list_delay, "ms, at most")
+  run_app->add_option("--list-late", o->options.list_delay, "maximum delay of endpoint list updates, ms")
       ->check(CLI::Range(0.0, 1e6))
       ->capture_default_str();
-  run_app->add_option("--silent", o->silent, "AT LASTS ENGINE [ENGINES]: s, s, first, how many say nothing")
+  run_app
+      ->add_option(
+          "--silent", o->silent,
+          "START DURATION ENGINE [ENGINES]: s, s, first engine, number of engines that become silent")
       ->expected(3, 4);
-  run_app->add_option("--dies", o->dies, "AT LASTS ENGINE [ENGINES]: the same, their processes are gone")
+  run_app
+      ->add_option("--dies", o->dies,
+                   "START DURATION ENGINE [ENGINES]: like --silent, but the engine processes crash")
       ->expected(3, 4);
-  run_app->add_option("--burst", o->burst, "AT LASTS FACTOR: s, s, so many times the rate")->expected(3);
-  run_app->add_flag(
-      "--crowded", o->crowded,
-      "many gateways an engine, short timeouts, all models on: sets all but --gateways, --seed, "
-      "--seconds, and --rate or --engines where they are given");
-  run_app->add_option("--without", o->without, "of the models that --crowded switches on")
+  run_app->add_option("--burst", o->burst, "START DURATION FACTOR: s, s, multiple of the command rate")
+      ->expected(3);
+  run_app->add_flag("--crowded", o->crowded,
+                    "many gateways per engine, short timeouts, all models enabled: sets all options except "
+                    "--gateways, --seed, --seconds, and --rate or --engines if they are given");
+  run_app->add_option("--without", o->without, "disables a model that --crowded enables")
       ->check(CLI::IsMember({"retries", "connections", "slots", "contention", "cancel", "notes", "attempts",
                              "unasked", "cancel-at-timeout"}));
-  run_app->add_flag("--timeline", o->timeline, "a line for each second");
-  run_app->add_flag("--no-history", o->no_history,
-                    "no verdict on the rules: a long run at large size has no room for it");
-  run_app->footer("Exit: 0 no rule broken, 1 one was, 2 usage.");
+  run_app->add_flag("--timeline", o->timeline, "prints one line for each second");
+  run_app->add_flag(
+      "--no-history", o->no_history,
+      "does not check the rules: the history of a long run of a large system needs too much memory");
+  run_app->footer("Exit status: 0 no rule violated, 1 a rule violated, 2 usage error.");
   run_app->callback([o, run_app, &exit_code] {
     if (o->crowded) use_crowded_cluster(*run_app, o->options);
     for (const std::string& model : o->without) disable_model(model, o->options);
@@ -157,8 +163,9 @@
       const double engines = words.size() > 3 ? words[3] : 1;
       if (words[0] < 0 || words[1] < 0 || words[2] < 0 || engines < 1 ||
           words[2] + engines > o->options.engines) {
-        std::fprintf(stderr,
-                     "firvalve-loadtest run: a trouble before the start, or of engines that there are not\n");
+        std::fprintf(
+            stderr,
+            "firvalve-loadtest run: a fault has a negative time or names an engine that does not exist\n");
         exit_code = 2;
         return false;
       }
--- a/src/simulation/search.cpp
+++ b/src/simulation/search.cpp
@@ -14,13 +14,13 @@
   if (o.lag_p99 > options_.max_lag || o.cpu > options_.max_cpu) {
     generator_was_limit_ = done_ = true;
     return o.lag_p99 > options_.max_lag
-               ? fmt::format("the tool was the limit: it sent {:.1f} ms late", o.lag_p99)
-               : fmt::format("the tool was the limit: it used {:.1f} cores", o.cpu);
+               ? fmt::format("the load generator was the limit: it sent {:.1f} ms late", o.lag_p99)
+               : fmt::format("the load generator was the limit: it used {:.1f} cores", o.cpu);
   }
   if (o.answered < options_.min_answered)
-    why = fmt::format("{:.1f} in 100 answered", 100 * o.answered);
+    why = fmt::format("{:.1f}% answered", 100 * o.answered);
   else if (o.p99 > options_.max_p99)
-    why = fmt::format("99 in 100 within {:.0f} ms", o.p99);
+    why = fmt::format("99th percentile of the latency is {:.0f} ms", o.p99);
   if (why.empty()) {
     max_passed_ = std::max(max_passed_, o.rate);
   } else {
--- a/tests/searching.h
+++ b/tests/searching.h
@@ -11,7 +11,8 @@
 namespace firvalve {
 
 inline void print(const simulation::SearchResult& out) {
-  std::printf("%zu states, depth %zu, %s%s\n", out.states, out.depth, out.is_complete ? "whole" : "cut off",
+  std::printf("%zu states, depth %zu, %s%s\n", out.states, out.depth,
+              out.is_complete ? "complete" : "stopped at the limit",
               out.violation ? (": " + *out.violation).c_str() : "");
   for (const std::string& line : out.trace) std::printf("  %s\n", line.c_str());
 }
--- a/tests/simulation/lab_test.cpp
+++ b/tests/simulation/lab_test.cpp
@@ -99,7 +99,7 @@
   StepOutcome o = step(100, 1e9);
   o.lag_p99 = 50;
   o.answered = 0.2;
-  EXPECT_NE(search.handle(o).find("the tool"), std::string::npos);
+  EXPECT_NE(search.handle(o).find("the load generator was the limit"), std::string::npos);
   EXPECT_TRUE(search.done() && search.generator_was_limit());
   EXPECT_EQ(search.min_failed(), 0);
 }
