--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -1,6 +1,6 @@
 // Measures how fast leases fail over and what a cluster costs, with gateway processes on loopback and with
 // simulated clusters in virtual time.
-//   firvalve_fleet_bench [trials]    produces the figures of docs/fleet.md; uses fake engines
+//   firvalve_fleet_bench [trials]    produces the figures of docs/cluster.md; uses fake engines
 #include <fmt/format.h>
 #include <signal.h>
 
--- a/tests/docs/examples_test.cpp
+++ b/tests/docs/examples_test.cpp
@@ -95,7 +95,7 @@
         << printed[i];
 }
 
-INSTANTIATE_TEST_SUITE_P(Pages, Docs, testing::Values("fleet.md", "bulletins.md"), [](const auto& info) {
+INSTANTIATE_TEST_SUITE_P(Pages, Docs, testing::Values("cluster.md", "topics.md"), [](const auto& info) {
   return std::string(info.param).substr(0, std::string(info.param).find('.'));
 });
 
