--- a/src/simulation/history_checker.cpp
+++ b/src/simulation/history_checker.cpp
@@ -25,7 +25,7 @@
   int profile = -1;
   uint32_t gateway = 0;
   uint64_t key = 0;
-  Ms until = 0;
+  Ms deadline = 0;
   int attempts = 0, running = 0;
   bool answered = false, gone = false;
   bool may_have_run = false;  // an attempt may have run
@@ -44,24 +44,24 @@
         break;
       case Kind::kStarted:
         break;
-      case Kind::kFell:
+      case Kind::kFailedCold:
         report_violation(Rule::kCold, h, "the engine failed under load while it was cold");
         break;
-      case Kind::kTaken:
+      case Kind::kAdmitted:
         admit_command(h);
         break;
-      case Kind::kSent:
+      case Kind::kAttemptStarted:
         start_attempt(h);
         break;
-      case Kind::kSendOver:
+      case Kind::kAttemptEnded:
         end_attempt(h);
         break;
       case Kind::kAnswered:
-      case Kind::kRefused:
+      case Kind::kRejected:
       case Kind::kFailed:
         answer_command(h);
         break;
-      case Kind::kGone:
+      case Kind::kDisconnected:
         if (const auto at = commands_.find(h.command); at != commands_.end()) at->second.gone = true;
         break;
       case Kind::kGatewayDied:
@@ -74,9 +74,9 @@
 
   Verdict end() {
     for (const auto& [id, c] : commands_) {
-      if (c.answered || c.gone || end_ <= c.until + rules_.answer_grace) continue;
+      if (c.answered || c.gone || end_ <= c.deadline + rules_.answer_grace) continue;
       HistoryEvent h;
-      h.at = c.until;
+      h.at = c.deadline;
       h.command = id;
       h.gateway = c.gateway;
       report_violation(Rule::kOneAnswer, h, "no final answer before the deadline");
@@ -124,7 +124,7 @@
     c.profile = h.profile;
     c.gateway = h.gateway;
     c.key = h.key;
-    c.until = h.until;
+    c.deadline = h.deadline;
     ++verdict_.commands;
     budgets_[h.gateway].admitted.push_back(h.at);
     if (is_ordered(c)) keys_[{h.gateway, h.key}].unanswered.push_back(h.command);
@@ -133,10 +133,10 @@
   void start_attempt(const HistoryEvent& h) {
     Command* const c = find(h);
     if (!c) return;
-    ++verdict_.sends;
+    ++verdict_.attempts;
     if (h.engine >= rules_.engines.size())
       return report_violation(Rule::kHistory, h, "attempt at an unknown engine");
-    if (!attempts_.emplace(h.send, Attempt{h.command, h.engine}).second)
+    if (!attempts_.emplace(h.attempt, Attempt{h.command, h.engine}).second)
       return report_violation(Rule::kHistory, h, "duplicate attempt number");
     const RunRules::Profile& p = profile_of(*c);
     if (c->answered) report_violation(Rule::kOneAnswer, h, "attempt started after the final answer");
@@ -158,7 +158,7 @@
     if (!is_possible_rerun) return;
     if (p.effect == RunRules::Effect::kNonReplayable)
       report_violation(Rule::kNotTwice, h, "the command may run twice");
-    if (p.effect != RunRules::Effect::kUniqued) return;
+    if (p.effect != RunRules::Effect::kDeduplicated) return;
     if (h.at > c.first_attempt_at + p.window)
       report_violation(
           Rule::kWindow, h,
@@ -220,7 +220,7 @@
   }
 
   void end_attempt(const HistoryEvent& h) {
-    const auto attempt = attempts_.find(h.send);
+    const auto attempt = attempts_.find(h.attempt);
     if (attempt == attempts_.end()) return report_violation(Rule::kHistory, h, "end of an unknown attempt");
     const auto at = commands_.find(attempt->second.command);
     const uint32_t engine = attempt->second.engine;
@@ -243,11 +243,11 @@
     Command* const c = find(h);
     if (!c) return;
     if (c->answered) return report_violation(Rule::kOneAnswer, h, "second final answer");
-    if (h.at > c->until + rules_.answer_grace && !c->gone)
-      report_violation(Rule::kOneAnswer, h, fmt::format("final answer {:.0f} ms late", h.at - c->until));
+    if (h.at > c->deadline + rules_.answer_grace && !c->gone)
+      report_violation(Rule::kOneAnswer, h, fmt::format("final answer {:.0f} ms late", h.at - c->deadline));
     c->answered = true;
     // A retry is safe only if no attempt has run or may still run.
-    if (h.kind == Kind::kRefused && (c->may_have_run || c->running > 0) &&
+    if (h.kind == Kind::kRejected && (c->may_have_run || c->running > 0) &&
         profile_of(*c).effect == RunRules::Effect::kNonReplayable)
       report_violation(Rule::kNotTwice, h, "rejected as safe to retry, but it may have run");
     if (is_ordered(*c)) std::erase(keys_[{c->gateway, c->key}].unanswered, h.command);
@@ -276,7 +276,7 @@
 }
 
 std::string Verdict::text() const {
-  if (good()) return fmt::format("no violation by {} commands and {} attempts\n", commands, sends);
+  if (good()) return fmt::format("no violation by {} commands and {} attempts\n", commands, attempts);
   std::string all;
   for (size_t i = 0; i < kRules; ++i) {
     if (counts[i] == 0) continue;
--- a/src/simulation/history_checker.h
+++ b/src/simulation/history_checker.h
@@ -35,7 +35,7 @@
 struct Verdict {
   std::array<uint64_t, kRules> counts{};
   std::vector<Violation> first;  // the first few of each rule
-  uint64_t commands = 0, sends = 0;
+  uint64_t commands = 0, attempts = 0;
   bool good() const;
   std::string text() const;  // one line for each violated rule, or one line that says that there is none
 };
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -183,7 +183,7 @@
     world.finish_command(number, call, HistoryEvent::Kind::kAnswered);
   }
   void shed(CallId call, std::optional<Duration>) override {
-    world.finish_command(number, call, HistoryEvent::Kind::kRefused);
+    world.finish_command(number, call, HistoryEvent::Kind::kRejected);
   }
   void fail(CallId call, std::string_view) override {
     world.finish_command(number, call, HistoryEvent::Kind::kFailed);
@@ -206,10 +206,10 @@
     ++world.outcome_.attempts;
     ++world.this_second().attempts;
     HistoryEvent h;
-    h.kind = HistoryEvent::Kind::kSent;
+    h.kind = HistoryEvent::Kind::kAttemptStarted;
     h.gateway = number;
     h.command = a.command;
-    h.send = attempt;
+    h.attempt = attempt;
     h.engine = order.engine - 1;
     world.record(h);
     if (a.engine == kNoEngine) return world.end_later(attempt, Outcome::kConnectFailed, 0);
@@ -342,7 +342,7 @@
   h.at = now_;
   const uint64_t parts[] = {
       outcome_.hash, static_cast<uint64_t>(h.at * 1e6),      static_cast<uint64_t>(h.kind), h.command,
-      h.send,        (uint64_t{h.gateway} << 32) | h.engine, static_cast<uint64_t>(h.how)};
+      h.attempt,     (uint64_t{h.gateway} << 32) | h.engine, static_cast<uint64_t>(h.how)};
   outcome_.hash = XXH3_64bits(parts, sizeof parts);
   if (options_.keep_history) history_.push_back(h);
 }
@@ -402,11 +402,11 @@
   ++outcome_.commands;
   ++outcome_.profiles[static_cast<size_t>(command.profile)].submitted;
   HistoryEvent h;
-  h.kind = HistoryEvent::Kind::kTaken;
+  h.kind = HistoryEvent::Kind::kAdmitted;
   h.gateway = g;
   h.command = number;
   h.profile = static_cast<int16_t>(command.profile);
-  h.until = now_ + profile.timeout;
+  h.deadline = now_ + profile.timeout;
   record(h);
   const CallId call = gateway.last_call = next_after(gateway.last_call);
   gateway.calls[call] = number;
@@ -462,7 +462,7 @@
     first.served += 1;
     first.in_target += now_ - command.first_at <= target;
   } else {
-    (kind == HistoryEvent::Kind::kRefused ? out.shed : out.failed) += 1;
+    (kind == HistoryEvent::Kind::kRejected ? out.shed : out.failed) += 1;
     ++shed_;
     shed_idle_ += utilization() < 0.5;
     schedule_retry(g, command, kind);
@@ -581,10 +581,10 @@
   second.cancelled += outcome == Outcome::kCancelled;
   second.answered += outcome == Outcome::kOk;
   HistoryEvent h;
-  h.kind = HistoryEvent::Kind::kSendOver;
+  h.kind = HistoryEvent::Kind::kAttemptEnded;
   h.gateway = a.gateway;
   h.command = a.command;
-  h.send = attempt;
+  h.attempt = attempt;
   h.how = outcome == Outcome::kOk ? HistoryEvent::AttemptEnd::kDone
           : outcome == Outcome::kConnectFailed || outcome == Outcome::kQueueFull ||
                   outcome == Outcome::kCancelledBeforeStart
--- a/tests/simulation/lab_test.cpp
+++ b/tests/simulation/lab_test.cpp
@@ -115,7 +115,7 @@
     RunRules r;
     r.profiles.resize(3);
     r.profiles[1].effect = RunRules::Effect::kNonReplayable;
-    r.profiles[2].effect = RunRules::Effect::kUniqued;
+    r.profiles[2].effect = RunRules::Effect::kDeduplicated;
     r.profiles[2].window = 1000;
     r.profiles[2].group = RunRules::Group::kZone;
     r.engines = {{"east", "std", 0}, {"west", "big", 0}, {"east", "std", 1}};
@@ -136,20 +136,20 @@
     return history.back();
   }
   void admit(Ms at, uint64_t command, int profile = 0, uint64_t key = 0) {
-    HistoryEvent& h = add(at, Kind::kTaken, command);
+    HistoryEvent& h = add(at, Kind::kAdmitted, command);
     h.profile = static_cast<int16_t>(profile);
-    h.until = at + 4000;
+    h.deadline = at + 4000;
     h.key = key;
   }
-  uint64_t send(Ms at, uint64_t command, uint32_t engine = 0) {
-    HistoryEvent& h = add(at, Kind::kSent, command);
+  uint64_t start_attempt(Ms at, uint64_t command, uint32_t engine = 0) {
+    HistoryEvent& h = add(at, Kind::kAttemptStarted, command);
     h.engine = engine;
-    h.send = ++last_attempt;
+    h.attempt = ++last_attempt;
     return last_attempt;
   }
-  void end(Ms at, uint64_t send, AttemptEnd how) {
-    HistoryEvent& h = add(at, Kind::kSendOver);
-    h.send = send;
+  void end(Ms at, uint64_t attempt, AttemptEnd how) {
+    HistoryEvent& h = add(at, Kind::kAttemptEnded);
+    h.attempt = attempt;
     h.how = how;
   }
   uint64_t violations_of(Rule rule, Ms end = 10000) {
@@ -165,14 +165,14 @@
 
 TEST_F(HistoryCheckerTest, AcceptsACorrectRun) {
   admit(0, 1);
-  const uint64_t s = send(10, 1);
-  end(20, s, AttemptEnd::kMayHaveRun);
-  end(40, send(30, 1, 1), AttemptEnd::kDone);
+  const uint64_t first_attempt = start_attempt(10, 1);
+  end(20, first_attempt, AttemptEnd::kMayHaveRun);
+  end(40, start_attempt(30, 1, 1), AttemptEnd::kDone);
   add(40, Kind::kAnswered, 1);
   admit(50, 2);
-  add(60, Kind::kRefused, 2);
+  add(60, Kind::kRejected, 2);
   admit(70, 3);
-  add(80, Kind::kGone, 3);
+  add(80, Kind::kDisconnected, 3);
   const Verdict v = check_history(rules, history, 10000);
   EXPECT_TRUE(v.good()) << v.text();
   EXPECT_EQ(v.commands, 3u);
@@ -199,36 +199,36 @@
 
 TEST_F(HistoryCheckerTest, FindsARetryOfANonReplayableCommand) {
   admit(0, 1, 1);
-  end(20, send(10, 1), AttemptEnd::kNeverRan);
-  end(40, send(30, 1), AttemptEnd::kMayHaveRun);
+  end(20, start_attempt(10, 1), AttemptEnd::kNeverRan);
+  end(40, start_attempt(30, 1), AttemptEnd::kMayHaveRun);
   EXPECT_EQ(violations_of(Rule::kNotTwice), 0u);
-  end(60, send(50, 1), AttemptEnd::kDone);
+  end(60, start_attempt(50, 1), AttemptEnd::kDone);
   add(60, Kind::kAnswered, 1);
   expect_only(Rule::kNotTwice);
 }
 
 TEST_F(HistoryCheckerTest, FindsConcurrentAttemptsOfANonReplayableCommand) {
   admit(0, 1, 1);
-  send(10, 1), send(11, 1, 1);
+  start_attempt(10, 1), start_attempt(11, 1, 1);
   add(60, Kind::kAnswered, 1);
   expect_only(Rule::kNotTwice);
 }
 
 TEST_F(HistoryCheckerTest, FindsARetryableRejectionOfACommandThatMayHaveRun) {
   admit(0, 1, 1);
-  end(20, send(10, 1), AttemptEnd::kMayHaveRun);
-  add(60, Kind::kRefused, 1);
+  end(20, start_attempt(10, 1), AttemptEnd::kMayHaveRun);
+  add(60, Kind::kRejected, 1);
   expect_only(Rule::kNotTwice);
 }
 
 TEST_F(HistoryCheckerTest, FindsARetryOutsideTheDeduplicationWindowOrGroup) {
   admit(0, 1, 2);
-  end(20, send(10, 1), AttemptEnd::kMayHaveRun);
-  end(40, send(900, 1, 2), AttemptEnd::kMayHaveRun);
+  end(20, start_attempt(10, 1), AttemptEnd::kMayHaveRun);
+  end(40, start_attempt(900, 1, 2), AttemptEnd::kMayHaveRun);
   EXPECT_EQ(violations_of(Rule::kWindow), 0u);
-  send(950, 1, 1);  // another zone
+  start_attempt(950, 1, 1);  // another zone
   EXPECT_EQ(violations_of(Rule::kWindow), 1u);
-  send(1100, 1, 2);  // too late
+  start_attempt(1100, 1, 2);  // too late
   EXPECT_EQ(violations_of(Rule::kWindow), 2u);
 }
 
@@ -237,15 +237,15 @@
   HistoryEvent& drain = add(100, Kind::kListed);
   drain.engine = 0;
   drain.state = State::kDraining;
-  end(599, send(590, 1), AttemptEnd::kNeverRan);
+  end(599, start_attempt(590, 1), AttemptEnd::kNeverRan);
   EXPECT_EQ(violations_of(Rule::kDrain), 0u);
-  end(620, send(610, 1), AttemptEnd::kDone);
+  end(620, start_attempt(610, 1), AttemptEnd::kDone);
   add(620, Kind::kAnswered, 1);
   expect_only(Rule::kDrain);
 }
 
 TEST_F(HistoryCheckerTest, FindsAColdEngineThatFailsUnderLoad) {
-  add(10, Kind::kFell).engine = 2;
+  add(10, Kind::kFailedCold).engine = 2;
   expect_only(Rule::kCold);
 }
 
@@ -253,22 +253,22 @@
   rules.profiles[0].in_order = true;
   rules.key_rest = 100;
   admit(0, 1, 0, 7), admit(1, 2, 0, 7), admit(2, 3, 0, 8);
-  const uint64_t first = send(10, 1);
-  end(20, send(11, 3, 1), AttemptEnd::kDone);  // another key
+  const uint64_t first = start_attempt(10, 1);
+  end(20, start_attempt(11, 3, 1), AttemptEnd::kDone);  // another key
   EXPECT_EQ(violations_of(Rule::kOrder), 0u);
-  end(30, send(12, 2), AttemptEnd::kDone);  // concurrent with the earlier command and ahead of it
+  end(30, start_attempt(12, 2), AttemptEnd::kDone);  // concurrent with the earlier command and ahead of it
   EXPECT_EQ(violations_of(Rule::kOrder), 2u);
   end(40, first, AttemptEnd::kMayHaveRun);
-  send(100, 1);  // its key is still blocked
+  start_attempt(100, 1);  // its key is still blocked
   EXPECT_EQ(violations_of(Rule::kOrder), 3u);
 }
 
 TEST_F(HistoryCheckerTest, FindsAnAttemptOnAMachineThatTheProfileExcludes) {
   rules.profiles[0].machines = {"big"};
   admit(0, 1);
-  end(20, send(10, 1, 1), AttemptEnd::kMayHaveRun);
+  end(20, start_attempt(10, 1, 1), AttemptEnd::kMayHaveRun);
   EXPECT_EQ(violations_of(Rule::kPlacement), 0u);
-  end(40, send(30, 1, 0), AttemptEnd::kDone);
+  end(40, start_attempt(30, 1, 0), AttemptEnd::kDone);
   add(40, Kind::kAnswered, 1);
   expect_only(Rule::kPlacement);
 }
@@ -278,17 +278,17 @@
   rules.budget_free = 1;
   rules.budget_share = 0.5;
   admit(0, 1), admit(1, 2);
-  for (const Ms at : {10.0, 20.0, 30.0}) end(at + 1, send(at, 1), AttemptEnd::kMayHaveRun);
+  for (const Ms at : {10.0, 20.0, 30.0}) end(at + 1, start_attempt(at, 1), AttemptEnd::kMayHaveRun);
   EXPECT_EQ(violations_of(Rule::kBudget), 0u);  // two retries are allowed: 1 + 0.5 of 2 commands
-  end(41, send(40, 1), AttemptEnd::kMayHaveRun);
+  end(41, start_attempt(40, 1), AttemptEnd::kMayHaveRun);
   EXPECT_EQ(violations_of(Rule::kBudget), 1u);
-  end(2001, send(2000, 2), AttemptEnd::kMayHaveRun);
-  end(2003, send(2002, 2), AttemptEnd::kMayHaveRun);  // a window later, one retry is allowed
+  end(2001, start_attempt(2000, 2), AttemptEnd::kMayHaveRun);
+  end(2003, start_attempt(2002, 2), AttemptEnd::kMayHaveRun);  // a window later, one retry is allowed
   EXPECT_EQ(violations_of(Rule::kBudget), 1u);
 }
 
 TEST_F(HistoryCheckerTest, FindsAnInconsistentHistory) {
-  send(10, 99);
+  start_attempt(10, 99);
   end(20, 77, AttemptEnd::kDone);
   add(30, Kind::kAnswered, 98);
   EXPECT_EQ(violations_of(Rule::kHistory), 3u);
