--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -13,7 +13,7 @@
 #include <thread>
 #include <vector>
 
-#include "fakes/load_clients.h"
+#include "fakes/gateway_cluster.h"
 #include "simulation/fleet_world.h"
 #include "simulation/invariant_checker.h"
 
@@ -44,14 +44,14 @@
 // Measures the time without a holder in each trial: `fail` disturbs the present holder, `restore` repairs it
 // after another gateway has the lease. `from_span`: measured from the end of the holder's last span, not from
 // `fail`.
-std::vector<double> measure_gaps(fakes::LoadClients& cluster, size_t trials,
+std::vector<double> measure_gaps(fakes::GatewayCluster& cluster, size_t trials,
                                  const std::function<void(size_t)>& fail,
                                  const std::function<void(size_t)>& restore, bool from_span) {
   std::vector<double> gaps_ms;
   for (size_t t = 0; t < trials; ++t) {
     if (!wait_until([&] { return cluster.ready(); })) break;
     const size_t first = *cluster.holder("trial:a");
-    const Ms began = fakes::LoadClients::clock();
+    const Ms began = fakes::GatewayCluster::clock();
     fail(first);
     if (!wait_until([&] {
           const auto h = cluster.holder("trial:a");
@@ -75,7 +75,7 @@
   const size_t trials = argc > 1 ? static_cast<size_t>(std::atoi(argv[1])) : 20;
   fmt::print("time without a holder, lease 1000 ms, 3 keepers of 5 processes   median   99 in 100   most\n");
   {
-    fakes::LoadClients cluster(FIRVALVE_PROGRAM, {});
+    fakes::GatewayCluster cluster(FIRVALVE_PROGRAM, {});
     const auto start = [&](size_t i) { cluster.start(i); };
     print_row("handed on at SIGTERM, from its last act",
               measure_gaps(
@@ -85,15 +85,15 @@
               measure_gaps(
                   cluster, trials, [&](size_t i) { cluster.kill(i); }, start, false),
               trials);
-    print_row(
-        "stopped, from the stop",
-        measure_gaps(
-            cluster, trials, [&](size_t i) { cluster.pause(i); }, [&](size_t i) { cluster.go_on(i); }, false),
-        trials);
+    print_row("stopped, from the stop",
+              measure_gaps(
+                  cluster, trials, [&](size_t i) { cluster.pause(i); }, [&](size_t i) { cluster.resume(i); },
+                  false),
+              trials);
     print_row("cut off from all, from the cut",
               measure_gaps(
-                  cluster, trials, [&](size_t i) { cluster.between().set_apart(i, {.silent = true}); },
-                  [&](size_t i) { cluster.between().set_apart(i, {}); }, false),
+                  cluster, trials, [&](size_t i) { cluster.proxy().set_apart(i, {.silent = true}); },
+                  [&](size_t i) { cluster.proxy().set_apart(i, {}); }, false),
               trials);
   }
   fmt::print("\nin virtual time, 200 holders killed (lease 1000 ms):\n");
--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -98,7 +98,7 @@
   });
 }
 
-void FakeEngine::come_back() {
+void FakeEngine::restart() {
   host_.run_and_wait([&] { listener_->listen(address_); });
 }
 
--- a/src/fakes/fake_engine.h
+++ b/src/fakes/fake_engine.h
@@ -24,10 +24,10 @@
   ~FakeEngine();
 
   std::string address() const { return address_; }
-  // Simulates a crash: resets all connections, drops all queries and refuses connections until come_back(),
+  // Simulates a crash: resets all connections, drops all queries and refuses connections until restart(),
   // which listens on the same address again.
   void kill();
-  void come_back();
+  void restart();
   void hang(bool on);  // accepts connections and calls, and sends no response
 
   // Counts since construction, including the time before a kill().
--- a/src/fakes/fake_gateway.cpp
+++ b/src/fakes/fake_gateway.cpp
@@ -57,7 +57,7 @@
     connections_.end_all(with_reset);
   });
 }
-void FakeGateway::come_back() {
+void FakeGateway::restart() {
   host_.run_and_wait([&] { listener_->listen(address_); });
 }
 void FakeGateway::set_healthy(bool healthy) {
--- a/src/fakes/fake_gateway.h
+++ b/src/fakes/fake_gateway.h
@@ -20,7 +20,7 @@
   std::string address() const { return address_; }
 
   void kill(bool with_reset = false);  // ends all connections and refuses new ones
-  void come_back();                    // listens on the same address again
+  void restart();                      // listens on the same address again
   void set_healthy(bool healthy);      // reported by heartbeat responses
   void set_marks(bool marks);          // heartbeat responses report support for retry markers
   void set_mute(bool mute);            // accepts connections and requests, and sends no response
--- a/src/fakes/fault_proxy.cpp
+++ b/src/fakes/fault_proxy.cpp
@@ -68,7 +68,7 @@
 
 double FaultProxy::draw_fraction() { return std::uniform_real_distribution<double>(0, 1)(rng_); }
 
-std::string FaultProxy::stand_before(const std::string& real, const std::string& address) {
+std::string FaultProxy::add_gateway(const std::string& real, const std::string& address) {
   host_.run_and_wait([&] {
     const size_t number = routes_.size();
     auto route = std::make_unique<Route>();
@@ -145,7 +145,7 @@
   }
   const int copies = draw_fraction() < options.repeated ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    if (options.delay_most > 0)
+    if (options.max_delay > 0)
       deliver_later(id, pair, is_forward, frame, options);
     else
       deliver(id, is_forward, frame);
@@ -155,7 +155,7 @@
 void FaultProxy::deliver_later(uint64_t id, ConnectionPair& pair, bool is_forward, const std::string& frame,
                                const Options& options) {
   const Ms now = host_.loop().now_ms();
-  Ms due = now + options.delay_least + draw_fraction() * (options.delay_most - options.delay_least);
+  Ms due = now + options.min_delay + draw_fraction() * (options.max_delay - options.min_delay);
   Ms& last = is_forward ? pair.last_due_forward : pair.last_due_backward;
   if (!options.reordered) due = last = std::max(due, last);
   host_.after(due - now, [this, id, is_forward, frame, alive = alive_] {
--- a/src/fakes/fault_proxy.h
+++ b/src/fakes/fault_proxy.h
@@ -18,11 +18,11 @@
 class FaultProxy {
  public:
   struct Options {
-    double lost = 0, repeated = 0;       // fractions of frames that are dropped and duplicated
-    Ms delay_least = 0, delay_most = 0;  // range of a frame's delay
-    bool reordered = false;              // delayed frames may overtake each other
-    bool held = false;                   // frames are queued until this is cleared
-    bool silent = false;                 // drops all frames; connections stay open
+    double lost = 0, repeated = 0;    // fractions of frames that are dropped and duplicated
+    Ms min_delay = 0, max_delay = 0;  // range of a frame's delay
+    bool reordered = false;           // delayed frames may overtake each other
+    bool held = false;                // frames are queued until this is cleared
+    bool silent = false;              // drops all frames; connections stay open
     bool cut = false;   // resets connections, new ones after the frame that identifies the dialler
     bool torn = false;  // forwards half of the next frame, then resets its connection
   };
@@ -32,7 +32,7 @@
 
   // Adds the gateway that listens at `real`; peers reach it at `address`, which is returned. Gateways are
   // numbered from 0 in the order of these calls.
-  std::string stand_before(const std::string& real, const std::string& address);
+  std::string add_gateway(const std::string& real, const std::string& address);
   void set(size_t from, size_t to, const Options& options);
   void set_both(size_t a, size_t b, const Options& options);
   void set_all(const Options& options);
--- a/src/fakes/load_clients.cpp
+++ b/src/fakes/gateway_cluster.cpp
@@ -1,5 +1,5 @@
 // Starts the gateway processes with their operator files and reads their logs.
-#include "fakes/load_clients.h"
+#include "fakes/gateway_cluster.h"
 
 #include <fmt/format.h>
 #include <signal.h>
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-LoadClients::LoadClients(std::string program, const LoadClientsOptions& options)
+GatewayCluster::GatewayCluster(std::string program, const GatewayClusterOptions& options)
     : program_(std::move(program)), options_(options), engines_(options.engines) {
   char name[] = "/tmp/firvalve-clients-XXXXXX";
   if (!::mkdtemp(name)) throw std::runtime_error("no folder for load clients");
@@ -54,7 +54,7 @@
     Member& member = members_.emplace_back();
     member.clients = free[3 * i];
     member.real = free[3 * i + 1];
-    member.name = proxy_->stand_before(member.real, free[3 * i + 2]);
+    member.name = proxy_->add_gateway(member.real, free[3 * i + 2]);
     member.log = fmt::format("{}/{}.log", directory_, i);
     if (i < options.keepers) keepers.push_back(member.name);
   }
@@ -71,17 +71,19 @@
   for (size_t i = 0; i < options.gateways; ++i) start(i);
 }
 
-LoadClients::~LoadClients() {
+GatewayCluster::~GatewayCluster() {
   members_.clear();
   proxy_.reset();
   std::error_code ignored;
   std::filesystem::remove_all(directory_, ignored);
 }
 
-std::string LoadClients::folder(size_t i) const { return fmt::format("{}/{}.kept", directory_, i); }
-std::string LoadClients::operator_file(size_t i) const { return fmt::format("{}/{}.json5", directory_, i); }
+std::string GatewayCluster::folder(size_t i) const { return fmt::format("{}/{}.kept", directory_, i); }
+std::string GatewayCluster::operator_file(size_t i) const {
+  return fmt::format("{}/{}.json5", directory_, i);
+}
 
-void LoadClients::start(size_t i) {
+void GatewayCluster::start(size_t i) {
   Member& member = members_[i];
   if (member.process)
     member.process->start();
@@ -92,27 +94,27 @@
   member.up = true;
 }
 
-void LoadClients::kill(size_t i) {
+void GatewayCluster::kill(size_t i) {
   members_[i].up = false;
   members_[i].process->stop(SIGKILL);
 }
 
-int LoadClients::end(size_t i) {
+int GatewayCluster::end(size_t i) {
   members_[i].process->signal(SIGTERM);
   const int code = members_[i].process->wait();
   members_[i].up = false;
   return code;
 }
 
-void LoadClients::forget(size_t i) {
+void GatewayCluster::forget(size_t i) {
   std::error_code ignored;
   std::filesystem::remove_all(folder(i), ignored);
 }
 
-void LoadClients::pause(size_t i) { members_[i].process->signal(SIGSTOP); }
-void LoadClients::go_on(size_t i) { members_[i].process->signal(SIGCONT); }
+void GatewayCluster::pause(size_t i) { members_[i].process->signal(SIGSTOP); }
+void GatewayCluster::resume(size_t i) { members_[i].process->signal(SIGCONT); }
 
-void LoadClients::rewrite(size_t i, const std::string& from, const std::string& to) {
+void GatewayCluster::rewrite(size_t i, const std::string& from, const std::string& to) {
   std::string text = read_file(operator_file(i));
   const size_t at = text.find(from);
   if (at == std::string::npos) throw std::runtime_error("the operator file does not contain: " + from);
@@ -120,9 +122,9 @@
   std::ofstream(operator_file(i), std::ios::trunc) << text;
 }
 
-std::string LoadClients::log(size_t i) const { return read_file(members_[i].log); }
+std::string GatewayCluster::log(size_t i) const { return read_file(members_[i].log); }
 
-size_t LoadClients::count(size_t i, const std::string& event, const std::string& with) const {
+size_t GatewayCluster::count(size_t i, const std::string& event, const std::string& with) const {
   std::istringstream lines(log(i));
   size_t all = 0;
   for (std::string line; std::getline(lines, line);)
@@ -130,15 +132,15 @@
   return all;
 }
 
-size_t LoadClients::count(const std::string& event) const {
+size_t GatewayCluster::count(const std::string& event) const {
   size_t all = 0;
   for (size_t i = 0; i < size(); ++i) all += count(i, event);
   return all;
 }
 
-Ms LoadClients::clock() { return boot_clock_ms(); }
+Ms GatewayCluster::clock() { return boot_clock_ms(); }
 
-std::optional<size_t> LoadClients::holder(const std::string& lease) const {
+std::optional<size_t> GatewayCluster::holder(const std::string& lease) const {
   std::optional<size_t> found;
   for (size_t i = 0; i < size(); ++i) {
     LogReader& reader = log_readers_[i];
@@ -165,7 +167,7 @@
   return found;
 }
 
-bool LoadClients::ready() const {
+bool GatewayCluster::ready() const {
   for (const std::string& lease : options_.duties)
     if (!lease.ends_with("*") && !holder(lease)) return false;
   return true;
--- a/src/fakes/load_clients.h
+++ b/src/fakes/gateway_cluster.h
@@ -14,7 +14,7 @@
 
 namespace firvalve::fakes {
 
-struct LoadClientsOptions {
+struct GatewayClusterOptions {
   size_t gateways = 5, keepers = 3;  // the first `keepers` gateways are the acceptors
   int engines = 2;
   Ms lease = 1000;
@@ -23,22 +23,22 @@
   uint64_t seed = 1;
 };
 
-class LoadClients {
+class GatewayCluster {
  public:
-  LoadClients(std::string program, const LoadClientsOptions& options);
-  ~LoadClients();
+  GatewayCluster(std::string program, const GatewayClusterOptions& options);
+  ~GatewayCluster();
 
   size_t size() const { return members_.size(); }
   Process& process(size_t i) { return *members_[i].process; }
   bool up(size_t i) const { return members_[i].up; }
-  void kill(size_t i);                    // SIGKILL
-  int end(size_t i);                      // SIGTERM; returns the exit code
-  void start(size_t i);                   // restarts it at the same addresses
-  void forget(size_t i);                  // deletes its stored state
-  void pause(size_t i), go_on(size_t i);  // SIGSTOP, SIGCONT
+  void kill(size_t i);                     // SIGKILL
+  int end(size_t i);                       // SIGTERM; returns the exit code
+  void start(size_t i);                    // restarts it at the same addresses
+  void forget(size_t i);                   // deletes its stored state
+  void pause(size_t i), resume(size_t i);  // SIGSTOP, SIGCONT
   void rewrite(size_t i, const std::string& from, const std::string& to);  // edits its operator file
 
-  FaultProxy& between() { return *proxy_; }
+  FaultProxy& proxy() { return *proxy_; }
   FakeDeployment& engines() { return engines_; }
   const std::string& clients(size_t i) const { return members_[i].clients; }  // address for clients
   const std::string& peers(size_t i) const { return members_[i].real; }  // address it listens on for peers
@@ -66,7 +66,7 @@
   };
 
   const std::string program_;
-  const LoadClientsOptions options_;
+  const GatewayClusterOptions options_;
   std::string directory_;  // for logs, operator files and stored state
   FakeHost host_;
   std::unique_ptr<FaultProxy> proxy_;
--- a/src/loadtest/client_loss.cpp
+++ b/src/loadtest/client_loss.cpp
@@ -110,7 +110,7 @@
   lost.kill(true);
   clients.call_until(lost_at + options.down, progress);
   const Ms back_at = monotonic_ms();
-  lost.come_back();
+  lost.restart();
   clients.call_until(back_at + options.back, progress);
   const Ms end = monotonic_ms();
   const client::Stats after = clients.stats();
--- a/tests/client/client_test.cpp
+++ b/tests/client/client_test.cpp
@@ -71,7 +71,7 @@
   const Result result = client.call(load("insert 1", 300));
   EXPECT_FALSE(result.may_have_run);
   EXPECT_EQ(result.attempts, 0);
-  gateway.come_back();
+  gateway.restart();
   EXPECT_EQ(client.call(load("insert 1")).outcome, Outcome::kAnswered);
   EXPECT_EQ(gateway.heard("insert 1"), 1);
 }
@@ -110,7 +110,7 @@
   const Handle handle = client.send(load(statement));
   ASSERT_TRUE(soon([&] { return gateway.heard(statement) == 1; }));
   gateway.kill();
-  gateway.come_back();
+  gateway.restart();
   const Result result = handle.wait();
   EXPECT_EQ(result.outcome, Outcome::kAnswered);
   EXPECT_EQ(result.attempts, 2);
@@ -283,7 +283,7 @@
   const size_t before = gateway.accepted_at().size();
   gateway.kill();
   gateway.set_mute(false);
-  gateway.come_back();
+  gateway.restart();
   for (const Handle& handle : handles) EXPECT_EQ(handle.wait().outcome, Outcome::kAnswered);
   auto at = gateway.accepted_at();
   at.erase(at.begin(), at.begin() + static_cast<long>(before));
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -14,7 +14,7 @@
 
 #include "client/client.h"
 #include "cluster/peer_codec.h"
-#include "fakes/load_clients.h"
+#include "fakes/gateway_cluster.h"
 #include "simulation/invariant_checker.h"
 #include "soon.h"
 
@@ -22,13 +22,13 @@
 namespace {
 
 using fakes::FaultProxy;
-using fakes::LoadClients;
-using fakes::LoadClientsOptions;
+using fakes::GatewayCluster;
+using fakes::GatewayClusterOptions;
 
 class Processes : public testing::Test {
  protected:
-  LoadClients& start_deployment(const LoadClientsOptions& options = {}) {
-    deployment_ = std::make_unique<LoadClients>(FIRVALVE_PROGRAM, options);
+  GatewayCluster& start_deployment(const GatewayClusterOptions& options = {}) {
+    deployment_ = std::make_unique<GatewayCluster>(FIRVALVE_PROGRAM, options);
     EXPECT_TRUE(soon([&] { return deployment_->ready(); }));
     return *deployment_;
   }
@@ -80,33 +80,33 @@
   }
   int runs(const std::string& statement) { return deployment_->engines().runs(statement); }
 
-  std::unique_ptr<LoadClients> deployment_;
+  std::unique_ptr<GatewayCluster> deployment_;
   std::map<std::string, int> max_runs_;
 };
 
 TEST_F(Processes, HolderStoppedPastItsLeaseAndContinued) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   const size_t first = wait_for_holder();
   deployment.pause(first);
   EXPECT_TRUE(wait_for_handover_from(first));
-  deployment.go_on(first);
+  deployment.resume(first);
   EXPECT_TRUE(soon([&] { return deployment.count(first, "lease.lost") > 0; }));
   EXPECT_NE(holder(), first);
 }
 
 TEST_F(Processes, HolderKilled) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   const size_t first = wait_for_holder();
-  const Ms at = LoadClients::clock();
+  const Ms at = GatewayCluster::clock();
   deployment.kill(first);
   EXPECT_TRUE(wait_for_handover_from(first));
-  EXPECT_LT(LoadClients::clock() - at, 1000 + 1000 + 500);  // lease duration, 1 s, and detection delay
+  EXPECT_LT(GatewayCluster::clock() - at, 1000 + 1000 + 500);  // lease duration, 1 s, and detection delay
 }
 
 TEST_F(Processes, HolderThatShutsDownHandsOverBeforeItsLeaseExpires) {
-  LoadClientsOptions options;
+  GatewayClusterOptions options;
   options.lease = 5000;
-  LoadClients& deployment = start_deployment(options);
+  GatewayCluster& deployment = start_deployment(options);
   const size_t first = wait_for_holder();
   EXPECT_EQ(deployment.end(first), 0);
   EXPECT_TRUE(wait_for_handover_from(first));
@@ -120,15 +120,15 @@
 }
 
 TEST_F(Processes, HolderCutOffFromTheReplicasAlone) {
-  LoadClientsOptions options;
+  GatewayClusterOptions options;
   options.duties = {"trial:a", "trial:b", "trial:c", "trial:d", "trial:e", "trial:f"};
-  LoadClients& deployment = start_deployment(options);
+  GatewayCluster& deployment = start_deployment(options);
   std::optional<size_t> isolated;  // a holder that is not a replica
   for (const std::string& lease : options.duties)
     if (const auto lease_holder = deployment.holder(lease); lease_holder && *lease_holder >= 3)
       isolated = *lease_holder;
   if (!isolated) GTEST_SKIP() << "all leases are held by replicas";
-  for (size_t k = 0; k < 3; ++k) deployment.between().set_both(*isolated, k, {.silent = true});
+  for (size_t k = 0; k < 3; ++k) deployment.proxy().set_both(*isolated, k, {.silent = true});
   EXPECT_TRUE(soon([&] { return deployment.count(*isolated, "lease.lost") > 0; }));
   EXPECT_TRUE(soon([&] {
     return std::all_of(options.duties.begin(), options.duties.end(), [&](const std::string& lease) {
@@ -139,19 +139,19 @@
 }
 
 TEST_F(Processes, HolderThatCanSendButNotReceive) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   const size_t first = wait_for_holder();
   for (size_t k = 0; k < deployment.size(); ++k)
-    if (k != first) deployment.between().set(k, first, {.silent = true});
+    if (k != first) deployment.proxy().set(k, first, {.silent = true});
   EXPECT_TRUE(wait_for_handover_from(first));
-  deployment.between().set_all({});
+  deployment.proxy().set_all({});
   EXPECT_TRUE(soon([&] { return deployment.count(first, "lease.lost") > 0; }));
 }
 
 TEST_F(Processes, LinksResetInTheMiddleOfFrames) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   for (int i = 0; i < 10; ++i) {
-    deployment.between().set_all({.torn = true});
+    deployment.proxy().set_all({.torn = true});
     ::usleep(50000);
   }
   EXPECT_TRUE(soon([&] { return deployment.ready(); }));
@@ -159,7 +159,7 @@
 }
 
 TEST_F(Processes, ReplicaKilledAndRestartedWithAndWithoutItsStorage) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   EXPECT_EQ(request_job({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
   for (const size_t replica : {size_t{0}, size_t{1}, size_t{2}}) {
     const size_t before = deployment.count(replica, "consensus.replica_ready");
@@ -175,9 +175,9 @@
 }
 
 TEST_F(Processes, ReplicasWithoutStorageRestartedOneAfterTheOther) {
-  LoadClientsOptions options;
+  GatewayClusterOptions options;
   options.folders = false;
-  LoadClients& deployment = start_deployment(options);
+  GatewayCluster& deployment = start_deployment(options);
   EXPECT_EQ(request_job({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
   for (const size_t replica : {size_t{0}, size_t{1}, size_t{2}}) {
     deployment.kill(replica);
@@ -189,10 +189,10 @@
 }
 
 TEST_F(Processes, TwoAndThenThreeOfFiveReplicasKilled) {
-  LoadClientsOptions options;
+  GatewayClusterOptions options;
   options.gateways = 7;
   options.keepers = 5;
-  LoadClients& deployment = start_deployment(options);
+  GatewayCluster& deployment = start_deployment(options);
   for (const size_t k : {size_t{0}, size_t{1}}) deployment.kill(k);
   EXPECT_TRUE(soon([&] { return deployment.ready(); }));
   EXPECT_EQ(request_job({5}, "two", "insert two").outcome, client::Outcome::kAnswered);
@@ -209,7 +209,7 @@
 }
 
 TEST_F(Processes, AllReplicasRestartedAtOnce) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   EXPECT_EQ(request_job({3}, "one", "insert one").outcome, client::Outcome::kAnswered);
   for (size_t k = 0; k < 3; ++k) deployment.kill(k);
   for (size_t k = 0; k < 3; ++k) deployment.start(k);
@@ -221,11 +221,11 @@
 class Lossy : public Processes, public testing::WithParamInterface<double> {};
 
 TEST_P(Lossy, MessagesLostRepeatedLateAndOutOfOrder) {
-  LoadClientsOptions options;
+  GatewayClusterOptions options;
   options.duties = {"trial:a", "trial:b", "trial:c"};
-  LoadClients& deployment = start_deployment(options);
-  deployment.between().set_all(
-      {.lost = GetParam(), .repeated = 0.1, .delay_least = 0, .delay_most = 60, .reordered = true});
+  GatewayCluster& deployment = start_deployment(options);
+  deployment.proxy().set_all(
+      {.lost = GetParam(), .repeated = 0.1, .min_delay = 0, .max_delay = 60, .reordered = true});
   std::vector<std::future<client::Result>> results;
   for (size_t g = 0; g < deployment.size(); ++g)
     results.push_back(request_job_async(g, "lossy", "insert lossy /*! delay=200 */"));
@@ -242,17 +242,17 @@
                          [](const auto& p) { return std::to_string(static_cast<int>(p.param * 100)); });
 
 TEST_F(Processes, MessagesDelayedPastALease) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   for (int i = 0; i < 3; ++i) {
-    deployment.between().set_all({.held = true});
+    deployment.proxy().set_all({.held = true});
     EXPECT_TRUE(soon([&] { return !holder(); }));
-    deployment.between().set_all({});  // delivers the delayed messages
+    deployment.proxy().set_all({});  // delivers the delayed messages
     EXPECT_TRUE(soon([&] { return holder().has_value(); }));
   }
 }
 
 TEST_F(Processes, RollingRestartOfAllUnderLoad) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   std::atomic<bool> over = false;
   std::atomic<int> answered = 0, lost = 0;
   std::thread load([&] {
@@ -279,7 +279,7 @@
 }
 
 TEST_F(Processes, AJobRequestedFromAllGatewaysRunsOnceAndAllGetItsResult) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   const std::string load = "insert night /*! delay=300 rows=2 */";
   std::vector<std::future<client::Result>> results;
   for (size_t g = 0; g < deployment.size(); ++g) results.push_back(request_job_async(g, "night", load));
@@ -294,7 +294,7 @@
 }
 
 TEST_F(Processes, AHolderKilledDuringAJobLeavesItsOutcomeUnknown) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   const std::string load = "insert night /*! delay=3000 */";
   auto first = request_job_async(3, "night", load);
   EXPECT_TRUE(soon([&] { return runs(load) == 1; }));
@@ -307,20 +307,20 @@
 }
 
 TEST_F(Processes, AJobIsNotRestartedAfterItsHolderIsPaused) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   const std::string load = "insert night /*! delay=500 */";
   auto first = request_job_async(3, "night", load);
   EXPECT_TRUE(soon([&] { return runs(load) == 1; }));
   deployment.pause(3);
   EXPECT_EQ(request_job({4}, "night", load).outcome, client::Outcome::kFailed);
-  deployment.go_on(3);
+  deployment.resume(3);
   first.get();
   EXPECT_EQ(request_job({0}, "night", load).outcome, client::Outcome::kFailed);
   EXPECT_EQ(runs(load), 1);
 }
 
 TEST_F(Processes, AHolderThatShutsDownDuringAJobCompletesItFirst) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   const std::string load = "insert night /*! delay=800 */";
   auto first = request_job_async(3, "night", load);
   EXPECT_TRUE(soon([&] { return runs(load) == 1; }));
@@ -331,10 +331,10 @@
 }
 
 TEST_F(Processes, AReplicaWithAFullDiskSendsNothingUntilWritesSucceed) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   const rlimit full{0, RLIM_INFINITY}, unlimited{RLIM_INFINITY, RLIM_INFINITY};
   ASSERT_EQ(::prlimit(deployment.process(0).id(), RLIMIT_FSIZE, &full, nullptr), 0);
-  EXPECT_TRUE(soon([&] { return deployment.between().passed() > 0 && deployment.ready(); }));
+  EXPECT_TRUE(soon([&] { return deployment.proxy().passed() > 0 && deployment.ready(); }));
   EXPECT_EQ(request_job({3, 4}, "one", "insert one").outcome, client::Outcome::kAnswered);
   ASSERT_EQ(::prlimit(deployment.process(0).id(), RLIMIT_FSIZE, &unlimited, nullptr), 0);
   deployment.kill(1);
@@ -347,7 +347,7 @@
 }
 
 TEST_F(Processes, InvalidFramesAndAFloodFromOnePeerDoNotAffectOthers) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   const auto send = [&](size_t to, const std::string& bytes) {
     Poco::Net::StreamSocket socket;
     socket.connect(Poco::Net::SocketAddress(deployment.peers(to)));
@@ -381,7 +381,7 @@
 }
 
 TEST_F(Processes, AGatewayWithADifferentReplicaListIsRejected) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   const size_t misconfigured = 4;
   EXPECT_EQ(deployment.end(misconfigured), 0);
   deployment.rewrite(misconfigured, deployment.name(2), deployment.name(3));
@@ -399,7 +399,7 @@
 }
 
 TEST_F(Processes, ADirectoryInUseOrOfAnotherGatewayPreventsTheStart) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   EXPECT_EQ(deployment.end(1), 0);
   deployment.rewrite(1, deployment.folder(1), deployment.folder(0));
   deployment.process(1).start();
@@ -452,7 +452,7 @@
 };
 
 TEST_F(Topics, AChangeThatBreaksASubscriberIsRejectedAtEveryGateway) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   EXPECT_EQ(client_at(0).propose("cabins", make_schema({1, 2}), 5000).wait().outcome,
             client::Outcome::kAnswered);
   EXPECT_EQ(client_at(3).declare("cabins", make_declaration("screen", "2"), 5000).wait().outcome,
@@ -476,13 +476,13 @@
 }
 
 TEST_F(Topics, ProposalsAndDeclarationsAcrossAPartitionLossAndAKilledReplica) {
-  LoadClientsOptions options;
+  GatewayClusterOptions options;
   options.keepers = 5;
-  LoadClients& deployment = start_deployment(options);
+  GatewayCluster& deployment = start_deployment(options);
   EXPECT_EQ(client_at(0).propose("cabins", make_schema({1, 2, 3, 4}), 5000).wait().outcome,
             client::Outcome::kAnswered);
-  deployment.between().set_all(
-      {.lost = 0.1, .repeated = 0.1, .delay_least = 0, .delay_most = 20, .reordered = true});
+  deployment.proxy().set_all(
+      {.lost = 0.1, .repeated = 0.1, .min_delay = 0, .max_delay = 20, .reordered = true});
   std::vector<std::future<std::pair<int, int>>> all;  // numbers of agreed and rejected changes
   for (size_t g = 0; g < 4; ++g) {
     client_at(g);  // creates the client before the task uses it
@@ -509,9 +509,9 @@
     }));
   }
   deployment.kill(4);  // while changes are in progress
-  deployment.between().set_apart(1, {.silent = true});
+  deployment.proxy().set_apart(1, {.silent = true});
   ::usleep(700000);
-  deployment.between().set_apart(1, {});
+  deployment.proxy().set_apart(1, {});
   deployment.start(4);
   int agreed = 0, rejected = 0;
   for (auto& changes : all) {
@@ -521,7 +521,7 @@
   }
   EXPECT_GT(agreed, 0);
   EXPECT_GT(rejected, 0);
-  deployment.between().set_all({});
+  deployment.proxy().set_all({});
   const std::string topic = read_topic(0);
   for (size_t g = 1; g < 4; ++g) EXPECT_EQ(read_topic(g), topic);
 }
@@ -541,7 +541,7 @@
 }
 
 TEST_F(Topics, WithoutAQuorumAChangeFailsAndIsNotMade) {
-  LoadClients& deployment = start_deployment();
+  GatewayCluster& deployment = start_deployment();
   deployment.kill(0);
   deployment.kill(1);
   const client::Result result = client_at(3).propose("cabins", make_schema({1}), 1500).wait();
--- a/tests/loadtest/scale_control_test.cpp
+++ b/tests/loadtest/scale_control_test.cpp
@@ -146,7 +146,7 @@
       const std::lock_guard lock(mutex);
       if (from == kSubject) note(out, frame);
     };
-    for (size_t i = 0; i <= kSubject; ++i) between->stand_before(at_.real[i], at_.name[i]);
+    for (size_t i = 0; i <= kSubject; ++i) between->add_gateway(at_.real[i], at_.name[i]);
     auto bus = std::make_unique<fakes::FakeEventBus>(host, 1, at_.bus);
     std::vector<std::unique_ptr<SimulatedGateway>> keepers;
     for (size_t i = 0; i < kKeepers; ++i) {
