--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/processes_test.cpp
@@ -34,12 +34,12 @@
   }
   void TearDown() override {
     if (!deployment_) return;
-    simulation::FleetHistory history;
+    simulation::ClusterHistory history;
     for (size_t i = 0; i < deployment_->size(); ++i)
-      simulation::read_spans(fmt::format("g{}", i), deployment_->log(i), history);
-    for (const simulation::FleetViolation& violation : simulation::check_invariants(history))
+      simulation::add_lease_terms(fmt::format("g{}", i), deployment_->log(i), history);
+    for (const simulation::InvariantViolation& violation : simulation::check_invariants(history))
       ADD_FAILURE() << violation.rule << ": " << violation.text;
-    EXPECT_GT(history.held.size(), 0u);
+    EXPECT_GT(history.lease_terms.size(), 0u);
     for (const auto& [statement, max_runs] : max_runs_)
       EXPECT_LE(deployment_->engines().runs(statement), max_runs) << statement;
     if (HasFailure())
@@ -110,13 +110,13 @@
   const size_t first = wait_for_holder();
   EXPECT_EQ(deployment.end(first), 0);
   EXPECT_TRUE(wait_for_handover_from(first));
-  simulation::FleetHistory history;
-  for (size_t i = 0; i < deployment.size(); ++i) simulation::read_spans("g", deployment.log(i), history);
-  std::sort(history.held.begin(), history.held.end(),
+  simulation::ClusterHistory history;
+  for (size_t i = 0; i < deployment.size(); ++i) simulation::add_lease_terms("g", deployment.log(i), history);
+  std::sort(history.lease_terms.begin(), history.lease_terms.end(),
             [](const auto& a, const auto& b) { return a.epoch < b.epoch; });
-  ASSERT_GE(history.held.size(), 2u);
+  ASSERT_GE(history.lease_terms.size(), 2u);
   // Well below the lease duration, even on a loaded machine.
-  EXPECT_LT(history.held[1].from - history.held[0].until, 1000);
+  EXPECT_LT(history.lease_terms[1].from - history.lease_terms[0].until, 1000);
 }
 
 TEST_F(Processes, HolderCutOffFromTheReplicasAlone) {
@@ -442,9 +442,9 @@
     const client::Result result =
         client_at(gateway).call_topic_method("bulletin", "cabins", "{}", 8000).wait();
     EXPECT_EQ(result.outcome, client::Outcome::kAnswered) << result.why;
-    simulation::FleetHistory history;
-    history.bulletins.push_back(simulation::read_agreed("cabins", 0, result.rows));
-    for (const simulation::FleetViolation& violation : simulation::check_invariants(history))
+    simulation::ClusterHistory history;
+    history.topics.push_back(simulation::parse_topic("cabins", 0, result.rows));
+    for (const simulation::InvariantViolation& violation : simulation::check_invariants(history))
       ADD_FAILURE() << violation.rule << ": " << violation.text;
     return result.rows;
   }
