--- a/src/fakes/gateway_cluster.h
+++ b/src/fakes/gateway_cluster.h
@@ -14,6 +14,7 @@
 
 namespace firvalve::fakes {
 
+// The size of the cluster and the operator settings of its gateways.
 struct GatewayClusterOptions {
   size_t gateways = 5, keepers = 3;  // the first `keepers` gateways are the acceptors
   int engines = 2;
@@ -23,6 +24,7 @@
   uint64_t seed = 1;
 };
 
+// Owns the processes; the destructor kills them and deletes their files.
 class GatewayCluster {
  public:
   GatewayCluster(std::string program, const GatewayClusterOptions& options);
