--- a/src/loadtest/cost_model.cpp
+++ b/src/loadtest/cost_model.cpp
@@ -1,3 +1,4 @@
+// The tables of costs and checks of the cost model, and their evaluation for a cluster size.
 #include "loadtest/cost_model.h"
 
 #include <fmt/format.h>
@@ -7,13 +8,14 @@
 namespace firvalve::loadtest {
 namespace {
 
-constexpr double kSearchStep = 1.01;       // between the sizes tried
-constexpr double kServedLeast = 0.9;       // of a calm day's commands, in time
-constexpr double kMessagesPerCommand = 4;  // request and answer, at the client's and at the engine's side
+constexpr double kSearchStep = 1.01;       // ratio of successive cluster sizes that are tried
+constexpr double kServedLeast = 0.9;       // share of commands that must be served in time on a calm day
+constexpr double kMessagesPerCommand = 4;  // request and answer, on the client side and on the engine side
 constexpr double kMillisecondsPerSecond = 1000;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
-// Factors.
+// Factors that convert a measured value to the figure of a cost or check. The texts are their formulas in the
+// capacity page.
 const Factor kOnce{"", [](const FleetSize&) { return 1.0; }};
 const Factor kGateways{"gateways", [](const FleetSize& f) { return f.planned.gateways; }};
 const Factor kKeepersAndBus{"keepers + 1 event bus",
@@ -80,7 +82,7 @@
 Limit at_most_assumed(double (*value)(const FleetSize&)) { return {Bound::kAtMost, value, true}; }
 Limit at_least_assumed(double (*value)(const FleetSize&)) { return {Bound::kAtLeast, value, true}; }
 
-// Mechanisms, by the package that holds them.
+// Texts that name the mechanism behind a figure and its package.
 constexpr const char* kDecision = "the module's turn over all engines (src/policy)";
 constexpr const char* kEngineConnections =
     "a connection kept to each engine until 2 s before its idle close (src/net/engine_connections)";
@@ -101,7 +103,7 @@
 Quantity control_memory() {
   return {growth("gateway.memory", "engines"), measured("gateway.control.hollow_memory", "gateways")};
 }
-// At rest, with the gateway's part of the leases.
+// Messages per second without any change, including the gateway's share of the leases.
 Quantity control_messages() {
   return {measured("gateway.control.messages", "gateways"),
           measured("holder.control_per_duty.messages", "gateways", kLeasesPerGateway)};
--- a/src/loadtest/cost_model.h
+++ b/src/loadtest/cost_model.h
@@ -1,5 +1,6 @@
-// What the fleet's roles cost and which limits they meet: which measurement carries each figure, by which
-// mechanism, and against what it is held. Data, and the arithmetic over it.
+// The cost model: the cost of each role in the cluster and the limits that it must meet. For each figure it
+// names the measurements, the mechanism behind them and the limit, and computes the figure for a cluster
+// size.
 #pragma once
 
 #include <optional>
@@ -11,6 +12,8 @@
 
 namespace firvalve::loadtest {
 
+// A part of the system whose costs are listed. `kKeeper` is an acceptor of the replicated registers;
+// `kDistribution` distributes configuration and the engine list.
 enum class Role {
   kGatewayData,
   kGatewayControl,
@@ -23,18 +26,18 @@
 
 enum class Resource { kState, kMessages, kProcessor, kMemory };
 
-// One figure of a role at the planned size.
+// The cost of a role in one resource.
 struct Cost {
   Role role;
   Resource resource;
   const char* what;
   const char* unit;
   Quantity quantity;
-  const char* mechanism;   // that carries it
-  const char* assumption;  // empty: none
+  const char* mechanism;   // the mechanism that causes the cost, and its package
+  const char* assumption;  // on which the figure rests; empty: none
 };
 
-// The lines of the planned size.
+// The requirements of the planned size, each a line of the capacity page.
 enum class PlannedLine {
   kMachines,
   kPlaces,
@@ -49,15 +52,17 @@
 
 enum class Bound { kAtMost, kAtLeast };
 
+// The bound that a check's value must stay within.
 struct Limit {
   Bound bound = Bound::kAtMost;
   double (*value)(const FleetSize& fleet);
-  bool is_assumed;  // not one of the planned sizes
+  bool is_assumed;  // chosen, not one of the planned sizes
 };
 
+// Who is responsible for meeting the limit of a check.
 enum class Owner { kProgram, kOperators };
 
-// One thing that may give way.
+// One limit that may be exceeded as the cluster grows.
 struct Check {
   PlannedLine line;
   const char* what;
@@ -66,7 +71,7 @@
   Limit limit;
   const char* mechanism;
   Owner owner;
-  const char* would_tell;  // where it was not measured
+  const char* would_tell;  // the measurement that would give the value, if there is none
 };
 
 const std::vector<Cost>& role_costs();
@@ -77,25 +82,26 @@
 std::string_view owner_name(Owner owner);
 std::string planned_line_text(PlannedLine line, const PlannedSize& planned);
 
+// The result of a check at one cluster size.
 struct Verdict {
   Evaluation evaluation;
   double limit = 0;
-  std::optional<bool> is_kept;  // nothing: not known
+  std::optional<bool> is_kept;  // true: the limit is met; std::nullopt: the value is unknown
 };
 
 Verdict evaluate_check(const Check& check, const CapacityFile& file, const FleetSize& fleet);
 
-// Gateways of the smallest and the largest fleet that is looked at.
+// Gateways of the smallest and the largest cluster that breaking_size() considers.
 constexpr double kSmallestFleet = 10;
 constexpr double kLargestFleet = 1e6;
 
-// The smallest number of gateways, with engines, connections and commands in proportion, at which a check is
-// not kept.
+// The smallest number of gateways at which a check fails, with engines, connections and commands scaled in
+// proportion.
 struct BreakingSize {
   enum class Kind {
-    kAt,       // `gateways`
-    kBeyond,   // kept at every size that is known of, which ends at `gateways`
-    kNever,    // kept at every size up to kLargestFleet
+    kAt,       // fails at `gateways`
+    kBeyond,   // passes at every size with a known value; the largest such size is `gateways`
+    kNever,    // passes at every size with a known value, up to kLargestFleet
     kUnknown,  // not measured
   };
   Kind kind = Kind::kUnknown;
--- a/src/loadtest/fit.cpp
+++ b/src/loadtest/fit.cpp
@@ -1,3 +1,4 @@
+// Least-squares fits, and the choice of the simplest form that explains the points.
 #include "loadtest/fit.h"
 
 #include <algorithm>
@@ -12,7 +13,7 @@
 constexpr std::array<std::string_view, kForms.size()> kFormNames = {"constant", "linear", "n log n",
                                                                     "n squared"};
 
-// What the slope is multiplied with at a size.
+// Returns the factor of the slope at `size`.
 double basis(Form form, double size) {
   switch (form) {
     case Form::kConstant:
@@ -27,6 +28,7 @@
   return 0;
 }
 
+// Returns the root mean square error, relative to the mean absolute value.
 double relative_residual(const Fit& fit, const std::vector<Point>& points) {
   double squares = 0;
   double magnitude = 0;
--- a/src/loadtest/fleet_size.cpp
+++ b/src/loadtest/fleet_size.cpp
@@ -1,3 +1,4 @@
+// Scaling, lookup and validation of the planned cluster size.
 #include "loadtest/fleet_size.h"
 
 #include <fmt/format.h>
--- a/src/loadtest/fleet_size.h
+++ b/src/loadtest/fleet_size.h
@@ -1,4 +1,4 @@
-// The fleet to plan for: the sizes that were asked for, and what is assumed beside them.
+// The cluster size to plan for: the required sizes, and the assumptions made where none was specified.
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
 constexpr double kSecondsPerDay = 86400;
 constexpr double kBytesPerMegabyte = 1e6;
 
-// What was asked for, whole: over the fleet unless the name says otherwise.
+// The required sizes: totals over the whole cluster unless the comment or name says otherwise.
 struct PlannedSize {
   double gateways = 1100;
   double engines = 1100;
@@ -23,9 +23,9 @@
   double primary_change_within_s = 11;
   double configuration_changes_per_day = 3600;
   double configuration_change_within_s = 13;
-  double control_core_percent = 1.1;       // of one core, at a gateway
-  double control_memory_mb = 32;           // at a gateway
-  double control_bytes_per_second = 2000;  // at a gateway
+  double control_core_percent = 1.1;       // of one core, per gateway
+  double control_memory_mb = 32;           // per gateway
+  double control_bytes_per_second = 2000;  // per gateway
   double control_machines = 12;
   double machines_failing_per_day = 9;
   double machines_replaced_per_day = 220;
@@ -34,21 +34,23 @@
   double region_cuts_per_year = 4;   // "several times a year"
 };
 
-// What nobody has told: chosen for the arithmetic, and marked as such in the page.
+// Sizes that no requirement specifies. They are chosen for the arithmetic and marked as assumed in the
+// capacity page.
 struct AssumedSize {
-  double keepers = 5;
+  double keepers = 5;  // acceptors of the replicated registers
   double leases = 20;
-  double commands_in_hand = 40;  // at one gateway: its rate times 30 ms
+  double commands_in_hand = 40;  // commands in flight at one gateway: its rate times 30 ms
   double racks_per_zone = 10;
-  double descriptors_per_process = 65536;  // the limit that a gateway or keeper is started with
-  double connections_per_engine = 800;     // that an engine's table holds: 8 cores of 100 each
-  double gateway_cores = 1;                // a gateway decides on one thread
+  double descriptors_per_process = 65536;  // the limit that a gateway or acceptor is started with
+  double connections_per_engine = 800;     // size of an engine's connection table: 8 cores, 100 each
+  double gateway_cores = 1;                // a gateway makes its decisions on one thread
   double gateway_memory_mb = 1024;         // resident, at one gateway
   double keeper_cores = 1;
   double bus_cores = 1;
-  double client_spread_s = 4;  // over which clients that lost a gateway come back: `spread_ms`
+  double client_spread_s = 4;  // over which clients of a lost gateway reconnect: `spread_ms`
 };
 
+// The planned and assumed sizes together, with the averages per gateway and zone.
 struct FleetSize {
   PlannedSize planned;
   AssumedSize assumed;
@@ -57,19 +59,20 @@
   double commands_per_gateway() const { return planned.commands_per_second / planned.gateways; }
   double gateways_per_zone() const { return planned.gateways / planned.zones; }
 
-  // The same fleet with more or fewer machines: what each gateway serves stays the same, and there are as
-  // many engines for each gateway.
+  // Returns the cluster scaled to `gateways`: the client connections, commands and engines per gateway stay
+  // the same.
   FleetSize with_gateways(double gateways) const;
 };
 
-// The size that a measurement was varied by or held at, by the name it goes under there ("gateways",
-// "engines", "connections" and "rate" of one gateway, ...). Nothing: no such size.
+// Returns the size that a measurement calls `name`, as its varied or fixed size ("gateways", "engines";
+// "connections" and "rate" are per gateway). std::nullopt if there is no such size.
 std::optional<double> size_by_name(const FleetSize& fleet, std::string_view name);
 
-// A line that says which sizes cannot stand together; empty: all can.
+// Returns a message on the first size that is not positive or contradicts another one; empty if the sizes are
+// consistent.
 std::string contradiction(const FleetSize& fleet);
 
-// Every field with its name in the capacity file.
+// A field and its name in the capacity file.
 template <typename Sizes>
 struct SizeField {
   const char* name;
--- a/src/loadtest/gateway_process.cpp
+++ b/src/loadtest/gateway_process.cpp
@@ -1,3 +1,4 @@
+// Starts, controls and ends a child process of the scale run over a socket pair.
 #include "loadtest/gateway_process.h"
 
 #include <fcntl.h>
@@ -21,11 +22,11 @@
 namespace firvalve::loadtest {
 namespace {
 
-constexpr int kAnswerMostMs = 30000;  // for a child's answer, on a busy machine
-constexpr int kEndMostMs = 3000;      // for a child to end by itself
+constexpr int kAnswerMostMs = 30000;  // timeout of a child's answer; allows for a busy machine
+constexpr int kEndMostMs = 3000;      // for a child to exit before it is killed
 constexpr int kEndLookMs = 5;
 
-// True: the process has ended and was waited for.
+// Waits up to `within_ms` for the process to exit. Returns true if it has exited and was reaped.
 bool has_ended(pid_t id, int within_ms) {
   for (int waited = 0;; waited += kEndLookMs) {
     if (::waitpid(id, nullptr, WNOHANG) != 0) return true;
@@ -51,7 +52,8 @@
 }
 
 void GatewayProcess::start() {
-  // All that allocates happens before the fork: other threads may hold the allocator then.
+  // The child must not allocate between fork and exec: another thread may hold the allocator's lock at the
+  // fork. So the program's path and arguments are built before it.
   std::string program = sibling_program("firvalve_simulated_gateways");
   std::array<char*, 2> words{program.data(), nullptr};
   int ends[2];
--- a/src/loadtest/gateway_process.h
+++ b/src/loadtest/gateway_process.h
@@ -1,7 +1,7 @@
-// A child process of the scale run: simulated gateways, an event bus, or both. The parent's handle is
-// GatewayProcess; the child is the program `firvalve_simulated_gateways` beside the load test's own. It ends
-// when its parent's handle does, and also when the parent dies: the end of the channel between them is its
-// end.
+// A child process of the scale run that runs simulated gateways, an event bus, or both. GatewayProcess is the
+// parent's handle; the child is the program `firvalve_simulated_gateways`, in the same folder as the load
+// test. The child exits when the channel to its parent closes: when the handle is destroyed or the parent
+// dies.
 #pragma once
 
 #include <sys/types.h>
@@ -13,51 +13,57 @@
 
 namespace firvalve::loadtest {
 
+// What a child process runs.
 struct GatewayProcessOptions {
   std::vector<SimulatedGatewayOptions> gateways;
-  std::string bus_address;  // where an event bus listens; empty: none here
+  std::string bus_address;  // listen address of the event bus; empty: the process runs none
 };
 
+// Traffic and cost of the event bus in a child process.
 struct EventBusReport {
   uint64_t connections_open = 0, connections_made = 0;
   uint64_t lines_in = 0, lines_out = 0;
   uint64_t bytes_in = 0, bytes_out = 0;
-  uint64_t updates = 0;  // that were accepted
-  Ms accepted_at = 0;    // read_report_clock() when the last of them was
-  double cpu_us = 0;     // of its thread
+  uint64_t updates = 0;  // accepted updates
+  Ms accepted_at = 0;    // read_report_clock() when the last update was accepted
+  double cpu_us = 0;     // of the event bus thread
 };
 
+// State and cost of a child process at one time.
 struct GatewayProcessReport {
-  std::vector<SimulatedGatewayReport> gateways;  // as in the options
+  std::vector<SimulatedGatewayReport> gateways;  // in the order of the options
   EventBusReport bus;
-  double cpu_us = 0;       // of the whole process, since its start
+  double cpu_us = 0;       // of the whole process since its start
   double resident_mb = 0;  // now
   int descriptors = 0;     // open now
-  Ms at = 0;               // read_report_clock()
+  Ms at = 0;               // read_report_clock() when the report was made
 };
 
+// The parent's handle of a child process.
 class GatewayProcess {
  public:
-  // Begins it; wait_ready() tells that all in it are up. Both throw ScaleError.
+  // Starts the process; wait_ready() blocks until everything in it is up. Both throw ScaleError.
   explicit GatewayProcess(GatewayProcessOptions options);
-  ~GatewayProcess();  // it is killed where it does not end by itself
+  ~GatewayProcess();  // closes the channel; kills the process if it does not exit in time
   GatewayProcess(const GatewayProcess&) = delete;
   GatewayProcess& operator=(const GatewayProcess&) = delete;
 
-  // All of these throw ScaleError where the child has died or does not answer.
+  // The functions down to read_report() throw ScaleError if the child has died or does not answer.
   void wait_ready();
   GatewayProcessReport report();
-  void kill_gateways(const std::vector<size_t>& which);   // by their places in the options
-  void start_gateways(const std::vector<size_t>& which);  // again
-  void end_gateways(const std::vector<size_t>& which);    // in good order; returns once all have ended
-  // An update of the engine list at its bus: a difference, or a whole list.
+  void kill_gateways(const std::vector<size_t>& which);   // `which`: indices into the options
+  void start_gateways(const std::vector<size_t>& which);  // restarts killed or ended gateways
+  void end_gateways(const std::vector<size_t>& which);    // gracefully; returns once all have ended
+  // Publishes an update of the engine list on the process's event bus: a complete list if `whole`, otherwise
+  // a difference.
   void announce(const std::string& listings, bool whole);
 
-  // The two halves of report(), to ask several processes at one moment.
+  // The request and the answer of report(), separated so that several processes can be asked at the same
+  // time.
   void ask_report();
   GatewayProcessReport read_report();
 
-  void kill();  // SIGKILL, and its end awaited: a machine or rack that is gone
+  void kill();  // sends SIGKILL and waits for the exit; simulates the loss of a machine or rack
   bool is_up() const { return id_ > 0; }
   pid_t id() const { return id_; }
   const GatewayProcessOptions& options() const { return options_; }
@@ -74,7 +80,7 @@
   std::string unread_;
 };
 
-// The program of that name in the folder of the one that runs.
+// Returns the path of the program `name` in the folder of the running executable.
 std::string sibling_program(const std::string& name);
 
 }  // namespace firvalve::loadtest
--- a/src/loadtest/gateway_process_wire.cpp
+++ b/src/loadtest/gateway_process_wire.cpp
@@ -13,7 +13,7 @@
 
 using rapidjson::Value;
 
-// The fields of each structure stand once, in a visit() below; Writer and Reader go through them.
+// Each structure lists its fields once, in a visit() below that both Writer and Reader use.
 class Writer {
  public:
   template <class T>
@@ -100,7 +100,7 @@
   const Value& object_;
 };
 
-// `Same` is T or const T.
+// `Same` is T for the Reader and const T for the Writer.
 template <class Same, class T>
 concept Of = std::is_same_v<std::remove_const_t<Same>, T>;
 
--- a/src/loadtest/gateway_run.cpp
+++ b/src/loadtest/gateway_run.cpp
@@ -1,4 +1,5 @@
-// A real gateway before scripted engines: processor time, memory, descriptors and its start, by sizes.
+// The scale run's measurements of a real gateway in front of scripted engines: processor time, memory,
+// connections to engines and start-up time, each as a series over a size (engines, client connections, rate).
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -19,36 +20,37 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-constexpr double kAnsweredLeast = 0.9;  // share of the rate
-constexpr double kCoreFull = 0.9;       // share of a core from which on a gateway, of one thread, has no more
-constexpr double kBusyRate = 1000;      // commands a second of a gateway that soon has met all its engines
-// Commands a second of all gateways that are measured at once: they share this machine and the engines.
+constexpr double kAnsweredLeast = 0.9;  // share of the offered rate; below it, a gateway may be starved
+constexpr double kCoreFull = 0.9;   // share of a core at which a single-threaded gateway counts as saturated
+constexpr double kBusyRate = 1000;  // commands per second at which a gateway soon uses all engines
+// Maximum total rate, in commands per second, of the gateways that are measured at the same time: they share
+// this machine and the engines.
 constexpr double kRateAtOnceForTime = 2800;
 constexpr double kRateAtOnceForCounts = 4200;
-constexpr int kAttempts = 3;            // at a point that the machine had no time for
-constexpr double kUnderWayMost = 10;    // commands: more or fewer may be under way at a window's two ends
-constexpr double kSettleSeconds = 0.5;  // after connections or commands have come, before memory is read
+constexpr int kAttempts = 3;            // per point, while the machine starves a gateway of processor time
+constexpr double kUnderWayMost = 10;    // tolerated difference of commands in flight at a window's ends
+constexpr double kSettleSeconds = 0.5;  // between opening connections or commands and reading memory
 constexpr double kSecondsBetweenProgress = 5;
 constexpr std::chrono::milliseconds kBetweenChecks{100};
-constexpr size_t kDescriptorsSpare = 1500;    // of clients, and of second connections to one engine
-constexpr size_t kDescriptorsOfClients = 40;  // of the client library, a gateway
-constexpr int kIdleViewEngines = 8;           // where client connections are varied
-constexpr int kHandViewEngines = 64;          // where commands in hand are varied
+constexpr size_t kDescriptorsSpare = 1500;    // for clients, and for second connections to one engine
+constexpr size_t kDescriptorsOfClients = 40;  // for the client library, per gateway
+constexpr int kIdleViewEngines = 8;           // while client connections are varied
+constexpr int kHandViewEngines = 64;          // while commands in flight are varied
 
-// What is varied, and for how long each point is watched.
+// The sizes that are varied, and the warm-up and measuring times of each point.
 struct Plan {
   std::vector<int> engines = {8, 64, 256, 512, 1100, 2200};
   std::vector<int> connections = {250, 500, 1000, 2000, 4000, 6000};
   std::vector<int> commands_in_hand = {100, 200, 400, 800, 1600, 3200};
   std::vector<double> rates = {200, 1364};                 // commands a second
-  std::vector<double> further_rates = {25, 50, 100, 400};  // for descriptors by rate
+  std::vector<double> further_rates = {25, 50, 100, 400};  // for engine connections by rate
   std::vector<int> zones = {1, 20};
-  double busy_warm_up_s = 5;     // at kBusyRate and above a gateway has met all engines by then
-  double slow_warm_up_s = 20;    // below, its first connections have been idle for too long and ended
-  double seconds = 10;           // that processor time is counted for
-  double slow_long_run_s = 120;  // until descriptors are counted, below kBusyRate
-  double busy_long_run_s = 60;   // and above
-  int starts = 5;                // of each size, for the median
+  double busy_warm_up_s = 5;     // at kBusyRate and above: by then the gateway has connected to all engines
+  double slow_warm_up_s = 20;    // below kBusyRate: by then the first connections have been closed as idle
+  double seconds = 10;           // window over which processor time is measured
+  double slow_long_run_s = 120;  // warm-up before engine connections are counted, below kBusyRate
+  double busy_long_run_s = 60;   // the same at kBusyRate and above
+  int starts = 5;                // of a gateway at each size; the median is reported
 };
 
 Plan plan_for(const ScaleOptions& options) {
@@ -77,7 +79,7 @@
   return plan;
 }
 
-// One gateway under one load.
+// The load of one gateway: the engines in its list and the rate of commands.
 struct Load {
   ScriptedEngines::View view;
   double rate = 0;  // commands a second
@@ -87,14 +89,15 @@
   Load load;
   double microseconds_per_command = 0;
   double core_share = 0;
-  double answered_share = 0;  // of the commands of the rate
+  double answered_share = 0;  // answered commands as a share of those offered
   client::Stats commands;     // since the start of the load
   MemoryUse memory;
   size_t engine_connections = 0;
 };
 
-// A gateway that answers too little with its core full is a figure of its size. With its core not full it had
-// too little of this machine, and there is no figure.
+// True if the observation must be discarded: the gateway answered too few commands although its core was not
+// saturated, so the machine gave it too little processor time. A saturated gateway that answers too few
+// commands is a valid result for its size.
 bool is_starved(const Observation& seen) {
   return seen.answered_share < kAnsweredLeast && seen.core_share < kCoreFull;
 }
@@ -120,6 +123,7 @@
       ends.expired, ends.open);
 }
 
+// A real gateway with a steady load of commands, measured over a window.
 class LoadedGateway {
  public:
   LoadedGateway(const std::string& program, const ScriptedEngines& engines, const Load& load, uint64_t seed)
@@ -157,6 +161,7 @@
   uint64_t answered_before_ = 0;
 };
 
+// Runs all measurements of the gateway part in order and collects their series.
 class GatewayRun {
  public:
   GatewayRun(const ScaleOptions& options, const Progress& progress)
@@ -208,7 +213,8 @@
     return measured_.back();
   }
 
-  // Lets the time pass, and ends the run early where one of the gateways has ended.
+  // Sleeps for `seconds` and reports progress. `check_all` is called repeatedly and throws to end the run if
+  // a gateway process has exited.
   template <class CheckAll>
   void wait(double seconds, const std::string& what, CheckAll&& check_all) {
     const auto began = Clock::now();
@@ -225,7 +231,7 @@
     }
   }
 
-  // All loads at once, each before a gateway of its own.
+  // Measures all loads at the same time, each on its own gateway.
   std::vector<Observation> observe(const std::vector<Load>& loads, double warm_up_s, double seconds,
                                    const std::string& what) {
     std::vector<std::unique_ptr<LoadedGateway>> gateways;
@@ -247,7 +253,8 @@
     return seen;
   }
 
-  // Again where the machine, busy with other things, kept a gateway from answering: it is all or nothing.
+  // Like observe(), but repeats all loads if the machine starved any gateway; throws ScaleError after
+  // kAttempts.
   std::vector<Observation> observe_answered(const std::vector<Load>& loads, double warm_up_s, double seconds,
                                             const std::string& what) {
     for (int attempt = 1;; ++attempt) {
@@ -302,7 +309,8 @@
     }
   }
 
-  // Some at once, as far as their rates together allow.
+  // Measures the loads in batches; the total rate of a batch stays within `rate_at_once` unless it is a
+  // single load.
   std::vector<Observation> observe_in_batches(const std::vector<Load>& loads, double rate_at_once,
                                               double warm_up_s, const std::string& what) {
     std::vector<Observation> seen;
@@ -343,7 +351,7 @@
       series.points.push_back({static_cast<double>(o.load.view.engines), value_of(o)});
   }
 
-  // The planned size: the largest that isn't held out.
+  // The planned size: the largest one that is fitted. The size after it is held out to check the fit.
   int planned_engines() const { return plan_.engines[std::max<size_t>(2, plan_.engines.size()) - 2]; }
 
   std::vector<Load> long_run_loads(bool busy) const {
@@ -357,7 +365,8 @@
     return loads;
   }
 
-  // Processor time isn't taken from here: too many run at once.
+  // Measures memory and engine connections after a long warm-up. Processor time is not taken from these runs
+  // because too many gateways run at the same time.
   void measure_long_run() {
     std::vector<Observation> seen;
     for (const bool busy : {false, true}) {
--- a/src/loadtest/idle_clients.cpp
+++ b/src/loadtest/idle_clients.cpp
@@ -1,3 +1,4 @@
+// Opens idle client connections and checks which of them the gateway has closed.
 #include "loadtest/idle_clients.h"
 
 #include <Poco/Net/NetException.h>
@@ -13,7 +14,7 @@
 namespace {
 
 const Poco::Timespan kAnswerWithin(2, 0);
-constexpr size_t kAnswerMost = 1024;  // bytes, of a heartbeat
+constexpr size_t kAnswerMost = 1024;  // bytes of a heartbeat's answer
 
 }  // namespace
 
@@ -40,7 +41,7 @@
 
 int IdleClients::still_open() const {
   const auto is_open = [](const Poco::Net::StreamSocket& socket) {
-    return !socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ);  // readable: its end
+    return !socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ);  // readable: closed
   };
   return static_cast<int>(std::count_if(sockets_.begin(), sockets_.end(), is_open));
 }
--- a/src/loadtest/idle_clients.h
+++ b/src/loadtest/idle_clients.h
@@ -1,4 +1,4 @@
-// Connections of clients that have asked for a heartbeat once and then say nothing.
+// Idle client connections to a gateway: each one sends a single heartbeat request and nothing after it.
 #pragma once
 
 #include <Poco/Net/StreamSocket.h>
@@ -8,11 +8,14 @@
 
 namespace firvalve::loadtest {
 
+// A set of idle connections that stay open for the lifetime of the object.
 class IdleClients {
  public:
-  // Throws ScaleError where one is refused, or isn't answered.
+  // Opens `count` connections to `gateway`. Throws ScaleError if one is refused or its heartbeat is not
+  // answered.
   IdleClients(const std::string& gateway, int count);
-  // The gateway ends connections that have been idle for proto::kRpcIdleTimeout.
+  // Counts the connections that the gateway has not closed. It closes a connection that has been idle for
+  // proto::kRpcIdleTimeout.
   int still_open() const;
 
  private:
