--- a/src/loadtest/cost_model.h
+++ b/src/loadtest/cost_model.h
@@ -74,6 +74,7 @@
   const char* would_tell;  // the measurement that would give the value, if there is none
 };
 
+// The costs and checks, in the order of the capacity page.
 const std::vector<Cost>& role_costs();
 const std::vector<Check>& planned_checks();
 
@@ -89,6 +90,7 @@
   std::optional<bool> is_kept;  // true: the limit is met; std::nullopt: the value is unknown
 };
 
+// Computes the value of a check at the size `fleet` and compares it with the limit.
 Verdict evaluate_check(const Check& check, const CapacityFile& file, const FleetSize& fleet);
 
 // Gateways of the smallest and the largest cluster that breaking_size() considers.
@@ -108,6 +110,7 @@
   double gateways = 0;
 };
 
+// Searches the cluster sizes from kSmallestFleet to kLargestFleet for the first one at which `check` fails.
 BreakingSize breaking_size(const Check& check, const CapacityFile& file);
 
 }  // namespace firvalve::loadtest
--- a/src/loadtest/gateway_process.h
+++ b/src/loadtest/gateway_process.h
@@ -26,7 +26,7 @@
   uint64_t bytes_in = 0, bytes_out = 0;
   uint64_t updates = 0;  // accepted updates
   Ms accepted_at = 0;    // read_report_clock() when the last update was accepted
-  double cpu_us = 0;     // of the event bus thread
+  double cpu_us = 0;     // processor time of the process, which runs only the event bus
 };
 
 // State and cost of a child process at one time.
@@ -71,13 +71,13 @@
  private:
   void start();
   void say(const std::string& line);
-  std::string handle();
+  std::string handle();  // blocks until the next line of the child and returns it
   void do_command(const std::string& line);
 
   const GatewayProcessOptions options_;
   pid_t id_ = 0;
-  int channel_ = -1;
-  std::string unread_;
+  int channel_ = -1;    // the parent's end of the socket pair; -1: closed
+  std::string unread_;  // received bytes after the last complete line that was returned
 };
 
 // Returns the path of the program `name` in the folder of the running executable.
--- a/src/loadtest/gateway_process_wire.cpp
+++ b/src/loadtest/gateway_process_wire.cpp
@@ -1,3 +1,4 @@
+// JSON encoding and decoding of the messages between the scale run and its child processes.
 #include "loadtest/gateway_process_wire.h"
 
 #include <rapidjson/document.h>
@@ -56,6 +57,7 @@
   rapidjson::Writer<rapidjson::StringBuffer> json_{buffer_};
 };
 
+// Reads the fields of one JSON object; a missing or mistyped field throws ScaleError.
 class Reader {
  public:
   explicit Reader(const Value& object) : object_(object) {}
@@ -188,6 +190,7 @@
   field("at", report.at);
 }
 
+// Parses a line as a T. Throws ScaleError on invalid input, or with the message of an error_line().
 template <class T>
 T read(const std::string& line) {
   rapidjson::Document json;
