--- a/src/loadtest/gateway_process.h
+++ b/src/loadtest/gateway_process.h
@@ -26,7 +26,7 @@
   uint64_t bytes_in = 0, bytes_out = 0;
   uint64_t updates = 0;  // accepted updates
   Ms accepted_at = 0;    // read_report_clock() when the last update was accepted
-  double cpu_us = 0;     // processor time of the process, which runs only the event bus
+  double cpu_us = 0;     // of the whole process; right for the bus only if it runs no gateways
 };
 
 // State and cost of a child process at one time.
