--- a/src/loadtest/gateway_process_wire.cpp
+++ b/src/loadtest/gateway_process_wire.cpp
@@ -1,3 +1,4 @@
+// JSON encoding and decoding of the messages between the scale run and its child processes.
 #include "loadtest/gateway_process_wire.h"
 
 #include <rapidjson/document.h>
@@ -13,7 +14,7 @@
 
 using rapidjson::Value;
 
-// The fields of each structure stand once, in a visit() below; Writer and Reader go through them.
+// Each structure lists its fields once, in a visit() below that both Writer and Reader use.
 class Writer {
  public:
   template <class T>
@@ -56,6 +57,7 @@
   rapidjson::Writer<rapidjson::StringBuffer> json_{buffer_};
 };
 
+// Reads the fields of one JSON object; a missing or mistyped field throws ScaleError.
 class Reader {
  public:
   explicit Reader(const Value& object) : object_(object) {}
@@ -100,7 +102,7 @@
   const Value& object_;
 };
 
-// `Same` is T or const T.
+// `Same` is T for the Reader and const T for the Writer.
 template <class Same, class T>
 concept Of = std::is_same_v<std::remove_const_t<Same>, T>;
 
@@ -188,6 +190,7 @@
   field("at", report.at);
 }
 
+// Parses a line as a T. Throws ScaleError on invalid input, or with the message of an error_line().
 template <class T>
 T read(const std::string& line) {
   rapidjson::Document json;
