--- a/src/loadtest/lease_view.cpp
+++ b/src/loadtest/lease_view.cpp
@@ -1,3 +1,4 @@
+// Implements the per-member view of lease holders.
 #include "loadtest/lease_view.h"
 
 #include <tuple>
--- a/src/loadtest/lease_view.h
+++ b/src/loadtest/lease_view.h
@@ -1,4 +1,5 @@
-// What each gateway of a fleet has been told of who holds which lease, as keepers told it.
+// Tracks which holder of each lease every gateway of a cluster knows, from the answers that acceptors sent
+// it.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +14,21 @@
 
 namespace firvalve::loadtest {
 
-// From any thread.
+// Thread-safe.
 class LeaseView {
  public:
   LeaseView(std::vector<std::string> leases, size_t members);
 
-  // An answer of a keeper that came to this member.
+  // Records an answer that an acceptor sent to this member.
   void take_answer(size_t member, const consensus::Message& message, Ms now);
-  // A new process there knows nothing yet.
+  // Clears what this member knows, because its process was restarted.
   void forget(size_t member);
 
-  // Whether all of them have been told something since `since`, agree on who holds each lease, and each
-  // holder is one of `holders`, which has an entry a name.
+  // Whether all of these members have received an update since `since`, agree on the holder of each lease,
+  // and every holder is a key of `holders`.
   bool is_served(const std::vector<size_t>& members, const std::map<std::string, size_t>& holders,
                  Ms since) const;
-  // The holder of a lease as the newest claim that any member saw names it; none: nobody holds it.
+  // Returns the holder in the newest claim that any member saw, or nothing if the lease is free.
   std::optional<std::string> holder(const std::string& lease) const;
 
  private:
@@ -43,7 +44,7 @@
   const Seen* newest(size_t lease) const;
 
   const std::vector<std::string> leases_;
-  std::map<std::string, size_t> numbers_;  // of leases
+  std::map<std::string, size_t> numbers_;  // index by lease name
   mutable std::mutex mutex_;
   std::vector<Member> members_;
 };
--- a/src/loadtest/loss_fleet.cpp
+++ b/src/loadtest/loss_fleet.cpp
@@ -1,3 +1,4 @@
+// Implements the cluster of simulated gateways for loss trials and its traffic meter.
 #include "loadtest/loss_fleet.h"
 
 #include <fmt/format.h>
@@ -11,7 +12,7 @@
 namespace firvalve::loadtest {
 namespace {
 
-constexpr size_t kProcessesMost = 290;  // of the 300 that a run may have
+constexpr size_t kProcessesMost = 290;  // a run may have 300 processes
 constexpr rlim_t kDescriptorsBeside = 512;
 constexpr Ms kSettleLongest = 60000;
 constexpr Ms kSampleEvery = 100, kWindow = 1000, kProgressEvery = 2000;
@@ -65,7 +66,7 @@
     keeper_addresses_.push_back(loopback_address(places_.size() + keeper));
   plan_processes(options);
   start_proxies();
-  // First the keepers, then who shall hold the leases, then everybody else.
+  // Starts the acceptors, then the gateways that are to hold the leases, then all others.
   const size_t first_holders = topology_.regions();
   launch(0, keepers());
   launch(keepers(), first_holders);
@@ -194,7 +195,7 @@
 }
 
 size_t LossFleet::busiest_of(const std::function<bool(size_t member)>& is_wanted) const {
-  std::map<size_t, int> held;  // leases, by member
+  std::map<size_t, int> held;  // number of leases by member
   for (const size_t member : holders()) {
     const size_t gateway = member - keepers();
     if (gateway < topology_.regions() && is_wanted(member)) ++held[member];
@@ -206,7 +207,7 @@
 }
 
 void LossFleet::kill(const std::vector<size_t>& members) {
-  std::vector<size_t> doomed;  // processes
+  std::vector<size_t> doomed;  // process numbers
   for (const size_t member : members) {
     const size_t process = process_of_[member];
     for (const size_t other : processes_[process].members)
@@ -326,7 +327,7 @@
   if (!samples_.empty() && now < samples_.back().at + kSampleEvery) return;
   samples_.push_back({now, fleet_.traffic()});
   sums_.push_back({now, sum_of(samples_.back().keepers)});
-  // The first sample that is kept is the last one that is a window old.
+  // Keeps the newest sample that is at least one window old as the first, to compute rates against.
   while (samples_.size() > 2 && samples_[1].at <= now - kWindow) samples_.erase(samples_.begin());
   const Sample& first = samples_.front();
   const Ms span = now - first.at;
--- a/src/loadtest/loss_fleet.h
+++ b/src/loadtest/loss_fleet.h
@@ -1,5 +1,5 @@
-// A fleet of simulated gateways that parts can be taken from: processes that are killed, and regions that are
-// cut apart by the proxies through which all keepers are reached.
+// A cluster of simulated gateways for loss trials. Processes can be killed and restarted, and regions can be
+// partitioned: every acceptor (`keeper`) is reached through a proxy that can block a region.
 #pragma once
 
 #include <functional>
@@ -18,18 +18,21 @@
 
 namespace firvalve::loadtest {
 
+// Size, leases and random seed of the cluster.
 struct LossFleetOptions {
   TopologyOptions topology;
-  int leases = 20;  // that every gateway is willing to hold, and no keeper
+  int leases = 20;  // every gateway competes for them, no acceptor does
   Ms lease_ms = 3000;
   uint64_t seed = 1;
 };
 
-// Members are numbered: keepers first, then gateways. Gateways of one zone share a process. One gateway a
-// region has a process to itself and holds leases first; the others of its rack have one, too.
+// Member numbers count the acceptors (`keepers`) first, then the gateways. One gateway per region has its own
+// process and is started first, so that it acquires leases first. The other gateways of its rack share a
+// process, and the remaining gateways of each zone share another.
 class LossFleet {
  public:
-  // Starts all and waits until every lease is held and every gateway has been told so. Throws ScaleError.
+  // Starts all processes and waits until every lease is held and every gateway knows its holder. Throws
+  // ScaleError.
   LossFleet(const LossFleetOptions& options, const Progress& progress);
   ~LossFleet();
   LossFleet(const LossFleet&) = delete;
@@ -39,36 +42,39 @@
   size_t keepers() const { return topology_.keepers().size(); }
   size_t size() const { return names_.size(); }
   size_t member_of_gateway(size_t gateway) const { return keepers() + gateway; }
-  std::vector<size_t> gateways_up() const;  // as members
-  // Names of gateways that are up, in these regions; all regions where there are none.
+  std::vector<size_t> gateways_up() const;  // member numbers
+  // Running gateways in these regions, member number by name. An empty list means all regions.
   std::map<std::string, size_t> holders_up(const std::vector<size_t>& regions = {}) const;
 
-  // All members in the rack or the zone of a gateway that has a process to itself.
+  // All members in the same rack or zone as `holder`, a gateway that has its own process.
   std::vector<size_t> rack_of(size_t holder) const;
   std::vector<size_t> zone_of(size_t holder) const;
-  std::vector<size_t> holders() const;  // by lease, as the newest claims name them; free leases left out
-  // The gateway with a process of its own that holds the most leases. Throws ScaleError: none holds any.
+  std::vector<size_t> holders() const;  // from the newest claim on each lease; free ones omitted
+  // Returns the gateway with its own process that holds the most leases. Throws ScaleError if none holds any.
   size_t busiest_holder() const;
-  // Of those in whose zone a keeper stands.
+  // As above, only among gateways whose zone also contains an acceptor.
   size_t busiest_holder_beside_keeper() const;
 
-  // SIGKILL to all processes of these members, which must be whole processes; and the same started again.
+  // Sends SIGKILL to the processes of these members, or starts them again. kill() throws ScaleError if a
+  // process also hosts a member that is not listed.
   void kill(const std::vector<size_t>& members);
   void start(const std::vector<size_t>& members);
-  bool keeper_ready(size_t keeper);  // it takes part in the record
+  bool keeper_ready(size_t keeper);  // it has joined the replicated record
   void set_cut(size_t region, size_t other_region, bool cut);
 
-  // Whether all of these gateways see every lease held by one of the holders, told since then.
+  // Whether each of these gateways has had an update since `since` and sees every lease held by one of
+  // `holders`.
   bool is_served(const std::vector<size_t>& members, const std::map<std::string, size_t>& holders,
                  Ms since) const {
     return view_.is_served(members, holders, since);
   }
   void wait_served(Ms longest, const Progress& progress);
-  std::vector<KeeperTraffic> traffic() const;  // by keeper; throws ScaleError: a proxy has no descriptor left
+  std::vector<KeeperTraffic> traffic()
+      const;  // by acceptor; throws ScaleError if a proxy ran out of descriptors
 
-  // Takes in what all members have reported since the last time.
+  // Adds the lease events that all members have reported since the last call to the history.
   void collect_history();
-  // Members that may act for some lease at this moment, by their own reports.
+  // Members whose own reports say that they hold an unexpired lease now.
   std::vector<size_t> holders_now();
   std::vector<simulation::InvariantViolation> violations();
   std::vector<pid_t> process_ids() const;
@@ -77,7 +83,7 @@
   struct Process {
     std::vector<size_t> members;
     GatewayProcessOptions options;
-    std::unique_ptr<GatewayProcess> child;  // none: it is down
+    std::unique_ptr<GatewayProcess> child;  // null while it is down
   };
   size_t busiest_of(const std::function<bool(size_t member)>& is_wanted) const;
   void plan_processes(const LossFleetOptions& options);
@@ -89,32 +95,32 @@
 
   const Topology topology_;
   std::vector<std::string> leases_;
-  std::vector<std::string> names_;         // of members
+  std::vector<std::string> names_;         // by member
   std::map<std::string, size_t> members_;  // by name
   std::vector<Place> places_;
-  std::vector<std::string> keeper_addresses_;  // where they listen themselves
+  std::vector<std::string> keeper_addresses_;  // where acceptors listen, behind the proxies
   LeaseView view_;
-  std::vector<std::unique_ptr<RegionProxy>> proxies_;  // by keeper
-  std::vector<Process> processes_;                     // of keepers, of first holders, of all others
+  std::vector<std::unique_ptr<RegionProxy>> proxies_;  // by acceptor
+  std::vector<Process> processes_;                     // acceptors, then first holders, then the others
   std::vector<size_t> process_of_;                     // by member
   simulation::ClusterHistory history_;
 };
 
-// A rate of the keeper that has the most of it.
+// Traffic rates. Each one is the highest among the acceptors (`keepers`).
 struct TrafficRate {
-  double messages = 0, bytes = 0, connects = 0;  // a second
+  double messages = 0, bytes = 0, connects = 0;  // per second
 };
 
-// Samples the traffic of all keepers over sliding windows of a second.
+// Samples the traffic of all acceptors over sliding windows of one second.
 class TrafficMeter {
  public:
   explicit TrafficMeter(const LossFleet& fleet) : fleet_(fleet) { sample(); }
-  void sample();  // does nothing within 100 ms of the last
-  // From here on peaks and sums are counted.
+  void sample();  // does nothing within 100 ms of the previous sample
+  // Resets the peaks and sums.
   void restart();
   const TrafficRate& peak() const { return peak_; }
   const TrafficRate& last_second() const { return last_second_; }
-  // All keepers together, at each sample since the restart.
+  // Totals over all acceptors, one entry per sample since restart().
   struct Sum {
     Ms at = 0;
     KeeperTraffic traffic;
--- a/src/loadtest/loss_trial.cpp
+++ b/src/loadtest/loss_trial.cpp
@@ -1,3 +1,4 @@
+// Implements one loss trial: steady state, loss, recovery, return.
 #include "loadtest/loss_trial.h"
 
 #include <fmt/format.h>
@@ -11,16 +12,16 @@
 
 constexpr useconds_t kLookEveryUs = 10000;
 constexpr Ms kProgressEvery = 5000, kRateWindow = 1000;
-constexpr double kRestMargin = 1.25;  // of the messages at rest: more is no rest yet
+constexpr double kRestMargin = 1.25;  // a higher multiple of the final message rate is not steady yet
 
 double per_ms(uint64_t before, uint64_t after, Ms span) {
   return span > 0 ? static_cast<double>(after - before) / span : 0;
 }
 
-// What is lost, and what may still hold leases while it is.
+// What is lost, and which regions may hold leases meanwhile.
 struct Loss {
-  std::vector<size_t> killed;                   // members
-  std::vector<std::pair<size_t, size_t>> cuts;  // regions
+  std::vector<size_t> killed;                   // member numbers
+  std::vector<std::pair<size_t, size_t>> cuts;  // pairs of partitioned regions
   std::vector<size_t> serving_regions;          // empty: all
 };
 
@@ -93,7 +94,7 @@
     const Ms began = read_report_clock();
     while (!is_reached()) {
       if (read_report_clock() > began + longest) {
-        fleet_.collect_history();  // says so where a process has died
+        fleet_.collect_history();  // throws a more precise error if a process has died
         throw ScaleError(fmt::format("after a loss ({}) a fleet of {} was not {} within {:.0f} s",
                                      name_of(result_.kind), fleet_.size(), what, longest / 1000));
       }
@@ -152,7 +153,8 @@
     count_return();
   }
 
-  // What the keepers had to carry from the return until they were at rest, past the new rest.
+  // Computes the time from the return to the new steady state, and the acceptors' traffic above it until
+  // then.
   void count_return() {
     using Sum = TrafficMeter::Sum;
     const std::vector<Sum>& sums = meter_.sums();
