--- a/src/loadtest/interrupt.cpp
+++ b/src/loadtest/interrupt.cpp
@@ -1,3 +1,4 @@
+// Implements the signal handlers that record an interrupt.
 #include "loadtest/interrupt.h"
 
 #include <atomic>
--- a/src/loadtest/interrupt.h
+++ b/src/loadtest/interrupt.h
@@ -1,9 +1,10 @@
-// Ctrl-C and its kin during a run: noted, so that the run ends what it started before the process ends.
+// Records SIGINT, SIGTERM and SIGHUP during a run, so that the run can stop what it started before it exits.
 #pragma once
 
 namespace firvalve::loadtest {
 
-// While it lives, SIGINT, SIGTERM and SIGHUP are noted and do not end the process.
+// Handles SIGINT, SIGTERM and SIGHUP during its lifetime: they set a flag instead of ending the process. The
+// destructor restores the previous handlers.
 class InterruptScope {
  public:
   InterruptScope();
@@ -17,6 +18,7 @@
   Handler before_[kSignals];
 };
 
+// Whether a signal arrived since the last InterruptScope was created.
 bool is_interrupted();
 
 }  // namespace firvalve::loadtest
--- a/src/loadtest/json_lines.cpp
+++ b/src/loadtest/json_lines.cpp
@@ -1,3 +1,4 @@
+// Implements the JSON parser that keeps line numbers.
 #include "loadtest/json_lines.h"
 
 #include <rapidjson/error/en.h>
@@ -17,7 +18,7 @@
          static_cast<int>(std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(end), '\n'));
 }
 
-// Builds the tree from the reader's events; the stack holds the arrays and objects that are open.
+// Builds the tree from the reader's events. `open_` is the stack of unfinished arrays and objects.
 class TreeBuilder : public rapidjson::BaseReaderHandler<rapidjson::UTF8<>, TreeBuilder> {
  public:
   TreeBuilder(const std::string& text, const rapidjson::StringStream& stream)
--- a/src/loadtest/load.cpp
+++ b/src/loadtest/load.cpp
@@ -1,3 +1,4 @@
+// Implements `firvalve-loadtest load`.
 #include "loadtest/load.h"
 
 #include <fmt/format.h>
@@ -51,7 +52,7 @@
   return s(used.ru_utime) + s(used.ru_stime);
 }
 
-// What one step has met so far; callbacks of several clients add to it.
+// Results of one step. Callbacks of several clients add to it concurrently.
 struct Meter {
   std::mutex mutex;
   simulation::Histogram latency, lag;
@@ -76,8 +77,9 @@
     }
   }
 
-  // Each thread asks its part of the rate by a plan of its own. Latency counts from the moment that the plan
-  // names, so a call that had to wait for the tool or for the calls before it waits in the figures, too.
+  // Open loop: each thread sends its part of the rate on its own schedule. Latency is measured from the
+  // scheduled time, so that delays in the load generator or behind earlier calls count (no coordinated
+  // omission).
   simulation::StepOutcome open(double rate, Meter& meter) {
     return play(meter, rate, [&](int thread, Clock::time_point start, Clock::time_point end) {
       pcg32 chance(static_cast<uint64_t>(thread) + 1, static_cast<uint64_t>(rate));
@@ -102,7 +104,7 @@
     });
   }
 
-  // So many calls are always out; each is followed by the next.
+  // Closed loop: keeps `calls` calls in flight; each completed call starts the next.
   simulation::StepOutcome closed(int calls, Meter& meter) {
     std::atomic<bool> over = false;
     std::function<void(int)> next = [&](int thread) {
@@ -137,7 +139,7 @@
     for (std::thread& t : threads) t.join();
     simulation::StepOutcome o;
     o.cpu = (cpu_seconds() - cpu) / options_.seconds;
-    // What is out has its time to end.
+    // Waits for the calls in flight, up to their timeout and 500 ms.
     const auto most =
         Clock::now() + std::chrono::milliseconds(static_cast<int64_t>(options_.command.timeout_ms) + 500);
     for (bool open = true; open && Clock::now() < most;) {
@@ -196,7 +198,7 @@
 int run_load(LoadOptions& o) {
   std::signal(SIGINT, [](int) { interrupted = 1; });
   o.command.effect = o.effect == "replayable" ? client::Effect::kReplayable : client::Effect::kNonReplayable;
-  o.search.max_cpu = 0.9 * (2.0 * o.threads);  // a sender and a socket thread each
+  o.search.max_cpu = 0.9 * (2.0 * o.threads);  // each client has a sender and a socket thread
   if (!o.json)
     std::printf("%9s %9s %9s %8s %8s %8s %8s %7s  %s\n", "asked/s", "answer/s", "in 100", "p50 ms", "p90 ms",
                 "p99 ms", "most ms", "cores", "");
@@ -209,7 +211,8 @@
   simulation::Search search(o.search);
   while (!search.done() && !interrupted) {
     Meter meter;
-    // New clients a step: what those of the last one were refused would keep them from asking.
+    // Each step uses new clients, because rejections in the previous step would make its clients hold back
+    // calls.
     const simulation::StepOutcome step = Player(o).open(search.rate(), meter);
     const std::string why = search.handle(step);
     tell(o, step, meter, why);
--- a/src/loadtest/loss_fleet.h
+++ b/src/loadtest/loss_fleet.h
@@ -69,8 +69,8 @@
     return view_.is_served(members, holders, since);
   }
   void wait_served(Ms longest, const Progress& progress);
-  std::vector<KeeperTraffic> traffic()
-      const;  // by acceptor; throws ScaleError if a proxy ran out of descriptors
+  // Traffic by acceptor. Throws ScaleError if a proxy ran out of descriptors.
+  std::vector<KeeperTraffic> traffic() const;
 
   // Adds the lease events that all members have reported since the last call to the history.
   void collect_history();
--- a/src/loadtest/loss_run.cpp
+++ b/src/loadtest/loss_run.cpp
@@ -1,4 +1,4 @@
-// The losses of the scale run: fleets of growing size lose a part, go on, and get it back.
+// The loss part of the scale run: clusters of increasing size lose a part, recover, and get it back.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -13,19 +13,20 @@
 namespace firvalve::loadtest {
 namespace {
 
-// The last, largest size of each is held out from the fit. More gateways than these contend for a lost lease
-// with more messages than one machine carries beside them; a keeper alone can be lost at any size.
+// The largest size of each list is held out from the fit. With more gateways, the contention for a lost lease
+// sends more messages than one machine can carry beside the gateways. The loss of an acceptor (`keeper`)
+// alone can be measured at any size.
 const std::vector<int> kGateways = {40, 64, 96, 128, 192, 256};
 const std::vector<int> kQuickGateways = {20, 24, 28, 32, 36, 40};
 const std::vector<int> kClients = {20, 40, 80, 160, 320, 640};
 const std::vector<int> kQuickClients = {4, 8, 12, 16, 20, 40};
-constexpr double kClientRate = 0.23;  // of 1.5 million commands a second over 6.5 million clients
+constexpr double kClientRate = 0.23;  // per client: 1.5 million commands/s over 6.5 million clients
 constexpr Ms kLease = 3000;
 
 std::vector<LossKind> losses_of(const ScaleOptions& options) {
   using Kind = LossKind;
-  // In this order: a lease that its first holder has lost goes to any gateway, and the zone, the rack and the
-  // holder that are lost are to hold some.
+  // The order matters: any gateway may acquire a lease that its first holder lost, but the zone, rack and
+  // holder that are lost must each hold some leases.
   static const std::vector<std::pair<std::string, std::vector<Kind>>> kAll = {
       {"zone", {Kind::kZone}},
       {"rack", {Kind::kRack}},
@@ -71,7 +72,7 @@
   return options.quick ? command + " --quick" : command;
 }
 
-// Measurements by name, in the order in which each was first added to.
+// Collects measurements by name, in order of first use.
 class LossSeries {
  public:
   explicit LossSeries(const ScaleOptions& options) {
--- a/src/loadtest/parts.h
+++ b/src/loadtest/parts.h
@@ -1,4 +1,4 @@
-// The parts of the scale run. Each starts what it needs on loopback, measures, and ends all it started.
+// The parts of the scale run. Each starts its processes on loopback, measures, and stops all that it started.
 #pragma once
 
 #include <functional>
@@ -11,19 +11,22 @@
 
 namespace firvalve::loadtest {
 
-// The run cannot go on: what() is one line that says why. Nothing measured so far is printed as if whole.
+// Thrown when the run cannot continue. what() is one line with the reason. Partial measurements are not
+// printed as a complete result.
 class ScaleError : public std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Called for each point as it is reached, for a person at a terminal. Throws ScaleError after an interrupt.
+// Called with a progress line for the user. Throws ScaleError after an interrupt.
 using Progress = std::function<void(const std::string& line)>;
 
-// A real gateway before scripted engines: processor time, memory, descriptors, start.
+// Measures a real gateway with scripted engines: CPU time, memory, file descriptors, start time.
 std::vector<Measurement> measure_gateway(const ScaleOptions& options, const Progress& progress);
-// Simulated gateways: control traffic at rest, and changes of the engine list and the configuration.
+// Measures simulated ("hollow") gateways: idle control traffic, and changes of the engine list and
+// configuration.
 std::vector<Measurement> measure_control(const ScaleOptions& options, const Progress& progress);
-// Simulated gateways: a holder, a keeper, a rack, a zone lost; two regions cut apart and joined again.
+// Measures simulated gateways that lose a lease holder, an acceptor (`keeper`), a rack or a zone, and network
+// partitions between regions that heal.
 std::vector<Measurement> measure_loss(const ScaleOptions& options, const Progress& progress);
 
 }  // namespace firvalve::loadtest
--- a/src/loadtest/process_usage.cpp
+++ b/src/loadtest/process_usage.cpp
@@ -1,3 +1,4 @@
+// Reads resource usage from /proc and the CPU clock of a process.
 #include "loadtest/process_usage.h"
 
 #include <fmt/format.h>
@@ -20,13 +21,13 @@
 
 constexpr double kKilobytesPerMegabyte = 1024;
 constexpr double kNanosecondsPerSecond = 1e9;
-constexpr std::string_view kEstablished = "01";  // in /proc/net/tcp
+constexpr std::string_view kEstablished = "01";  // TCP state in /proc/net/tcp
 
-// The inodes of the sockets that the process holds.
+// Returns the inodes of the open sockets of the process.
 std::unordered_set<std::string> sockets_of(pid_t process) {
   constexpr std::string_view kPrefix = "socket:[";
   std::unordered_set<std::string> inodes;
-  std::error_code ended;  // a descriptor may close while it is looked at
+  std::error_code ended;  // set if the process ends; a closed descriptor only sets `closed`
   const std::filesystem::path folder = fmt::format("/proc/{}/fd", process);
   for (const auto& entry : std::filesystem::directory_iterator(folder, ended)) {
     std::error_code closed;
@@ -38,7 +39,7 @@
   return inodes;
 }
 
-// The kernel writes an IPv4 address as the hexadecimal number whose bytes in memory are the address.
+// Parses an IPv4 address of /proc/net/tcp: a hexadecimal number whose bytes in memory order are the address.
 std::array<int, 4> bytes_of(std::string_view address) {
   uint32_t number = 0;
   std::from_chars(address.data(), address.data() + address.size(), number, 16);
@@ -76,7 +77,7 @@
   const std::unordered_set<std::string> inodes = sockets_of(process);
   std::ifstream table(fmt::format("/proc/{}/net/tcp", process));
   std::string line;
-  std::getline(table, line);  // its head
+  std::getline(table, line);  // skips the header
   size_t count = 0;
   while (std::getline(table, line)) {
     std::istringstream words(line);
--- a/src/loadtest/process_usage.h
+++ b/src/loadtest/process_usage.h
@@ -1,4 +1,4 @@
-// What the kernel tells of another process: processor time, memory, connections. Linux alone.
+// Resource usage of another process as reported by the kernel: CPU time, memory, connections. Linux only.
 #pragma once
 
 #include <sys/types.h>
@@ -8,24 +8,25 @@
 
 namespace firvalve::loadtest {
 
-// User and system time of all threads. Throws ScaleError where there is no such process.
+// Returns the user and system CPU time of all threads. Throws ScaleError if the process does not exist.
 double processor_seconds(pid_t process);
 
-// Its own memory. What the kernel holds for its sockets belongs to no process and isn't part of it.
+// Memory of the process itself. Kernel socket buffers are not attributed to a process and are not included.
 struct MemoryUse {
   double resident_mb = 0;
-  double peak_mb = 0;  // the most that was ever resident
+  double peak_mb = 0;  // peak resident size since the process started
 };
 MemoryUse memory_of(pid_t process);
 
-// Established IPv4 connections of the process to peers at 127.FIRST.0.0 to 127.LAST.255.255.
+// Second octets of the loopback addresses 127.FIRST.0.0 to 127.LAST.255.255.
 struct LoopbackRange {
   int first = 0;
   int last = 255;
 };
+// Counts the established IPv4 connections of the process to peers in this range.
 size_t connections_to(pid_t process, LoopbackRange peers);
 
-// Raises the limit of descriptors as far as it goes, and throws ScaleError where that is less than `wanted`.
+// Raises the descriptor limit to its hard limit, and throws ScaleError if that is below `wanted`.
 void need_descriptors(size_t wanted);
 
 }  // namespace firvalve::loadtest
--- a/src/loadtest/progress_line.cpp
+++ b/src/loadtest/progress_line.cpp
@@ -1,3 +1,4 @@
+// Implements the progress line.
 #include "loadtest/progress_line.h"
 
 #include <sys/ioctl.h>
--- a/src/loadtest/progress_line.h
+++ b/src/loadtest/progress_line.h
@@ -1,4 +1,4 @@
-// Progress of a run for a person: one line rewritten on a terminal, plain lines elsewhere.
+// Shows the progress of a run: one line that is overwritten on a terminal, separate lines otherwise.
 #pragma once
 
 #include <cstdio>
@@ -6,16 +6,17 @@
 
 namespace firvalve::loadtest {
 
+// Writes progress lines to a stream and clears the last one on destruction.
 class ProgressLine {
  public:
-  // To a stream that stays open; a quiet one prints nothing.
+  // `stream` must outlive this object. Prints nothing if `is_quiet`.
   ProgressLine(std::FILE* stream, bool is_quiet);
   ~ProgressLine();
   ProgressLine(const ProgressLine&) = delete;
   ProgressLine& operator=(const ProgressLine&) = delete;
 
   void show(const std::string& line);
-  // Takes the line off a terminal, so that what is printed next stands by itself.
+  // Erases the line on a terminal, so that the next output starts on an empty line.
   void clear();
 
  private:
--- a/src/loadtest/quantity.cpp
+++ b/src/loadtest/quantity.cpp
@@ -1,3 +1,4 @@
+// Evaluates quantities of the cost model from the measured series.
 #include "loadtest/quantity.h"
 
 #include <fmt/format.h>
@@ -9,11 +10,11 @@
 namespace firvalve::loadtest {
 namespace {
 
-constexpr double kCommasFrom = 999.5;  // what three digits would round to a thousand
+constexpr double kCommasFrom = 999.5;  // three significant digits would round this to 1000
 constexpr double kExactSizeTolerance = 1e-9;
 
-// How far the sizes that a measurement was held at are from the fleet's; infinite where they may not be
-// taken.
+// Distance of the measurement's fixed sizes from the cluster's (`fleet`): the sum of absolute log ratios.
+// Infinite if the query requires another number of zones.
 double distance(const Measurement& measurement, const SeriesQuery& query, const FleetSize& fleet) {
   double sum = 0;
   for (const auto& [name, held] : measurement.fixed) {
@@ -41,7 +42,8 @@
   return nearest;
 }
 
-// FaultProxy the two measured sizes around it; nothing outside of them.
+// Interpolates linearly between the two measured sizes around `size`. Returns nothing outside the measured
+// range.
 std::optional<double> interpolate(const std::vector<Point>& points, double size) {
   for (size_t i = 0; i < points.size(); ++i) {
     if (points[i].size == size) return points[i].value;
