--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -1,9 +1,9 @@
-// firvalve-loadtest: load generator, simulation and scale runs. None of it is linked into the gateway.
+// Entry point of firvalve-loadtest: load generator, simulations and scale runs. Not linked into the gateway.
 #include "loadtest/command.h"
 #include "loadtest/load.h"
 #include "simulation/run.h"
 
-// The set-up of CLI11 allocates and may throw: an exception there ends the program, as it should.
+// CLI11 allocates during set-up and may throw; such an exception is meant to end the program.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   CLI::App app("Load tests and simulations of firvalve.", "firvalve-loadtest");
--- a/src/loadtest/process_usage.cpp
+++ b/src/loadtest/process_usage.cpp
@@ -27,7 +27,7 @@
 std::unordered_set<std::string> sockets_of(pid_t process) {
   constexpr std::string_view kPrefix = "socket:[";
   std::unordered_set<std::string> inodes;
-  std::error_code ended;  // set if the process ends; a closed descriptor only sets `closed`
+  std::error_code ended;  // `closed` below: a descriptor may close during the scan
   const std::filesystem::path folder = fmt::format("/proc/{}/fd", process);
   for (const auto& entry : std::filesystem::directory_iterator(folder, ended)) {
     std::error_code closed;
--- a/src/loadtest/quantity.h
+++ b/src/loadtest/quantity.h
@@ -17,8 +17,7 @@
 struct SeriesQuery {
   const char* name;
   const char* varied;
-  std::optional<double> zones =
-      std::nullopt;  // required value of this fixed size; if unset, the closest to the cluster's
+  std::optional<double> zones = std::nullopt;  // required number of zones; unset: closest to the cluster's
 };
 
 // Multiplier of a measured value, or the whole term if there is no series.
@@ -30,7 +29,7 @@
 // Part of the series value that a term uses.
 enum class Part {
   kWhole,   // the value at the size
-  kGrowth,  // without the base value, when another term of the sum already includes it
+  kGrowth,  // without the value at size zero, which another term of the sum already includes
 };
 
 // One summand of a quantity.
@@ -52,7 +51,7 @@
 
 // A term with its value and derivation.
 struct EvaluatedTerm {
-  std::optional<double> value;  // unset: not measured at this size
+  std::optional<double> value;  // unset: not measured
   const Measurement* measurement = nullptr;
   std::string formula;  // "60 + 0.12 x 1100 engines"
   std::string source;   // "gateway.core_share by engines (rate 1364, zones 20)"
