--- a/src/loadtest/real_gateway.h
+++ b/src/loadtest/real_gateway.h
@@ -1,4 +1,4 @@
-// One process of the gateway's program, from its start until it is measured; it ends with this object.
+// Runs one process of the gateway program for a measurement; the process ends with this object.
 #pragma once
 
 #include <memory>
@@ -9,19 +9,20 @@
 
 namespace firvalve::loadtest {
 
-// The gateway's program where none is named: `firvalve` beside the program that runs now.
+// The default gateway program: `firvalve` in the directory of the running program.
 std::string default_gateway_program();
 
+// A running gateway process.
 class RealGateway {
  public:
-  // Returns once a heartbeat is answered healthy. Throws ScaleError where the program can't be run, ends, or
-  // isn't ready in time.
+  // Returns once the gateway answers a heartbeat as healthy. Throws ScaleError if the program cannot be run,
+  // exits, or is not ready in time.
   RealGateway(const std::string& program, const ScriptedEngines& engines, ScriptedEngines::View view);
 
   const std::string& address() const { return address_; }
   pid_t process() const { return process_->id(); }
   double start_to_ready_ms() const { return start_to_ready_ms_; }
-  void check_running();  // throws ScaleError where it has ended by itself
+  void check_running();  // throws ScaleError if the process has exited
 
  private:
   void wait_until_ready();
--- a/src/loadtest/region_proxy.cpp
+++ b/src/loadtest/region_proxy.cpp
@@ -24,7 +24,7 @@
 
 constexpr size_t kReadBytes = size_t{64} * 1024;
 constexpr int kEventsAtOnce = 256;
-constexpr int kLookMs = 20;  // between looks at what other threads want of this one
+constexpr int kLookMs = 20;  // interval between checks of the flags that other threads set
 constexpr int kBacklog = 4096;
 
 int open_socket() { return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
@@ -36,19 +36,19 @@
 
 }  // namespace
 
-// One end of a connection that is passed on.
+// One end of a forwarded connection.
 struct RegionProxy::Side {
   Connection* connection = nullptr;
   Side* other = nullptr;
   int descriptor = -1;
   bool is_gateway = false;
   uint32_t watched = 0;
-  std::string unsent;             // to this side
-  proto::ReadBuffer read_buffer;  // from this side: the frame that is not whole yet
+  std::string unsent;             // bytes to send to this side
+  proto::ReadBuffer read_buffer;  // incomplete frame received from this side
   proto::RpcFrames frames{cluster::kMaxFrameBytes};
 };
 
-// A gateway's connection and the one to the keeper that belongs to it.
+// A gateway's connection and its connection to the replica.
 class RegionProxy::Connection {
  public:
   Connection(int gateway, int keeper) {
@@ -67,8 +67,8 @@
   Connection& operator=(const Connection&) = delete;
 
   Side gateway_side, keeper_side;
-  std::optional<size_t> member;  // whose it is, once its first frame has told
-  bool lost_bytes = false;       // in a cut
+  std::optional<size_t> member;  // the gateway, known from the connection's first frame
+  bool lost_bytes = false;       // dropped bytes while its region was cut off
 };
 
 RegionProxy::RegionProxy(RegionProxyOptions options) : options_(std::move(options)), cut_(options_.regions) {
@@ -90,7 +90,7 @@
   close_descriptor(epoll_);
 }
 
-// Leaves listener_ below 0 and errno set where it cannot.
+// Leaves listener_ below 0 and sets errno on failure.
 void RegionProxy::listen() {
   const SocketAddress own(options_.address);
   listener_ = open_socket();
@@ -153,7 +153,7 @@
 
 void RegionProxy::serve(Side& side, uint32_t events) {
   Connection& connection = *side.connection;
-  if (!connections_.contains(&connection)) return;  // closed by an event before this one
+  if (!connections_.contains(&connection)) return;  // closed by an earlier event
   if ((events & EPOLLOUT) != 0) write(side);
   if (connections_.contains(&connection) && (events & (EPOLLIN | EPOLLHUP | EPOLLERR)) != 0) read(side);
 }
@@ -166,7 +166,7 @@
   if (count <= 0) return close(connection);
   const std::string bytes(space.data(), static_cast<size_t>(count));
   const auto is_cut = [&] { return connection.member && cut_[options_.region_of(*connection.member)]; };
-  if (connection.lost_bytes && !is_cut()) return close(connection);  // what follows would not be whole
+  if (connection.lost_bytes && !is_cut()) return close(connection);  // the stream misses the dropped bytes
   if (connection.lost_bytes) return;
   side.read_buffer.commit(bytes.size());
   if (!connection.member || !is_cut()) look_at_frames(side);
@@ -195,7 +195,7 @@
   side.read_buffer.release_if_empty();
 }
 
-// Sends what waits for this side.
+// Sends the bytes queued for this side.
 void RegionProxy::write(Side& side) {
   while (!side.unsent.empty()) {
     const ssize_t count = ::send(side.descriptor, side.unsent.data(), side.unsent.size(), MSG_NOSIGNAL);
--- a/src/loadtest/scripted_engines.cpp
+++ b/src/loadtest/scripted_engines.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 constexpr size_t kThreads = 2;
-constexpr int kSlots = 8;  // queries at work at once at an engine, as its cores
+constexpr int kSlots = 8;  // concurrent queries of an engine, as for its number of cores
 constexpr int kGatewayMemoryMb = 192;
-constexpr int kGatewaySockets = 16000;  // more than any of them needs: the limit isn't what is measured
+constexpr int kGatewaySockets = 16000;  // more than any gateway needs, so that this limit is never reached
 constexpr int kHostsPerNetwork = 250;
 
-// Each process has a network of its own among the engines' addresses, so that two runs don't meet.
+// Chooses the network by process id, so that two concurrent runs do not use the same addresses.
 std::string engine_address(int number) {
   const int networks = kEngineAddresses.last - kEngineAddresses.first + 1;
   const int network = kEngineAddresses.first + ::getpid() % networks;
@@ -55,8 +55,8 @@
   options.bus = bus_->address();
   options.memory_mb = kGatewayMemoryMb;
   options.sockets = kGatewaySockets;
-  // It has the engines for itself. With a share of each it sends no more than that allows, and a stutter of
-  // this machine, which it takes for crowded engines, would then decide how much it serves.
+  // Gives the gateway the engines' full capacity. With a share of each engine, a pause of this machine, which
+  // the gateway takes for overloaded engines, would limit its throughput.
   options.gateways = 1;
   return fakes::gateway_config(options, listings);
 }
--- a/src/loadtest/scripted_engines.h
+++ b/src/loadtest/scripted_engines.h
@@ -1,5 +1,5 @@
-// Engines that run nothing, each on a loopback address and port of its own, played by a few threads of this
-// process; and the event bus that lists them. Any number of gateways may share them.
+// Fake engines that execute nothing, each on its own loopback address and port, served by a few threads of
+// this process, and the event bus that lists them. Any number of gateways may share them.
 #pragma once
 
 #include <memory>
@@ -13,17 +13,18 @@
 
 namespace firvalve::loadtest {
 
-// Of the loopback addresses those that engines listen at; clients and the bus use 127.0.0.1.
+// The loopback networks that engines listen on; clients and the bus use 127.0.0.1.
 constexpr LoopbackRange kEngineAddresses = {64, 127};
 
+// The fake engines and their event bus.
 class ScriptedEngines {
  public:
-  // Throws ScaleError where an address is in use or the descriptors run out.
+  // Throws ScaleError if an address is in use or the file descriptors run out.
   explicit ScriptedEngines(int count);
 
   struct View {
-    int engines = 0;  // the first so many
-    int zones = 1;    // that they are spread over evenly
+    int engines = 0;  // uses the first `engines` engines
+    int zones = 1;    // zones that the engines are spread over evenly
   };
   // The configuration of a gateway that listens at `listen` and knows these engines.
   std::string gateway_config(const std::string& listen, View view) const;
--- a/src/loadtest/simulated_fleet.cpp
+++ b/src/loadtest/simulated_fleet.cpp
@@ -14,13 +14,13 @@
 namespace firvalve::loadtest {
 namespace {
 
-constexpr int kProcessesMost = 290;         // of the 300 that a run may have
-constexpr int kDescriptorsPerGateway = 10;  // its reactor, waker, listener and bus, with room to spare
+constexpr int kProcessesMost = 290;         // a run may have 300 processes
+constexpr int kDescriptorsPerGateway = 10;  // reactor, waker, listener and bus connection, plus a margin
 constexpr int kDescriptorsPerProcess = 64;
 constexpr int kPort = 7400;
-constexpr size_t kHostDigits = 150;  // 100 to 249: all three digits long
+constexpr size_t kHostDigits = 150;  // 100 to 249, so that every number has three digits
 constexpr int kSettleLookMs = 100;
-constexpr Ms kFirstGroupMost = 60000;  // until the first group holds all leases
+constexpr Ms kFirstGroupMost = 60000;  // limit for the first group to acquire all leases
 
 int raise_descriptor_limit() {
   rlimit limit{};
@@ -47,7 +47,7 @@
   const int most = raise_descriptor_limit();
   const int together = std::min(options.gateways_per_process, options.gateways);
   const int at_group = together * (options.keepers + kDescriptorsPerGateway) + kDescriptorsPerProcess;
-  // A keeper stands alone in its process and has a connection of every gateway; so has the bus.
+  // A replica has a process of its own and a connection from every gateway; so has the bus.
   const int at_keeper = options.gateways + options.keepers + kDescriptorsPerProcess;
   const int wanted = std::max(at_keeper, at_group);
   if (wanted > most) throw ScaleError(fmt::format("{} descriptors in a process, of {}", wanted, most));
@@ -88,7 +88,7 @@
 
   std::vector<GatewayProcessOptions> plan;
   for (size_t i = 0; i < static_cast<size_t>(options.gateways); ++i) {
-    const bool keeper = i < keepers;  // each alone: it holds a connection to every gateway
+    const bool keeper = i < keepers;  // a process each: a replica has a connection from every gateway
     const bool full =
         !plan.empty() && plan.back().gateways.size() >= static_cast<size_t>(options.gateways_per_process);
     if (keeper || i == keepers || full) plan.emplace_back();
@@ -117,7 +117,7 @@
   for (size_t i = first; i < end; ++i) processes_[i]->wait_ready();
 }
 
-// The bus first: who finds none comes again up to a second later.
+// Starts the bus first: a gateway that cannot connect retries up to a second later.
 void SimulatedFleet::start_processes(std::vector<GatewayProcessOptions> plan) {
   processes_.resize(plan.size());
   const size_t of_gateways = plan.size() - (options_.bus ? 1 : 0);
@@ -186,7 +186,7 @@
 
 void SimulatedFleet::for_each_process(const std::vector<size_t>& which,
                                       void (GatewayProcess::*act)(const std::vector<size_t>&)) {
-  std::map<size_t, std::vector<size_t>> places;  // by process
+  std::map<size_t, std::vector<size_t>> places;  // key: process number
   for (const size_t gateway : which) {
     if (gateway >= members_.size()) throw ScaleError("no such gateway in the fleet");
     places[members_[gateway].process].push_back(members_[gateway].place);
--- a/src/loadtest/simulated_fleet.h
+++ b/src/loadtest/simulated_fleet.h
@@ -1,4 +1,4 @@
-// A fleet of simulated gateways over child processes, with their keepers and one event bus.
+// Runs a cluster of simulated gateways in child processes, with its replicas (`keepers`) and one event bus.
 #pragma once
 
 #include <functional>
@@ -13,45 +13,46 @@
 namespace firvalve::loadtest {
 
 struct SimulatedFleetOptions {
-  int gateways = 0;             // the keepers among them
-  int keepers = 3;              // 0: no fleet, the event bus alone
-  int leases = 0;               // that every gateway is willing to hold
-  int engines = 0;              // in the list that gateways know at their start
-  int zones = 1;                // gateway i stands in zone i % zones
-  bool bus = true;              // an event bus that all follow
-  bool keeper_folders = false;  // keepers keep what they promised on disk
+  int gateways = 0;             // total, including the replicas
+  int keepers = 3;              // number of replicas; 0: no cluster, only the event bus
+  int leases = 0;               // number of leases; every gateway is a candidate for each
+  int engines = 0;              // number of engines in each gateway's initial endpoint list
+  int zones = 1;                // gateway i is in zone i % zones
+  bool bus = true;              // start an event bus that every gateway watches
+  bool keeper_folders = false;  // replicas persist their state on disk
   Ms lease_ms = 3000;
-  // The keepers and a first group are started before all others, who come once every lease has a holder.
-  // False: all at once, and all claim all leases at once.
+  // True: starts the replicas and one process of other gateways first, and the rest once every lease has a
+  // holder. False: starts all gateways at once, so that all of them compete for all leases.
   bool staged_start = true;
   int gateways_per_process = 64;
   uint64_t seed = 1;
 };
 
+// The cluster and its child processes.
 class SimulatedFleet {
  public:
-  // Plans the processes, raises the limit of descriptors to what the machine allows, starts all. Throws
-  // ScaleError: sizes that contradict one another, a port in use, too few descriptors.
+  // Raises the soft limit on file descriptors to the hard limit and starts all processes. Throws ScaleError
+  // if the sizes contradict each other, a port is in use, or the descriptor limit is too low.
   explicit SimulatedFleet(const SimulatedFleetOptions& options);
 
-  // Until every keeper takes part, every lease has a holder and every gateway follows the bus; throws
-  // ScaleError when it takes longer than that. `each_look` is called some times a second meanwhile.
+  // Waits until every replica is ready, every lease has a holder and every started gateway is connected to
+  // the bus. Calls `each_look` before each poll, several times a second. Throws ScaleError after `longest`.
   void wait_settled(Ms longest, const std::function<void()>& each_look = {});
 
   struct Snapshot {
     Ms at = 0;
-    std::vector<SimulatedGatewayReport> gateways;  // in the fleet's order, the keepers first
+    std::vector<SimulatedGatewayReport> gateways;  // by gateway number, replicas first
     EventBusReport bus;
-    double resident_mb = 0;  // of all processes
+    double resident_mb = 0;  // sum over all processes
     double cpu_us = 0;       // of all processes
     size_t processes = 0;
   };
   Snapshot snapshot();
 
-  void kill_gateways(const std::vector<size_t>& which);  // by their numbers in the fleet
+  void kill_gateways(const std::vector<size_t>& which);  // `which`: gateway numbers
   void start_gateways(const std::vector<size_t>& which);
-  void end_gateways(const std::vector<size_t>& which);     // in good order, as at SIGTERM
-  void announce(const std::string& listings, bool whole);  // at the event bus
+  void end_gateways(const std::vector<size_t>& which);     // graceful shutdown, as on SIGTERM
+  void announce(const std::string& listings, bool whole);  // publishes on the event bus
 
   size_t size() const { return members_.size(); }
   const std::string& address(size_t gateway) const { return members_[gateway].address; }
@@ -65,7 +66,7 @@
  private:
   struct Member {
     std::string address;
-    size_t process = 0, place = 0;  // its place in that process's options
+    size_t process = 0, place = 0;  // `place`: index in that process's options
   };
   void for_each_process(const std::vector<size_t>& which,
                         void (GatewayProcess::*act)(const std::vector<size_t>&));
@@ -74,7 +75,7 @@
   size_t gateways_started() const;
 
   const SimulatedFleetOptions options_;
-  struct Folder {  // of keepers, with all in it; no path: none
+  struct Folder {  // holds the replicas' state and is deleted with this object; empty path: none
     Folder() = default;
     Folder(const Folder&) = delete;
     Folder& operator=(const Folder&) = delete;
@@ -83,13 +84,13 @@
   } folder_;
   std::string bus_address_;
   std::vector<Member> members_;
-  std::vector<std::unique_ptr<GatewayProcess>> processes_;  // the bus's last
-  std::map<std::string, Ms> held_until_;                    // leases, by what wait_settled() has seen
+  std::vector<std::unique_ptr<GatewayProcess>> processes_;  // the event bus's process is last
+  std::map<std::string, Ms> held_until_;                    // latest lease expiry that wait_settled() saw
 };
 
-// The address of the n-th process of this run, all of one length: 127.x.y.z:port.
+// The n-th loopback address of this run, as 127.x.y.z:port. All addresses have the same length.
 std::string loopback_address(size_t number);
-// Engines `first` to `first + count - 1` as an event of the bus lists them.
+// The listings of engines `first` to `first + count - 1` in the format of a bus event.
 std::string engine_listings(int first, int count, const std::string& state = "SERVING");
 
 }  // namespace firvalve::loadtest
--- a/src/loadtest/simulated_gateway.cpp
+++ b/src/loadtest/simulated_gateway.cpp
@@ -25,11 +25,11 @@
 namespace firvalve::loadtest {
 namespace {
 
-// As the program itself has them where its settings do not say otherwise (gateway/serve.cpp).
+// The gateway program's defaults (gateway/serve.cpp).
 constexpr Duration kConnectMost = std::chrono::milliseconds(250),
                    kIdleClose = std::chrono::milliseconds(15000);
-constexpr double kFirstAskPart = 0.1;  // of the grace for drains
-constexpr Ms kEndMost = 3000;          // for an end in good order
+constexpr double kFirstAskPart = 0.1;  // fraction of the drain grace period
+constexpr Ms kEndMost = 3000;          // limit for a graceful shutdown
 constexpr std::chrono::milliseconds kEndLook{5};
 constexpr int kDescriptorsMost = 1 << 20;
 constexpr size_t kBufferBytesMost = size_t{64} << 20;
@@ -53,7 +53,7 @@
   return "[" + out + "]";
 }
 
-// The section of the operator's file that a real gateway would have, by the real reader.
+// Builds the `fleet` section of a gateway's operator file and parses it with the production parser.
 config::OperatorConfig::Fleet read_fleet_section(const SimulatedGatewayOptions& options) {
   std::string text = fmt::format(R"({{"fleet":{{"on":true,"site":"{}","listen":"{}","keepers":{},)",
                                  options.site, options.address, json_list(options.keepers));
@@ -67,6 +67,7 @@
   return parsed.values.fleet;
 }
 
+// Discards every response: a simulated gateway has no clients.
 class NoClients : public ResponseSink {
  public:
   void answer(CallId, std::string_view) override {}
@@ -75,7 +76,7 @@
   void answer_paged(CallId, ResultHandle) override {}
 };
 
-// As the program draws it: no two incarnations may share it.
+// A random seed, drawn as the program draws it: no two incarnations may share one.
 uint64_t draw_of_this_start() {
   std::random_device device;
   return (static_cast<uint64_t>(device()) << 32) | device();
--- a/src/loadtest/simulated_gateways_main.cpp
+++ b/src/loadtest/simulated_gateways_main.cpp
@@ -1,5 +1,5 @@
-// firvalve_simulated_gateways: a child process of the scale run. It is told what to be over its standard
-// input, a socket to its parent, and answers there; the end of that stream is its own end.
+// firvalve_simulated_gateways: a child process of the scale run. It receives its options and commands over
+// its standard input, a socket to its parent, and answers on it; it exits at the end of that stream.
 #include <Poco/Exception.h>
 #include <fmt/format.h>
 #include <signal.h>
@@ -45,7 +45,7 @@
   return count;
 }
 
-// The event bus with the thread that plays it.
+// The event bus and the thread that runs it.
 class EventBus {
  public:
   explicit EventBus(const std::string& address)
@@ -63,7 +63,7 @@
     report_.lines_out = traffic.lines_out;
     report_.bytes_in = traffic.bytes_in;
     report_.bytes_out = traffic.bytes_out;
-    report_.cpu_us = process_cpu_us();  // it is alone in its process, its parent's channel apart
+    report_.cpu_us = process_cpu_us();  // the process runs only the bus and the channel to the parent
     return report_;
   }
 
@@ -73,6 +73,7 @@
   EventBusReport report_;
 };
 
+// The simulated gateways or the event bus of this process.
 class Child {
  public:
   explicit Child(const GatewayProcessOptions& options) {
@@ -128,9 +129,10 @@
   std::vector<std::unique_ptr<SimulatedGateway>> gateways_;
 };
 
+// The socket to the parent process, read and written by lines.
 class Channel {
  public:
-  // None: the parent has ended it.
+  // None: the parent closed the channel.
   std::optional<std::string> read_line() {
     for (;;) {
       if (const size_t end = unread_.find('\n'); end != std::string::npos) {
@@ -149,7 +151,7 @@
     for (size_t sent = 0; sent < line.size();) {
       const ssize_t count = ::send(STDIN_FILENO, line.data() + sent, line.size() - sent, MSG_NOSIGNAL);
       if (count < 0 && errno == EINTR) continue;
-      if (count < 0) return;  // read_line() tells of the end
+      if (count < 0) return;  // the next read_line() reports the closed channel
       sent += static_cast<size_t>(count);
     }
   }
@@ -159,7 +161,7 @@
 };
 
 int run() {
-  ::signal(SIGINT, SIG_IGN);  // of the whole terminal: the parent ends this process in good order
+  ::signal(SIGINT, SIG_IGN);  // a terminal sends it to all processes; the parent shuts this one down
   Channel channel;
   const std::optional<std::string> first = channel.read_line();
   if (!first) return 0;
--- a/src/loadtest/sizes_check.h
+++ b/src/loadtest/sizes_check.h
@@ -1,4 +1,4 @@
-// Whether the sizes that a run was asked for can stand together, before anything is started.
+// Validates the requested sizes of a run, alone and against each other, before anything is started.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace firvalve::loadtest {
 
-// The most that one machine is asked to bear in a measuring run.
+// Upper limits for a measuring run on one machine.
 constexpr int kMostGateways = 4096;
 constexpr int kMostEngines = 4096;
 constexpr int kMostConnections = 20000;  // client connections of one gateway
@@ -17,8 +17,8 @@
 constexpr int kMostLeases = 1000;
 constexpr double kMostSeconds = 3600;
 
-// One line that names the size at fault; empty: a run may begin. `are_zones_given`: zones were asked for and
-// are not the default.
+// Returns one line that names the invalid size; empty: all sizes are valid. `are_zones_given`: the number of
+// zones was set explicitly and is not the default.
 std::string size_fault(const ScaleOptions& options, bool are_zones_given);
 
 }  // namespace firvalve::loadtest
--- a/src/loadtest/topology.h
+++ b/src/loadtest/topology.h
@@ -1,4 +1,5 @@
-// Where the gateways and keepers of a fleet stand: regions hold zones, zones hold racks.
+// The placement of a cluster's gateways and replicas (`keepers`) in regions, their zones and the zones'
+// racks.
 #pragma once
 
 #include <cstddef>
@@ -6,13 +7,14 @@
 
 namespace firvalve::loadtest {
 
-// A zone's tenth stands in one rack and is lost with it.
+// A rack holds a tenth of its zone's gateways; they fail together.
 constexpr size_t kRacksPerZone = 10;
 
+// The location of a gateway or replica.
 struct Place {
   size_t region = 0;
-  size_t zone = 0;  // over all regions
-  size_t rack = 0;  // within its zone
+  size_t zone = 0;  // number among the zones of all regions
+  size_t rack = 0;  // number within its zone
   bool operator==(const Place&) const = default;
 };
 
@@ -20,10 +22,10 @@
   int gateways = 1, regions = 1, zones = 1, keepers = 3;
 };
 
-// Spreads gateways evenly over zones, zones over regions, and keepers over regions.
+// Spreads gateways evenly over zones, zones over regions, and replicas over regions.
 class Topology {
  public:
-  // Throws ScaleError: a size below one, more zones than gateways, more regions than zones.
+  // Throws ScaleError if a size is below one, or there are more zones than gateways or regions than zones.
   explicit Topology(const TopologyOptions& options);
 
   size_t regions() const { return regions_; }
@@ -35,7 +37,7 @@
   std::vector<size_t> gateways_in_zone(size_t zone) const;
   std::vector<size_t> gateways_in_rack(size_t zone, size_t rack) const;
   std::vector<size_t> keepers_in_region(size_t region) const;
-  // The regions of a cut through the fleet: the side that a majority of the keepers is on, and the other.
+  // The first regions, as few as hold a majority of the replicas: one side of a partition of the cluster.
   std::vector<size_t> majority_side() const;
 
  private:
--- a/src/loadtest/trouble.cpp
+++ b/src/loadtest/trouble.cpp
@@ -27,7 +27,7 @@
   return fmt::format("; {}: {} {}{}", what, number_text(*evaluation.value), unit, weak);
 }
 
-// What the loss part of the scale run measured of a loss ("holder", "zone", ...), at the planned size.
+// The loss part's measurements of one loss ("holder", "zone", ...) at the planned size.
 std::string measured_text(const CapacityFile& file, const std::string& loss) {
   const std::string prefix = "loss." + loss + ".";
   return figure_text(file, prefix + "recovery", "until served as before", "ms") +
--- a/src/loadtest/trouble.h
+++ b/src/loadtest/trouble.h
@@ -1,4 +1,4 @@
-// The arithmetic of each trouble that the planned size names, and where the machines for control stand.
+// The effects of each fault that the planned size names, and the placement of the control machines.
 #pragma once
 
 #include <string>
@@ -8,14 +8,17 @@
 
 namespace firvalve::loadtest {
 
+// One row of the table of faults.
 struct Trouble {
   std::string what;
   std::string how_often;
   std::string arithmetic;
 };
 
+// The faults of the planned size, each with its frequency and its effect on the remaining gateways.
 std::vector<Trouble> troubles(const CapacityFile& file);
 
+// One row of the table of control machines.
 struct ControlPlace {
   std::string role;
   std::string machines;
@@ -23,22 +26,24 @@
   std::string may_be_lost;
 };
 
+// The roles that run on the control machines, and how many of each may fail.
 std::vector<ControlPlace> control_places(const CapacityFile& file);
 
-// What becomes of the clients of gateways that are lost together.
+// How the clients of gateways that fail together are spread over the remaining gateways.
 struct MovedClients {
   double gateways_lost = 0;
   double survivors = 0;
   double connections_moved = 0;
-  double connections_per_survivor = 0;    // that come to each
-  double connects_per_second = 0;         // at each survivor, over the clients' spread
+  double connections_per_survivor = 0;    // moved connections that each survivor accepts
+  double connects_per_second = 0;         // at each survivor, over the clients' reconnect spread
   double commands_per_second_before = 0;  // at each survivor
   double commands_per_second_after = 0;
 };
 
+// `gateways_lost`: gateways that fail at the same time.
 MovedClients move_clients(const FleetSize& fleet, double gateways_lost);
 
-// Where keepers stand, one region after the other: how many a cut-off group of regions has at most.
+// The placement of the replicas (`keepers`), which are spread over the regions in turn.
 struct KeeperPlacement {
   double keepers = 0;
   double majority = 0;
--- a/tests/loadtest/capacity_test.cpp
+++ b/tests/loadtest/capacity_test.cpp
@@ -1,4 +1,4 @@
-// The capacity file, its fits and its page. Measurements here are samples that nobody measured.
+// Tests the capacity file, its fits and its page. The measurements are made-up samples.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
@@ -41,7 +41,7 @@
   return file;
 }
 
-// What parsing says of a file; empty: nothing.
+// The parser's error for a file; empty: none.
 std::string refusal(const std::string& text) {
   try {
     parse_capacity(text);
@@ -209,7 +209,7 @@
 }
 
 TEST(CostModel, ACheckGivesWayAtTheSizeThatItsSlopeSays) {
-  // 1,000 ms and 20 ms a gateway reach 11 s at 500 gateways.
+  // 1,000 ms plus 20 ms per gateway reach 11 s at 500 gateways.
   const Check& check = check_of("a duty's holder lost: until served as before");
   const BreakingSize breaking = breaking_size(check, sample_file());
   EXPECT_EQ(breaking.kind, BreakingSize::Kind::kAt);
@@ -240,7 +240,7 @@
   EXPECT_EQ(place_keepers(fleet).most_in_one_region, 2);
 }
 
-// The page with places for all tables and nothing in them.
+// A page with the places of all tables, all empty.
 std::string empty_page() {
   std::string out = "# A page\n";
   for (const PageTable& table : page_tables())
--- a/tests/loadtest/scale_command_test.cpp
+++ b/tests/loadtest/scale_command_test.cpp
@@ -1,4 +1,4 @@
-// The program `firvalve-loadtest scale`: what it refuses, and that Ctrl-C ends all that it started.
+// Tests `firvalve-loadtest scale`: the options it rejects, and that Ctrl-C ends every process it started.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -29,7 +29,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// A folder that goes with its object.
+// A folder that is deleted with this object.
 class ScratchFolder {
  public:
   ScratchFolder() {
@@ -97,7 +97,7 @@
   EXPECT_NE(ended.output.find("2 regions with 6 zones"), std::string::npos);
 }
 
-// A run in a process group of its own, whose progress is read.
+// A run in its own process group, with its progress output captured.
 class InterruptedRun {
  public:
   InterruptedRun() {
@@ -122,7 +122,7 @@
   InterruptedRun(const InterruptedRun&) = delete;
   InterruptedRun& operator=(const InterruptedRun&) = delete;
 
-  // The next line of its progress; empty: it has ended.
+  // The next line of progress output; empty: the run has ended.
   std::string next_line() {
     char line[512];
     return std::fgets(line, sizeof line, errors_) ? line : "";
--- a/tests/loadtest/scale_control_test.cpp
+++ b/tests/loadtest/scale_control_test.cpp
@@ -1,4 +1,4 @@
-// The control part of the scale run: counts of messages, bytes and connections, never seconds.
+// Tests the control part of the scale run by counts of messages, bytes and connections, never by times.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 #include <sys/resource.h>
@@ -22,7 +22,7 @@
 
 constexpr Ms kSettleMost = 60000;
 
-// What comes to a gateway that holds no lease in ten seconds of virtual time, once the fleet has settled.
+// Traffic to a gateway without a lease in ten seconds of virtual time, once the cluster has settled.
 simulation::ReceivedTraffic heard_at_rest(uint32_t gateways) {
   simulation::ClusterWorldOptions options;
   options.gateways = gateways;
@@ -58,7 +58,7 @@
   }
 }
 
-// Bytes that the bus wrote for an update, its word of each second left out.
+// Bytes that the bus wrote for an update, without its message of each second.
 uint64_t bytes_of_update(int engines, bool whole) {
   constexpr size_t kGateways = 16;
   SimulatedFleetOptions options;
@@ -89,8 +89,8 @@
   EXPECT_GT(bytes_of_update(400, true), 100 * of_many);
 }
 
-// A subject that joins three keepers, holds a lease and follows a bus; a program of its own or a simulated
-// one.
+// A gateway under test that joins three replicas, holds a lease and watches a bus; either a real gateway
+// process or a simulated one.
 class Subject {
  public:
   virtual ~Subject() = default;
@@ -99,7 +99,7 @@
     size_t bytes = 0;
     std::string from;
   };
-  // The size of each kind of frame with one message in it, by what decides that size.
+  // The sizes of the frames with a single message, by the properties that determine the size.
   using Kind = std::tuple<consensus::MessageType, std::string, uint64_t,
                           bool>;  // its key, version, whether it goes on
   std::map<Kind, std::set<size_t>> sizes;
@@ -108,12 +108,12 @@
 };
 
 struct Addresses {
-  std::vector<std::string> real, name;  // three keepers, then the subject
+  std::vector<std::string> real, name;  // three replicas, then the gateway under test
   std::string clients, bus;
 };
 
 constexpr size_t kKeepers = 3, kSubject = 3;
-constexpr uint64_t kVersions = 3;  // the subject's claim and two renewals
+constexpr uint64_t kVersions = 3;  // the acquisition and two renewals by the gateway under test
 
 SimulatedGatewayOptions gateway_at(const Addresses& at, size_t i) {
   SimulatedGatewayOptions options;
@@ -135,7 +135,7 @@
     at_.bus = free[9];
   }
 
-  // `start` brings the subject up and returns what keeps it up.
+  // `start` starts the gateway under test and returns the object that keeps it running.
   template <class Start>
   Subject play(const Start& start) {
     Subject out;
@@ -177,7 +177,7 @@
     const char* why = "";
     const auto frame = cluster::read_frame({bytes.data() + head, bytes.size() - head}, why);
     ASSERT_TRUE(frame) << why;
-    if (frame->messages.size() != 1) return;  // what goes together is chance
+    if (frame->messages.size() != 1) return;  // how messages are batched into a frame varies
     const consensus::Message& m = frame->messages[0];
     if (m.register_state.version <= kVersions)
       out.sizes[{m.type, m.key, m.register_state.version, m.since > 0}].insert(bytes.size());
@@ -228,7 +228,7 @@
   size_t compared = 0;
   for (const auto& [kind, sizes] : simulated.sizes) {
     const auto same = real.sizes.find(kind);
-    if (same == real.sizes.end()) continue;  // it went together with another this time
+    if (same == real.sizes.end()) continue;  // the real gateway batched it with another message
     ++compared;
     EXPECT_EQ(sizes, same->second) << static_cast<int>(std::get<0>(kind)) << " " << std::get<1>(kind) << " "
                                    << std::get<2>(kind);
--- a/tests/loadtest/scale_gateway_test.cpp
+++ b/tests/loadtest/scale_gateway_test.cpp
@@ -1,4 +1,4 @@
-// The gateway's part of the scale run: what it counts, and that it ends all that it started. No times.
+// Tests the gateway part of the scale run: its counts, and that it ends every process it started. No times.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -40,7 +40,7 @@
   return std::distance(std::filesystem::directory_iterator("/proc/self/fd"), {});
 }
 
-// The one line that says why the run could not go on; empty: it went on to its end.
+// The one-line error that stopped the run; empty: the run completed.
 std::string error_of(const ScaleOptions& options, const Progress& progress) {
   try {
     measure_gateway(options, progress);
@@ -68,7 +68,7 @@
     ++by_engines;
     EXPECT_EQ(sizes, engines) << m.name;
   }
-  // Start; processor time and share in one zone and in two; memory, its peak and connections to engines.
+  // Start; CPU time and share, each in one zone and in two; memory, peak memory and engine connections.
   EXPECT_EQ(by_engines, 1u + 2 * 2 + 3);
 }
 
@@ -124,7 +124,7 @@
   EXPECT_EQ(open_descriptors(), descriptors_before);
 }
 
-// Whether it runs; an orphan that has ended may stay a zombie where nobody waits for it.
+// Whether the process runs. An orphan that has exited may stay a zombie if no process reaps it.
 bool runs(pid_t process) {
   std::ifstream status("/proc/" + std::to_string(process) + "/status");
   for (std::string line; std::getline(status, line);)
--- a/tests/loadtest/scale_loss_test.cpp
+++ b/tests/loadtest/scale_loss_test.cpp
@@ -1,4 +1,4 @@
-// The losses of the scale run, small: what goes on and who may act, not how fast.
+// Tests the loss part of the scale run at a small size: service continues and lease rules hold. No times.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -17,7 +17,7 @@
 class LossTest : public testing::Test {
  protected:
   LossTest() : fleet_(std::make_unique<LossFleet>(LossFleetOptions{kSmall, 6, 1000, 1}, kQuiet)) {}
-  // Each lease is held by one gateway that is up, every gateway knows it, and no rule was ever broken.
+  // Each lease has one running holder, every gateway knows the holder, and no invariant was violated.
   void expect_whole() {
     EXPECT_TRUE(fleet_->is_served(fleet_->gateways_up(), fleet_->holders_up(), 0));
     EXPECT_EQ(fleet_->gateways_up().size(), 12u);
@@ -43,7 +43,7 @@
 }
 
 TEST_F(LossTest, ZoneKilledWithItsKeeperIsFollowed) {
-  EXPECT_GE(lose(LossKind::kZone).members_lost, 4u);  // three gateways and a keeper or two
+  EXPECT_GE(lose(LossKind::kZone).members_lost, 4u);  // three gateways and one or two replicas
   expect_whole();
 }
 
@@ -85,7 +85,7 @@
   EXPECT_EQ(topology.majority_side().size(), 3u);
 }
 
-// One line that says what is wrong.
+// The one-line error of the run.
 std::string error_of(ScaleOptions options) {
   options.parts = {"loss"};
   try {
