--- a/src/loadtest/simulated_fleet.h
+++ b/src/loadtest/simulated_fleet.h
@@ -12,6 +12,7 @@
 
 namespace firvalve::loadtest {
 
+// The sizes of a simulated cluster and how it is started.
 struct SimulatedFleetOptions {
   int gateways = 0;             // total, including the replicas
   int keepers = 3;              // number of replicas; 0: no cluster, only the event bus
@@ -39,12 +40,13 @@
   // the bus. Calls `each_look` before each poll, several times a second. Throws ScaleError after `longest`.
   void wait_settled(Ms longest, const std::function<void()>& each_look = {});
 
+  // The reports of all processes that are up.
   struct Snapshot {
     Ms at = 0;
     std::vector<SimulatedGatewayReport> gateways;  // by gateway number, replicas first
     EventBusReport bus;
     double resident_mb = 0;  // sum over all processes
-    double cpu_us = 0;       // of all processes
+    double cpu_us = 0;       // sum over all processes
     size_t processes = 0;
   };
   Snapshot snapshot();
--- a/src/loadtest/simulated_gateway.cpp
+++ b/src/loadtest/simulated_gateway.cpp
@@ -93,6 +93,7 @@
 
 Ms read_report_clock() { return boot_clock_ms(); }
 
+// One incarnation: the reactor, its thread and everything that runs on it.
 struct SimulatedGateway::Running {
   explicit Running(const SimulatedGatewayOptions& options)
       : settings(read_settings()),
--- a/src/loadtest/simulated_gateway.h
+++ b/src/loadtest/simulated_gateway.h
@@ -70,7 +70,7 @@
   SimulatedGateway& operator=(const SimulatedGateway&) = delete;
 
   void start();  // a new incarnation; throws ScaleError: address in use, invalid options
-  void kill();   // closes all connections with no shutdown; loses all state outside its folder
+  void kill();   // closes all connections without a graceful shutdown; only the state in `folder` remains
   // Graceful shutdown, as on SIGTERM: releases its leases first.
   void begin_end();
   void wait_ended();
--- a/src/loadtest/trouble.h
+++ b/src/loadtest/trouble.h
@@ -43,7 +43,8 @@
 // `gateways_lost`: gateways that fail at the same time.
 MovedClients move_clients(const FleetSize& fleet, double gateways_lost);
 
-// The placement of the replicas (`keepers`), which are spread over the regions in turn.
+// The placement of the replicas (`keepers`), which are assigned to the regions in turn, and so the most that
+// a region that is cut off can have.
 struct KeeperPlacement {
   double keepers = 0;
   double majority = 0;
--- a/tests/loadtest/scale_control_test.cpp
+++ b/tests/loadtest/scale_control_test.cpp
@@ -58,7 +58,7 @@
   }
 }
 
-// Bytes that the bus wrote for an update, without its message of each second.
+// Bytes that the bus wrote to each gateway for an update, without the offset that it sends each second.
 uint64_t bytes_of_update(int engines, bool whole) {
   constexpr size_t kGateways = 16;
   SimulatedFleetOptions options;
@@ -101,7 +101,7 @@
   };
   // The sizes of the frames with a single message, by the properties that determine the size.
   using Kind = std::tuple<consensus::MessageType, std::string, uint64_t,
-                          bool>;  // its key, version, whether it goes on
+                          bool>;  // type, key, version, whether `since` is above 0
   std::map<Kind, std::set<size_t>> sizes;
   uint64_t bus_lines = 0, bus_bytes = 0;
   std::vector<int64_t> asked_from;
@@ -233,7 +233,7 @@
     EXPECT_EQ(sizes, same->second) << static_cast<int>(std::get<0>(kind)) << " " << std::get<1>(kind) << " "
                                    << std::get<2>(kind);
   }
-  // Looks that begin and that go on, a prepare, the accepts.
+  // Watches from the start and from a later position (`since`), a prepare, and the accepts.
   EXPECT_GE(compared, 3 + kVersions);
 }
 
