--- a/src/loadtest/capacity_file.cpp
+++ b/src/loadtest/capacity_file.cpp
@@ -1,3 +1,4 @@
+// Parser, checks and writer of the capacity file.
 #include "loadtest/capacity_file.h"
 
 #include <fmt/format.h>
@@ -20,7 +21,7 @@
 namespace firvalve::loadtest {
 namespace {
 
-// How far a stored fit may be from the one that its points give: both are written with kDigits digits.
+// Tolerance between a stored fit and the fit recomputed from its points: both are rounded to kDigits digits.
 constexpr double kFitTolerance = 1e-3;
 
 std::string quoted(const std::string& text) {
@@ -34,7 +35,7 @@
 
 double rounded(double value) { return std::stod(number(value)); }
 
-// As it will be read back, so that the fit is that of the points written.
+// Rounds the points as they will be read back, so that the stored fit matches the written points.
 std::vector<Point> rounded_points(const Measurement& measurement) {
   std::vector<Point> out;
   for (const Point& point : measurement.points) out.push_back({rounded(point.size), rounded(point.value)});
@@ -150,7 +151,7 @@
                   fmt::format("\"{}\" is {} and the points give {}", name, number(value), number(expected)));
 }
 
-// A figure that was changed by hand without its points, or the other way round, is no measured one.
+// Rejects a fit or points that were edited by hand: they no longer match, so the figure was not measured.
 void check_fit(const JsonNode& stored, const std::vector<Point>& points) {
   const std::optional<HeldOutFit> expected = fit_held_out(points);
   if (!expected) {
@@ -195,7 +196,7 @@
   return out;
 }
 
-// What makes a measurement the same one taken again.
+// Key of a measurement: a new measurement with an equal key replaces the old one.
 auto identity(const Measurement& measurement) {
   return std::tie(measurement.name, measurement.varied, measurement.fixed);
 }
@@ -213,7 +214,7 @@
   return out;
 }
 
-// Reads a file and has its text parsed; errors name the file.
+// Reads and parses a file; parse errors are rethrown with the file name.
 template <typename Parse>
 auto read_parsed(const std::string& path, Parse&& parse) {
   const std::string text = read_text_file(path);
--- a/src/loadtest/capacity_page.cpp
+++ b/src/loadtest/capacity_page.cpp
@@ -1,3 +1,4 @@
+// Prints the tables of the capacity page and replaces them in the page.
 #include "loadtest/capacity_page.h"
 
 #include <fmt/format.h>
@@ -32,7 +33,7 @@
   return out;
 }
 
-// Leaves the first cell empty where it repeats that of the row above.
+// Clears the first cell of a row if it repeats the first cell of the row above.
 void group_by_first(std::vector<Row>& rows) {
   std::string above;
   for (Row& row : rows) {
@@ -51,7 +52,7 @@
   return number_text(value) + (unit.empty() ? "" : " " + unit);
 }
 
-// What weakens a figure: shown behind it.
+// Describes why a figure is uncertain (extrapolated, interpolated, off at the held-out size).
 std::string evidence_text(const Evaluation& evaluation) {
   std::vector<std::string> parts;
   const auto add = [&](std::string part) {
@@ -70,7 +71,7 @@
   return fmt::format("{}", fmt::join(parts, "; "));
 }
 
-// What a breaking size rests on.
+// Describes the evidence for a breaking size.
 std::string basis_text(const Evaluation& evaluation) {
   std::string weak = evidence_text(evaluation);
   if (!weak.empty()) return weak;
@@ -158,8 +159,8 @@
   BreakingSize size;
 };
 
-// At a size first, the smallest before; then what holds as far as is known, or always; then what is not
-// known.
+// Orders by kind: checks that break at a known size come first, smallest size first; then checks that hold
+// as far as measured, or always; then checks whose breaking size is unknown.
 bool breaks_before(const BreakingCheck& a, const BreakingCheck& b) {
   if (a.size.kind != b.size.kind) return a.size.kind < b.size.kind;
   return a.size.gateways < b.size.gateways;
@@ -263,7 +264,7 @@
   return nullptr;
 }
 
-// The name in a line that opens a table; empty: the line opens none.
+// Returns the table name if the line is an opening marker, otherwise an empty string.
 std::string opened_table(const std::string& line) {
   if (!line.starts_with(kTableMark) || !line.ends_with(kMarkEnd)) return {};
   return line.substr(kTableMark.size(), line.size() - kTableMark.size() - kMarkEnd.size());
@@ -293,7 +294,7 @@
   std::string out;
   std::set<std::string> placed;
   int number = 0;
-  int opened_at = 0;  // the line of the table that is open; 0: none is
+  int opened_at = 0;  // line number of the open table marker; 0: no table is open
   for (std::string line; std::getline(lines, line);) {
     ++number;
     if (opened_at > 0 && line != kEndMark) continue;
--- a/src/loadtest/capacity_page.h
+++ b/src/loadtest/capacity_page.h
@@ -1,4 +1,4 @@
-// The tables of docs/CAPACITY.md, printed from the capacity file, and their places in the page.
+// Prints the tables of docs/CAPACITY.md from the capacity file and inserts them at their markers in the page.
 #pragma once
 
 #include <stdexcept>
@@ -10,26 +10,28 @@
 
 namespace firvalve::loadtest {
 
+// A table that can be printed, and its marker in the page.
 struct PageTable {
-  const char* name;   // in the page: <!-- table: NAME -->
-  const char* title;  // where the tables are printed without a page
+  const char* name;   // NAME in the marker <!-- table: NAME -->
+  const char* title;  // heading used by print_tables
   std::string (*print)(const CapacityFile& file);
 };
 
-// All tables, in the order in which they are printed.
+// Returns all tables in print order.
 const std::vector<PageTable>& page_tables();
 
-// what() is one line that begins with "line N: ".
+// The markers in the page are invalid. what() is one line that begins with "line N: ".
 class PageError : public std::runtime_error {
  public:
   PageError(int line, const std::string& why);
 };
 
-// The page with what stands between each <!-- table: NAME --> and the next <!-- end --> printed anew. Throws
-// PageError: an unknown name, no end, or a table that has no place.
+// Returns the page with the text between each <!-- table: NAME --> and the next <!-- end --> replaced by the
+// table of that name. Throws PageError if a name is unknown, an end marker is missing, or a table has no
+// marker.
 std::string fill_page(const std::string& page, const CapacityFile& file);
 
-// All tables with their titles.
+// Returns all tables, each with its title.
 std::string print_tables(const CapacityFile& file);
 
 }  // namespace firvalve::loadtest
--- a/src/loadtest/client_loss.cpp
+++ b/src/loadtest/client_loss.cpp
@@ -1,3 +1,4 @@
+// Runs the client loss trial: a gateway is killed and restarted while clients keep calling.
 #include "loadtest/client_loss.h"
 
 #include <fmt/format.h>
@@ -21,6 +22,7 @@
 constexpr Ms kCallTimeout = 2000;
 constexpr Ms kLookEvery = 5, kProgressEvery = 2000;
 
+// Returns the sorted accept times in [from, until) at the given gateways.
 std::vector<Ms> accepted_between(const std::vector<const fakes::FakeGateway*>& gateways, Ms from, Ms until) {
   std::vector<Ms> out;
   for (const fakes::FakeGateway* const gateway : gateways)
@@ -30,7 +32,7 @@
   return out;
 }
 
-// The most that lie within any second.
+// Returns the largest number of times within any kWindow. `times` must be sorted.
 size_t busiest_second(const std::vector<Ms>& times) {
   size_t most = 0, first = 0;
   for (size_t last = 0; last < times.size(); ++last) {
@@ -40,7 +42,7 @@
   return most;
 }
 
-// Clients that each call at moments of their own, on average as often as the options say.
+// Clients that call independently, with exponentially distributed gaps between calls (a Poisson process).
 class Clients {
  public:
   Clients(const ClientLossOptions& options, const std::vector<std::string>& gateways)
@@ -81,7 +83,7 @@
     command.effect = client::Effect::kReplayable;
     clients_[i]->send(command);
   }
-  // Nothing to tell; an interrupt ends the run here.
+  // Reports progress every kProgressEvery. Throws ScaleError after an interrupt, which ends the run.
   void progress_if_due(const Progress& progress) {
     if (monotonic_ms() < next_progress_) return;
     next_progress_ = monotonic_ms() + kProgressEvery;
@@ -116,7 +118,7 @@
   const client::Stats after = clients.stats();
 
   const std::vector<const fakes::FakeGateway*> survivors = {&left, &also_left};
-  // The first half of the rest opens the first connections.
+  // Clients open their first connections in the first half of the rest period; only the second half counts.
   const std::vector<Ms> at_rest = accepted_between(survivors, began + options.rest / 2, lost_at);
   ClientLossResult result;
   result.rest_connects = static_cast<double>(at_rest.size()) * 1000 / (options.rest / 2);
--- a/src/loadtest/command.cpp
+++ b/src/loadtest/command.cpp
@@ -1,3 +1,4 @@
+// Options of `firvalve-loadtest scale`, and its modes: measure, merge, print the page, predict.
 #include "loadtest/command.h"
 
 #include <fmt/format.h>
@@ -24,18 +25,18 @@
 namespace firvalve::loadtest {
 namespace {
 
-constexpr int kExitFailed = 1;  // a run or a file
+constexpr int kExitFailed = 1;  // a run failed, or a file could not be read or written
 constexpr int kExitBadOptions = 2;
 constexpr int kExitInterrupted = 130;
 constexpr const char* kStandardOutput = "-";
 
-// What the command does beside measuring.
+// Options of the `scale` subcommand.
 struct CommandOptions {
   ScaleOptions scale;
   bool predict = false;
   std::string capacity = "docs/capacity.json";
-  std::string merge_into;         // a capacity file
-  std::vector<std::string> from;  // files of measurements to merge in place of measuring
+  std::string merge_into;         // path of the capacity file to update
+  std::vector<std::string> from;  // measurement files to merge instead of measuring
   std::string page;
 };
 
@@ -63,13 +64,14 @@
   return fmt::format("{} cores, {:.0f} GB", sysconf(_SC_NPROCESSORS_ONLN), memory / kGigabyte);
 }
 
-// This process's command line without where it writes to, as it may be repeated anywhere.
+// Returns the command line of this process without output and program paths, so that it can be repeated on
+// any machine.
 std::string repeatable_command() {
   std::ifstream file("/proc/self/cmdline", std::ios::binary);
   std::string out = "firvalve-loadtest scale";
   std::string argument;
   for (int i = 0; std::getline(file, argument, '\0'); ++i) {
-    if (i < 2) continue;  // the program and "scale"
+    if (i < 2) continue;  // skips the program name and "scale"
     const bool is_place = argument == "--json" || argument == "--merge-into" || argument == "--program";
     if (is_place)
       std::getline(file, argument, '\0');
@@ -135,7 +137,7 @@
   return out;
 }
 
-// One that is not there yet begins with the built-in sizes.
+// A file that does not exist yet starts with the built-in sizes.
 CapacityFile file_to_merge_into(const std::string& path) {
   if (!std::filesystem::exists(path)) return {};
   return read_capacity_file(path);
@@ -159,7 +161,8 @@
   if (!fault.empty()) throw BadOptions(fault);
   if (options.scale.quick && !options.merge_into.empty())
     throw BadOptions("--quick gives no figures to plan with: --merge-into takes none of them");
-  if (!options.merge_into.empty()) file_to_merge_into(options.merge_into);  // before minutes are spent
+  // Reports an invalid file before a run that takes minutes.
+  if (!options.merge_into.empty()) file_to_merge_into(options.merge_into);
   const InterruptScope interrupts;
   try {
     deliver(options, measure(options.scale));
@@ -181,7 +184,7 @@
   return 0;
 }
 
-// The one size that a prediction takes from an option.
+// Sets `size` from an option. A prediction accepts only one size per option.
 template <typename Number>
 void set_size(double& size, const char* option, const std::vector<Number>& given) {
   if (given.empty()) return;
--- a/src/loadtest/command_load.cpp
+++ b/src/loadtest/command_load.cpp
@@ -1,3 +1,4 @@
+// Sends the commands of the load generator through the client library.
 #include "loadtest/command_load.h"
 
 #include <algorithm>
@@ -8,9 +9,9 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr int kConnections = 16;       // of the steady commands
-constexpr int kCommandsPerLink = 16;   // half of what a connection may have open
-constexpr double kShortCommandMs = 5;  // as its statement says
+constexpr int kConnections = 16;       // of SteadyCommands
+constexpr int kCommandsPerLink = 16;   // half the limit of open commands per connection
+constexpr double kShortCommandMs = 5;  // must match the delay in the statement
 constexpr double kLongCommandMs = 15000;
 constexpr double kSilenceMs = 10000;
 constexpr double kSpreadMs = 100;
@@ -23,8 +24,8 @@
   options.max_connections = connections;
   options.max_open_calls = 100000;
   options.seed = seed;
-  // A stutter of this machine is no outage, and a refusal after it no reason to stay away: clients that send
-  // nothing for seconds would be measured instead.
+  // Retry-After is ignored and the silence timeout is long, so that a short stall of the test machine, or a
+  // rejection after it, does not make clients pause for seconds: the run would then measure idle clients.
   options.max_retry_after_ms = 0;
   options.silence_timeout_ms = kSilenceMs;
   options.spread_ms = kSpreadMs;
--- a/src/loadtest/command_load.h
+++ b/src/loadtest/command_load.h
@@ -1,4 +1,5 @@
-// Commands for one gateway, through the client library: at a steady rate, or a number that stays in hand.
+// Sends commands to one gateway through the client library: at a steady rate, or a fixed number that stays in
+// flight.
 #pragma once
 
 #include <atomic>
@@ -10,7 +11,7 @@
 
 namespace firvalve::loadtest {
 
-// Short commands at a steady rate, from its start until it is destroyed.
+// Sends short commands at a steady rate from construction until destruction.
 class SteadyCommands {
  public:
   SteadyCommands(const std::string& gateway, double per_second, uint64_t seed);
@@ -26,7 +27,8 @@
   std::jthread sender_;
 };
 
-// So many commands that are taken and not answered for as long as this object lives.
+// Sends `count` long commands at construction, which stay in flight until they finish (15 s) or this object
+// is destroyed.
 class CommandsInHand {
  public:
   CommandsInHand(const std::string& gateway, int count, uint64_t seed);
--- a/src/loadtest/control_changes.cpp
+++ b/src/loadtest/control_changes.cpp
@@ -1,4 +1,5 @@
-// Changes: of the engine list, followed by simulated gateways; of the configuration, read by real ones.
+// Measures changes of the engine list at simulated gateways, and changes of the configuration at real
+// gateways.
 #include <fmt/format.h>
 #include <signal.h>
 
@@ -17,20 +18,21 @@
 namespace {
 
 constexpr Ms kSettleMost = 120000;
-constexpr Ms kInForceMost = 30000;  // for a change; the size to design for allows 13 s
+constexpr Ms kInForceMost = 30000;  // limit for one change; the design limit is 13 s
 constexpr Ms kBetweenChanges = 250;
 constexpr Ms kPollEvery = 1;
-constexpr int kChanges = 20;  // of the list, at each size
+constexpr int kChanges = 20;  // changes of the engine list per size
 constexpr int kChangesQuick = 4;
-constexpr int kGatewaysHeld = 64;  // where engines are varied
+constexpr int kGatewaysHeld = 64;  // fixed number while engines vary
 constexpr int kGatewaysHeldQuick = 16;
-constexpr int kEnginesHeld = 50;  // where gateways are varied
+constexpr int kEnginesHeld = 50;  // fixed number while gateways vary
 constexpr int kEnginesOfReal = 2;
-constexpr uint64_t kSeedStep = 0x9e3779b97f4a7c15;  // between the seeds of gateways: far apart in all bits
+constexpr uint64_t kSeedStep =
+    0x9e3779b97f4a7c15;  // between gateway seeds; they differ throughout their bits
 
 void sleep_ms(Ms span) { std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(span)); }
 
-// By nearest rank.
+// Returns the quantile by the nearest-rank method.
 double quantile(std::vector<double> values, double part) {
   if (values.empty()) throw ScaleError("no times were measured");
   std::sort(values.begin(), values.end());
@@ -38,10 +40,10 @@
   return values[std::max<size_t>(rank, 1) - 1];
 }
 
-// Times from acceptance to in force, at all gateways and over several changes.
+// Times from acceptance of a change until it is in force, at all gateways and over several changes.
 struct InForce {
   std::vector<double> each;
-  std::vector<double> last;  // the last gateway of each change
+  std::vector<double> last;  // time of the slowest gateway for each change
   void add(const std::vector<double>& of_change) {
     each.insert(each.end(), of_change.begin(), of_change.end());
     last.push_back(*std::max_element(of_change.begin(), of_change.end()));
@@ -54,13 +56,16 @@
   series.add(name + ".in_force_last", "ms", size, quantile(times.last, 1));
 }
 
+// Cost of one change of the engine list.
 struct ListChange {
   InForce times;
-  double bytes_per_gateway = 0;  // of one change, the bus's word of each second left out
-  double gateway_cpu_us = 0;     // of one change, beyond what the same span costs at rest
-  double bus_cpu_us = 0;         // the same at the bus, for all gateways
+  double bytes_per_gateway = 0;  // without the bus's line of each second
+  double gateway_cpu_us = 0;     // beyond the cost of the same span without changes
+  double bus_cpu_us = 0;         // the same, at the bus, for all gateways together
 };
 
+// Waits until all gateways have applied `updates` list updates, and returns the time since the bus accepted
+// the last change for each gateway.
 std::vector<double> wait_in_force(SimulatedFleet& fleet, uint64_t updates, Watch& watch) {
   const Ms began = read_report_clock();
   for (;;) {
@@ -86,7 +91,7 @@
   return total;
 }
 
-// `change(i)` gives the listings of the i-th change; its first one has been announced `before` times.
+// `change(i)` returns the listings of the i-th change. `updates` counts the announced changes.
 template <class Change>
 ListChange measure_list_change(SimulatedFleet& fleet, int changes, bool whole, uint64_t& updates,
                                Watch& watch, const Change& change) {
@@ -95,7 +100,8 @@
     fleet.announce(change(i), whole);
     out.times.add(wait_in_force(fleet, ++updates, watch));
   }
-  // The costs are of changes alone: no look in between, against the same span without any.
+  // Costs are measured in a second pass without snapshots between the changes, which would add cost. The cost
+  // of the same span without changes is subtracted.
   const Ms span = changes * kBetweenChanges;
   const SimulatedFleet::Snapshot begun = fleet.snapshot();
   watch.sleep(span);
@@ -130,7 +136,7 @@
   series.add(name + ".bus_cpu", "us", size, change.bus_cpu_us);
 }
 
-// One engine drains, and serves again with the next change.
+// Returns the listing of one engine that alternates between draining and serving with each change.
 std::string one_engine(int change) { return engine_listings(0, 1, change % 2 == 0 ? "DRAINING" : "SERVING"); }
 
 SimulatedFleetOptions fleet_options(const ScaleOptions& options, int gateways, int engines) {
@@ -180,7 +186,7 @@
   return series.take();
 }
 
-// Real gateways, each with a configuration file of its own.
+// Real gateway processes, each with its own configuration file.
 class RealGateways {
  public:
   RealGateways(int count, const std::string& bus_before, const std::string& bus_after)
@@ -210,7 +216,7 @@
     return config;
   }
 
-  // Each gateway has a seed of its own: by it they draw when they come to the new bus.
+  // Gives each gateway its own seed, from which it draws the delay before it connects to the new bus.
   static std::string with_seed(std::string config, size_t number) {
     constexpr std::string_view kField = R"("seed":")";
     const size_t at = config.find(kField) + kField.size();
@@ -224,6 +230,7 @@
   std::vector<std::unique_ptr<fakes::Process>> processes_;
 };
 
+// Waits until `gateways` subscriptions have been requested at the bus.
 void wait_followed(const fakes::FakeEventBus& bus, size_t gateways) {
   for (const Ms began = read_report_clock(); bus.asked_from().size() < gateways; sleep_ms(kPollEvery))
     if (read_report_clock() > began + kInForceMost)
@@ -231,7 +238,7 @@
                                    bus.asked_from().size(), gateways, kInForceMost / 1000));
 }
 
-// From the first file's write to the moment that the new bus was asked, for each.
+// Returns, for each gateway, the time from the first file write until it subscribed to the new bus.
 std::vector<double> measure_bus_change(int gateways) {
   fakes::FakeHost host;
   const fakes::FakeEventBus before(host), after(host);
--- a/src/loadtest/control_rest.cpp
+++ b/src/loadtest/control_rest.cpp
@@ -1,4 +1,4 @@
-// Control at rest: nothing changes but leases, which are renewed.
+// Measures control traffic at rest, when only lease renewals happen, and the cold start of a cluster.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -11,12 +11,12 @@
 namespace {
 
 constexpr Ms kSettleMost = 120000;
-constexpr Ms kWarmUp = 3000;  // after a fleet has settled: what was late at its start has ended
+constexpr Ms kWarmUp = 3000;  // after the cluster has settled, so that late startup work has finished
 constexpr int kEnginesListed = 50;
-constexpr int kGatewaysHeld = 128;  // where another size is varied
+constexpr int kGatewaysHeld = 128;  // fixed number while another size varies
 constexpr int kGatewaysHeldQuick = 32;
 
-// A second of one role.
+// Cost of one role per second.
 struct Rate {
   double messages = 0;  // frames on the wire, in and out
   double bytes_in = 0, bytes_out = 0;
@@ -33,15 +33,16 @@
   }
 };
 
+// Control costs at rest, for one size.
 struct RestSample {
-  Rate follower;    // mean over gateways that hold no lease and are no keeper
-  Rate held_lease;  // what a lease costs its holder beyond that; mean over leases held by others than keepers
+  Rate follower;    // mean over gateways that hold no lease and are not acceptors
+  Rate held_lease;  // cost per lease beyond a follower's; mean over leases not held by acceptors
   bool has_held_lease = false;
-  Rate keeper;          // mean
-  Rate busiest_keeper;  // by bytes sent
+  Rate keeper;          // mean over acceptors
+  Rate busiest_keeper;  // the acceptor that sends the most bytes
   Rate bus;
-  double record_messages_per_gateway = 0;  // sent by all, over the number of gateways
-  double resident_mb = 0;                  // of all processes; its slope by gateways is what one needs
+  double record_messages_per_gateway = 0;  // messages sent by all gateways / number of gateways
+  double resident_mb = 0;                  // of all processes; the slope by gateways is the need of one
 };
 
 Rate rate_between(const SimulatedGatewayReport& before, const SimulatedGatewayReport& after, double seconds) {
@@ -118,7 +119,7 @@
   const auto count = static_cast<double>(after.gateways.size());
   out.record_messages_per_gateway = record_messages / count;
   out.resident_mb = after.resident_mb;
-  // Each hears its own part of what the bus says.
+  // Each gateway has an equal share of the bus traffic.
   out.follower.messages += out.bus.messages / count;
   out.follower.bytes_in += out.bus.bytes_out / count;
   out.follower.bytes_out += out.bus.bytes_in / count;
@@ -162,7 +163,7 @@
   return out;
 }
 
-// All at once: every gateway claims every lease before anybody holds one.
+// Starts all gateways at once, so that every gateway claims every lease before any lease has a holder.
 void add_cold_start(Series& series, SimulatedFleetOptions options, Watch& watch) {
   options.staged_start = false;
   SimulatedFleet fleet(options);
@@ -214,7 +215,7 @@
   run("duties", sizes_of({}, options.quick, {0, 5, 10, 20, 40, 80}, {0, 2, 4, 6, 8, 12}),
       {{"gateways", gateways}, {"keepers", keepers}},
       [&](int size) { return fleet_options(options, held, size, options.keepers); });
-  // Three sizes are all that there are.
+  // A cluster can have only 3, 5 or 7 acceptors.
   run("keepers", {3, 5, 7}, {{"gateways", gateways}, {"duties", leases}},
       [&](int size) { return fleet_options(options, held, options.leases, size); });
   return all;
--- a/src/loadtest/control_run.cpp
+++ b/src/loadtest/control_run.cpp
@@ -1,3 +1,4 @@
+// Runs the series of the control part of the scale run, with progress reports and the collected points.
 #include <fmt/format.h>
 #include <time.h>
 #include <unistd.h>
@@ -11,8 +12,8 @@
 namespace firvalve::loadtest {
 namespace {
 
-constexpr Ms kTellEvery = 2000;  // of a point that takes long
-constexpr Ms kSleepMost = 250;   // at once
+constexpr Ms kTellEvery = 2000;  // between progress reports of one point
+constexpr Ms kSleepMost = 250;   // longest single sleep, so that progress and interrupts are not delayed
 
 bool wants(const std::vector<std::string>& chosen, const std::string& name) {
   return chosen.empty() || std::find(chosen.begin(), chosen.end(), name) != chosen.end();
@@ -38,6 +39,7 @@
   return sizes.empty() ? text : fmt::format(" {}{}", name, text);
 }
 
+// Returns the command line that repeats the measurement.
 std::string command_of(const ScaleOptions& options) {
   std::string text = "firvalve-loadtest scale --part control";
   text += sizes_text("--gateways", options.gateways) + sizes_text("--engines", options.engines);
--- a/src/loadtest/control_series.h
+++ b/src/loadtest/control_series.h
@@ -1,4 +1,4 @@
-// The series of the scale run's control part, each over one size.
+// The measurement series of the control part of the scale run. Each series varies one size.
 #pragma once
 
 #include <string>
@@ -9,16 +9,17 @@
 
 namespace firvalve::loadtest {
 
-// Sizes of a series: those that were asked for, or its own, the largest of them held out from the fit.
+// Returns the sizes of a series, ascending and without duplicates: `asked` if not empty, otherwise `small`
+// for a quick run or `full`. The largest size is held out from the fit.
 std::vector<int> sizes_of(const std::vector<int>& asked, bool quick, const std::vector<int>& full,
                           const std::vector<int>& small);
 
-// Tells of a point that takes long, from time to time, so that an interrupt is noticed meanwhile.
+// Reports progress while a point is measured; the progress callback also checks for an interrupt.
 class Watch {
  public:
   Watch(const Progress& progress, std::string point);
-  void look();  // tells, where it has not done so for a while
-  void sleep(Ms span);
+  void look();          // reports progress if the last report is at least 2 s old
+  void sleep(Ms span);  // sleeps and reports progress meanwhile
 
  private:
   const Progress& progress_;
@@ -26,7 +27,7 @@
   Ms began_ = 0, told_at_ = 0;
 };
 
-// Measurements of one series, filled point by point.
+// Collects the measurements of one series point by point.
 class Series {
  public:
   Series(const ScaleOptions& options, std::string varied, std::map<std::string, double> fixed);
@@ -38,13 +39,14 @@
   std::vector<Measurement> measurements_;
 };
 
-// What each role spends on control while nothing changes: by gateways, leases and keepers.
+// Measures the control cost of each role while nothing changes, by number of gateways, leases and acceptors.
 std::vector<Measurement> measure_rest(const ScaleOptions& options, const Progress& progress);
-// A fleet whose gateways all start at once: until every lease has a holder.
+// Starts all gateways of a cluster at once and measures the time until every lease has a holder.
 std::vector<Measurement> measure_cold_start(const ScaleOptions& options, const Progress& progress);
-// A change of the engine list, from its acceptance at the bus to in force: by gateways and by engines.
+// Measures changes of the engine list, from acceptance by the bus until in force, by number of gateways and
+// of engines.
 std::vector<Measurement> measure_list_changes(const ScaleOptions& options, const Progress& progress);
-// A change of configuration at processes of the program itself: a file and a signal for each.
+// Measures changes of the configuration at real gateway processes: each gets a new file and SIGHUP.
 std::vector<Measurement> measure_configuration_changes(const ScaleOptions& options, const Progress& progress);
 
 }  // namespace firvalve::loadtest
