--- a/src/loadtest/control_changes.cpp
+++ b/src/loadtest/control_changes.cpp
@@ -27,8 +27,8 @@
 constexpr int kGatewaysHeldQuick = 16;
 constexpr int kEnginesHeld = 50;  // fixed number while gateways vary
 constexpr int kEnginesOfReal = 2;
-constexpr uint64_t kSeedStep =
-    0x9e3779b97f4a7c15;  // between gateway seeds; they differ throughout their bits
+// Difference between gateway seeds, so that they differ throughout their bits.
+constexpr uint64_t kSeedStep = 0x9e3779b97f4a7c15;
 
 void sleep_ms(Ms span) { std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(span)); }
 
