--- a/src/consensus/acceptor.h
+++ b/src/consensus/acceptor.h
@@ -28,6 +28,7 @@
 
 namespace firvalve::consensus {
 
+// Settings of an acceptor.
 struct AcceptorOptions {
   uint32_t self = 0, replica_count = 3;        // `self`: this replica's PeerId
   Duration metadata_retry_interval = 200ms;    // between metadata requests while not voting
@@ -85,7 +86,7 @@
     WatchPosition since = 0;
     BootTime requested_at;
   };
-  struct PeerState {  // what a non-voting replica knows of another replica
+  struct PeerState {  // state of another replica, as a non-voting replica knows it
     // is_fetched: its complete state has been merged.
     bool has_answered = false, is_voting = false, is_fetched = false;
     Incarnation incarnation = 0;
--- a/src/consensus/proposer.h
+++ b/src/consensus/proposer.h
@@ -14,6 +14,7 @@
 
 namespace firvalve::consensus {
 
+// Settings of a proposer.
 struct ProposerOptions {
   uint32_t replica_count = 3;
   uint64_t proposer_id = 1;  // must be unique, so it is drawn at random at each start
@@ -37,6 +38,7 @@
   bool is_read() const { return id == 0; }
 };
 
+// The result of a proposal.
 struct ProposalResult {
   enum class Kind : uint8_t {
     kCommitted,  // the change was committed on top of expected_change
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -129,7 +129,8 @@
   State state_;
   Actions actions_;
   std::set<TimePoint> timers_;  // set by the policy
-  // Since the last decision; initially true, so that the policy decides once at start.
+  // Whether events have arrived since the last decision; initially true, so that the policy decides once at
+  // start.
   bool has_new_events_ = true;
   TimePoint decided_at_{};  // the last decision; the clock's epoch before the first one
   TimePoint last_event_at_{};
--- a/src/lease/lease_manager.cpp
+++ b/src/lease/lease_manager.cpp
@@ -240,7 +240,7 @@
 void LeaseManager::mark_lost(const std::string& name, Lease& lease, EndReason reason) {
   events_.push_back({Event::Kind::kLost, name, lease.epoch, reason});
   if (lease.state_to_write || lease.pending == Pending::kWriteState) {
-    // The write may still be committed; only the stored record tells.
+    // The write may still be committed; only the stored record shows whether it was.
     events_.push_back({Event::Kind::kStateWritten, name, lease.epoch});
     lease.state_to_write.reset();
   }
--- a/src/lease/lease_manager.h
+++ b/src/lease/lease_manager.h
@@ -32,6 +32,7 @@
 
 namespace firvalve::lease {
 
+// Settings of a lease manager.
 struct LeaseOptions {
   std::string self;             // address at which peers reach this gateway
   Incarnation incarnation = 1;  // of this process: drawn at its start
--- a/src/lease/run_once_jobs.h
+++ b/src/lease/run_once_jobs.h
@@ -31,7 +31,7 @@
   // Outcome of a run, as the driver reports it. kFailed: the job may have run.
   enum class RunOutcome : uint8_t { kCompleted, kFailed, kNeverRan };
 
-  // What the driver must do for a call.
+  // An action that the driver must perform for a call.
   struct Action {
     enum class Kind : uint8_t {
       kStart,     // run the job for this call
--- a/src/policy/actions.h
+++ b/src/policy/actions.h
@@ -35,6 +35,7 @@
   kFailingOrSlow,  // ejected
 };
 
+// One output action. Each kind lists the members that it sets.
 struct Action {
   enum class Kind {
     kStartAttempt,        // command, engine
--- a/src/policy/admission_queue.h
+++ b/src/policy/admission_queue.h
@@ -27,6 +27,7 @@
   TimePoint until{};
 };
 
+// State of the admission queue.
 struct AdmissionQueueState {
   std::vector<size_t> queued;  // scratch: slots of queued commands, in review order
   std::vector<KeyCooldown> key_cooldowns;
--- a/src/policy/attempt_events.h
+++ b/src/policy/attempt_events.h
@@ -9,7 +9,9 @@
 
 struct State;
 
+// Handles a status report of an attempt in flight. Ignores reports of attempts that are over.
 void handle_attempt_status(State& state, TimePoint now, const AttemptStatus& event);
+// Handles the end of an attempt.
 void handle_attempt_finished(State& state, TimePoint now, const AttemptFinished& event);
 
 }  // namespace firvalve
--- a/src/policy/cancellation.cpp
+++ b/src/policy/cancellation.cpp
@@ -14,8 +14,8 @@
 constexpr double kNoProgressRatio = 4;  // times the usual runtime without a progress report
 constexpr Duration kMinBadPlanRuntime = 300ms;  // a younger attempt is not cancelled for being slow
 constexpr int kMaxBadPlanCancellations = 2;     // per command; after that the estimate is taken to be wrong
-// Of the predicted runtime, times the number of earlier blocked cancellations: the delays add up to about one
-// runtime.
+// The delay of a retry after a blocked attempt is this share of the predicted runtime, times the number of
+// earlier blocked cancellations. The delays add up to about one runtime.
 constexpr double kBlockedBackoffShare = 0.25;
 
 // A blocked attempt has not begun, so a deduplicated command may also run again on another engine within its
--- a/src/policy/command.h
+++ b/src/policy/command.h
@@ -11,6 +11,7 @@
 
 namespace firvalve {
 
+// Whether a command has an attempt in flight, and whether its cancellation was requested.
 enum class AttemptState { kNone, kInFlight, kCancelling };
 
 // The latest attempt of a command.
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -16,19 +16,22 @@
 constexpr double kInitialThreadsPerCore = 1.5;  // all gateways together; throughput peaks near this
 constexpr double kMinThreadsPerCore = 1.0;      // lower bound: all cores busy
 constexpr double kMaxThreadsPerCore = 4;        // upper bound: beyond any useful limit
-constexpr double kDecreaseFactor = 0.92;        // per decrease
+constexpr double kDecreaseFactor = 0.92;        // factor of the limit per decrease
 constexpr Duration kDecreaseInterval = 400ms;   // between decreases: the last one must show its effect first
 constexpr Duration kIncreaseInterval = 2s;  // between increases: at 200 and 800 ms increases outran decreases
-// Of the initial limit per increase, at most one thread. The same step for all evens out the shares.
+// Each increase adds this share of the initial limit, at most one thread. Equal steps even out the gateways'
+// shares.
 constexpr double kIncreaseShare = 0.25;
-constexpr double kSlowdownWeight = 0.08;    // of a new outcome: the mean follows within a dozen
-constexpr double kMaxSlowdownWeight = 0.4;  // of one outcome, however much work it was
+constexpr double kSlowdownWeight = 0.08;    // weight of a new outcome; the mean follows within a dozen
+constexpr double kMaxSlowdownWeight = 0.4;  // upper bound of one outcome's weight, however much work it was
 constexpr double kMaxSlowdown = 8;          // cap on one sample
 constexpr double kMemoryWaitSlowdown = 4;  // sample for a wait for memory: twice the threshold for a decrease
-constexpr double kMaxProgressRatio = 4;    // times the mean; slower progress is more likely a bad plan
-constexpr double kGroupWeight = 2;         // samples; an engine with few is judged by its group as well
-constexpr Duration kRejectionBackoff = 250ms;  // initial; some commands finish on the engine within it
-constexpr Duration kMaxOverrunTime = 2s;       // times the limits; some runtimes of long commands
+constexpr double kMaxProgressRatio =
+    4;                              // times the mean; slower progress is more likely caused by a bad plan
+constexpr double kGroupWeight = 2;  // samples; an engine with few is judged by its group as well
+constexpr Duration kRejectionBackoff =
+    250ms;                                // initial backoff; some commands finish on the engine within it
+constexpr Duration kMaxOverrunTime = 2s;  // times the limits; covers a few runtimes of long commands
 constexpr Duration kMinRuntime = 1ms;
 
 // A baseline learned from estimates makes the samples scatter widely. The mean is then taken of logarithms,
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -29,6 +29,7 @@
 // congested; below kCongestionLow it has spare capacity.
 constexpr double kCongestionHigh = 1.9, kCongestionLow = 1.5;
 
+// The limit of one engine and the slowdowns that it is adjusted by.
 struct EngineConcurrency {
   double limit = 0;               // threads that this gateway may run at once
   bool is_limit_reached = false;  // at any time since the last adjustment
@@ -44,6 +45,7 @@
   double congestion = 1;  // the larger of the two combined means
 };
 
+// Backoffs of one engine: after rejections, and for commands that need much memory.
 struct EngineBackoff {
   TimePoint until{};
   double min_memory_mb = 0;  // applies to commands that need at least this much memory
@@ -55,6 +57,7 @@
   double slowdown = 1, work_slowdown = 1;
 };
 
+// Slowdowns and overruns over all engines.
 struct ConcurrencyState {
   std::vector<EngineGroup> groups;       // two per machine type: light engines, pool engines
   double usual_slowdown = 1;             // median over ready engines, at least 1
--- a/src/policy/cost_prediction.cpp
+++ b/src/policy/cost_prediction.cpp
@@ -11,14 +11,14 @@
 namespace firvalve {
 namespace {
 
-constexpr double kMeanWeight = 0.03;        // of a new outcome in a running mean: some 30 outcomes
+constexpr double kMeanWeight = 0.03;        // weight of a new outcome in a running mean of some 30 outcomes
 constexpr int kBaselineWindow = 20;         // outcomes per reading of the baseline
-constexpr double kBaselineGuessWeight = 3;  // outcomes that the initial guess of 1 counts for
+constexpr double kBaselineGuessWeight = 3;  // the initial guess of 1 weighs as much as this many outcomes
 constexpr double kBaselineDrift = 1.01;     // per window: forgets an old reading within some hundred windows
 constexpr size_t kMaxRecentPredictions = 512;  // commands among which the largest count as heavy
 constexpr size_t kMinRecentPredictions = 32;   // commands; fewer set no threshold
-constexpr double kHeavyShare = 0.01;           // of commands
-constexpr double kWorkDecay = 0.998;           // per command; the sums cover some 500 commands
+constexpr double kHeavyShare = 0.01;           // share of commands that count as heavy
+constexpr double kWorkDecay = 0.998;           // factor per command; the sums cover some 500 commands
 constexpr Duration kDefaultWork{100};          // assumed before anything is known of a profile
 constexpr Duration kMinWork{1};
 
--- a/src/policy/cost_prediction.h
+++ b/src/policy/cost_prediction.h
@@ -38,6 +38,7 @@
   int window_count = 0;
 };
 
+// State over all profiles.
 struct CostPredictionState {
   // The largest recent predictions count as heavy.
   std::vector<Duration> recent_work, sorted_work;  // ring buffer; scratch
--- a/src/policy/engine_list.h
+++ b/src/policy/engine_list.h
@@ -8,6 +8,7 @@
 
 struct State;
 
+// Adds and updates the engines that the update lists. A complete list also removes all others.
 void handle_engine_list(State& state, TimePoint now, const EngineListUpdate& event);
 
 }  // namespace firvalve
--- a/src/policy/engine_pool.h
+++ b/src/policy/engine_pool.h
@@ -15,6 +15,7 @@
 
 struct State;
 
+// State of the engine pool.
 struct EnginePoolState {
   std::vector<size_t> ready;        // scratch: indices of ready engines
   std::vector<size_t> zone_counts;  // scratch: ready engines per zone index
--- a/src/policy/engine_selection.h
+++ b/src/policy/engine_selection.h
@@ -26,6 +26,7 @@
   TimePoint until{};
 };
 
+// State of engine selection.
 struct EngineSelectionState {
   std::vector<size_t> candidates;  // scratch: indices of engines with capacity
   std::vector<TableLock> table_locks;
--- a/src/policy/events.h
+++ b/src/policy/events.h
@@ -16,6 +16,7 @@
 
 namespace firvalve {
 
+// The id of a command, as chosen by the client.
 struct CommandId {
   std::array<char, 16> text{};
   bool operator==(const CommandId&) const = default;
@@ -44,6 +45,7 @@
 
 // ---- The endpoint list --------------------------------------------------------------------------
 
+// An engine as the endpoint list describes it.
 struct EngineInfo {
   EngineId engine{};
   std::string zone;
@@ -53,6 +55,7 @@
   std::optional<TimePoint> started_at;  // by the clock of the list's writer; empty: long ago
 };
 
+// The endpoint list or a part of it has changed.
 struct EngineListUpdate {
   bool is_complete = false;  // the full list: engines missing from it are removed
   std::vector<EngineInfo> engines;
@@ -99,6 +102,7 @@
 
 // ---- Attempts -----------------------------------------------------------------------------------
 
+// Kinds of status reports.
 enum class AttemptStatusKind { kProgress = 1, kSpilling = 2, kWaiting = 3 };
 
 // Values of AttemptStatusKind::kWaiting that the policy acts on.
@@ -113,6 +117,7 @@
   double value = 0;  // kProgress: the fraction done, 0 to 1; kWaiting: what it waits for, as above
 };
 
+// An attempt has ended.
 struct AttemptFinished {
   CommandId id;
   int attempt = 0;
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -11,18 +11,21 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kEjectionFailureShare = 0.2;   // of attempts: with as many failures an engine is ejected
-constexpr Duration kFailureWindow = 10s;        // over which attempts are counted (exponential decay)
-constexpr double kMinFailures = 2.5;            // decayed count of failures before the share is trusted
-constexpr Duration kInitialProbeInterval = 1s;  // until the first probe of an ejected engine
-// In a row: more than luck for an engine that fails a third of its work.
+constexpr double kEjectionFailureShare =
+    0.2;                                  // of attempts; an engine with this share of failures is ejected
+constexpr Duration kFailureWindow = 10s;  // time constant of the decaying counts
+constexpr double kMinFailures = 2.5;      // decayed count of failures before the share is trusted
+constexpr Duration kInitialProbeInterval = 1s;  // from the ejection to the first probe
+// Successful probes in a row that reinstate an engine. An engine that fails a third of its work seldom passes
+// as many by luck.
 constexpr int kReinstatementProbes = 4;
-// Without a response while an attempt runs; exceeds long pauses of an engine.
+// A response is not overdue until an attempt has run this long without one. Longer than long pauses of an
+// engine.
 constexpr Duration kSilenceTimeout = 600ms;
 constexpr double kOverdueRatio = 4;            // times the usual runtime before an attempt is overdue
 constexpr double kOverdueStatusPeriods = 1.6;  // status periods without a report: at least one was missed
 constexpr double kSlowPeerRatio = 3;  // times the median slowdown: slower than its peers, not just busy
-constexpr Duration kMinRestartSilence = 3s;  // after which an engine may have restarted
+constexpr Duration kMinRestartSilence = 3s;  // an engine silent for longer may have restarted
 
 bool is_failure(Outcome outcome) {
   return outcome == Outcome::kFailed || outcome == Outcome::kReset || outcome == Outcome::kConnectFailed;
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -15,6 +15,7 @@
 struct Engine;
 struct State;
 
+// Outcome counts, ejection and probes of one engine.
 struct EngineOutlier {
   double attempts = 0, failures = 0;  // decaying counts
   TimePoint decayed_at{};             // when the counts and the slowdown samples were last decayed
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -127,7 +127,7 @@
 }
 
 void handle(State& state, TimePoint now, const Event& event) {
-  // Detects a stall of this gateway. What is handled right after it arrived earlier than `now`, so times and
+  // Detects a stall of this gateway. Events handled right after it arrived earlier than `now`, so times and
   // progress rates measured at this moment say nothing about the engines.
   if (state.next_tick_at && now > *state.next_tick_at + kMinStall) state.resumed_at = now;
   if (!state.first_event_at) state.first_event_at = now;
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -12,8 +12,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kDeduplicationMargin = 200ms;  // of the window, for the way to the engine
-constexpr double kResubmitWindowShare = 0.5;      // of the window, left to a client to send the command again
+constexpr Duration kDeduplicationMargin =
+    200ms;  // subtracted from the window, for the time to reach the engine
+constexpr double kResubmitWindowShare =
+    0.5;                                    // share of the window left to a client to send the command again
 constexpr Duration kHalfCloseGrace = 50ms;  // after a half-close; at 100 ms a closed client counts as gone
 
 bool has_client_left(const Command& command, TimePoint now) {
--- a/src/policy/retry.h
+++ b/src/policy/retry.h
@@ -17,6 +17,7 @@
 struct Profile;
 struct State;
 
+// Settings of the retry budget.
 struct RetryBudgetOptions {
   bool is_limited = false;  // otherwise retries are unlimited
   double allowance = 0;     // retries per window
@@ -24,6 +25,7 @@
   Duration window{};
 };
 
+// The retry budget, with the admitted commands and retries counted in its window.
 struct RetryBudget {
   SlidingWindow admitted, retries;
 };
--- a/src/policy/scheduling_hints.cpp
+++ b/src/policy/scheduling_hints.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int kPriorityShort = 3;  // short commands go first where cores or disks are scarce
-// The default: other commands are held back in the queue, not on the engine.
+// The default priority: commands that are not short are held back in the queue, not on the engine.
 constexpr int kPriorityOther = 1;
 constexpr double kCoveredShare = 0.95;  // of commands get all the memory they need
 constexpr double kMemoryStep = 0.05;  // per outcome towards that share: settles within some hundred outcomes
--- a/src/policy/scheduling_hints.h
+++ b/src/policy/scheduling_hints.h
@@ -14,6 +14,7 @@
 struct Profile;
 struct State;
 
+// The hints of one command.
 struct SchedulingHints {
   std::optional<int> priority;  // larger goes first; empty until set
   double memory_grant_mb = 0;   // 0: the engine decides
--- a/src/policy/sliding_window.h
+++ b/src/policy/sliding_window.h
@@ -10,8 +10,8 @@
 
 class SlidingWindow {
  public:
-  void add(TimePoint time);  // times must be in ascending order
-  void erase_before(TimePoint time);
+  void add(TimePoint time);           // times must be in ascending order
+  void erase_before(TimePoint time);  // erases all earlier times
   size_t size() const { return count_; }
 
  private:
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -11,17 +11,19 @@
 
 using namespace std::chrono_literals;
 
-// Of the work that a cold engine may receive; the rest absorbs random variation.
+// The work budget is this share of the overload limit of a warming engine; the rest absorbs random variation.
 constexpr double kBudgetShare = 0.5;
-// Of that work: commands up to this size are numerous enough to average out.
+// A command of at most this share of the work budget is small: such commands are numerous enough to average
+// out.
 constexpr double kSmallCommandShare = 0.05;
-constexpr double kUsableCoreShare = 0.85;  // of the cores: what benchmarks and operators mean by capacity
-constexpr Duration kMaxListDelay = 8s;     // of the endpoint list: 7 s in its protocol, plus the transfer
+constexpr double kUsableCoreShare = 0.85;  // of the cores; benchmarks and operators call this the capacity
+constexpr Duration kMaxListDelay =
+    8s;  // of the endpoint list: at most 7 s by its protocol, plus the transfer
 
-// What this gateway may send a warming engine in the window that ends now.
+// This gateway's budget for a warming engine in the window that ends now.
 struct Budget {
   Duration all_gateways{}, own{};
-  Duration small_interval{};  // between small commands, if the share is less than one command
+  Duration small_interval{};  // time between small commands, if the share is less than one command
   Duration sent{};            // by this gateway
   TimePoint last_sent_at{};
 };
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -17,19 +17,22 @@
 struct Engine;
 struct State;
 
+// Settings of slow start.
 struct SlowStartOptions {
-  Duration warm_up{};        // until an engine is warm
-  double initial_share = 0;  // of its capacity that an engine has right after its start
+  Duration warm_up{};        // time from its start until an engine is warm
+  double initial_share = 0;  // share of its capacity that an engine has right after its start
   // Within this window an engine must not receive more than overload_multiple times its capacity.
   Duration overload_window{};
   double overload_multiple = 0;
 };
 
+// Predicted work sent to a warming engine, and when.
 struct SentWork {
   TimePoint at{};
   Duration work{};
 };
 
+// Slow start of one engine.
 struct EngineSlowStart {
   std::optional<TimePoint> started_at;  // empty if it is warm
   double first_turn_phase = 0;          // 0 to 1: when in its interval the first small command is sent
