--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -26,12 +26,10 @@
 constexpr double kMaxSlowdownWeight = 0.4;  // upper bound of one outcome's weight, however much work it was
 constexpr double kMaxSlowdown = 8;          // cap on one sample
 constexpr double kMemoryWaitSlowdown = 4;  // sample for a wait for memory: twice the threshold for a decrease
-constexpr double kMaxProgressRatio =
-    4;                              // times the mean; slower progress is more likely caused by a bad plan
-constexpr double kGroupWeight = 2;  // samples; an engine with few is judged by its group as well
-constexpr Duration kRejectionBackoff =
-    250ms;                                // initial backoff; some commands finish on the engine within it
-constexpr Duration kMaxOverrunTime = 2s;  // times the limits; covers a few runtimes of long commands
+constexpr double kMaxProgressRatio = 4;    // times the mean; slower progress rather shows a bad plan
+constexpr double kGroupWeight = 2;         // samples; an engine with few is judged by its group as well
+constexpr Duration kRejectionBackoff = 250ms;  // initial; some commands finish on the engine meanwhile
+constexpr Duration kMaxOverrunTime = 2s;       // times the limits; covers a few runtimes of long commands
 constexpr Duration kMinRuntime = 1ms;
 
 // A baseline learned from estimates makes the samples scatter widely. The mean is then taken of logarithms,
--- a/src/policy/engine_pool.cpp
+++ b/src/policy/engine_pool.cpp
@@ -13,11 +13,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr size_t kMinPoolSize = 2;  // engines
-constexpr double kOverloadRejectionShare =
-    0.2;                             // of recent heavy attempts in the pool; above it the pool is overloaded
-constexpr double kMinAttempts = 20;  // decayed count of attempts before that share is trusted
-constexpr Duration kOutcomeWindow = 10s;  // time constant of the decaying counts
+constexpr size_t kMinPoolSize = 2;               // engines
+constexpr double kOverloadRejectionShare = 0.2;  // share of rejected heavy attempts that shows overload
+constexpr double kMinAttempts = 20;              // decayed count of attempts before that share is trusted
+constexpr Duration kOutcomeWindow = 10s;         // time constant of the decaying counts
 
 std::optional<size_t> find_pool_zone(State& state) {
   EnginePoolState& pool = state.pool;
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -11,10 +11,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kEjectionFailureShare =
-    0.2;                                  // of attempts; an engine with this share of failures is ejected
-constexpr Duration kFailureWindow = 10s;  // time constant of the decaying counts
-constexpr double kMinFailures = 2.5;      // decayed count of failures before the share is trusted
+constexpr double kEjectionFailureShare = 0.2;   // share of failed attempts for an ejection
+constexpr Duration kFailureWindow = 10s;        // time constant of the decaying counts
+constexpr double kMinFailures = 2.5;            // decayed count of failures before the share is trusted
 constexpr Duration kInitialProbeInterval = 1s;  // from the ejection to the first probe
 // Successful probes in a row that reinstate an engine. An engine that fails a third of its work seldom passes
 // as many by luck.
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -12,10 +12,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kDeduplicationMargin =
-    200ms;  // subtracted from the window, for the time to reach the engine
-constexpr double kResubmitWindowShare =
-    0.5;                                    // share of the window left to a client to send the command again
+constexpr Duration kDeduplicationMargin = 200ms;  // part of the window left for the way to the engine
+constexpr double kResubmitWindowShare = 0.5;      // share of the window that a client has to send again
 constexpr Duration kHalfCloseGrace = 50ms;  // after a half-close; at 100 ms a closed client counts as gone
 
 bool has_client_left(const Command& command, TimePoint now) {
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -17,8 +17,7 @@
 // out.
 constexpr double kSmallCommandShare = 0.05;
 constexpr double kUsableCoreShare = 0.85;  // of the cores; benchmarks and operators call this the capacity
-constexpr Duration kMaxListDelay =
-    8s;  // of the endpoint list: at most 7 s by its protocol, plus the transfer
+constexpr Duration kMaxListDelay = 8s;     // of the endpoint list: 7 s by its protocol, plus the transfer
 
 // This gateway's budget for a warming engine in the window that ends now.
 struct Budget {
