--- a/src/fakes/fake_deployment.cpp
+++ b/src/fakes/fake_deployment.cpp
@@ -48,9 +48,9 @@
   for (const auto& engine : engines_) total += engine->runs(statement);
   return total;
 }
-int FakeDeployment::runs_most() const {
+int FakeDeployment::max_runs_per_statement() const {
   int max = 0;
-  for (const auto& engine : engines_) max = std::max(max, engine->runs_most());
+  for (const auto& engine : engines_) max = std::max(max, engine->max_runs_per_statement());
   return max;
 }
 int FakeDeployment::started() const {
--- a/src/fakes/fake_deployment.h
+++ b/src/fakes/fake_deployment.h
@@ -34,7 +34,7 @@
   std::string config(const std::string& listen, int memory_mb = 192, int sockets = 1024) const;
   // As for one FakeEngine, over all engines.
   int runs(const std::string& statement) const;
-  int runs_most() const;
+  int max_runs_per_statement() const;
   int started() const;
 
  private:
--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -112,7 +112,7 @@
   return at == runs_.end() ? 0 : at->second;
 }
 
-int FakeEngine::runs_most() const {
+int FakeEngine::max_runs_per_statement() const {
   const std::lock_guard lock(mutex_);
   int max = 0;
   for (const auto& [statement, count] : runs_) max = std::max(max, count);
@@ -304,26 +304,28 @@
   const FaultScript& script = query.script;
   if (script.status != 200 || page >= script.pages)
     return connection.write(make_response("500 Error", "", ""));
-  bool spoil = false, breaks_off = false;
+  bool is_corrupted = false, breaks_off = false;
   {
     const std::lock_guard lock(mutex_);
     if (script.reset >= 0 || script.cut >= 0)
       breaks_off = broken_responses_[query.statement]++ < script.times;
-    if (!breaks_off && !script.spoil.empty()) spoil = corrupted_[query.statement]++ < script.spoil_times;
+    if (!breaks_off && !script.corruption.empty())
+      is_corrupted = corrupted_[query.statement]++ < script.max_corruptions;
   }
   std::string body = rows_of(script, page);
   int sent_page = page;
-  if (spoil && script.spoil == "half") body.resize(body.size() / 2 - 1);  // ends inside a row
-  if (spoil && script.spoil == "page") sent_page = page + 1;
+  if (is_corrupted && script.corruption == "half") body.resize(body.size() / 2 - 1);  // ends inside a row
+  if (is_corrupted && script.corruption == "page") sent_page = page + 1;
   std::string text = make_response(
       "200 OK",
       page == 0 ? fmt::format("X-Sheets: {}\r\n", script.pages) : fmt::format("X-Sheet: {}\r\n", sent_page),
       body);
-  if (spoil && script.spoil == "head") text[0] = '?';
-  if (spoil && script.spoil == "length") text.replace(text.find("Content-Length: ") + 16, 1, "99999999");
-  if (spoil && script.spoil == "noise") text += "noise";
-  if (spoil && script.spoil == "twice") text += std::string(text);
-  if (spoil && script.spoil == "junk") text = "junk\r\n\r\n";
+  if (is_corrupted && script.corruption == "head") text[0] = '?';
+  if (is_corrupted && script.corruption == "length")
+    text.replace(text.find("Content-Length: ") + 16, 1, "99999999");
+  if (is_corrupted && script.corruption == "noise") text += "noise";
+  if (is_corrupted && script.corruption == "twice") text += std::string(text);
+  if (is_corrupted && script.corruption == "junk") text = "junk\r\n\r\n";
   if (breaks_off) {
     reset_next_ += script.reset_next;
     const auto bytes = static_cast<size_t>(std::max(script.reset, script.cut));
--- a/src/fakes/fake_engine.h
+++ b/src/fakes/fake_engine.h
@@ -32,7 +32,7 @@
 
   // Counts since construction, including the time before a kill().
   int runs(const std::string& statement) const;  // how often this statement was started
-  int runs_most() const;                         // the highest such count of any statement
+  int max_runs_per_statement() const;            // the highest such count of any statement
   int started() const;                           // number of started queries, over all statements
   int calls(const std::string& start) const;     // number of calls whose request line starts with `start`
   Ms first_call_at() const;                      // by monotonic_ms(); 0: no call yet
--- a/src/fakes/fake_gateway.cpp
+++ b/src/fakes/fake_gateway.cpp
@@ -129,7 +129,7 @@
   const bool breaks_off =
       (script.reset >= 0 || script.cut >= 0) && faults_applied_[statement]++ < script.times;
   std::string out;
-  if (script.spoil == "other") id += 1000000;
+  if (script.corruption == "other") id += 1000000;
   if (script.answer == "shed" && faults_applied_[statement]++ < script.times) {
     const std::string data =
         script.holdoff.empty() ? "" : fmt::format(R"(,"data":{{"holdoff":{}}})", script.holdoff);
@@ -143,9 +143,9 @@
     for (int page = 0; page < script.pages; ++page) rows += rows_of(script, page);
     proto::append_result(out, id, rows);
   }
-  if (script.spoil == "huge") out = "Content-Length: 60000000\r\n\r\n" + std::string(200000, ' ');
-  if (script.spoil == "junk") out = "Content-Length: 4\r\n\r\njunk";
-  if (script.spoil == "twice") out += std::string(out);
+  if (script.corruption == "huge") out = "Content-Length: 60000000\r\n\r\n" + std::string(200000, ' ');
+  if (script.corruption == "junk") out = "Content-Length: 4\r\n\r\njunk";
+  if (script.corruption == "twice") out += std::string(out);
   if (breaks_off) {
     connection.write(
         std::string_view(out).substr(0, static_cast<size_t>(std::max(script.reset, script.cut))));
--- a/src/fakes/fault_script.cpp
+++ b/src/fakes/fault_script.cpp
@@ -47,11 +47,11 @@
   else if (option == "reset-next")
     script.reset_next = integer();
   else if (option == "spoil-times")
-    script.spoil_times = integer();
+    script.max_corruptions = integer();
   else if (option == "note")
     script.note = value;
   else if (option == "spoil")
-    script.spoil = value;
+    script.corruption = value;
   else if (option == "answer")
     script.answer = value;
   else if (option == "holdoff")
--- a/src/fakes/fault_script.h
+++ b/src/fakes/fault_script.h
@@ -24,11 +24,11 @@
   int cut = -1;         // as reset, but the connection is closed in order
   int times = 1 << 30;  // how often reset, cut or shed is applied
   int reset_next = 0;   // number of new connections that are reset after each reset or cut
-  int spoil_times = 1 << 30;  // how often spoil is applied
-  std::string note;           // NAME:VALUE of a status report sent before the rows are ready
-  // How the response is corrupted: junk (replaces it), head, length, noise (after it), half (ends inside a
-  // row), page (wrong page number), twice, other (wrong request id), huge.
-  std::string spoil;
+  int max_corruptions = 1 << 30;  // how many responses are corrupted (option spoil-times)
+  std::string note;               // NAME:VALUE of a status report sent before the rows are ready
+  // How the response is corrupted (option spoil): junk (replaces it), head, length, noise (after it), half
+  // (ends inside a row), page (wrong page number), twice, other (wrong request id), huge.
+  std::string corruption;
   // Fake gateway only.
   std::string answer = "rows";  // rows, shed, fail, none
   std::string holdoff;          // JSON value of `holdoff` in a shed response; empty: omitted
--- a/tests/gateway/paged_results_gateway_test.cpp
+++ b/tests/gateway/paged_results_gateway_test.cpp
@@ -124,7 +124,7 @@
     PageReader pages(*client, result, "", {});
     EXPECT_EQ(read_all(pages), std::pair(Next::kEnd, 200));
   }
-  EXPECT_EQ(deployment.runs_most(), 1);
+  EXPECT_EQ(deployment.max_runs_per_statement(), 1);
 }
 
 TEST_F(PagedResultsGateway, ReaderContinuesAfterKillWithFolder) {
@@ -147,7 +147,7 @@
   process->stop(SIGKILL);
   process->start();
   EXPECT_EQ(read_all(pages), std::pair(Next::kEnd, 120));
-  EXPECT_EQ(deployment.runs_most(), 1);
+  EXPECT_EQ(deployment.max_runs_per_statement(), 1);
 }
 
 TEST_F(PagedResultsGateway, GracefulExitKeepsAllResultsOnDisk) {
@@ -211,7 +211,7 @@
   };
   EXPECT_TRUE(soon([&] { return cancel_count() >= 1; }));
   EXPECT_EQ(call_paged("select 2 /*! pages=2 */").outcome, Outcome::kAnswered);
-  EXPECT_EQ(deployment.runs_most(), 1);
+  EXPECT_EQ(deployment.max_runs_per_statement(), 1);
 }
 
 TEST_F(PagedResultsGateway, CorruptPageResponseIsFetchedAgainNotRunAgain) {
@@ -220,7 +220,7 @@
   ASSERT_EQ(result.outcome, Outcome::kAnswered);
   PageReader pages(*client, result, "", {});
   EXPECT_EQ(read_all(pages), std::pair(Next::kEnd, 10));
-  EXPECT_EQ(deployment.runs_most(), 1);
+  EXPECT_EQ(deployment.max_runs_per_statement(), 1);
 }
 
 TEST_F(PagedResultsGateway, KeyWithManyResultsLosesOnlyItsOwn) {
