--- a/src/cluster/cluster_options.cpp
+++ b/src/cluster/cluster_options.cpp
@@ -4,15 +4,15 @@
 
 namespace firvalve::cluster {
 
-ClusterOptions options_from(const config::OperatorConfig::Fleet& section) {
+ClusterOptions options_from(const config::OperatorConfig::Cluster& section) {
   ClusterOptions options;
   options.listen = section.listen;
   options.name = section.advertised_address();
   options.site = section.site;
-  options.replicas = section.keepers;
+  options.replicas = section.acceptors;
   std::sort(options.replicas.begin(), options.replicas.end());
   options.storage_directory = section.folder;
-  options.leases = section.duties;
+  options.leases = section.leases;
   options.lease_duration = duration_of(section.lease_ms);
   return options;
 }
--- a/src/cluster/cluster_options.h
+++ b/src/cluster/cluster_options.h
@@ -26,6 +26,6 @@
 
 // Converts the section `fleet` of the operator's file. The caller sets `max_register_bytes` and
 // `random_seed`.
-ClusterOptions options_from(const config::OperatorConfig::Fleet& section);
+ClusterOptions options_from(const config::OperatorConfig::Cluster& section);
 
 }  // namespace firvalve::cluster
--- a/src/config/cluster_checks.cpp
+++ b/src/config/cluster_checks.cpp
@@ -55,14 +55,14 @@
 
 class ClusterChecks {
  public:
-  explicit ClusterChecks(ParsedConfig& config) : config_(config), section_(config.values.fleet) {}
+  explicit ClusterChecks(ParsedConfig& config) : config_(config), section_(config.values.cluster) {}
 
   void run() {
     if (section_.site.empty())
       add_diagnostic(DiagnosticCode::kMissingField, "fleet.site",
                      "is missing: expected the name of the site this gateway runs at");
     check_address("fleet.listen", section_.listen);
-    if (!section_.reached_at.empty()) check_address("fleet.reached_at", section_.reached_at);
+    if (!section_.peer_address.empty()) check_address("fleet.reached_at", section_.peer_address);
     check_acceptors();
     check_leases();
   }
@@ -91,7 +91,7 @@
   }
 
   void check_acceptors() {
-    const std::vector<std::string>& acceptors = section_.keepers;
+    const std::vector<std::string>& acceptors = section_.acceptors;
     if (acceptors.size() != 3 && acceptors.size() != 5 && acceptors.size() != 7)
       add_diagnostic(
           DiagnosticCode::kNotAllowed, "fleet.keepers",
@@ -117,20 +117,20 @@
   }
 
   void check_leases() {
-    for (const std::string& lease : section_.duties)
+    for (const std::string& lease : section_.leases)
       if (!is_lease_name(lease))
         add_diagnostic(DiagnosticCode::kNotAllowed, "fleet.duties",
                        fmt::format("\"{}\" is neither KIND:NAME nor KIND:* (all names of a kind)", lease));
   }
 
   ParsedConfig& config_;
-  const OperatorConfig::Fleet& section_;
+  const OperatorConfig::Cluster& section_;
 };
 
 }  // namespace
 
 void check_cluster_section(ParsedConfig& config) {
-  if (config.values.fleet.on) ClusterChecks(config).run();
+  if (config.values.cluster.on) ClusterChecks(config).run();
 }
 
 }  // namespace firvalve::config
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -1,8 +1,9 @@
 // The operator's configuration file: JSON with comments and trailing commas. Every field is optional. A file
 // with any error is rejected as a whole.
 //
-// The members of OperatorConfig have the names and units of the file's keys (`spool.memory_mb`). These belong
-// to the operators and do not change. fields.cpp defines the allowed ranges.
+// The members of OperatorConfig have the units of the file's keys. The names of the keys belong to the
+// operators and do not change; some differ from the members' (`spool` is paged_results, `fleet` is cluster).
+// fields.cpp maps the keys to the members and defines the allowed ranges.
 #pragma once
 
 #include <map>
@@ -15,11 +16,11 @@
 
 struct OperatorConfig {
   struct Clients {
-    bool marks = false;  // read retry markers; a retry joins the command it retries
+    bool reads_retry_markers = false;  // if so, a marked retry joins the command it retries
   } clients;
 
   // The result store: results of paged commands.
-  struct Spool {
+  struct PagedResults {
     bool on = false;                // return paged results to clients that ask for them
     double memory_mb = 8;           // budget of pages in memory
     std::string folder;             // for segment files; empty: pages are stored in memory only
@@ -29,24 +30,24 @@
     double page_kb = 6;             // size of the pages requested from engines
     double first_expected_kb = 64;  // expected size of a result while none of its profile is known
     double results = 10000;         // limit of the number of stored results
-  } spool;
+  } paged_results;
 
   // The cluster of gateways: replicated registers and the leases stored in them.
-  struct Fleet {
-    bool on = false;         // take part in the cluster
-    std::string site;        // name of the site this gateway runs at, such as an office
-    std::string listen;      // HOST:PORT for connections from peers
-    std::string reached_at;  // the address that peers connect to; empty: the same as `listen`
+  struct Cluster {
+    bool on = false;           // take part in the cluster
+    std::string site;          // name of the site this gateway runs at, such as an office
+    std::string listen;        // HOST:PORT for connections from peers
+    std::string peer_address;  // the address that peers connect to; empty: the same as `listen`
     // Addresses of the acceptors: three, five or seven, the same in every file.
-    std::vector<std::string> keepers;
+    std::vector<std::string> acceptors;
     std::string folder;               // for an acceptor's durable state; empty: memory only
     double lease_ms = 3000;           // how long a lease lasts without renewal
-    std::vector<std::string> duties;  // the leases this gateway may hold: KIND:NAME, or KIND:* for any name
+    std::vector<std::string> leases;  // the leases this gateway may hold: KIND:NAME, or KIND:* for any name
     bool trusted_network = false;     // allow peers off the loopback, although connections are not encrypted
 
     // The address by which peers identify this gateway.
-    const std::string& advertised_address() const { return reached_at.empty() ? listen : reached_at; }
-  } fleet;
+    const std::string& advertised_address() const { return peer_address.empty() ? listen : peer_address; }
+  } cluster;
 
   struct Log {
     std::string level = "info";   // lowest level written: debug, info, warning or error
--- a/src/gateway/gateway_config.cpp
+++ b/src/gateway/gateway_config.cpp
@@ -104,11 +104,11 @@
 // more than the other half. A gateway that exceeds the limit is killed.
 void check_result_store_memory(const config::OperatorConfig& operator_config, const GatewayConfig& config,
                                const std::string& operator_file) {
-  const config::OperatorConfig::Spool& spool = operator_config.spool;
-  if (!spool.on || spool.memory_mb <= config.memory_limit_mb / 2) return;
+  const config::OperatorConfig::PagedResults& section = operator_config.paged_results;
+  if (!section.on || section.memory_mb <= config.memory_limit_mb / 2) return;
   throw ConfigError(Code::kExceedsLimit, "spool.memory_mb",
                     fmt::format("{}: spool.memory_mb: {} exceeds half of the gateway's memory limit of {} MB",
-                                operator_file, spool.memory_mb, config.memory_limit_mb));
+                                operator_file, section.memory_mb, config.memory_limit_mb));
 }
 
 }  // namespace firvalve
--- a/src/gateway/result_store_wiring.cpp
+++ b/src/gateway/result_store_wiring.cpp
@@ -5,21 +5,21 @@
 namespace firvalve {
 namespace {
 
-results::PagedResultStoreOptions store_options(const config::OperatorConfig::Spool& spool) {
+results::PagedResultStoreOptions store_options(const config::OperatorConfig::PagedResults& section) {
   results::PagedResultStoreOptions options;
-  options.retention.memory_bytes = spool.memory_mb * 1e6;
-  options.retention.disk_bytes = spool.folder.empty() ? 0 : spool.disk_mb * 1e6;
-  options.retention.max_result_bytes = spool.result_mb * 1e6;
-  options.retention.lease = duration_of(spool.lease_s * 1000);
-  options.retention.max_results = static_cast<size_t>(spool.results);
-  options.initial_expected_bytes = spool.first_expected_kb * 1000;
+  options.retention.memory_bytes = section.memory_mb * 1e6;
+  options.retention.disk_bytes = section.folder.empty() ? 0 : section.disk_mb * 1e6;
+  options.retention.max_result_bytes = section.result_mb * 1e6;
+  options.retention.lease = duration_of(section.lease_s * 1000);
+  options.retention.max_results = static_cast<size_t>(section.results);
+  options.initial_expected_bytes = section.first_expected_kb * 1000;
   options.max_backlog_bytes = options.retention.memory_bytes / 4;
   return options;
 }
 
 }  // namespace
 
-ResultStoreWiring::ResultStoreWiring(const config::OperatorConfig::Spool& options, net::Loop& loop,
+ResultStoreWiring::ResultStoreWiring(const config::OperatorConfig::PagedResults& options, net::Loop& loop,
                                      Metrics& metrics, EventLog& event_log) {
   if (!options.on) return;
   std::random_device device;
--- a/src/gateway/result_store_wiring.h
+++ b/src/gateway/result_store_wiring.h
@@ -17,7 +17,7 @@
  public:
   // Opens the store if the operator's file enables it, with files if it names a folder. Throws the exceptions
   // of results::SegmentFiles if the folder cannot be used. All arguments must outlive this object.
-  ResultStoreWiring(const config::OperatorConfig::Spool& options, net::Loop& loop, Metrics& metrics,
+  ResultStoreWiring(const config::OperatorConfig::PagedResults& options, net::Loop& loop, Metrics& metrics,
                     EventLog& event_log);
 
   results::PagedResultStore* store() { return store_.get(); }  // null: disabled
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -46,7 +46,7 @@
   return value > 0 ? duration_of(value) : default_value;
 }
 
-cluster::ClusterOptions cluster_options(const config::OperatorConfig::Fleet& section, double memory_bytes) {
+cluster::ClusterOptions cluster_options(const config::OperatorConfig::Cluster& section, double memory_bytes) {
   cluster::ClusterOptions options = cluster::options_from(section);
   options.max_register_bytes = static_cast<size_t>(kRegisterShare * memory_bytes);
   std::random_device device;
@@ -115,12 +115,12 @@
   const Duration connect_timeout = duration_setting(settings, "connect time-out", kDefaultConnectTimeout);
   const Duration idle_timeout = duration_setting(settings, "idle close", kDefaultIdleTimeout);
   net::ClientServer clients(loop, metrics);
-  clients.set_reads_retry_markers(operator_config.clients.marks);
+  clients.set_reads_retry_markers(operator_config.clients.reads_retry_markers);
   net::EngineConnections engines(loop, metrics, {connect_timeout, idle_timeout});
   std::unique_ptr<cluster::ClusterService> cluster;
-  if (operator_config.fleet.on)
+  if (operator_config.cluster.on)
     cluster = std::make_unique<cluster::ClusterService>(
-        loop, metrics, cluster_options(operator_config.fleet, memory_bytes), clients,
+        loop, metrics, cluster_options(operator_config.cluster, memory_bytes), clients,
         [&](log::Level level, std::string_view event, log::Fields fields) {
           event_log.write(level, event, fields);
         });
@@ -133,10 +133,10 @@
     clients.set_cluster(*cluster);
   }
 
-  ResultStoreWiring result_store_wiring(operator_config.spool, loop, metrics, event_log);
+  ResultStoreWiring result_store_wiring(operator_config.paged_results, loop, metrics, event_log);
   results::PagedResultStore* const result_store = result_store_wiring.store();
   if (result_store) {
-    engines.set_max_page_bytes(static_cast<size_t>(operator_config.spool.page_kb * 1000));
+    engines.set_max_page_bytes(static_cast<size_t>(operator_config.paged_results.page_kb * 1000));
     core.set_result_store(*result_store);
     clients.set_result_store(*result_store);
     result_store->on_space_freed = [&core](TimePoint now) { core.result_space_available(now); };
--- a/src/loadtest/simulated_gateway.cpp
+++ b/src/loadtest/simulated_gateway.cpp
@@ -54,7 +54,7 @@
 }
 
 // The section of the operator's file that a real gateway would have, by the real reader.
-config::OperatorConfig::Fleet read_fleet_section(const SimulatedGatewayOptions& options) {
+config::OperatorConfig::Cluster read_fleet_section(const SimulatedGatewayOptions& options) {
   std::string text = fmt::format(R"({{"fleet":{{"on":true,"site":"{}","listen":"{}","keepers":{},)",
                                  options.site, options.address, json_list(options.keepers));
   if (!options.reached_at.empty()) text += fmt::format(R"("reached_at":"{}",)", options.reached_at);
@@ -64,7 +64,7 @@
   if (!parsed.is_valid())
     throw ScaleError(fmt::format("simulated gateway {}: {}: {}", options.address, parsed.diagnostics[0].path,
                                  parsed.diagnostics[0].message));
-  return parsed.values.fleet;
+  return parsed.values.cluster;
 }
 
 class NoClients : public ResponseSink {
@@ -134,7 +134,7 @@
  private:
   std::unique_ptr<cluster::ClusterService> make_fleet(const SimulatedGatewayOptions& options) {
     if (options.keepers.empty()) return nullptr;
-    const config::OperatorConfig::Fleet section = read_fleet_section(options);
+    const config::OperatorConfig::Cluster section = read_fleet_section(options);
     cluster::ClusterOptions terms = cluster::options_from(section);
     terms.random_seed = draw_of_this_start();
     return std::make_unique<cluster::ClusterService>(
--- a/tests/config/operator_config_test.cpp
+++ b/tests/config/operator_config_test.cpp
@@ -15,14 +15,14 @@
 
 TEST(OperatorConfig, EmptyObjectGivesDefaults) {
   EXPECT_TRUE(parse_operator_config("{}").is_valid());
-  EXPECT_FALSE(parse_operator_config("{}").values.clients.marks);
+  EXPECT_FALSE(parse_operator_config("{}").values.clients.reads_retry_markers);
 }
 
 TEST(OperatorConfig, CommentsAndTrailingCommasAreAccepted) {
   const ParsedConfig parsed =
       parse_operator_config("// a file\n{ \"clients\": { \"marks\": true, /* on */ }, }");
   EXPECT_TRUE(parsed.is_valid()) << format_diagnostic("f", parsed.diagnostics[0]);
-  EXPECT_TRUE(parsed.values.clients.marks);
+  EXPECT_TRUE(parsed.values.clients.reads_retry_markers);
 }
 
 TEST(OperatorConfig, MisspeltFieldIsReportedWithItsLineAndASuggestion) {
@@ -45,8 +45,8 @@
 TEST(OperatorConfig, ClusterSectionIsParsed) {
   const ParsedConfig parsed = parse_operator_config(kClusterFile);
   ASSERT_TRUE(parsed.is_valid()) << format_diagnostic("f", parsed.diagnostics[0]);
-  EXPECT_EQ(parsed.values.fleet.keepers.size(), 3u);
-  EXPECT_EQ(parsed.values.fleet.advertised_address(), "127.0.0.1:7001");
+  EXPECT_EQ(parsed.values.cluster.acceptors.size(), 3u);
+  EXPECT_EQ(parsed.values.cluster.advertised_address(), "127.0.0.1:7001");
   EXPECT_NE(describe(parsed.values).find("fleet.duties = [\"trial:*\"]"), std::string::npos);
 }
 
